--- a/crates/serving/src/coordinator/handover.rs
+++ b/crates/serving/src/coordinator/handover.rs
@@ -1,5 +1,5 @@
-//! Planned moves of primaries: from zones that are being evacuated, from databases that leave,
-//! and from where they should not lead.
+//! Planned moves of primaries: out of zones under evacuation, away from databases that are
+//! leaving, and out of places where they should not lead.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,19 +13,19 @@
 use crate::node::Node;
 use crate::units::millis;
 
-/// A move of a primary that is due.
+/// A planned move of a primary that is due.
 #[derive(Clone, Debug)]
 pub(super) struct Handover {
-    /// Why, and where to.
+    /// The reason for the move and its possible targets.
     pub(super) planned: PlannedMove,
-    /// How long it has been wanted.
+    /// How long the move has been wanted.
     pub(super) wanted_for: Duration,
-    /// What the primary held when it was last heard.
+    /// Position of the primary in its newest sample.
     pub(super) primary_held: Option<Position>,
 }
 
-/// The move that is due for a group's primary, if it has one that should not go on leading and
-/// there is a better place for it.
+/// Returns the move that is due for a group's primary, if the primary should not continue to lead
+/// and there is a better place for it.
 pub(super) fn due(node: &Rc<Node>, group: &GroupName, leader: &DatabaseName) -> Option<Handover> {
     let wanted_for = time_wanted(node, group, leader)?;
     let present = drawbacks_of_leader(node, leader);
@@ -49,7 +49,8 @@
     })
 }
 
-/// How long a group's primary has been in a place that it should leave. Nothing if it is not.
+/// Returns for how long a group's primary has been in a place that it should leave, or `None` if
+/// it need not move.
 pub(super) fn time_wanted(
     node: &Rc<Node>,
     group: &GroupName,
@@ -68,9 +69,9 @@
     })
 }
 
-/// Whether a database that states that it leads, of a group whose primary is not known, is in a
-/// place that a primary should leave.
-pub(super) fn is_wanted_of_stated(node: &Rc<Node>, group: &GroupName) -> bool {
+/// Returns whether, in a group whose primary is not known, a database that states that it leads is
+/// in a place that a primary should leave.
+pub(super) fn is_wanted_for_stated_primary(node: &Rc<Node>, group: &GroupName) -> bool {
     let directory = node.directory.borrow();
     let mut stated = directory
         .of_group(group)
@@ -78,7 +79,7 @@
     stated.any(|listed| reason_to_move(drawbacks_of(node, listed), None).is_some())
 }
 
-/// Since when a group's primary has led by a promotion that this node knows of.
+/// Returns how long a group's primary has led by a promotion that this node knows of.
 fn time_led(node: &Rc<Node>, group: &GroupName, leader: &DatabaseName) -> Option<Duration> {
     let now = node.now();
     node.with_group(group, |state| {
@@ -87,8 +88,8 @@
     })
 }
 
-/// What speaks against the present primary. Its entry missing, it counts as leaving only once
-/// that is certain.
+/// Returns the drawbacks of the present primary. If its entry is missing, it counts as leaving
+/// only once that is certain.
 fn drawbacks_of_leader(node: &Rc<Node>, leader: &DatabaseName) -> Drawbacks {
     let now = node.now();
     let steady_since = node.store_steady_since.get();
@@ -97,7 +98,7 @@
     match directory.get(leader) {
         Some(listed) => {
             let leaving = listed.is_leaving(steady_since, now) && follows_store;
-            judge(node, listed, leaving)
+            assess_drawbacks(node, listed, leaving)
         }
         None => Drawbacks {
             leaving: follows_store,
@@ -106,12 +107,13 @@
     }
 }
 
-/// What speaks against another database of a group. It counts as leaving at the first sign.
+/// Returns the drawbacks of another database of the group, which counts as leaving at the first
+/// sign.
 pub(super) fn drawbacks_of(node: &Rc<Node>, listed: &Listed) -> Drawbacks {
-    judge(node, listed, listed.departure.is_some())
+    assess_drawbacks(node, listed, listed.departure.is_some())
 }
 
-fn judge(node: &Rc<Node>, listed: &Listed, leaving: bool) -> Drawbacks {
+fn assess_drawbacks(node: &Rc<Node>, listed: &Listed, leaving: bool) -> Drawbacks {
     let zone = &listed.database.zone;
     let place = Place {
         leaving,
@@ -123,8 +125,8 @@
     Drawbacks::of(&place, allowed.as_ref())
 }
 
-/// Logs what became of a move.
-pub(super) fn tell(
+/// Logs and counts the outcome of a planned move.
+pub(super) fn log_outcome(
     node: &Rc<Node>,
     group: &GroupName,
     leader: &DatabaseName,
--- a/crates/serving/src/coordinator/mod.rs
+++ b/crates/serving/src/coordinator/mod.rs
@@ -1,5 +1,5 @@
-//! Replaces lost primaries and moves those that should lead elsewhere, while this node holds the
-//! coordinator's record.
+//! Replaces lost primaries and carries out planned moves, while this node holds the coordinator
+//! record.
 
 mod handover;
 mod order;
@@ -25,32 +25,34 @@
 use crate::peers::{FIRST_PRIMARY_TIME, PeerView, Peers};
 use crate::units::millis;
 
-/// Pause between rounds.
-const ROUND: Duration = Duration::from_millis(100);
-/// Groups that are looked at in one round besides those that need attention, so that the cost of
-/// a round does not grow with the number of groups: 640 a second.
-const SURVEYED_A_ROUND: usize = 64;
-/// After a promotion that may still take effect, no other is ordered for this long.
-const SETTLING: Duration = Duration::from_millis(2_500);
-/// Pause after a promotion that was rejected.
+/// Pause between two rounds of the coordinator.
+const ROUND_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of groups checked per round in addition to those that need attention: 640 a second. The
+/// bound keeps the cost of a round independent of the number of groups.
+const GROUPS_PER_ROUND: usize = 64;
+/// After a promotion that may still take effect, no other promotion of the group is ordered for
+/// this long.
+const SETTLE_TIME: Duration = Duration::from_millis(2_500);
+/// Pause after a rejected promotion.
 const REJECTED_PAUSE: Duration = Duration::from_millis(200);
-/// Pause after a planned move that was not made: a replica that lacks commits, or an answer of a
-/// peer, takes a few round trips, and an evacuated zone leaves a few seconds for all attempts.
+/// Pause after a planned move that was not made. A replica catching up or a peer's answer takes a
+/// few round trips, and the evacuation of a zone leaves a few seconds for all attempts.
 const NOT_MOVED_PAUSE: Duration = Duration::from_millis(250);
 
-/// Why a primary is to be replaced.
+/// The reason for replacing a primary.
 #[derive(Clone, Debug)]
 enum Reason {
     Lost,
     Planned(Handover),
 }
 
-/// Looks after all groups, each in a task of its own, for as long as the node lives.
+/// Runs the coordinator's rounds, each replacement in a task of its own, until the node shuts
+/// down.
 pub async fn coordinate(node: Rc<Node>, peers: Rc<Peers>) {
     let mut resumed_for = None;
     let mut survey = Survey::default();
     loop {
-        sleep(ROUND).await;
+        sleep(ROUND_INTERVAL).await;
         let revision = node.coordinator_revision();
         if revision.is_none() {
             survey.to_move.clear();
@@ -74,27 +76,28 @@
     }
 }
 
-/// Groups with replicas that may have been paused for a promotion.
+/// Returns the groups whose replicas may have been paused for a promotion.
 fn synchronous_groups(node: &Rc<Node>) -> Vec<GroupName> {
     let groups = node.configured_groups();
     let synchronous = |group: &GroupName| replicas::sync_replicas(node, group) > 0;
     groups.into_iter().filter(synchronous).collect()
 }
 
-/// The coordinator's look at the groups, round by round.
+/// State of the coordinator's periodic check of all groups.
 #[derive(Default)]
 struct Survey {
     pace: HandoverPace,
-    /// The group that was looked at last in turn.
+    /// The last group of the previous round-robin batch.
     last: Option<GroupName>,
     /// Groups whose primaries should move.
     to_move: BTreeSet<GroupName>,
 }
 
 impl Survey {
-    /// Groups whose primary may need replacing, marked as being looked after: all that may have
-    /// lost theirs, and of the others as many as the pace allows. Groups that need attention
-    /// are looked at in each round, and of all groups the next few.
+    /// Returns the groups whose primary may need replacing and marks them as being replaced: all
+    /// groups that may have lost their primary, and as many planned moves as the rate allows. Each
+    /// round checks the groups that need attention, those waiting for a move, and the next batch
+    /// of all groups.
     fn due_groups(&mut self, node: &Rc<Node>) -> Vec<GroupName> {
         let rate = node.changeable().promotions_per_second;
         let mut due = Vec::new();
@@ -120,7 +123,7 @@
     }
 
     fn next_groups(&mut self, node: &Rc<Node>) -> BTreeSet<GroupName> {
-        let in_turn = node.groups_after(self.last.as_ref(), SURVEYED_A_ROUND);
+        let in_turn = node.groups_after(self.last.as_ref(), GROUPS_PER_ROUND);
         self.last = in_turn.last().cloned();
         let mut groups: BTreeSet<GroupName> = in_turn.into_iter().collect();
         groups.extend(node.attention.groups());
@@ -128,13 +131,13 @@
         groups
     }
 
-    /// Notes whether a group's primary should move. One that is not known, and by what the
-    /// databases state should, is asked for.
+    /// Records whether a group's primary should move. If the primary is not known but a database
+    /// that states that it leads should move, the primary is requested.
     fn note_move(&mut self, node: &Rc<Node>, group: &GroupName) {
         let wanted = match node.leader(group) {
             Some(leader) => handover::time_wanted(node, group, &leader).is_some(),
             None => {
-                if handover::is_wanted_of_stated(node, group) {
+                if handover::is_wanted_for_stated_primary(node, group) {
                     node.note_relied_on(group);
                 }
                 false
@@ -169,7 +172,8 @@
     let Some(leader) = leader else {
         return (!awaited).then_some(Reason::Lost);
     };
-    // A primary that is shut is not heard any more, whether it lives or not.
+    // A primary in an evacuated zone is not contacted any more, so its silence does not show
+    // whether it works.
     if lost && !node.is_shut(&leader) {
         return Some(Reason::Lost);
     }
@@ -214,20 +218,20 @@
     settle(node, group, &candidate.name, outcome).await;
 }
 
-/// Moves a primary. The one that leads serves on until the promotion takes effect.
+/// Moves a primary. The present primary continues to serve until the promotion takes effect.
 async fn hand_over(node: &Rc<Node>, peers: &Rc<Peers>, group: &GroupName, planned: &Handover) {
     let Some(leader) = node.leader(group) else {
         return;
     };
     let views = views_for_authority(node, peers, group, &leader).await;
     let Some(authority) = authority(node, &views) else {
-        handover::tell(node, group, &leader, None, planned, "no_authority");
+        handover::log_outcome(node, group, &leader, None, planned, "no_authority");
         sleep(NOT_MOVED_PAUSE).await;
         return;
     };
     let eligible = Eligible::Only(&planned.planned.targets);
     let Some(candidate) = find_candidate(node, group, Some(&leader), eligible).await else {
-        handover::tell(node, group, &leader, None, planned, "no_candidate");
+        handover::log_outcome(node, group, &leader, None, planned, "no_candidate");
         sleep(NOT_MOVED_PAUSE).await;
         return;
     };
@@ -241,21 +245,21 @@
     };
     if let Some(outcome) = not_moved {
         resume_replicas(node, group).await;
-        handover::tell(node, group, &leader, Some(name), planned, outcome);
+        handover::log_outcome(node, group, &leader, Some(name), planned, outcome);
         sleep(NOT_MOVED_PAUSE).await;
         return;
     }
     let outcome = order(node, peers, group, name, None, authority).await;
-    let told = match &outcome {
+    let order_result = match &outcome {
         Ok(()) => "ordered",
         Err(OrderError::Rejected) => "rejected",
         Err(OrderError::Unanswered) => "unanswered",
     };
-    handover::tell(node, group, &leader, Some(name), planned, told);
+    handover::log_outcome(node, group, &leader, Some(name), planned, order_result);
     settle(node, group, name, outcome).await;
 }
 
-/// Whether a group's primary should still move to `candidate`, as of now.
+/// Returns whether a group's primary should still move to `candidate`.
 fn still_wanted(
     node: &Rc<Node>,
     group: &GroupName,
@@ -267,7 +271,7 @@
             .is_some_and(|due| due.planned.targets.contains(candidate))
 }
 
-/// Waits until what became of an order can be told.
+/// Waits until the outcome of an order can be known.
 async fn settle(
     node: &Rc<Node>,
     group: &GroupName,
@@ -280,12 +284,12 @@
             resume_replicas(node, group).await;
             sleep(REJECTED_PAUSE).await;
         }
-        Err(OrderError::Unanswered) => sleep(SETTLING).await,
+        Err(OrderError::Unanswered) => sleep(SETTLE_TIME).await,
     }
 }
 
-/// What the other nodes say of who coordinates. They are asked only if this node's lease does
-/// not answer that.
+/// Returns the other nodes' views of the coordinator. They are requested only if this node does
+/// not hold a valid coordinator lease.
 async fn views_for_authority(
     node: &Rc<Node>,
     peers: &Peers,
@@ -300,9 +304,9 @@
         .await
 }
 
-/// What the nodes see of a primary, as far as it is needed: those that hold connections
-/// to it are asked first, and all nodes only if that decides nothing. Holders that had not
-/// looked lately do so as they are asked, and can tell in a moment.
+/// Returns the nodes' observations of a primary. Nodes that hold connections to it are asked
+/// first, and all nodes only if that decides nothing. Holders that have not checked the primary
+/// lately do so when they are asked, and can answer a moment later.
 async fn views_of_lost(
     node: &Rc<Node>,
     peers: &Peers,
@@ -316,16 +320,16 @@
             .map(|holder| holder.address)
             .collect();
         let views = peers.gather(node, group, Some(leader), &holders).await;
-        let seen = observations_of(&views);
+        let observed = observations_of(&views);
         let witnesses = node.witnesses(Some(leader));
         let all_hold = witnesses.holders == witnesses.members;
-        let reached = seen.contains(&Observation::Reachable);
+        let reachable = observed.contains(&Observation::Reachable);
         let own_view = 1;
-        let some_look = seen
+        let some_checking = observed
             .iter()
             .skip(own_view)
-            .any(|seen| *seen == Observation::Unknown);
-        if all_hold || reached || some_look || is_lost(&seen, witnesses) {
+            .any(|observed| *observed == Observation::Unknown);
+        if all_hold || reachable || some_checking || is_lost(&observed, witnesses) {
             return views;
         }
     }
@@ -338,10 +342,10 @@
     views.iter().map(|view| view.observation).collect()
 }
 
-/// Whether this node may order a promotion, as of the answers of its peers.
+/// Returns the authority by which this node may order a promotion, given its peers' answers.
 ///
-/// Without fencing at the service only the lease will do: an order of an outvoted
-/// coordinator would not be refused.
+/// If the service does not fence promotions, only the lease is accepted, because the order of a
+/// superseded coordinator would not be rejected.
 fn authority(node: &Rc<Node>, views: &[PeerView]) -> Option<Authority> {
     if node.coordinates() {
         return Some(Authority::Lease);
@@ -355,9 +359,9 @@
     (node.changeable().fenced_promotions && agreed && quorum).then_some(Authority::Quorum)
 }
 
-/// An observation for the log: what is seen, and for how many milliseconds.
-fn told(observation: &Observation) -> serde_json::Value {
-    let (seen, lasting) = match *observation {
+/// Formats an observation for the event log: its kind and its duration in milliseconds.
+fn observation_json(observation: &Observation) -> serde_json::Value {
+    let (observed, lasting) = match *observation {
         Observation::Reachable => ("reachable", None),
         Observation::Refused(lasting) => ("refused", Some(lasting)),
         Observation::Silent(lasting) => ("silent", Some(lasting)),
@@ -365,7 +369,7 @@
         Observation::Leaderless(lasting) => ("leaderless", Some(lasting)),
         Observation::Unknown => ("unknown", None),
     };
-    serde_json::json!({ "seen": seen, "for_ms": lasting.map(millis) })
+    serde_json::json!({ "seen": observed, "for_ms": lasting.map(millis) })
 }
 
 fn log_loss(
@@ -381,7 +385,11 @@
             ("leader", leader.map(DatabaseName::as_str).into()),
             (
                 "observations",
-                observations.iter().map(told).collect::<Vec<_>>().into(),
+                observations
+                    .iter()
+                    .map(observation_json)
+                    .collect::<Vec<_>>()
+                    .into(),
             ),
             ("members", node.live_members().into()),
         ],
@@ -390,10 +398,10 @@
 
 async fn await_new_leader(node: &Rc<Node>, group: &GroupName, candidate: &DatabaseName) {
     let began: Timestamp = node.now();
-    while node.now().since(began) < SETTLING {
+    while node.now().since(began) < SETTLE_TIME {
         if node.leader(group).as_ref() == Some(candidate) {
             return;
         }
-        sleep(ROUND / 2).await;
+        sleep(ROUND_INTERVAL / 2).await;
     }
 }
--- a/crates/serving/src/coordinator/order.rs
+++ b/crates/serving/src/coordinator/order.rs
@@ -1,4 +1,5 @@
-//! Ordering a promotion, after every node knows of it where the service does not fence.
+//! Orders promotions. Where the promotion service does not fence, every node learns of the
+//! promotion first.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,7 +8,7 @@
 use hookpoint_state::{DatabaseName, GroupName};
 use tokio::time::{sleep, timeout};
 
-use super::SETTLING;
+use super::SETTLE_TIME;
 use super::replicas::sync_replicas;
 use super::step_down::step_down_in_background;
 use super::withdrawal::{WithdrawalError, withdraw_leases};
@@ -17,34 +18,34 @@
 use crate::primary_lease::Announcement;
 use crate::records::{PROMOTION_PREFIX, PromotionRecord, encode};
 
-/// Limit for a promotion's answer. One without an answer is ordered again: the token and
-/// the candidate are the same, so being carried out twice changes nothing.
-const PROMOTION_LIMIT: Duration = Duration::from_millis(350);
-/// Pause between two orders of the same promotion.
+/// Timeout of a promotion request. A request without an answer is repeated with the same token and
+/// candidate, so carrying it out twice has no further effect.
+const PROMOTION_TIMEOUT: Duration = Duration::from_millis(350);
+/// Pause between two requests for the same promotion.
 const REPEAT_PAUSE: Duration = Duration::from_millis(100);
 
-/// On what strength a promotion is ordered.
+/// The basis on which a promotion is ordered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Authority {
-    /// The node's lease holds.
+    /// This node holds a valid coordinator lease.
     Lease,
-    /// The lease may have run out, but the store is away for a majority of the fleet and
-    /// none of them knows of another coordinator, so nobody can have taken over.
+    /// The lease may have expired, but a majority of the fleet cannot reach the store and none of
+    /// these nodes knows another coordinator, so no other node can have taken over.
     Quorum,
 }
 
-/// Why a promotion was not confirmed.
+/// The reason why a promotion was not confirmed.
 pub(super) enum OrderError {
-    /// It will not be carried out.
+    /// The promotion will not be carried out.
     Rejected,
-    /// It may be carried out yet.
+    /// The promotion may still be carried out.
     Unanswered,
 }
 
-/// The next token of this coordinator.
+/// Returns the next fencing token of this coordinator, or `None` if its tokens are used up.
 ///
-/// A coordinator's record is written once in its life, under a condition, so its revision
-/// is this life's own.
+/// A coordinator record is written once per tenure, with a conditional write, so its revision
+/// identifies the tenure.
 fn next_token(node: &Rc<Node>, group: &GroupName) -> Option<FencingToken> {
     let claim = node.coordinator_revision()?;
     let number = node.promotions_ordered.get() + 1;
@@ -63,7 +64,7 @@
     token
 }
 
-/// Orders a promotion, again under the same token while it is not answered.
+/// Orders a promotion, repeating the request under the same token while it is not answered.
 pub(super) async fn order(
     node: &Rc<Node>,
     peers: &Rc<Peers>,
@@ -85,26 +86,26 @@
         replace_unfenced(node, peers, &order, replaced).await?;
     }
     let began = node.now();
-    // The replicas of a synchronous group stay paused until the order is answered: one
-    // that is carried out after they receive again would roll back acknowledged commits.
+    // The replicas of a synchronous group stay paused until the order is answered: an order
+    // carried out after they resumed would roll back acknowledged commits.
     let synchronous = sync_replicas(node, group) > 0;
     loop {
         if authority == Authority::Lease && !node.coordinates() {
             return Err(OrderError::Unanswered);
         }
         log_order(node, &order, "promotion_ordered", authority_name(authority));
-        let answer = timeout(PROMOTION_LIMIT, node.promotions.promote(&order)).await;
+        let answer = timeout(PROMOTION_TIMEOUT, node.promotions.promote(&order)).await;
         let outcome = answer.unwrap_or(Err(PromotionError::NoAnswer));
-        let told = match &outcome {
+        let answer_text = match &outcome {
             Ok(()) => "confirmed".to_owned(),
             Err(error) => error.to_string(),
         };
-        log_order(node, &order, "promotion_answered", &told);
+        log_order(node, &order, "promotion_answered", &answer_text);
         match outcome {
             Ok(()) => return Ok(()),
             Err(PromotionError::Rejected) => return Err(OrderError::Rejected),
             Err(PromotionError::NoAnswer | PromotionError::Unavailable)
-                if synchronous || node.now().since(began) < SETTLING =>
+                if synchronous || node.now().since(began) < SETTLE_TIME =>
             {
                 sleep(REPEAT_PAUSE).await;
             }
@@ -113,9 +114,9 @@
     }
 }
 
-/// Before an order that the service does not fence: every node is told which database
-/// leads next, and no lease may be left under which one of them uses the present primary.
-/// That is told to step down as well, so that it no longer takes itself for the primary.
+/// Prepares a promotion that the service does not fence: informs every node of the next primary
+/// and waits until no lease covers the use of the present one. The present primary is also ordered
+/// to step down, so that it no longer considers itself the primary.
 async fn replace_unfenced(
     node: &Rc<Node>,
     peers: &Rc<Peers>,
@@ -132,7 +133,7 @@
         Ok(()) => {}
         Err(WithdrawalError::NotCoordinator) => return Err(OrderError::Rejected),
         Err(WithdrawalError::PrimaryIsBack) => {
-            take_back(node, order, replaced).await;
+            revert_announcement(node, order, replaced).await;
             return Err(OrderError::Rejected);
         }
     }
@@ -142,8 +143,13 @@
     Ok(())
 }
 
-/// Announces the present primary instead of the candidate, which was not ordered yet.
-async fn take_back(node: &Rc<Node>, order: &PromotionOrder, present: Option<&DatabaseName>) {
+/// Announces the present primary again in place of the candidate, whose promotion has not been
+/// ordered yet.
+async fn revert_announcement(
+    node: &Rc<Node>,
+    order: &PromotionOrder,
+    present: Option<&DatabaseName>,
+) {
     let Some(present) = present else {
         return;
     };
@@ -178,8 +184,8 @@
     );
 }
 
-/// Tells the other nodes of an order through the store, as far as that is to be had.
-/// Nothing if it was not written.
+/// Writes an order's announcement to the store, from where the other nodes read it. Returns `None`
+/// if the write failed.
 async fn announce(node: Rc<Node>, order: PromotionOrder) -> Option<Announcement> {
     let record = PromotionRecord {
         group: order.group.clone(),
--- a/crates/serving/src/coordinator/replicas.rs
+++ b/crates/serving/src/coordinator/replicas.rs
@@ -1,4 +1,4 @@
-//! Questions to a group's databases about themselves, and the choice of the next primary.
+//! Queries the databases of a group for their state and chooses the next primary.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -21,15 +21,15 @@
 use crate::pool::{ConnectionRequest, Pool, WaitLimits};
 use crate::relay;
 
-/// How long a database that is missing from the store counts as a replica.
-const MISSING_COUNTS: Duration = Duration::from_secs(15);
-/// Limit for a replica's answer about itself.
-const STATUS_LIMIT: Duration = Duration::from_millis(300);
-/// Pause before a loaded replica is asked again.
+/// How long a database that is missing from the store still counts as a replica.
+const MISSING_REPLICA_COUNTS_FOR: Duration = Duration::from_secs(15);
+/// Timeout of a status request to a replica.
+const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
+/// Pause before an overloaded replica is asked again.
 const BUSY_PAUSE: Duration = Duration::from_millis(10);
-/// Rounds of questions before no replica counts as answering.
+/// Number of rounds of status requests after which the replicas count as unresponsive.
 const STATUS_ROUNDS: usize = 3;
-/// Priority of questions about state: they go first.
+/// Priority of status requests: the most urgent.
 const STATUS_PRIORITY: u8 = 0;
 
 pub(super) fn sync_replicas(node: &Rc<Node>, group: &GroupName) -> u32 {
@@ -38,7 +38,7 @@
         .map_or(0, |group| group.sync_replicas)
 }
 
-/// Lets replicas receive again that were paused for a promotion that did not come.
+/// Resumes replication on replicas that were paused for a promotion that did not take place.
 pub(super) async fn resume_replicas(node: &Rc<Node>, group: &GroupName) {
     if sync_replicas(node, group) > 0 {
         let databases = node.by_stated_role(group);
@@ -46,12 +46,12 @@
     }
 }
 
-/// Which replicas may lead next.
+/// The replicas that may become the next primary.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Eligible<'a> {
-    /// Any.
+    /// Any replica.
     All,
-    /// Those that a primary may move to.
+    /// Only the listed targets of a planned move.
     Only(&'a [DatabaseName]),
 }
 
@@ -69,8 +69,8 @@
     }
 }
 
-/// Asks the replicas what they hold and chooses the one to lead. Replicas of a synchronous group
-/// no longer receive when one was found.
+/// Asks the replicas for their positions and chooses the next primary. In a synchronous group the
+/// replicas have paused replication when a candidate is returned.
 pub(super) async fn find_candidate(
     node: &Rc<Node>,
     group: &GroupName,
@@ -85,7 +85,8 @@
         .collect();
     let mut answers = ask_until_some_answer(node, &replicas).await;
     if sync_replicas > 0 {
-        // A primary that leads is not held up for a move that cannot be made.
+        // Replication is not paused, which would block the present primary, for a move that cannot
+        // be made.
         if let Eligible::Only(_) = eligible
             && let Err(error) =
                 eligible.choose(&states_of(node, &answers), replicas.len(), sync_replicas)
@@ -106,7 +107,7 @@
                 ("database", name.as_str().into()),
             ],
         );
-        confirm_found(node, &name).await;
+        prove_found_primary(node, &name).await;
         return None;
     }
     match eligible.choose(&states, replicas.len(), sync_replicas) {
@@ -126,13 +127,14 @@
         .collect()
 }
 
-/// The one of the databases that says that it leads, unless it lost what a replica still holds.
+/// Returns the database that reports that it leads, unless it lost commits that a replica still
+/// holds.
 fn present_primary(
     answers: &[(DatabaseName, DatabaseStatus)],
     states: &[ReplicaState],
 ) -> Option<DatabaseName> {
     let (name, _) = answers.iter().find(|(_, status)| status.primary)?;
-    (!restarted_empty(name, states)).then(|| name.clone())
+    (!has_lost_commits(name, states)).then(|| name.clone())
 }
 
 fn log_no_candidate(node: &Rc<Node>, group: &GroupName, error: NoCandidate) {
@@ -145,15 +147,16 @@
     );
 }
 
-/// Whether a database that calls itself the primary lost what a replica still holds.
-fn restarted_empty(name: &DatabaseName, states: &[ReplicaState]) -> bool {
+/// Returns whether a database that reports that it leads lost commits that a replica still holds.
+fn has_lost_commits(name: &DatabaseName, states: &[ReplicaState]) -> bool {
     states
         .iter()
         .any(|state| state.name == *name && state.is_behind(states))
 }
 
-/// A database that is missing from the store, for a crash or an outage, may be the only
-/// one that holds a commit, so it counts until the others have long received all of it.
+/// Returns whether a database counts as a replica. A database that is missing from the store
+/// because of a crash or an outage may be the only one that holds a commit, so it counts until the
+/// others have certainly received all commits.
 fn is_candidate(node: &Rc<Node>, name: &DatabaseName) -> bool {
     let now = node.now();
     let directory = node.directory.borrow();
@@ -161,7 +164,7 @@
         let missing_since = listed
             .departure
             .map_or(now, |departure| departure.heard_at());
-        !listed.missing || now.since(missing_since) < MISSING_COUNTS
+        !listed.missing || now.since(missing_since) < MISSING_REPLICA_COUNTS_FOR
     })
 }
 
@@ -190,9 +193,9 @@
     }
 }
 
-/// Has a database that says that it leads prove it. While the primary known here is shut,
-/// nothing else would tell this node of the new one.
-async fn confirm_found(node: &Rc<Node>, name: &DatabaseName) {
+/// Obtains a proof of leadership from a database that reports that it leads. While the primary
+/// known here is in an evacuated zone, this node has no other way to learn of the new one.
+async fn prove_found_primary(node: &Rc<Node>, name: &DatabaseName) {
     if let Some(mut lease) = lease_for_status(node, &node.pool(name)).await
         && prove_leadership(node, &mut lease).await.is_err()
     {
@@ -200,7 +203,7 @@
     }
 }
 
-/// Asks for the state of all, again as long as none of them answers.
+/// Requests the status of all replicas, repeating the round while none of them answers.
 async fn ask_until_some_answer(
     node: &Rc<Node>,
     replicas: &[DatabaseName],
@@ -225,7 +228,7 @@
         async move {
             let asked_at = node.now();
             let status = ask_status(node, name, command).await?;
-            node.database_asked(name, asked_at)?;
+            node.database_unless_restarted(name, asked_at)?;
             Some((name.clone(), status))
         }
     });
@@ -238,14 +241,14 @@
     name: &DatabaseName,
     command: Command,
 ) -> Option<DatabaseStatus> {
-    timeout(STATUS_LIMIT, ask_until_taken(node, name, command))
+    timeout(STATUS_TIMEOUT, ask_until_accepted(node, name, command))
         .await
         .ok()
         .flatten()
 }
 
-/// Asks again for as long as the database refuses the question for load.
-async fn ask_until_taken(
+/// Repeats the request for as long as the database rejects it as overloaded.
+async fn ask_until_accepted(
     node: &Rc<Node>,
     name: &DatabaseName,
     command: Command,
@@ -253,7 +256,7 @@
     let mut lease = lease_for_status(node, &node.pool(name)).await?;
     loop {
         let question = [command.clone()];
-        let answers = lease.exchange(node, &question, STATUS_LIMIT).await.ok()?;
+        let answers = lease.exchange(node, &question, STATUS_TIMEOUT).await.ok()?;
         let answer = answers.last()?;
         let code = answer.result.as_ref().err().map(|failure| failure.code);
         if code != Some(FailureCode::Overloaded) {
@@ -263,7 +266,7 @@
     }
 }
 
-/// A connection at rest, a new one, or one that another node holds.
+/// Returns an idle connection, a new one, or one borrowed from another node.
 async fn lease_for_status(node: &Rc<Node>, pool: &Rc<Pool>) -> Option<Lease> {
     let values = SessionValues::new();
     let question = ConnectionRequest {
@@ -271,7 +274,7 @@
         priority: STATUS_PRIORITY,
         values: &values,
         placement: &Placement::unrestricted(),
-        limits: WaitLimits::patient(STATUS_LIMIT),
+        limits: WaitLimits::patient(STATUS_TIMEOUT),
     };
     if node.is_cold(pool.database()) {
         let leased = cold_start::lease_for_question(node, pool, question).await;
--- a/crates/serving/src/coordinator/step_down.rs
+++ b/crates/serving/src/coordinator/step_down.rs
@@ -1,4 +1,4 @@
-//! Telling replaced primaries to step down, where the promotion service does not fence.
+//! Orders replaced primaries to step down, where the promotion service does not fence.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 use crate::node::Node;
 use crate::ports::PromotionOrder;
 
-/// How long replaced primaries that come back are told to step down.
+/// How long replaced primaries that come back are ordered to step down.
 const STEP_DOWN_TIME: Duration = Duration::from_secs(30);
-/// How often one round tells a database that does not answer.
+/// Number of times that one round sends the order to a database that does not answer.
 const STEP_DOWN_ATTEMPTS: usize = 3;
-/// Pause between two such rounds.
+/// Pause between two rounds.
 const STEP_DOWN_PAUSE: Duration = Duration::from_millis(250);
 
 pub(super) fn step_down_in_background(node: &Rc<Node>, order: &PromotionOrder) {
@@ -23,8 +23,9 @@
     tokio::task::spawn_local(stepping_down);
 }
 
-/// Goes on after this node's tenure, which may end at any time, until another promotion is
-/// announced: a database is only told to step down from a term below the newest.
+/// Continues after this node's tenure as coordinator, which may end at any time, until another
+/// promotion is announced. This is safe because a database is only ordered to step down from a
+/// term below the newest.
 async fn step_down_until_replaced(node: Rc<Node>, order: PromotionOrder) {
     let began = node.now();
     let is_newest = || {
@@ -40,8 +41,8 @@
     }
 }
 
-/// Has every database step down that says that it leads, or says nothing, as far as they
-/// can be reached.
+/// Orders every reachable database of the group to step down, except the candidate and those that
+/// report that they are replicas.
 async fn step_down_others(node: &Rc<Node>, order: &PromotionOrder) {
     let databases = node.by_stated_role(&order.group);
     let states = ask_all(node, &databases, &Command::Status).await;
--- a/crates/serving/src/coordinator/withdrawal.rs
+++ b/crates/serving/src/coordinator/withdrawal.rs
@@ -1,4 +1,4 @@
-//! Waiting until no node uses a primary any more that is to be replaced.
+//! Waits until no node uses a primary that is about to be replaced.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,19 +10,19 @@
 use crate::node::Node;
 use crate::peer_message::PeerMessage;
 use crate::peers::Peers;
-use crate::primary_lease::{Announcement, take_announcement};
+use crate::primary_lease::{Announcement, handle_announcement};
 use crate::units::millis;
 
-/// Pause before an announcement is sent again to who has not acknowledged it.
+/// Pause before an announcement is sent again to nodes that have not acknowledged it.
 const ANNOUNCEMENT_PAUSE: Duration = Duration::from_millis(40);
-/// How often it is logged who has not acknowledged.
-const WITHDRAWAL_TOLD: Duration = Duration::from_millis(500);
+/// Interval at which the nodes that have not acknowledged are logged.
+const WITHDRAWAL_LOG_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Why the leases on a primary were not withdrawn.
+/// The reason why the leases on a primary were not withdrawn.
 pub(super) enum WithdrawalError {
-    /// This node coordinates no more.
+    /// This node is no longer the coordinator.
     NotCoordinator,
-    /// The primary that counted as lost answers this node.
+    /// The primary that was considered lost answers this node again.
     PrimaryIsBack,
 }
 
@@ -40,15 +40,15 @@
     let withdrawal = node.grantor.borrow().withdraw();
     let mut withdrawal = withdrawal.ok_or(WithdrawalError::NotCoordinator)?;
     peers.await_acknowledgements(announcement.revision);
-    let mut told_at = began;
+    let mut logged_at = began;
     let outcome = loop {
         if !node.coordinates() {
             break Err(WithdrawalError::NotCoordinator);
         }
-        if is_back(node, &announcement.group, replaced, began) {
+        if has_returned(node, &announcement.group, replaced, began) {
             break Err(WithdrawalError::PrimaryIsBack);
         }
-        if take_announcement(node, coordinator, &node.settings.name, announcement) {
+        if handle_announcement(node, coordinator, &node.settings.name, announcement) {
             withdrawal.acknowledge(&node.settings.name, node.voted_for_others());
         }
         for (peer, voted) in peers.take_acknowledgements(announcement.revision) {
@@ -60,15 +60,15 @@
         if withdrawal.is_complete(&voters, now) {
             node.log(
                 "primary_leases_withdrawn",
-                &told(node, announcement, &missing, began),
+                &event_fields(node, announcement, &missing, began),
             );
             break Ok(());
         }
-        if now.since(told_at) >= WITHDRAWAL_TOLD {
-            told_at = now;
+        if now.since(logged_at) >= WITHDRAWAL_LOG_INTERVAL {
+            logged_at = now;
             node.log(
                 "primary_leases_awaited",
-                &told(node, announcement, &missing, began),
+                &event_fields(node, announcement, &missing, began),
             );
         }
         announce_to(node, peers, coordinator, announcement, &missing);
@@ -78,16 +78,16 @@
     outcome
 }
 
-/// Whether a primary that counted as lost has proved to this node that it leads, asked
-/// after `began`.
-fn is_back(
+/// Returns whether the primary that was considered lost has proved to this node that it leads, in
+/// answer to a request sent after `began`.
+fn has_returned(
     node: &Rc<Node>,
     group: &GroupName,
     replaced: Option<&DatabaseName>,
     began: Timestamp,
 ) -> bool {
     node.with_group(group, |state| {
-        let proof = state.overruled.as_ref();
+        let proof = state.overruled_proof.as_ref();
         proof.is_some_and(|(name, asked_at)| Some(name) == replaced && *asked_at > began)
     })
 }
@@ -112,12 +112,12 @@
     }
 }
 
-fn names(nodes: &[&String]) -> Vec<String> {
+fn owned_names(nodes: &[&String]) -> Vec<String> {
     nodes.iter().map(|name| (*name).clone()).collect()
 }
 
-/// What is logged of a withdrawal.
-fn told(
+/// Returns the event fields that describe the state of a withdrawal.
+fn event_fields(
     node: &Rc<Node>,
     announcement: &Announcement,
     missing: &[&String],
@@ -126,7 +126,7 @@
     [
         ("group", announcement.group.as_str().into()),
         ("candidate", announcement.candidate.as_str().into()),
-        ("unacknowledged", names(missing).into()),
+        ("unacknowledged", owned_names(missing).into()),
         ("waited_ms", millis(node.now().since(began)).into()),
     ]
 }
--- a/crates/serving/src/coordinator_record.rs
+++ b/crates/serving/src/coordinator_record.rs
@@ -1,7 +1,7 @@
-//! The coordinator's record in the store: claiming it while it is free, and keeping it.
+//! Claims the coordinator record in the store while it is free, and renews it.
 //!
-//! The record goes with a lease of its own, much shorter than a member's: while nobody
-//! coordinates, no primary is replaced.
+//! The record is attached to a lease of its own that is much shorter than a member's: while no
+//! node is the coordinator, no primary is replaced.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -25,25 +25,25 @@
 use crate::records::{coordinator_key, encode, settled_era_key};
 use crate::registration;
 
-/// Pause between two renewals.
+/// Pause between two renewals of the record's lease.
 const RENEWAL_PERIOD: Duration = Duration::from_millis(400);
-/// Limit for a renewal's answer.
-const RENEWAL_LIMIT: Duration = Duration::from_millis(700);
-/// Pause between looks at the record.
-const LOOK: Duration = Duration::from_millis(50);
-/// Pause after a claim that failed.
+/// Timeout of one renewal request.
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(700);
+/// Interval at which the claim and renewal loops check the record.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Pause after a failed claim.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// How much later than the node before it in rank a node claims a free record, so that
-/// they do not all write at once.
-const RANK_PAUSE: Duration = Duration::from_millis(50);
-/// Ranks that are told apart.
-const RANKS: usize = 6;
+/// Additional delay per rank before a node claims a free record, so that the nodes do not all
+/// write at once.
+const RANK_DELAY: Duration = Duration::from_millis(50);
+/// Highest rank that adds a delay; nodes of a higher or unknown rank use this one.
+const MAX_RANK: usize = 6;
 
-/// Claims the record while it is free and keeps it, for as long as the node lives.
+/// Claims the record while it is free and renews it, until the node shuts down.
 pub async fn serve(node: Rc<Node>, peers: Rc<Peers>) {
     let mut free_since = None;
     loop {
-        let _ = timeout(LOOK, node.configuration_changed.notified()).await;
+        let _ = timeout(POLL_INTERVAL, node.configuration_changed.notified()).await;
         if node.stopping_since.get().is_some() {
             return;
         }
@@ -53,14 +53,14 @@
         }
         let now = node.now();
         let since = *free_since.get_or_insert(now);
-        let left_behind = left_behind(&node);
-        if left_behind.is_none() && now.since(since) < own_turn(&node) {
+        let stale_revision = stale_record_revision(&node);
+        if stale_revision.is_none() && now.since(since) < claim_backoff(&node) {
             continue;
         }
-        match claim(&node, left_behind).await {
+        match claim(&node, stale_revision).await {
             Some((lease, revision)) => {
-                primary_lease::tell_coordinator(&node, &peers, revision);
-                hold(&node, lease, revision).await;
+                primary_lease::announce_coordinator(&node, &peers, revision);
+                renew_until_ended(&node, lease, revision).await;
             }
             None => sleep(RETRY_PAUSE).await,
         }
@@ -68,42 +68,42 @@
     }
 }
 
-/// Whether the record is free as the store shows it at present. A node that has not caught up
-/// since it started may just not know of the holder.
+/// Returns whether this node may claim the record: the store shows it as free, and this node has
+/// caught up with the store, without which it may not know of a holder.
 fn may_claim(node: &Rc<Node>) -> bool {
     let free = node.coordinator.borrow().holder().is_none();
     let free_for_long = free && node.claim_delay.get().is_over(node.now());
-    let claimable = left_behind(node).is_some() || free_for_long;
+    let claimable = stale_record_revision(node).is_some() || free_for_long;
     claimable
         && node.store_reachable.get()
         && feed::is_fresh(node)
         && node.configuration().is_some()
 }
 
-/// Revision of a record that an earlier process of this node left behind. It coordinates
-/// no more, so this one need not wait until the record lapses.
-fn left_behind(node: &Rc<Node>) -> Option<StoreRevision> {
+/// Returns the revision of a record that an earlier process of this node wrote. That process no
+/// longer coordinates, so this one need not wait until the record's lease expires.
+fn stale_record_revision(node: &Rc<Node>) -> Option<StoreRevision> {
     let view = node.coordinator.borrow();
     let own_lease = node.coordinator_lease.get();
     view.left_behind(&node.settings.name, own_lease)?;
     Some(view.revision())
 }
 
-/// How long this node leaves a free record to those before it.
-fn own_turn(node: &Rc<Node>) -> Duration {
+/// Returns how long this node leaves a free record to the nodes of a lower rank.
+fn claim_backoff(node: &Rc<Node>) -> Duration {
     let nodes = node.registered_nodes();
     let place = claim_order(&nodes)
         .iter()
         .position(|name| *name == node.settings.name);
-    let rank = place.unwrap_or(RANKS).min(RANKS);
-    RANK_PAUSE * u32::try_from(rank).unwrap_or_default()
+    let rank = place.unwrap_or(MAX_RANK).min(MAX_RANK);
+    RANK_DELAY * u32::try_from(rank).unwrap_or_default()
 }
 
-/// Writes the record, over one that was left behind if there is such. Its lease and its
-/// revision.
+/// Writes the record, replacing the stale record of an earlier process if there is one. Returns
+/// the record's lease and revision, or `None` if the claim failed.
 async fn claim(
     node: &Rc<Node>,
-    left_behind: Option<StoreRevision>,
+    stale_revision: Option<StoreRevision>,
 ) -> Option<(LeaseId, StoreRevision)> {
     let asked_at = node.now();
     let era = node.feed.revision().era();
@@ -114,7 +114,7 @@
     };
     let write = ConditionalWrite {
         key: coordinator_key(era),
-        expected: left_behind,
+        expected: stale_revision,
         value: encode(&record),
         lease: Some(lease),
     };
@@ -129,7 +129,7 @@
     };
     node.coordinator_lease.set(Some(lease.0));
     node.promotions_ordered.set(0);
-    note_held(node, asked_at);
+    extend_tenure(node, asked_at);
     node.grantor
         .borrow_mut()
         .begin_coordinating(revision, claimed_at, predecessors(node));
@@ -140,14 +140,14 @@
         "coordinator_claimed",
         &[("revision", revision.to_string().into())],
     );
-    let told_before = node.claim_delay.get().is_settled() && !node.settings.first_start;
-    if !told_before {
-        tokio::task::spawn_local(tell_settled_era(Rc::clone(node), era));
+    let already_written = node.claim_delay.get().is_settled() && !node.settings.first_start;
+    if !already_written {
+        tokio::task::spawn_local(write_settled_era(Rc::clone(node), era));
     }
     Some((lease, revision))
 }
 
-/// Takes notice of the era of an answer of the store.
+/// Records the era that a response of the store carries.
 pub(crate) fn note_era(node: &Node, era: StoreEra) {
     let fleet_is_new = node.settings.first_start && node.store_era.get().is_none();
     let no_other = node.coordinates() || fleet_is_new;
@@ -159,7 +159,7 @@
     node.claim_delay.set(claim_delay);
 }
 
-/// Takes notice that the store has been in an era for long.
+/// Records that the store's era has settled, if `era` is the present one.
 pub(crate) fn note_settled_era(node: &Node, era: StoreEra) {
     let mut claim_delay = node.claim_delay.get();
     claim_delay.settle(era);
@@ -169,8 +169,9 @@
     }
 }
 
-/// Writes that an era has settled, for nodes that start later, once it has for certain.
-async fn tell_settled_era(node: Rc<Node>, era: StoreEra) {
+/// Writes to the store that an era has settled, for nodes that start later, after the time within
+/// which the records lost with the previous era are written again.
+async fn write_settled_era(node: Rc<Node>, era: StoreEra) {
     sleep(WRITTEN_AGAIN).await;
     if node.store_era.get() != Some(era) {
         return;
@@ -190,7 +191,7 @@
     }
 }
 
-/// Whether the store can have lost announcements of promotions since its era began.
+/// Returns whether the store may have lost announcements of promotions since its era began.
 fn predecessors(node: &Node) -> Predecessors {
     if node.claim_delay.get().is_settled() {
         Predecessors::Listed
@@ -199,19 +200,19 @@
     }
 }
 
-fn note_held(node: &Rc<Node>, asked_at: Timestamp) {
+fn extend_tenure(node: &Rc<Node>, asked_at: Timestamp) {
     node.coordinator_until.set(relied_on_until(asked_at));
 }
 
-/// Renews the record until it is over, another's, or the node stops. A renewal in a later era
-/// keeps the lease at most: the record was written in the one before.
-async fn hold(node: &Rc<Node>, lease: LeaseId, claim: StoreRevision) {
+/// Renews the lease until it expires, another node holds the record, or the node stops. A renewal
+/// in a later era does not extend the tenure, because the record was written in the era before.
+async fn renew_until_ended(node: &Rc<Node>, lease: LeaseId, claim: StoreRevision) {
     while node.coordinator_revision().is_some() {
         let asked_at = node.now();
         let renewal = node.store.renew_lease(lease);
-        match timeout(RENEWAL_LIMIT, renewal).await {
+        match timeout(RENEWAL_TIMEOUT, renewal).await {
             Ok(Ok(era)) if era == claim.era() => {
-                note_held(node, asked_at);
+                extend_tenure(node, asked_at);
                 node.store_heard_at.set(node.now());
                 node.grantor.borrow_mut().note_renewed(asked_at);
             }
@@ -225,23 +226,23 @@
         sleep(
             RENEWAL_PERIOD
                 .saturating_sub(node.now().since(asked_at))
-                .max(LOOK),
+                .max(POLL_INTERVAL),
         )
         .await;
-        if node.stopping_since.get().is_some() || tokens_used_up(node) {
+        if node.stopping_since.get().is_some() || tokens_exhausted(node) {
             registration::end_lease(node, lease).await;
             break;
         }
     }
-    leave(node);
+    end_tenure(node);
 }
 
-/// Whether this tenure has no token left for a further order.
-fn tokens_used_up(node: &Rc<Node>) -> bool {
+/// Returns whether this tenure has no fencing token left for a further promotion.
+fn tokens_exhausted(node: &Rc<Node>) -> bool {
     node.promotions_ordered.get() + 1 >= FencingToken::ORDERS_PER_CLAIM
 }
 
-fn leave(node: &Rc<Node>) {
+fn end_tenure(node: &Rc<Node>) {
     node.coordinator_lease.set(None);
     node.coordinator_until.set(Timestamp::default());
     node.grantor.borrow_mut().end_coordinating();
@@ -257,8 +258,8 @@
 }
 
 impl Node {
-    /// The revision of the coordinator's record, if this life of this node wrote it and no
-    /// newer one is known of.
+    /// Returns the revision of the coordinator record, if this process wrote it and no newer
+    /// record is known.
     pub fn coordinator_revision(&self) -> Option<StoreRevision> {
         let view = self.coordinator.borrow();
         let holder = view.holder()?;
@@ -268,7 +269,7 @@
         (own && newest).then_some(view.revision())
     }
 
-    /// Whether this node may order promotions on the strength of its lease.
+    /// Returns whether this node's lease allows it to order promotions now.
     pub fn coordinates(&self) -> bool {
         self.coordinator_revision().is_some() && self.now() < self.coordinator_until.get()
     }
--- a/crates/serving/src/database_life.rs
+++ b/crates/serving/src/database_life.rs
@@ -1,5 +1,5 @@
-//! What a new life of a database ends on this node: see
-//! [`hookpoint_coordination::serving::database_life`].
+//! Discards the state that belongs to an earlier process of a database when the database restarts:
+//! see [`hookpoint_coordination::serving::database_life`].
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -11,22 +11,22 @@
 use crate::pool::Pool;
 
 impl Node {
-    /// Takes the registration of a database, as of `revision` of the store.
+    /// Applies the registration of a database read at `revision` of the store.
     pub(crate) fn register_database(&self, database: Database, revision: StoreRevision) {
         let name = database.name.clone();
         let before = self.directory.borrow().get(&name).cloned();
-        let registration = self
-            .directory
-            .borrow_mut()
-            .put(database, revision, self.hearing());
+        let registration =
+            self.directory
+                .borrow_mut()
+                .put(database, revision, self.learned_times());
         self.hear_warmth(&name, before.as_ref(), registration);
-        self.tell_departure(&name, before.as_ref());
+        self.log_departure(&name, before.as_ref());
         if registration == Registration::NewLife {
-            self.end_life(&name);
+            self.discard_earlier_process(&name);
         }
     }
 
-    /// Takes a complete listing of the databases, read at `revision`.
+    /// Applies a complete listing of the databases, read at `revision`.
     pub(crate) fn register_databases(
         &self,
         listing: Vec<(Database, StoreRevision)>,
@@ -45,16 +45,17 @@
         }
     }
 
-    /// Takes in that the entry of a database is gone as of `revision`.
+    /// Records that the entry of a database was removed as of `revision`.
     pub(crate) fn remove_database(&self, name: &DatabaseName, revision: StoreRevision) {
         let before = self.directory.borrow().get(name).cloned();
-        let hearing = self.hearing();
+        let hearing = self.learned_times();
         self.directory.borrow_mut().remove(name, revision, hearing);
-        self.tell_departure(name, before.as_ref());
+        self.log_departure(name, before.as_ref());
     }
 
-    /// A listed database, if what it said to a question of `asked_at` is of its present life.
-    pub(crate) fn database_asked(
+    /// Returns a listed database, unless it has restarted since `asked_at`: an answer to a request
+    /// sent before the restart is not valid for the present process.
+    pub(crate) fn database_unless_restarted(
         &self,
         name: &DatabaseName,
         asked_at: Timestamp,
@@ -68,9 +69,8 @@
         Some(listed.database.clone())
     }
 
-    /// Ends all that was learnt of the life of `name` before the one that this node has just
-    /// learnt of.
-    fn end_life(&self, name: &DatabaseName) {
+    /// Discards all state of `name` from before the restart that this node has just learnt of.
+    fn discard_earlier_process(&self, name: &DatabaseName) {
         let Some(database) = self.database(name) else {
             return;
         };
@@ -81,14 +81,14 @@
                 state.contact = Contact::default();
                 state.leaderless_since.get_or_insert(now);
             }
-            let names_it = |(named, _): &(DatabaseName, Timestamp)| named == name;
-            if state.overruled.as_ref().is_some_and(names_it) {
-                state.overruled = None;
+            let names_database = |(named, _): &(DatabaseName, Timestamp)| named == name;
+            if state.overruled_proof.as_ref().is_some_and(names_database) {
+                state.overruled_proof = None;
             }
-            // Where promotions are not fenced, the newest order says who alone may lead, in
-            // whichever life, until another one is announced.
+            // Where promotions are not fenced, only the candidate of the newest order may lead,
+            // also after a restart, until another promotion is announced.
             let fenced = self.changeable().fenced_promotions;
-            if fenced && state.promoting.as_ref().is_some_and(names_it) {
+            if fenced && state.promoting.as_ref().is_some_and(names_database) {
                 state.promoting = None;
             }
             had_led
@@ -110,7 +110,7 @@
         self.leader_changed.notify_waiters();
     }
 
-    /// The pool of a database's present life.
+    /// Returns the connection pool of a database's present process, created on first use.
     pub fn pool(self: &Rc<Self>, name: &DatabaseName) -> Rc<Pool> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools
@@ -120,20 +120,20 @@
         Rc::clone(pool)
     }
 
-    /// All pools.
+    /// Returns all connection pools.
     pub fn pools(&self) -> Vec<Rc<Pool>> {
         self.pools.borrow().values().cloned().collect()
     }
 
-    /// Pools of databases that this node lost the way to.
+    /// Returns the pools of databases that this node cannot reach.
     pub(crate) fn unreachable_pools(&self) -> Vec<Rc<Pool>> {
         let pools = self.pools.borrow();
         let unreachable = pools.values().filter(|pool| !pool.is_reachable());
         unreachable.cloned().collect()
     }
 
-    /// Closes connections beyond those lately needed, and drops the pools that hold nothing and
-    /// that nobody needed for long.
+    /// Closes connections beyond those needed lately, and drops pools that hold no connections and
+    /// have not been used for long.
     pub(crate) fn trim_pools(&self) {
         let now = self.now();
         let open: Vec<Rc<Pool>> = {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Drops the pools of databases that are not listed any more.
+    /// Drops the pools of databases that are no longer listed.
     pub fn drop_unlisted_pools(&self) {
         let directory = self.directory.borrow();
         self.pools.borrow_mut().retain(|name, pool| {
--- a/crates/serving/src/departures.rs
+++ b/crates/serving/src/departures.rs
@@ -1,4 +1,4 @@
-//! What this node knows and tells of databases that leave.
+//! Databases that are leaving the fleet: what this node knows of them and shares with peers.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
@@ -16,35 +16,36 @@
 use crate::node::Node;
 use crate::units::millis;
 
-/// A departure whose time counts from longer ago than this was heard late: over one watch and
-/// the passing on of its answer. Peers that heard in time know better from when it counts.
-const HEARD_LATE: Duration = Duration::from_secs(3);
-/// Peers asked at once. If half of the fleet heard late as well, one of four knows better in
-/// fifteen of sixteen cases.
+/// Limit on how long before it was learnt a departure may have begun; an older one was learnt
+/// late. It exceeds one watch of the store and the forwarding of its result. Peers that learnt of
+/// the departure in time have a more accurate start.
+const LATE_THRESHOLD: Duration = Duration::from_secs(3);
+/// Number of peers asked at once. Even if half of the fleet learnt of the departure late, at least
+/// one of four peers knows better in fifteen of sixteen cases.
 const PEERS_ASKED: usize = 4;
-/// How long they may take: some round trips. The database gets nothing meanwhile.
-const ANSWER_LIMIT: Duration = Duration::from_millis(300);
+/// Timeout for the peers' answers: a few round trips. The database gets no new work meanwhile.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What a node tells others of a database that announced its end.
+/// A database's announced departure as reported to a peer.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct ToldDeparture {
+pub struct AnnouncedDeparture {
     database: DatabaseName,
-    /// Of which life of the database that is.
+    /// The start of the database process that announced its departure.
     started: Option<DatabaseStart>,
-    /// It announced its end at most this long ago, in milliseconds.
+    /// Upper bound on the time since the announcement, in milliseconds.
     age_ms: u64,
 }
 
 impl Node {
-    /// That something is heard of now, from news that is being taken in.
-    pub(crate) fn hearing(&self) -> Hearing {
+    /// Returns the time bounds of information that is being applied from the store's feed.
+    pub(crate) fn learned_times(&self) -> Hearing {
         Hearing {
             at: self.now(),
             not_before: self.feed.covered_before_news(),
         }
     }
 
-    /// Whether a database's time for new work is not over.
+    /// Returns whether a database may still be given new work.
     pub(crate) fn takes_new_work(&self, listed: &Listed) -> bool {
         let limit = self.changeable().drain_limit;
         let in_time = |ends: Timestamp| self.now() < ends;
@@ -53,7 +54,8 @@
             .is_none_or(|departure| in_time(departure.work_ends(limit)))
     }
 
-    /// The same by name. A database that is not listed has left.
+    /// Returns whether the database `name` may still be given new work. An unlisted database has
+    /// left.
     pub(crate) fn gets_new_work(&self, name: &DatabaseName) -> bool {
         let directory = self.directory.borrow();
         directory
@@ -61,7 +63,8 @@
             .is_some_and(|listed| self.takes_new_work(listed))
     }
 
-    /// How long a database still gets new work; the longest time there is if it does not leave.
+    /// Returns for how much longer a database gets new work, or `Duration::MAX` if it is not
+    /// leaving.
     pub(crate) fn work_time_left(&self, name: &DatabaseName) -> Duration {
         let directory = self.directory.borrow();
         let departure = directory.get(name).and_then(|listed| listed.departure);
@@ -71,46 +74,50 @@
         })
     }
 
-    /// When this node heard that a database leaves.
+    /// Returns when this node learnt that a database is leaving.
     pub(crate) fn departure_heard_at(&self, name: &DatabaseName) -> Option<Timestamp> {
         let directory = self.directory.borrow();
         let departure = directory.get(name)?.departure?;
         Some(departure.heard_at())
     }
 
-    /// For how long a database counts as leaving; nothing if it does not.
+    /// Returns for how long a database has counted as leaving, or `None` if it is not leaving.
     pub(crate) fn leaving_for(&self, name: &DatabaseName) -> Option<Duration> {
         let directory = self.directory.borrow();
         let departure = directory.get(name)?.departure?;
         Some(self.now().since(departure.counted_from()))
     }
 
-    /// The announcements known, with their ages.
-    pub(crate) fn told_departures(&self) -> Vec<ToldDeparture> {
+    /// Returns the announced departures known here, with their ages.
+    pub(crate) fn announced_departures(&self) -> Vec<AnnouncedDeparture> {
         let now = self.now();
-        let told = |listed: &Listed| {
+        let report = |listed: &Listed| {
             let departure = listed.departure?;
-            (departure.sign() == Sign::Announced).then(|| ToldDeparture {
+            (departure.sign() == Sign::Announced).then(|| AnnouncedDeparture {
                 database: listed.database.name.clone(),
                 started: listed.database.started,
-                // Rounded up: an announcement never gets younger on its way.
+                // Rounded up, so that the age never decreases while it is passed on.
                 age_ms: millis(now.since(departure.counted_from())) + 1,
             })
         };
-        self.directory.borrow().leaving().filter_map(told).collect()
+        self.directory
+            .borrow()
+            .leaving()
+            .filter_map(report)
+            .collect()
     }
 
-    /// Takes in what a peer told that was asked at `asked_at`.
-    fn learn_departures(&self, departures: &[ToldDeparture], asked_at: Timestamp) {
+    /// Applies the departures that a peer reported in answer to a request sent at `asked_at`.
+    fn learn_departures(&self, departures: &[AnnouncedDeparture], asked_at: Timestamp) {
         let mut directory = self.directory.borrow_mut();
-        for told in departures {
-            let not_before = asked_at - Duration::from_millis(told.age_ms);
-            directory.learn_departure(&told.database, told.started, not_before);
+        for report in departures {
+            let not_before = asked_at - Duration::from_millis(report.age_ms);
+            directory.learn_departure(&report.database, report.started, not_before);
         }
     }
 
-    /// Logs that a database leaves, if it did not `before`, and from when its time counts.
-    pub(crate) fn tell_departure(&self, name: &DatabaseName, before: Option<&Listed>) {
+    /// Logs that a database is leaving, unless `before` shows that this was known already.
+    pub(crate) fn log_departure(&self, name: &DatabaseName, before: Option<&Listed>) {
         let left_before = before.is_some_and(|listed| listed.departure.is_some());
         let directory = self.directory.borrow();
         let listed = directory.get(name).filter(|_| !left_before);
@@ -131,16 +138,16 @@
     }
 }
 
-/// Asks peers from when the time of databases counts whose leaving was heard late since they
-/// were last asked.
+/// Asks peers for the start of departures that this node learnt of late since the last time that
+/// it asked.
 ///
-/// A node that starts or was cut off would else leave such databases at once, though others
-/// still use them: primaries that wait to be replaced, above all.
-pub(crate) fn ask_if_heard_late(node: &Rc<Node>) {
+/// Without this, a node that starts or was cut off would stop using such databases immediately
+/// although other nodes still use them, in particular primaries that are waiting to be replaced.
+pub(crate) fn ask_about_late_departures(node: &Rc<Node>) {
     let asked_at = node.departures_asked_at.get();
     let is_new = |listed: &Listed| {
         listed.departure.is_some_and(|departure| {
-            let late = departure.heard_at().since(departure.counted_from()) > HEARD_LATE;
+            let late = departure.heard_at().since(departure.counted_from()) > LATE_THRESHOLD;
             late && departure.sign() == Sign::Announced && departure.heard_at() > asked_at
         })
     };
@@ -152,10 +159,10 @@
 
 async fn ask_peers(node: Rc<Node>) {
     let peers = peers_to_ask(&node);
-    join_all(peers.iter().map(|peer| ask(&node, peer))).await;
+    join_all(peers.iter().map(|peer| ask_peer(&node, peer))).await;
 }
 
-/// Some of the other nodes, other ones for each node that asks.
+/// Returns a few of the other nodes, a different selection on each node that asks.
 fn peers_to_ask(node: &Node) -> Vec<Peer> {
     let own = &node.settings.name;
     let mut names: Vec<String> = node
@@ -173,10 +180,10 @@
     names.iter().filter_map(|name| node.peer(name)).collect()
 }
 
-async fn ask(node: &Rc<Node>, peer: &Peer) {
+async fn ask_peer(node: &Rc<Node>, peer: &Peer) {
     let asked_at = node.now();
     let request = LinkRequest::Departures;
-    let answer = link::call(node, peer, &[], &request, ANSWER_LIMIT).await;
+    let answer = link::call(node, peer, &[], &request, ANSWER_TIMEOUT).await;
     let outcome = match answer {
         Some((LinkReply::Departures(departures), stream)) => {
             node.links.keep(peer.name.clone(), stream);
--- a/crates/serving/src/evacuation.rs
+++ b/crates/serving/src/evacuation.rs
@@ -1,9 +1,9 @@
-//! Zones whose databases are to get nothing any more, as this node carries that out.
+//! Evacuation of zones: stops the use of a zone's databases on this node.
 //!
-//! From when a request is heard, statements go to a database of the zone only if it leads its
-//! group. Once the request has been known for its limit, the zone's databases are shut: nothing
-//! at all is sent to them, connections at rest are closed, and transactions that are still open
-//! there are ended.
+//! As soon as a request is known, statements go to a database of the zone only if it leads its
+//! group. Once the request has been known for the configured limit, the zone's databases are shut:
+//! nothing is sent to them any more, idle connections are closed, and transactions that are still
+//! open there are ended.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,44 +17,44 @@
 use crate::units::millis;
 use crate::zone_evacuations::Progress;
 
-/// Time after the end of an evacuation over which the nodes turn back to the zone one after
-/// another: its databases may have lost what they held in memory, and all nodes at once would
-/// ask for it at once.
-const RETURN_TIME: Duration = Duration::from_secs(8);
-/// Time that a statement may be on its way to a database: across regions, through another node,
-/// and in the queue of a slow link.
-const LAST_STATEMENT: Duration = Duration::from_millis(300);
-/// Pause between two looks at what is still in use in a zone.
-const LOOK: Duration = Duration::from_millis(200);
-/// Pause between two lines on what is still in use in an evacuated zone.
-const STILL_USED_TOLD: Duration = Duration::from_secs(5);
+/// Time after the end of an evacuation over which the nodes resume use of the zone one after
+/// another. The zone's databases may have lost their in-memory caches, and all nodes resuming at
+/// the same moment would overload them.
+const RETURN_SPREAD: Duration = Duration::from_secs(8);
+/// Longest time that a statement may take to reach a database: across regions, through another
+/// node, and in the queue of a slow link.
+const STATEMENT_TRANSIT_LIMIT: Duration = Duration::from_millis(300);
+/// Interval between two checks of what is still in use in a zone.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between two log entries on what is still in use in an evacuated zone.
+const IN_USE_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What of this node's is still in use in a zone.
-struct Use {
+/// The resources in a zone that this node still uses.
+struct ZoneUse {
     connections: usize,
     primaries: Vec<GroupName>,
 }
 
-impl Use {
-    fn is_none(&self) -> bool {
+impl ZoneUse {
+    fn is_empty(&self) -> bool {
         self.connections == 0 && self.primaries.is_empty()
     }
 }
 
 impl Node {
-    /// What the databases of a zone may be used for at the moment.
+    /// Returns what the databases of a zone may be used for at the moment.
     pub(crate) fn zone_standing(&self, zone: &ZoneName) -> ZoneStanding {
         let known = self.evacuations.known.borrow();
         if known.is_empty() {
             return ZoneStanding::Open;
         }
         let limit = self.changeable().evacuation_limit;
-        let own_share = || share_of(&self.settings.name, RETURN_TIME);
+        let own_share = || share_of(&self.settings.name, RETURN_SPREAD);
         let return_time = self.evacuations.return_time.get_or_init(own_share);
         known.standing(zone, limit, *return_time, self.now())
     }
 
-    /// The same for the zone of a database.
+    /// Returns the standing of a database's zone.
     pub(crate) fn zone_standing_of(&self, name: &DatabaseName) -> ZoneStanding {
         if self.evacuations.known.borrow().is_empty() {
             return ZoneStanding::Open;
@@ -65,12 +65,12 @@
         })
     }
 
-    /// Whether nothing at all may be sent to a database.
+    /// Returns whether nothing may be sent to a database because its zone is evacuated.
     pub(crate) fn is_shut(&self, name: &DatabaseName) -> bool {
         self.zone_standing_of(name) == ZoneStanding::Evacuated
     }
 
-    /// Whether nothing may be sent to any database of a group.
+    /// Returns whether all databases of a group are in evacuated zones.
     pub(crate) fn all_shut(&self, group: &GroupName) -> bool {
         if self.evacuations.known.borrow().is_empty() {
             return false;
@@ -80,8 +80,8 @@
         databases.all(|listed| self.zone_standing(&listed.database.zone) == ZoneStanding::Evacuated)
     }
 
-    /// Whether statements may still be sent to a database. In a zone that is being evacuated
-    /// only primaries get any, until they have handed over.
+    /// Returns whether statements may still be sent to a database. In a zone under evacuation only
+    /// primaries receive statements, until they have been moved.
     pub fn may_serve(&self, name: &DatabaseName) -> bool {
         let directory = self.directory.borrow();
         let Some(listed) = directory.get(name) else {
@@ -95,13 +95,13 @@
         zone_allows && self.takes_new_work(listed)
     }
 
-    /// The primary known of a group, if it is shut.
+    /// Returns the known primary of a group if its zone is evacuated.
     pub(crate) fn shut_leader(&self, group: &GroupName) -> Option<DatabaseName> {
         self.leader(group).filter(|leader| self.is_shut(leader))
     }
 
-    /// What is known of evacuations: each zone, whether it is being evacuated, and the revision
-    /// that says so.
+    /// Returns the known evacuations: each zone, whether its evacuation is requested, and the
+    /// store revision of that state.
     pub(crate) fn known_evacuations(&self) -> Vec<(ZoneName, bool, StoreRevision)> {
         let known = self.evacuations.known.borrow();
         known
@@ -110,19 +110,19 @@
             .collect()
     }
 
-    /// How long the request for a zone has been known, if it is in force.
+    /// Returns for how long the request for a zone has been known, if it is in force.
     pub(crate) fn evacuation_age(&self, zone: &ZoneName) -> Option<Duration> {
         self.evacuations.known.borrow().age(zone, self.now())
     }
 
-    /// Takes a request, or its end, unless what is known is as new.
-    pub(crate) fn take_evacuation(
+    /// Applies a request or the end of one, unless the known state is as new.
+    pub(crate) fn apply_evacuation(
         &self,
         zone: &ZoneName,
         requested: bool,
         revision: StoreRevision,
     ) {
-        let since = self.evacuation_heard_at();
+        let since = self.evacuation_counted_from();
         let mut known = self.evacuations.known.borrow_mut();
         let changed = known.take(zone, requested, revision, since);
         drop(known);
@@ -131,14 +131,14 @@
         }
     }
 
-    /// Takes the requests of a complete listing read at `revision`; those that it lacks have
+    /// Applies the requests of a complete listing read at `revision`; requests that it lacks have
     /// ended.
-    pub(crate) fn take_evacuations(
+    pub(crate) fn apply_evacuation_listing(
         &self,
         listed: &[(ZoneName, StoreRevision)],
         revision: StoreRevision,
     ) {
-        let since = self.evacuation_heard_at();
+        let since = self.evacuation_counted_from();
         let mut known = self.evacuations.known.borrow_mut();
         let changed = known.replace(listed, revision, since);
         drop(known);
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Ends the requests that the store lost as it came back from a copy and that nobody wrote
-    /// again.
+    /// Ends the requests that the store lost when it was restored from a copy and that have not
+    /// been written again.
     fn end_unlisted_evacuations(&self) {
         let revision = self.feed.revision();
         let now = self.now();
@@ -163,14 +163,14 @@
         }
     }
 
-    /// From when the time of a request counts that is heard now. It is at most as old as the
-    /// news before, and one that took longer to be heard than it should has less time left. One
-    /// that a starting node finds may be of any age, and the node has nothing open there that
-    /// would need time to end.
-    fn evacuation_heard_at(&self) -> Timestamp {
-        let hearing = self.hearing();
+    /// Returns the moment from which the time of a request that is learnt now counts. The request
+    /// is at most as old as the previously applied state of the store, and one that took longer
+    /// than it should to arrive has less time left. A request found by a starting node may be of
+    /// any age, and such a node has no open work in the zone that needs time to end.
+    fn evacuation_counted_from(&self) -> Timestamp {
+        let hearing = self.learned_times();
         let limit = self.changeable().evacuation_limit;
-        let in_time = limit.saturating_sub(LAST_STATEMENT);
+        let in_time = limit.saturating_sub(STATEMENT_TRANSIT_LIMIT);
         hearing.at.min(hearing.not_before + in_time)
     }
 
@@ -192,7 +192,7 @@
         self.leader_changed.notify_waiters();
     }
 
-    /// Notes that a caller's transaction was ended because its database is shut.
+    /// Records that a caller's transaction was ended because its database's zone is evacuated.
     pub(crate) fn note_transaction_evacuated(&self, name: &DatabaseName) {
         self.counters.count("transactions_ended", "evacuated");
         if let Some(database) = self.database(name) {
@@ -211,9 +211,9 @@
     }
 }
 
-/// Closes what is open in evacuated zones and not in use, has the rest end, and tells how far
-/// that is. To be called every moment.
-pub(crate) fn clear_zones(node: &Rc<Node>) {
+/// Closes idle connections in zones under evacuation, ends the remaining use once a zone is shut,
+/// and logs the progress. Called periodically.
+pub(crate) fn clear_evacuated_zones(node: &Rc<Node>) {
     node.end_unlisted_evacuations();
     let zones: Vec<ZoneName> = {
         let known = node.evacuations.known.borrow();
@@ -238,26 +238,26 @@
     }
     let connections = pools.iter().map(|pool| pool.in_use()).sum();
     if shut && connections > 0 {
-        // Sessions that rest inside a transaction find that it has to end.
+        // Wakes sessions that are idle in a transaction, so that they end it.
         node.stop_advanced.notify_waiters();
     }
-    if look_is_due(node, zone) {
+    if check_is_due(node, zone) {
         let primaries = primaries_in(node, zone);
-        let used = Use {
+        let used = ZoneUse {
             connections,
             primaries,
         };
-        tell(node, zone, shut, &used);
+        log_progress(node, zone, shut, &used);
     }
 }
 
-fn look_is_due(node: &Rc<Node>, zone: &ZoneName) -> bool {
+fn check_is_due(node: &Rc<Node>, zone: &ZoneName) -> bool {
     let now = node.now();
     let mut all = node.evacuations.progress.borrow_mut();
     let progress = all.entry(zone.clone()).or_default();
-    let due = now.since(progress.looked_at) >= LOOK;
+    let due = now.since(progress.checked_at) >= CHECK_INTERVAL;
     if due {
-        progress.looked_at = now;
+        progress.checked_at = now;
     }
     due
 }
@@ -271,7 +271,7 @@
     node.pools().into_iter().filter(in_zone).collect()
 }
 
-/// Groups whose primary, as far as this node knows, is in the zone.
+/// Returns the groups whose known primary is in the zone.
 fn primaries_in(node: &Rc<Node>, zone: &ZoneName) -> Vec<GroupName> {
     let directory = node.directory.borrow();
     let in_zone = |group: &GroupName| {
@@ -283,15 +283,15 @@
     groups.into_iter().filter(in_zone).collect()
 }
 
-/// Logs once that this node uses nothing of the zone any more, or, while the zone is shut, now
-/// and then what it still uses.
-fn tell(node: &Rc<Node>, zone: &ZoneName, shut: bool, used: &Use) {
+/// Logs once that this node uses nothing in the zone any more, or, while the zone is shut,
+/// periodically what it still uses.
+fn log_progress(node: &Rc<Node>, zone: &ZoneName, shut: bool, used: &ZoneUse) {
     let now = node.now();
     let age = node.evacuation_age(zone).map(millis);
     let mut all = node.evacuations.progress.borrow_mut();
     let progress = all.entry(zone.clone()).or_default();
-    if used.is_none() && !progress.told_empty {
-        progress.told_empty = true;
+    if used.is_empty() && !progress.empty_logged {
+        progress.empty_logged = true;
         let fields = [
             ("zone", zone.as_str().into()),
             ("age_ms", age.into()),
@@ -302,14 +302,14 @@
         node.log("zone_emptied", &fields);
         return;
     }
-    let told_lately = progress
-        .told_used_at
-        .is_some_and(|told_at| now.since(told_at) < STILL_USED_TOLD);
-    if !shut || used.is_none() || told_lately {
+    let logged_lately = progress
+        .in_use_logged_at
+        .is_some_and(|logged_at| now.since(logged_at) < IN_USE_LOG_INTERVAL);
+    if !shut || used.is_empty() || logged_lately {
         return;
     }
-    progress.told_used_at = Some(now);
-    progress.told_empty = false;
+    progress.in_use_logged_at = Some(now);
+    progress.empty_logged = false;
     drop(all);
     let primaries: Vec<&str> = used.primaries.iter().map(GroupName::as_str).collect();
     node.log(
--- a/crates/serving/src/follower.rs
+++ b/crates/serving/src/follower.rs
@@ -409,7 +409,7 @@
 
 fn apply_all(node: &Rc<Node>, all: StoreChanges) {
     // Before the configuration: what a node that starts finds evacuated may have been so for long.
-    node.take_evacuations(&requested_evacuations(&all), all.revision);
+    node.apply_evacuation_listing(&requested_evacuations(&all), all.revision);
     let mut databases = Vec::new();
     let mut members = BTreeSet::new();
     let mut coordinated = false;
@@ -479,7 +479,7 @@
         }
         StoreRecord::DatabaseGone(name) => remove_database(node, &name, change.revision),
         StoreRecord::Evacuation { zone, requested } => {
-            node.take_evacuation(&zone, requested, change.revision);
+            node.apply_evacuation(&zone, requested, change.revision);
         }
         StoreRecord::Unreadable { subject, reason } => {
             node.counters.count("store_records", "unreadable");
@@ -569,7 +569,7 @@
     node.directory.borrow_mut().note_lasting(node.now());
     let before = node.now() - FORGET_AFTER;
     let forgotten = node.directory.borrow_mut().forget_missing(before);
-    departures::ask_if_heard_late(node);
+    departures::ask_about_late_departures(node);
     if !forgotten.is_empty() {
         node.drop_unlisted_pools();
     }
--- a/crates/serving/src/isolation.rs
+++ b/crates/serving/src/isolation.rs
@@ -1,4 +1,4 @@
-//! Notices that this node is cut off from the fleet, and has its callers go to other nodes.
+//! Detects that this node is cut off from the fleet, so that its callers move to other nodes.
 
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -13,17 +13,17 @@
 use crate::node::Node;
 use crate::units::millis;
 
-/// Peers of each other zone that are asked: a zone whose two died may be taken for silent,
-/// which alone does not count.
-const PEERS_A_ZONE: usize = 2;
+/// Number of peers probed in each other zone. A zone whose two probed peers have both crashed may
+/// be mistaken for a silent one; one silent zone alone does not count as isolation.
+const PEERS_PER_ZONE: usize = 2;
 
 impl Node {
-    /// Since when this node has been cut off from the fleet.
+    /// Returns since when this node has been cut off from the fleet.
     pub(crate) fn isolated_since(&self) -> Option<Timestamp> {
         self.isolation.get().since()
     }
 
-    /// Groups in use, and how many of them lack their primary here.
+    /// Returns the number of groups in use, and how many of them lack their primary on this node.
     fn groups_in_use(&self) -> (usize, usize) {
         let now = self.now();
         let attended = self.attention.groups();
@@ -41,7 +41,8 @@
         (all, without_primary)
     }
 
-    /// A few peers of each other zone, the same ones at each call while the members stay.
+    /// Returns a few peers of each other zone, the same ones at each call while the members stay
+    /// the same.
     fn peers_of_other_zones(&self) -> Vec<Peer> {
         let mut by_zone: BTreeMap<ZoneName, Vec<(Reverse<u64>, String)>> = BTreeMap::new();
         for candidate in self.registered_nodes().iter() {
@@ -54,7 +55,7 @@
         let mut chosen = Vec::new();
         for mut candidates in by_zone.into_values() {
             candidates.sort();
-            candidates.truncate(PEERS_A_ZONE);
+            candidates.truncate(PEERS_PER_ZONE);
             chosen.extend(candidates);
         }
         chosen
@@ -63,7 +64,8 @@
             .collect()
     }
 
-    /// What this node sees. Peers are only asked where primaries are missing.
+    /// Collects what this node observes of the fleet. Peers are probed only if primaries are
+    /// missing or the node already counts as isolated.
     fn surroundings(&self) -> Surroundings {
         let (groups, groups_without_primary) = self.groups_in_use();
         let mut seen = Surroundings {
@@ -84,11 +86,11 @@
     }
 }
 
-/// Works out whether this node is cut off. Called now and then.
+/// Updates whether this node is isolated. Called periodically.
 pub(crate) fn update(node: &Rc<Node>) {
     let seen = node.surroundings();
     let now = node.now();
-    let change = change_with(&node.isolation, |isolation| isolation.note(seen, now));
+    let change = update_cell(&node.isolation, |isolation| isolation.note(seen, now));
     match change {
         Some(IsolationChange::Isolated) => node.log(
             "node_isolated",
@@ -111,7 +113,7 @@
     }
 }
 
-fn change_with<T>(cell: &Cell<Isolation>, change: impl FnOnce(&mut Isolation) -> T) -> T {
+fn update_cell<T>(cell: &Cell<Isolation>, change: impl FnOnce(&mut Isolation) -> T) -> T {
     let mut isolation = cell.get();
     let outcome = change(&mut isolation);
     cell.set(isolation);
--- a/crates/serving/src/leaders.rs
+++ b/crates/serving/src/leaders.rs
@@ -1,4 +1,4 @@
-//! What this node believes of each group's primary, and how it came to believe it.
+//! This node's view of each group's primary, and the proofs that confirm or refute it.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
 
 use crate::node::{Contact, Node};
 
-/// A belief about a primary that was not confirmed for this long is older than what the
+/// Age after which an unconfirmed leader is considered less reliable than the roles that the
 /// databases state: they state a change of role within a few heartbeats.
-const BELIEF_MEMORY: Duration = Duration::from_secs(10);
+const LEADER_CONFIRMATION_MAX_AGE: Duration = Duration::from_secs(10);
 
-/// A position for the log: term and number, parted by a point.
-fn written(position: Position) -> String {
+/// Formats a position for the event log as `term.lsn`.
+fn format_position(position: Position) -> String {
     format!("{}.{}", position.term.0, position.lsn.0)
 }
 
 impl Node {
-    /// Whether the newest promotion known allows a database to lead.
+    /// Returns whether the newest known promotion allows a database to lead.
     ///
-    /// Where the service does not fence, a replaced primary may still believe to lead, so
-    /// only the database of the newest order is taken for the primary.
+    /// Where the promotion service does not fence, a replaced primary may still consider itself
+    /// the primary, so only the candidate of the newest order is accepted.
     fn may_lead(&self, database: &Database) -> bool {
         self.changeable().fenced_promotions
             || self.with_group(&database.group, |state| {
@@ -33,35 +33,36 @@
             })
     }
 
-    /// The database that a statement is sent to as the primary of a group, unless it turns out
-    /// not to lead: the one believed to, or, of a group that was not needed here lately, the
-    /// one that states it. Each statement that needs the primary proves anew that it got it.
+    /// Returns the database to which a statement for a group's primary is sent: the known leader,
+    /// or, if that has not been confirmed lately, the database that states that it leads. Each
+    /// statement that needs the primary proves again that it reached the primary, so a wrong
+    /// presumption is detected.
     pub(crate) fn presumed_leader(&self, group: &GroupName) -> Option<DatabaseName> {
         let now = self.now();
-        let (believed, is_old) = self.with_group(group, |state| {
+        let (known, is_stale) = self.with_group(group, |state| {
             let unconfirmed = now.since(state.leadership.confirmed_at());
-            let believed = state.leadership.leader().cloned();
-            (believed, unconfirmed >= BELIEF_MEMORY)
+            let known = state.leadership.leader().cloned();
+            (known, unconfirmed >= LEADER_CONFIRMATION_MAX_AGE)
         });
-        if believed.is_some() && !is_old {
-            return believed;
+        if known.is_some() && !is_stale {
+            return known;
         }
-        self.stated_leader(group).or(believed)
+        self.stated_leader(group).or(known)
     }
 
-    /// The primary that a loss concerns: the one believed to lead, or, if this node has not
-    /// needed the group, the one that a peer reported.
+    /// Returns the primary whose loss is considered: the known leader, or, if this node has not
+    /// used the group, the one that a peer reported.
     pub(crate) fn lost_leader(&self, group: &GroupName) -> Option<DatabaseName> {
         let now = self.now();
         self.with_group(group, |state| {
-            let believed = state.leadership.leader();
-            believed.or(state.reported_leader(now)).cloned()
+            let known = state.leadership.leader();
+            known.or(state.reported_leader(now)).cloned()
         })
     }
 
-    /// The only database of a group that states that it leads, if nothing known speaks against
-    /// it. Where promotions are not fenced a replaced primary may still state that, so there
-    /// only proofs count.
+    /// Returns the only database of a group that states that it leads, unless something known
+    /// contradicts it. Where promotions are not fenced, a replaced primary may still state that it
+    /// leads, so only proofs are accepted there.
     fn stated_leader(&self, group: &GroupName) -> Option<DatabaseName> {
         if !self.changeable().fenced_promotions {
             return None;
@@ -85,26 +86,26 @@
         (usable && !contradicted).then(|| name.clone())
     }
 
-    /// Takes a proof that a database leads. Where promotions are not fenced, the position
-    /// in it only counts if this node was allowed to use primaries when it asked: a
-    /// replaced primary's covers nothing.
+    /// Applies a proof that a database leads. Where promotions are not fenced, the position in the
+    /// proof is used only if this node was allowed to use primaries when it asked, because a
+    /// position stated by a replaced primary guarantees nothing.
     pub fn confirm_leader(&self, name: &DatabaseName, proof: Confirmation) {
         let covered = self.covers_primaries(proof.asked_at);
         let proof = Confirmation {
             position: proof.position.filter(|_| covered),
             ..proof
         };
-        self.believe_leader(name, proof);
+        self.apply_leader_proof(name, proof);
     }
 
-    /// Takes a proof of this node's own, or one that a peer passes on, as it is.
-    pub(crate) fn believe_leader(&self, name: &DatabaseName, proof: Confirmation) {
-        let Some(database) = self.database_asked(name, proof.asked_at) else {
+    /// Applies a proof obtained by this node or passed on by a peer, without checking the lease.
+    pub(crate) fn apply_leader_proof(&self, name: &DatabaseName, proof: Confirmation) {
+        let Some(database) = self.database_unless_restarted(name, proof.asked_at) else {
             return;
         };
         if !self.may_lead(&database) {
             self.with_group(&database.group, |state| {
-                state.overruled = Some((name.clone(), proof.asked_at));
+                state.overruled_proof = Some((name.clone(), proof.asked_at));
             });
             return;
         }
@@ -130,7 +131,7 @@
                 &[
                     ("group", database.group.as_str().into()),
                     ("database", name.as_str().into()),
-                    ("position", proof.position.map(written).into()),
+                    ("position", proof.position.map(format_position).into()),
                 ],
             );
         }
@@ -141,16 +142,16 @@
                     ("group", database.group.as_str().into()),
                     ("database", name.as_str().into()),
                     ("reign", reign.0.into()),
-                    ("position", proof.position.map(written).into()),
+                    ("position", proof.position.map(format_position).into()),
                 ],
             );
             self.leader_changed.notify_waiters();
         }
     }
 
-    /// Takes a proof, asked for at `asked_at`, that a database does not lead.
+    /// Applies a proof, requested at `asked_at`, that a database does not lead.
     pub fn refute_leader(&self, name: &DatabaseName, asked_at: Timestamp) {
-        let Some(database) = self.database_asked(name, asked_at) else {
+        let Some(database) = self.database_unless_restarted(name, asked_at) else {
             return;
         };
         let now = self.now();
--- a/crates/serving/src/link.rs
+++ b/crates/serving/src/link.rs
@@ -18,7 +18,7 @@
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
 use crate::connection::Answer;
-use crate::departures::ToldDeparture;
+use crate::departures::AnnouncedDeparture;
 use crate::feed::{FeedAnswer, FollowQuestion};
 use crate::homes::Peer;
 use crate::message::Command;
@@ -114,7 +114,7 @@
     /// A [`Snapshot`], packed; nothing before there is a configuration.
     Snapshot(Option<Bytes>),
     Followed(FeedAnswer),
-    Departures(Vec<ToldDeparture>),
+    Departures(Vec<AnnouncedDeparture>),
     /// Nothing was sent: the database gets no more work.
     NotSent,
 }
@@ -206,7 +206,7 @@
     request: &LinkRequest,
     limit: Duration,
 ) -> Option<(LinkReply, LinkStream)> {
-    let silence = reachability::silence(node, peer, alternatives);
+    let silence = reachability::until_silent(node, peer, alternatives);
     call_unless(silence, node, peer, request, limit).await
 }
 
@@ -219,7 +219,7 @@
     limit: Duration,
     silence: Duration,
 ) -> Option<(LinkReply, LinkStream)> {
-    let silence = reachability::lasting_silence(node, peer, silence);
+    let silence = reachability::until_silent_for(node, peer, silence);
     call_unless(silence, node, peer, request, limit).await
 }
 
--- a/crates/serving/src/monitor/mod.rs
+++ b/crates/serving/src/monitor/mod.rs
@@ -89,7 +89,7 @@
         try_unreachable(node, &monitor.tries);
         tokens::look_for_holders(node);
         isolation::update(node);
-        evacuation::clear_zones(node);
+        evacuation::clear_evacuated_zones(node);
         cold_start::update_cold_databases(node);
         node.trim_pools();
     }
--- a/crates/serving/src/node.rs
+++ b/crates/serving/src/node.rs
@@ -97,9 +97,9 @@
     pub move_wanted_since: Option<Timestamp>,
     /// The database that last proved to lead though another one was announced, and when
     /// it was asked.
-    pub overruled: Option<(DatabaseName, Timestamp)>,
+    pub overruled_proof: Option<(DatabaseName, Timestamp)>,
     /// Token of the newest announcement that this node has acknowledged.
-    pub closed_by: Option<FencingToken>,
+    pub closed_up_to: Option<FencingToken>,
     /// Writes and commits that are sent and not answered.
     pub writes_in_flight: usize,
 }
--- a/crates/serving/src/peers.rs
+++ b/crates/serving/src/peers.rs
@@ -200,7 +200,7 @@
             PeerMessage::TellCoordinator {
                 revision,
                 node: coordinator,
-            } => primary_lease::take_coordinator(node, revision, &coordinator),
+            } => primary_lease::learn_coordinator(node, revision, &coordinator),
             PeerMessage::TellLease { answer, promotions } => {
                 primary_lease::take_answer(node, &answer, &promotions);
             }
@@ -208,7 +208,7 @@
                 coordinator,
                 node: sender_name,
                 announcement,
-            } if primary_lease::take_announcement(
+            } if primary_lease::handle_announcement(
                 node,
                 coordinator,
                 &sender_name,
@@ -313,7 +313,7 @@
             answered_at: node.now(),
             position: Some(sample.position),
         };
-        node.believe_leader(&sample.leader, proof);
+        node.apply_leader_proof(&sample.leader, proof);
     }
 
     /// Asks peers what they see of a primary; this node's own view comes first. Where many
--- a/crates/serving/src/primary_contact.rs
+++ b/crates/serving/src/primary_contact.rs
@@ -1,4 +1,4 @@
-//! Whether the primaries answer this node.
+//! Tracks whether the primaries respond to this node.
 
 use hookpoint_coordination::serving::directory::Database;
 use hookpoint_state::{DatabaseName, Timestamp};
@@ -8,7 +8,7 @@
 use crate::units::millis;
 
 impl Node {
-    /// Notes that a database answered.
+    /// Records that a database responded.
     pub fn note_contact(&self, name: &DatabaseName) {
         let Some(database) = self.database(name) else {
             return;
@@ -31,9 +31,9 @@
         }
     }
 
-    /// Notes that a question sent to the leader at `asked_at` was not answered.
+    /// Records that a request sent to the primary at `asked_at` was not answered.
     pub fn note_lost_contact(&self, name: &DatabaseName, asked_at: Timestamp, refused: bool) {
-        let Some(database) = self.database_asked(name, asked_at) else {
+        let Some(database) = self.database_unless_restarted(name, asked_at) else {
             return;
         };
         let newly_lost = self.with_group(&database.group, |state| {
--- a/crates/serving/src/primary_lease.rs
+++ b/crates/serving/src/primary_lease.rs
@@ -1,5 +1,5 @@
-//! Keeps this node's lease on the use of primaries, and grants the others theirs, as the
-//! coordinator or a stand-in. Only services that do not fence promotions need it.
+//! Renews this node's lease on the use of primaries, and grants leases to other nodes, as the
+//! coordinator or a stand-in. Needed only where the promotion service does not fence promotions.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,45 +17,46 @@
 use crate::peers::Peers;
 use crate::units::millis;
 
-/// Longest pause between looks at the lease.
-const LOOK: Duration = Duration::from_millis(50);
-/// How long writes in flight at a primary that is about to be replaced hold back this
-/// node's acknowledgement. What is answered later is in doubt.
-const WRITES_END: Duration = Duration::from_millis(250);
+/// Longest pause between two checks of the lease.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How long writes in flight at a primary that is about to be replaced delay this node's
+/// acknowledgement. The outcome of writes answered later is reported as unknown.
+const WRITE_GRACE_PERIOD: Duration = Duration::from_millis(250);
 
-/// An announced promotion.
+/// An announcement that a database is to become the primary of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// The group.
+    /// The group whose primary is replaced.
     pub group: GroupName,
-    /// The database that is to lead.
+    /// The database that is to become the primary.
     pub candidate: DatabaseName,
-    /// The token of the order: an announcement replaces those of lower ones.
+    /// Fencing token of the promotion order. An announcement replaces those with lower tokens.
     pub token: FencingToken,
-    /// Revision of its record in the store.
+    /// Revision of the announcement's record in the store.
     pub revision: StoreRevision,
 }
 
-/// What a node knows of promotions.
+/// The promotions that one node reports to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Promotions {
-    /// Those that the other side may not know.
+    /// Announcements that the receiver may not have.
     pub newer: Vec<Announcement>,
-    /// Up to which revision of the store this node knows all of them.
+    /// Store revision up to which the sender knows all announcements.
     pub known: StoreRevision,
 }
 
-/// Lapse after which requests that need a primary are refused at once: their callers reach
-/// other nodes sooner than this one gets a lease again.
+/// Time without a lease after which requests that need a primary are refused immediately: the
+/// callers reach other nodes sooner than this one gets a lease again.
 pub(crate) const LAPSE_PASSES: Duration = Duration::from_millis(300);
-/// Lapse after which idle sessions close: callers are no longer sent here by then.
-const SESSIONS_MOVE: Duration = Duration::from_millis(2_200);
+/// Time without a lease after which idle sessions are closed. By then callers are no longer routed
+/// to this node.
+const SESSIONS_MOVE_AFTER: Duration = Duration::from_millis(2_200);
 
-/// Keeps the lease for as long as the node lives.
+/// Requests, renews and monitors the lease until the node shuts down.
 pub async fn keep(node: Rc<Node>, peers: Rc<Peers>) {
     let mut covered = false;
     loop {
-        let _ = timeout(LOOK, node.lease_due.notified()).await;
+        let _ = timeout(POLL_INTERVAL, node.lease_due.notified()).await;
         if node.changeable().fenced_promotions {
             continue;
         }
@@ -89,7 +90,7 @@
 
 fn renew(node: &Rc<Node>, peers: &Rc<Peers>) {
     let now = node.now();
-    if node.writes_end_soon() {
+    if node.has_finishing_writes() {
         return;
     }
     let mut lease = node.primary_lease.borrow_mut();
@@ -103,7 +104,7 @@
     };
     if name == node.settings.name {
         let answer = node.answer_lease(&name, &request);
-        node.close_all_replaced();
+        node.close_replaced_primaries();
         node.primary_lease.borrow_mut().take(&answer, now);
         node.grantor_knows.set(node.promotions_known.get());
         node.lease_due.notify_one();
@@ -124,8 +125,8 @@
     }
 }
 
-/// Up to which revision of the store the node that is asked knows all promotions. One that
-/// coordinates in another era may lack those of the era before.
+/// Returns the store revision up to which the grantor knows all promotions. A grantor whose
+/// coordinator belongs to another era may lack promotions of the previous one.
 fn known_to_grantor(node: &Node, request: &LeaseRequest) -> StoreRevision {
     let known = node.grantor_knows.get();
     if known.era() == request.coordinator.era() {
@@ -135,7 +136,8 @@
     }
 }
 
-/// The node to ask; none if nobody coordinates, or no other node is known.
+/// Returns the name of the node to request the lease from, or `None` if no coordinator or no other
+/// node is known.
 fn grantor_name(node: &Rc<Node>, grantor: Grantor) -> Option<String> {
     let view = node.coordinator.borrow();
     let coordinator = view.newest();
@@ -151,15 +153,15 @@
     }
 }
 
-/// Answers a peer's request for a lease. What the peer knows of promotions is learnt
-/// first: its vote may be the one that ties this node to those who acknowledged them.
+/// Answers a peer's lease request. The peer's announcements are taken over first, because its vote
+/// may complete the majority that binds this node to the nodes that acknowledged them.
 pub(crate) fn answer(
     node: &Rc<Node>,
     peer: &str,
     request: &LeaseRequest,
     promotions: &Promotions,
 ) -> PeerMessage {
-    node.learn_promotions(&promotions.newer);
+    node.learn_announcements(&promotions.newer);
     node.primary_lease
         .borrow_mut()
         .follow(request.coordinator, node.now());
@@ -169,20 +171,21 @@
     }
 }
 
-/// Takes the answer to a request. The announcements that it tells hold from now on, so the
-/// lease never covers a primary that they replace.
+/// Handles the answer to a lease request. The announcements in the answer take effect before the
+/// lease does, so the lease never covers a primary that they replace.
 pub(crate) fn take_answer(node: &Rc<Node>, answer: &LeaseAnswer, promotions: &Promotions) {
-    node.learn_promotions(&promotions.newer);
+    node.learn_announcements(&promotions.newer);
     node.note_promotions_known(promotions.known);
-    node.close_all_replaced();
+    node.close_replaced_primaries();
     if node.primary_lease.borrow_mut().take(answer, node.now()) {
         node.grantor_knows.set(promotions.known);
     }
     node.lease_due.notify_one();
 }
 
-/// Tells all nodes that this one coordinates: they ask it for leases at once.
-pub(crate) fn tell_coordinator(node: &Node, peers: &Peers, revision: StoreRevision) {
+/// Informs all nodes that this node is the coordinator, so that they request leases from it
+/// immediately.
+pub(crate) fn announce_coordinator(node: &Node, peers: &Peers, revision: StoreRevision) {
     let message = PeerMessage::TellCoordinator {
         revision,
         node: node.settings.name.clone(),
@@ -193,15 +196,15 @@
     node.lease_due.notify_one();
 }
 
-/// Takes notice of a coordinator.
-pub(crate) fn take_coordinator(node: &Node, revision: StoreRevision, name: &str) {
+/// Records a coordinator reported by a peer.
+pub(crate) fn learn_coordinator(node: &Node, revision: StoreRevision, name: &str) {
     node.coordinator.borrow_mut().learn(revision, name);
     node.lease_due.notify_one();
 }
 
-/// Takes an announcement that a coordinator makes before it orders. Says whether this
-/// node acknowledges it: once it uses the replaced primary no more.
-pub(crate) fn take_announcement(
+/// Handles an announcement that a coordinator sends before it orders a promotion. Returns whether
+/// this node acknowledges it, which it does once it no longer uses the replaced primary.
+pub(crate) fn handle_announcement(
     node: &Rc<Node>,
     coordinator: StoreRevision,
     coordinator_name: &str,
@@ -214,7 +217,7 @@
     let now = node.now();
     let ended = node.with_group(&announcement.group, |state| {
         let since = state.promoting.as_ref().map_or(now, |(_, since)| *since);
-        state.writes_in_flight == 0 || now.since(since) >= WRITES_END
+        state.writes_in_flight == 0 || now.since(since) >= WRITE_GRACE_PERIOD
     });
     if !ended
         || !node
@@ -229,7 +232,7 @@
 }
 
 impl Node {
-    /// Takes a vote and answers it.
+    /// Counts a peer's vote and answers its lease request.
     fn answer_lease(&self, peer: &str, request: &LeaseRequest) -> LeaseAnswer {
         let electorate = Electorate {
             voters: self.voters().len(),
@@ -240,13 +243,13 @@
         grantor.answer(peer, request, coordinator, electorate, self.now())
     }
 
-    /// Whether others may have granted leases by this node's vote.
+    /// Returns whether other nodes may hold leases granted with this node's vote.
     pub(crate) fn voted_for_others(&self) -> bool {
         let now = self.now();
         self.primary_lease.borrow().voted_for_others(now)
     }
 
-    /// All nodes that may hold a lease, this one included.
+    /// Returns the names of all nodes that may hold a lease, including this one.
     pub(crate) fn voters(&self) -> Vec<String> {
         let now = self.now();
         let members = self.members.borrow();
@@ -261,8 +264,9 @@
             .collect()
     }
 
-    /// What this node knows of promotions, for one that knows all up to `revision`. Those that
-    /// the store has lost are not among what that one has read.
+    /// Returns the promotions to report to a node that knows all of them up to `revision`.
+    /// Announcements that the store has lost are always included, because that node cannot have
+    /// read them.
     fn promotions_after(&self, revision: StoreRevision) -> Promotions {
         let groups = self.groups.borrow();
         let later = groups
@@ -283,41 +287,42 @@
         }
     }
 
-    /// A complete listing is about to be taken in: announcements that it lacks are not in the
-    /// store.
+    /// Clears the announcements recorded as listed, before a complete listing of the store is
+    /// applied: announcements that the listing lacks are not in the store.
     pub(crate) fn forget_listed_announcements(&self) {
         for state in self.groups.borrow_mut().values_mut() {
             state.announcement_listed = None;
         }
     }
 
-    /// Takes announcements that a peer passes on.
-    fn learn_promotions(&self, announcements: &[Announcement]) {
+    /// Applies announcements passed on by a peer.
+    fn learn_announcements(&self, announcements: &[Announcement]) {
         for announcement in announcements {
             self.learn_promotion(announcement);
         }
     }
 
-    /// Whether writes are in flight at a primary that is about to be replaced, and may end
-    /// in a moment. A lease taken before that would leave them in doubt.
-    fn writes_end_soon(&self) -> bool {
+    /// Returns whether writes are in flight at a primary that is about to be replaced and are
+    /// still within [`WRITE_GRACE_PERIOD`]. Taking a lease before they end would leave their outcome
+    /// unknown.
+    fn has_finishing_writes(&self) -> bool {
         let now = self.now();
         self.groups.borrow().values().any(|state| {
             let since = state.promoting.as_ref().map_or(now, |(_, since)| *since);
-            let open = state.closed_by < state.announced && state.writes_in_flight > 0;
-            open && now.since(since) < WRITES_END
+            let open = state.closed_up_to < state.announced && state.writes_in_flight > 0;
+            open && now.since(since) < WRITE_GRACE_PERIOD
         })
     }
 
-    /// Nothing that a replaced primary answers from now on is passed on as done. A lease
-    /// granted after an announcement does not cover the primary that it replaces.
-    fn close_all_replaced(&self) {
+    /// Stops acknowledging what any replaced primary answers from now on: a lease granted after an
+    /// announcement does not cover the primary that it replaces.
+    fn close_replaced_primaries(&self) {
         for state in self.groups.borrow_mut().values_mut() {
-            state.closed_by = state.closed_by.max(state.announced);
+            state.closed_up_to = state.closed_up_to.max(state.announced);
         }
     }
 
-    /// Takes an announcement; one that is not newer than what is known is passed over.
+    /// Applies an announcement unless it is not newer than the one already known.
     pub(crate) fn learn_promotion(&self, announcement: &Announcement) {
         let group = &announcement.group;
         let now = self.now();
@@ -342,36 +347,37 @@
         }
     }
 
-    /// From now on nothing that the replaced primary answers is passed on as done.
+    /// Stops acknowledging what the replaced primary answers from now on.
     pub(crate) fn close_replaced(&self, announcement: &Announcement) {
         self.with_group(&announcement.group, |state| {
-            state.closed_by = state.closed_by.max(Some(announcement.token));
+            state.closed_up_to = state.closed_up_to.max(Some(announcement.token));
         });
     }
 
-    /// All promotions announced up to this revision of the store are known.
+    /// Records that all promotions announced up to `revision` of the store are known.
     pub(crate) fn note_promotions_known(&self, revision: StoreRevision) {
         let known = self.promotions_known.get();
         self.promotions_known.set(known.max(revision));
     }
 
-    /// Whether this node may use primaries at all.
+    /// Returns whether this node may use primaries now.
     pub(crate) fn may_use_primaries(&self) -> bool {
         self.covers_primaries(self.now())
     }
 
-    /// Whether it might at a moment of the last seconds.
+    /// Returns whether this node was allowed to use primaries at `moment`, which must lie within
+    /// the last few seconds.
     pub(crate) fn covers_primaries(&self, moment: Timestamp) -> bool {
         self.changeable().fenced_promotions || self.primary_lease.borrow().covers(moment)
     }
 
-    /// Whether a write or a commit may be sent to a database now.
+    /// Returns whether a write or a commit may be sent to a database now.
     pub(crate) fn may_write(&self, database: &DatabaseName) -> bool {
         self.changeable().fenced_promotions || (self.may_use_primaries() && self.leads(database))
     }
 
-    /// Whether a write that a database answered may be passed on as done. It may have been
-    /// sent before an announcement; then it counts until this node acknowledged that.
+    /// Returns whether a write that a database answered may be acknowledged to the caller. A write
+    /// sent before an announcement counts until this node has acknowledged the announcement.
     pub(crate) fn may_acknowledge(&self, group: &GroupName, database: &DatabaseName) -> bool {
         if self.changeable().fenced_promotions {
             return true;
@@ -381,22 +387,23 @@
                 .promoting
                 .as_ref()
                 .is_some_and(|(candidate, _)| candidate != database);
-            replaced && state.closed_by >= state.announced
+            replaced && state.closed_up_to >= state.announced
         });
         !closed && self.may_use_primaries()
     }
 
-    /// Since when this node has been cut off from what it needs to serve callers, if that is
-    /// so long ago that the sessions from before should go on at other nodes.
+    /// Returns since when this node has lacked what it needs to serve callers, if that has lasted
+    /// so long that existing sessions should move to other nodes.
     pub(crate) fn sessions_move_since(&self) -> Option<Timestamp> {
         let now = self.now();
         self.lease_lapsed_since()
             .or_else(|| self.uncounted_since())
             .or_else(|| self.isolated_since())
-            .filter(|since| now.since(*since) >= SESSIONS_MOVE)
+            .filter(|since| now.since(*since) >= SESSIONS_MOVE_AFTER)
     }
 
-    /// Since when this node has not been allowed to use primaries, if it was before.
+    /// Returns since when this node has not been allowed to use primaries, or `None` if it is
+    /// allowed to or never was.
     pub(crate) fn lease_lapsed_since(&self) -> Option<Timestamp> {
         if self.changeable().fenced_promotions {
             return None;
@@ -405,7 +412,7 @@
     }
 }
 
-/// Counts a write as in flight at its group's primary for as long as it lives.
+/// Guard that counts a write as in flight at its group's primary until it is dropped.
 pub(crate) struct WriteInFlight<'a> {
     node: &'a Rc<Node>,
     group: &'a GroupName,
--- a/crates/serving/src/reachability.rs
+++ b/crates/serving/src/reachability.rs
@@ -1,7 +1,7 @@
-//! Which peers answer, and the probes that find out.
+//! Tracks which peers respond, and schedules the probes that find out.
 //!
-//! The judgement is that of `hookpoint_coordination::serving::peer_contact`; here it is kept
-//! for the node, and probes become datagrams.
+//! The rules are those of `hookpoint_coordination::serving::peer_contact`; this module keeps their
+//! state for the node and sends the probes as datagrams.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,17 +17,17 @@
 use crate::node::Node;
 use crate::units::millis;
 
-/// Pause between looks whether a silent peer is heard again.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval between two checks whether a silent peer responds again.
+const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Pause between such looks at a peer that is asked for what may take seconds: as followers do
-/// that all the time, probing it as often as for a request would cost more bytes than what
-/// they ask for.
-const SELDOM: Duration = Duration::from_millis(200);
-/// Time of such a look: a probe, and a second one if the first is lost.
-const LOOK_TIME: Duration = Duration::from_millis(100);
+/// Interval between two checks of a peer from which an answer may take seconds. Followers wait for
+/// such answers all the time, and probing as often as for an ordinary request would cost more
+/// bytes than the answers.
+const SLOW_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Duration of such a check: one probe, and a second one if the first is lost.
+const SILENCE_CHECK_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Contact with the peers, and probes that are to be sent.
+/// The contact state of the peers and the probes that are due.
 #[derive(Default)]
 pub struct Reachability {
     contacts: RefCell<PeerContacts>,
@@ -36,7 +36,7 @@
 }
 
 impl Reachability {
-    /// Whether a request may be sent to a peer. One that is silent is probed now and then.
+    /// Returns whether a request may be sent to a peer. A silent peer is probed from time to time.
     pub fn may_ask(&self, peer: &Peer, now: Timestamp) -> bool {
         let approach = self.contacts.borrow_mut().approach(&peer.name, now);
         if approach == Approach::AvoidAndProbe {
@@ -45,12 +45,12 @@
         approach == Approach::Send
     }
 
-    /// Whether a peer answers neither requests nor probes.
+    /// Returns whether a peer answers neither requests nor probes.
     pub(crate) fn is_silent(&self, peer: &Peer, now: Timestamp) -> bool {
         self.contacts.borrow().is_silent(&peer.name, now)
     }
 
-    /// The peers to probe, as soon as there are some.
+    /// Waits for probes to become due and returns the addresses of the peers to probe.
     pub(crate) async fn due_probes(&self) -> Vec<SocketAddr> {
         while self.due.borrow().is_empty() {
             self.probe_due.notified().await;
@@ -58,7 +58,7 @@
         self.due.take()
     }
 
-    /// Takes in that a timer of this node which was due at `due` came at `now`.
+    /// Records that a timer of this node that was due at `due` fired at `now`.
     pub(crate) fn note_timer(&self, due: Timestamp, now: Timestamp) {
         self.contacts.borrow_mut().note_timer(due, now);
     }
@@ -68,7 +68,7 @@
         self.probe_due.notify_one();
     }
 
-    /// Probes a peer that may be silent, unless that was done a moment ago.
+    /// Probes a peer that may be silent, unless it was probed a moment ago.
     pub(crate) fn probe_ahead(&self, peer: &Peer, now: Timestamp) {
         if self.contacts.borrow_mut().probe_ahead(&peer.name, now) {
             self.probe(peer);
@@ -76,7 +76,7 @@
     }
 }
 
-/// Takes in that something was received from a peer.
+/// Records that something was received from a peer.
 pub(crate) fn note_heard(node: &Node, peer: &str) {
     let heard = node
         .reachability
@@ -91,11 +91,15 @@
     }
 }
 
-/// Ends once `peer` has been silent for `time` without a break. It is probed now and then.
-pub(crate) async fn lasting_silence(node: &Rc<Node>, peer: &Peer, time: Duration) {
+/// Completes once `peer` has been silent for `time` without interruption. The peer is probed from
+/// time to time.
+pub(crate) async fn until_silent_for(node: &Rc<Node>, peer: &Peer, time: Duration) {
     loop {
-        sleep(SELDOM).await;
-        if timeout(LOOK_TIME, silence(node, peer, &[])).await.is_err() {
+        sleep(SLOW_CHECK_INTERVAL).await;
+        if timeout(SILENCE_CHECK_TIMEOUT, until_silent(node, peer, &[]))
+            .await
+            .is_err()
+        {
             continue;
         }
         let until = node.now() + time;
@@ -103,7 +107,7 @@
             if node.now() >= until {
                 return;
             }
-            pause_for(node, LOOK).await;
+            pause_for(node, SILENCE_CHECK_INTERVAL).await;
         }
     }
 }
@@ -116,9 +120,9 @@
     }
 }
 
-/// Ends once `peer` turns out to be silent. While it has not answered for longer than usual
-/// the `alternatives` are probed together with it.
-pub(crate) async fn silence(node: &Rc<Node>, peer: &Peer, alternatives: &[Peer]) {
+/// Completes once `peer` turns out to be silent. While it takes longer than usual to answer, the
+/// `alternatives` are probed together with it.
+pub(crate) async fn until_silent(node: &Rc<Node>, peer: &Peer, alternatives: &[Peer]) {
     let since = node.now();
     loop {
         let now = node.now();
@@ -155,12 +159,12 @@
         .contacts
         .borrow_mut()
         .probe_alternatives(&peer.name, since, names, now);
-    for place in due {
-        node.reachability.probe(others[place]);
+    for index in due {
+        node.reachability.probe(others[index]);
     }
 }
 
-/// Waits, and takes in how late this node came back to it.
+/// Waits, and records how late this node's timer fired.
 async fn pause_for(node: &Node, pause: Duration) {
     let due = node.now() + pause;
     sleep(pause).await;
--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -428,7 +428,7 @@
                 continue;
             }
             LinkRequest::Snapshot => LinkReply::Snapshot(packed_snapshot(&node)),
-            LinkRequest::Departures => LinkReply::Departures(node.told_departures()),
+            LinkRequest::Departures => LinkReply::Departures(node.announced_departures()),
             LinkRequest::Follow(question) => {
                 LinkReply::Followed(feed::answer(&node, &question).await)
             }
--- a/crates/serving/src/snapshot.rs
+++ b/crates/serving/src/snapshot.rs
@@ -56,7 +56,7 @@
 
     fn apply(self, node: &Rc<Node>) {
         for (zone, requested, revision) in self.evacuations {
-            node.take_evacuation(&zone, requested, revision);
+            node.apply_evacuation(&zone, requested, revision);
         }
         for (database, revision) in self.databases {
             node.register_database(database, revision);
@@ -67,7 +67,7 @@
             }
         }
         node.homes.borrow_mut().forget_views();
-        departures::ask_if_heard_late(node);
+        departures::ask_about_late_departures(node);
         node.feed.note_caught_up();
         node.take_configuration(self.configuration);
     }
--- a/crates/serving/src/zone_evacuations.rs
+++ b/crates/serving/src/zone_evacuations.rs
@@ -1,4 +1,4 @@
-//! What a node keeps of the zones that the operator evacuates.
+//! State of a node's zone evacuations.
 
 use std::cell::{OnceCell, RefCell};
 use std::collections::BTreeMap;
@@ -7,28 +7,29 @@
 use hookpoint_coordination::serving::evacuation::Evacuations;
 use hookpoint_state::{Timestamp, ZoneName};
 
-/// The zones that the operator evacuates, or did, and what this node has made of that.
+/// The zone evacuations known to this node and its progress in carrying them out.
 #[derive(Default)]
 pub(crate) struct ZoneEvacuations {
-    /// The requests.
+    /// The evacuation requests.
     pub(crate) known: RefCell<Evacuations>,
-    /// How far this node is with those in force.
+    /// This node's progress for each zone whose evacuation has changed.
     pub(crate) progress: RefCell<BTreeMap<ZoneName, Progress>>,
-    /// How long this node spares a zone after the end of its evacuation.
+    /// How long this node continues to avoid a zone after the end of its evacuation; its share of
+    /// the staggered return.
     pub(crate) return_time: OnceCell<Duration>,
 }
 
-/// How far this node is with one zone.
+/// This node's progress with the evacuation of one zone.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Progress {
-    /// Transactions that were ended there.
+    /// Number of transactions ended in the zone.
     pub(crate) transactions_ended: u64,
-    /// Connections at rest that were closed.
+    /// Number of idle connections closed in the zone.
     pub(crate) connections_closed: u64,
-    /// When it was last looked at what is still in use.
-    pub(crate) looked_at: Timestamp,
-    /// Whether the log tells that nothing is.
-    pub(crate) told_empty: bool,
-    /// When the log last told that something is.
-    pub(crate) told_used_at: Option<Timestamp>,
+    /// When the remaining use of the zone was last checked.
+    pub(crate) checked_at: Timestamp,
+    /// Whether it has been logged that nothing in the zone is in use.
+    pub(crate) empty_logged: bool,
+    /// When the remaining use of the zone was last logged.
+    pub(crate) in_use_logged_at: Option<Timestamp>,
 }
