--- a/crates/serving/src/attention.rs
+++ b/crates/serving/src/attention.rs
@@ -1,5 +1,5 @@
-//! Which groups this node looks after: those that its callers, or the peers that rely on it,
-//! need. All others cost it nothing, however many there are.
+//! Tracks the groups that this node monitors: those needed by its callers or by peers that rely on
+//! it. All other groups cost the node nothing, regardless of their number.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -8,13 +8,13 @@
 
 use crate::node::{Contact, GroupState, Node};
 
-/// The groups that are looked after at the moment.
+/// The groups that are currently monitored.
 #[derive(Default)]
-pub(crate) struct Attention {
+pub(crate) struct MonitoredGroups {
     groups: RefCell<BTreeSet<GroupName>>,
 }
 
-impl Attention {
+impl MonitoredGroups {
     fn add(&self, group: &GroupName) {
         let mut groups = self.groups.borrow_mut();
         if !groups.contains(group) {
@@ -22,43 +22,43 @@
         }
     }
 
-    /// The groups, by name.
+    /// Returns the monitored groups in the order of their names.
     pub(crate) fn groups(&self) -> Vec<GroupName> {
         self.groups.borrow().iter().cloned().collect()
     }
 
-    /// How many they are.
+    /// Returns the number of monitored groups.
     pub(crate) fn len(&self) -> usize {
         self.groups.borrow().len()
     }
 }
 
 impl Node {
-    /// Notes that a caller's request asks for a group.
+    /// Records that a caller's request uses a group.
     pub(crate) fn note_use(&self, group: &GroupName) {
         let now = self.now();
         self.with_group(group, |state| state.interest.note_use(now));
-        self.attention.add(group);
+        self.monitored_groups.add(group);
     }
 
-    /// Notes that a caller's request waits for word of a group's primary.
+    /// Records that a caller's request is waiting for a group's primary to become known.
     pub(crate) fn note_awaited(&self, group: &GroupName) {
         let now = self.now();
         self.with_group(group, |state| state.interest.note_awaited(now));
-        self.attention.add(group);
+        self.monitored_groups.add(group);
     }
 
-    /// Notes that a peer relies on what this node, which holds connections to it, knows of a
-    /// primary, or finds out who leads.
+    /// Records that a peer relies on this node for a group's primary, because this node holds
+    /// connections to it or determines which database leads.
     pub(crate) fn note_relied_on(&self, group: &GroupName) {
         let now = self.now();
         self.with_group(group, |state| state.interest.note_relied_on(now));
-        self.attention.add(group);
+        self.monitored_groups.add(group);
     }
 
-    /// Notes that a peer runs a statement on a connection of this node's to a database. One that
-    /// does not lead tells nothing of the primary.
-    pub(crate) fn note_lent(&self, name: &DatabaseName) {
+    /// Records that a peer runs a statement on one of this node's connections to a database. A
+    /// database that does not lead provides no information about the primary.
+    pub(crate) fn note_lent_statement(&self, name: &DatabaseName) {
         let Some(database) = self.database(name) else {
             return;
         };
@@ -68,20 +68,20 @@
         }
     }
 
-    /// Looks after a group whose primary may have to be replaced.
-    pub(crate) fn look_after(&self, group: &GroupName) {
-        self.attention.add(group);
+    /// Monitors a group whose primary may have to be replaced.
+    pub(crate) fn monitor_group(&self, group: &GroupName) {
+        self.monitored_groups.add(group);
     }
 
-    /// Drops the groups that nothing here needs any more. What was only known by looking,
-    /// that a primary does not answer or is not known, is forgotten with them: it may have
+    /// Stops monitoring groups that are no longer needed. What this node only knew from monitoring
+    /// (that the primary is unresponsive or unknown) is discarded with them, as it may have
     /// changed by the time that the group is needed again.
     pub(crate) fn drop_unneeded_groups(&self) {
         let now = self.now();
         let coordinates = self.coordinator_revision().is_some();
-        let mut attended = self.attention.groups.borrow_mut();
+        let mut monitored = self.monitored_groups.groups.borrow_mut();
         let mut groups = self.groups.borrow_mut();
-        attended.retain(|group| {
+        monitored.retain(|group| {
             let Some(state) = groups.get_mut(group) else {
                 return false;
             };
--- a/crates/serving/src/cold_start.rs
+++ b/crates/serving/src/cold_start.rs
@@ -90,7 +90,7 @@
     /// Notes that the first connection to a database was opened. Only the store's news tell
     /// then how long it has run.
     pub(crate) fn note_first_connection(&self, name: &DatabaseName) {
-        let news_at = self.feed.news_at();
+        let news_at = self.feed.reported_at();
         let heard_once = news_at > Timestamp::default();
         if heard_once && self.now().since(news_at) >= NEWS_LIMIT {
             self.doubt_warmth(name);
@@ -211,7 +211,7 @@
         let directory = self.directory.borrow();
         let listed = directory.get(name);
         Circumstances {
-            news_at: self.feed.news_at(),
+            news_at: self.feed.reported_at(),
             told_start: listed
                 .is_some_and(|listed| !listed.missing && listed.database.started.is_some()),
         }
@@ -309,7 +309,7 @@
     let starts = node.cold.starts.borrow();
     let cold_for = starts.get(name).map(|warmth| millis(warmth.cold_for(now)));
     let started = node.database(name).and_then(|database| database.started);
-    let news_age = millis(now.since(node.feed.news_at()));
+    let news_age = millis(now.since(node.feed.reported_at()));
     [
         ("database", name.as_str().into()),
         ("reason", reason.as_str().into()),
@@ -321,15 +321,15 @@
 
 /// A connection to ask a cold database something on: by way of those that hold a part of its
 /// budget.
-pub(crate) async fn lease_for_question(
+pub(crate) async fn lease_for_query(
     node: &Rc<Node>,
     pool: &Rc<Pool>,
-    question: ConnectionRequest<'_>,
+    query: ConnectionRequest<'_>,
 ) -> Result<Lease, AcquireError> {
     if node.connection_cap(pool.database()) > 0 && pool.is_reachable() {
-        return pool.acquire_direct(node, question).await;
+        return pool.acquire_direct(node, query).await;
     }
-    relay::lease(node, pool, question)
+    relay::lease(node, pool, query)
         .await
         .map_err(|refusal| refusal.or(AcquireError::NotHeld))
 }
--- a/crates/serving/src/coordinator/mod.rs
+++ b/crates/serving/src/coordinator/mod.rs
@@ -113,7 +113,7 @@
             };
             if starts {
                 node.with_group(&group, |state| state.being_replaced = true);
-                node.look_after(&group);
+                node.monitor_group(&group);
                 due.push(group);
             }
         }
@@ -126,7 +126,7 @@
         let in_turn = node.groups_after(self.last.as_ref(), GROUPS_PER_ROUND);
         self.last = in_turn.last().cloned();
         let mut groups: BTreeSet<GroupName> = in_turn.into_iter().collect();
-        groups.extend(node.attention.groups());
+        groups.extend(node.monitored_groups.groups());
         groups.extend(self.to_move.iter().cloned());
         groups
     }
--- a/crates/serving/src/coordinator/replicas.rs
+++ b/crates/serving/src/coordinator/replicas.rs
@@ -223,7 +223,7 @@
     command: &Command,
 ) -> Vec<(DatabaseName, DatabaseStatus)> {
     let asked = replicas.iter().filter(|name| !node.is_shut(name));
-    let questions = asked.map(|name| {
+    let queries = asked.map(|name| {
         let command = command.clone();
         async move {
             let asked_at = node.now();
@@ -232,7 +232,7 @@
             Some((name.clone(), status))
         }
     });
-    let answers = futures::future::join_all(questions).await;
+    let answers = futures::future::join_all(queries).await;
     answers.into_iter().flatten().collect()
 }
 
@@ -255,8 +255,8 @@
 ) -> Option<DatabaseStatus> {
     let mut lease = lease_for_status(node, &node.pool(name)).await?;
     loop {
-        let question = [command.clone()];
-        let answers = lease.exchange(node, &question, STATUS_TIMEOUT).await.ok()?;
+        let query = [command.clone()];
+        let answers = lease.exchange(node, &query, STATUS_TIMEOUT).await.ok()?;
         let answer = answers.last()?;
         let code = answer.result.as_ref().err().map(|failure| failure.code);
         if code != Some(FailureCode::Overloaded) {
@@ -269,7 +269,7 @@
 /// Returns an idle connection, a new one, or one borrowed from another node.
 async fn lease_for_status(node: &Rc<Node>, pool: &Rc<Pool>) -> Option<Lease> {
     let values = SessionValues::new();
-    let question = ConnectionRequest {
+    let query = ConnectionRequest {
         principal: None,
         priority: STATUS_PRIORITY,
         values: &values,
@@ -277,7 +277,7 @@
         limits: WaitLimits::patient(STATUS_TIMEOUT),
     };
     if node.is_cold(pool.database()) {
-        let leased = cold_start::lease_for_question(node, pool, question).await;
+        let leased = cold_start::lease_for_query(node, pool, query).await;
         return leased.ok();
     }
     if let Some(lease) = pool.try_acquire(None, &values) {
@@ -285,6 +285,6 @@
     }
     match pool.open(node, None).await {
         Ok(lease) => Some(lease),
-        Err(_) => relay::lease(node, pool, question).await.ok(),
+        Err(_) => relay::lease(node, pool, query).await.ok(),
     }
 }
--- a/crates/serving/src/coordinator_record.rs
+++ b/crates/serving/src/coordinator_record.rs
@@ -201,7 +201,8 @@
 }
 
 fn extend_tenure(node: &Rc<Node>, asked_at: Timestamp) {
-    node.coordinator_until.set(relied_on_until(asked_at));
+    node.coordinator_lease_valid_until
+        .set(relied_on_until(asked_at));
 }
 
 /// Renews the lease until it expires, another node holds the record, or the node stops. A renewal
@@ -213,7 +214,7 @@
         match timeout(RENEWAL_TIMEOUT, renewal).await {
             Ok(Ok(era)) if era == claim.era() => {
                 extend_tenure(node, asked_at);
-                node.store_heard_at.set(node.now());
+                node.store_answered_at.set(node.now());
                 node.grantor.borrow_mut().note_renewed(asked_at);
             }
             Ok(Ok(era)) => {
@@ -244,7 +245,7 @@
 
 fn end_tenure(node: &Rc<Node>) {
     node.coordinator_lease.set(None);
-    node.coordinator_until.set(Timestamp::default());
+    node.coordinator_lease_valid_until.set(Timestamp::default());
     node.grantor.borrow_mut().end_coordinating();
     let mut view = node.coordinator.borrow_mut();
     let own = view
@@ -271,6 +272,7 @@
 
     /// Returns whether this node's lease allows it to order promotions now.
     pub fn coordinates(&self) -> bool {
-        self.coordinator_revision().is_some() && self.now() < self.coordinator_until.get()
+        self.coordinator_revision().is_some()
+            && self.now() < self.coordinator_lease_valid_until.get()
     }
 }
--- a/crates/serving/src/counted_store.rs
+++ b/crates/serving/src/counted_store.rs
@@ -1,4 +1,4 @@
-//! The state store with its calls counted by kind: every call has a price, also one that the
+//! State store wrapper that counts calls by kind. Every call has a cost, including those that the
 //! store refuses.
 
 use std::rc::Rc;
@@ -13,7 +13,7 @@
     ConditionalWrite, LeaseId, ReadFreshness, StateStore, StoreChanges, StoreError, WriteOutcome,
 };
 
-/// Counts calls and passes them on.
+/// Counts each call and forwards it to the wrapped store.
 pub(crate) struct CountedStore {
     store: Rc<dyn StateStore>,
     counters: Rc<Counters>,
--- a/crates/serving/src/departures.rs
+++ b/crates/serving/src/departures.rs
@@ -41,7 +41,7 @@
     pub(crate) fn learned_times(&self) -> Hearing {
         Hearing {
             at: self.now(),
-            not_before: self.feed.covered_before_news(),
+            not_before: self.feed.covered_before_last_report(),
         }
     }
 
@@ -169,7 +169,7 @@
         .registered_nodes()
         .iter()
         .map(|candidate| candidate.node.clone())
-        .filter(|name| name != own && node.answers(name))
+        .filter(|name| name != own && node.is_responsive(name))
         .collect();
     names.sort_by_cached_key(|name| {
         let mut hasher = DefaultHasher::new();
--- a/crates/serving/src/feed/answering.rs
+++ b/crates/serving/src/feed/answering.rs
@@ -1,4 +1,4 @@
-//! Answers to nodes that follow this one.
+//! Answers the requests of nodes that follow this one.
 
 use std::cmp::Ordering;
 use std::rc::Rc;
@@ -14,82 +14,85 @@
 use crate::ports::{StoreChange, StoreRecord};
 use crate::units::millis;
 
-/// A watcher's answer.
+/// The answer to a follower's request for changes.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum FeedAnswer {
-    /// The changes after the revision asked for; none if there were none.
+    /// The changes after the requested revision; empty if there were none.
     Changes {
-        /// The changes and the revision to go on from: [`StoreChanges`], packed.
+        /// The changes and the revision to continue from: packed
+        /// [`StoreChanges`](crate::ports::StoreChanges).
         changes: Bytes,
-        /// Whether they are all records that the store holds: some of the changes after the
-        /// revision asked for are not known, but what came of them is.
+        /// Whether the changes are a complete listing of the store. It is sent if some of the
+        /// changes after the requested revision are no longer known individually.
         everything: bool,
         /// How long the upstream has followed the store without a gap, in milliseconds.
         steady_ms: u64,
-        /// How long ago the store itself told of this state, in milliseconds.
+        /// Time since the store itself reported this state, in milliseconds.
         age_ms: u64,
-        /// Every change up to so long ago is known to the upstream, in milliseconds.
+        /// The upstream knows every change up to this long ago, in milliseconds.
         covered_ms: u64,
-        /// How long the upstream held the question back, in milliseconds.
+        /// How long the upstream held the request before answering, in milliseconds.
         held_ms: u64,
     },
-    /// The store turns the upstream away at the moment.
+    /// The store currently refuses the upstream's calls.
     StoreLost,
     /// The upstream knows nothing newer than the follower.
     NothingNew,
-    /// It lacks some of the changes.
+    /// The upstream lacks some of the changes after the requested revision.
     Incomplete,
 }
 
-/// What a follower asks.
+/// A follower's request for changes.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct FollowQuestion {
-    /// It knows everything up to this revision; the default if it knows nothing.
+    /// Revision up to which the follower knows all changes; the default if it knows nothing.
     pub(super) revision: StoreRevision,
-    /// Version of the configuration in force there; none if there is none.
+    /// Version of the configuration in force on the follower, or `None` if it has none.
     pub(super) configuration: Option<u64>,
-    /// How long ago the store told of that, in milliseconds.
+    /// Time since the store reported the follower's state, in milliseconds.
     pub(super) age_ms: u64,
-    /// How long the answer may be held back, in milliseconds.
+    /// Longest time for which the answer may be held back, in milliseconds.
     pub(super) hold_ms: u64,
 }
 
 impl FollowQuestion {
-    /// Whether the follower has just started. What its upstream knows helps it at once, like a
-    /// listing that may be old; whether that is the present state it learns as it follows on.
-    fn knows_nothing(&self) -> bool {
+    /// Returns whether the follower has just started. It can use the upstream's state immediately,
+    /// like a listing that may be old, and learns whether that state is current as it continues to
+    /// follow.
+    fn is_from_new_node(&self) -> bool {
         self.revision == StoreRevision::default()
     }
 }
 
-/// Answers a follower: as soon as there is newer word of the store than it has.
-pub async fn answer(node: &Rc<Node>, question: &FollowQuestion) -> FeedAnswer {
+/// Answers a follower as soon as this node has newer information from the store than the follower.
+pub async fn answer(node: &Rc<Node>, request: &FollowQuestion) -> FeedAnswer {
     let feed = &node.feed;
     let asked_at = node.now();
-    let known_at = asked_at - Duration::from_millis(question.age_ms);
-    let until = asked_at + Duration::from_millis(question.hold_ms);
-    if question.revision > feed.revision() {
+    let known_at = asked_at - Duration::from_millis(request.age_ms);
+    let until = asked_at + Duration::from_millis(request.hold_ms);
+    if request.revision > feed.revision() {
         node.counters.count("followers_answered", "ahead");
     }
     loop {
         let advanced = feed.advanced.notified();
         let now = node.now();
-        let changes = feed.changes_since(question.revision);
-        if question.knows_nothing() && feed.log.borrow().is_whole() {
-            return news_answer(node, question, changes, asked_at);
+        let changes = feed.changes_since(request.revision);
+        if request.is_from_new_node() && feed.log.borrow().is_whole() {
+            return news_answer(node, request, changes, asked_at);
         }
         let changed = changes.as_ref().is_some_and(|changes| !changes.is_empty());
-        let (changed, known_at) = match question.revision.era().cmp(&feed.revision().era()) {
+        let (changed, known_at) = match request.revision.era().cmp(&feed.revision().era()) {
             Ordering::Less => (true, known_at),
             Ordering::Equal => {
-                let newer = question.configuration < node.configuration_version();
+                let newer = request.configuration < node.configuration_version();
                 (changed || newer, known_at)
             }
-            // However lately the store told of an earlier era, the follower knows better.
+            // The follower's information is newer, however recently the store reported the earlier
+            // era.
             Ordering::Greater => (false, now),
         };
         match feed.news.borrow().reply(known_at, changed, until, now) {
-            Reply::News => return news_answer(node, question, changes, asked_at),
+            Reply::News => return news_answer(node, request, changes, asked_at),
             Reply::StoreLost => return FeedAnswer::StoreLost,
             Reply::NothingNew => return FeedAnswer::NothingNew,
             Reply::Wait => {}
@@ -98,29 +101,29 @@
     }
 }
 
-/// The answer that tells of `changes`, which are all after the follower's revision, or of
-/// everything if some of those are not known.
+/// Returns an answer with `changes`, which are all changes after the follower's revision, or with
+/// a complete listing if some of those are not known.
 fn news_answer(
     node: &Rc<Node>,
-    question: &FollowQuestion,
+    request: &FollowQuestion,
     changes: Option<Vec<Rc<StoreChange>>>,
     asked_at: Timestamp,
 ) -> FeedAnswer {
     if let Some(changes) = changes {
-        return changes_answer(node, question, Some(question.revision), changes, asked_at);
+        return changes_answer(node, request, Some(request.revision), changes, asked_at);
     }
     let everything = node.feed.log.borrow().everything();
     match everything {
-        Some(all) => changes_answer(node, question, None, all, asked_at),
+        Some(all) => changes_answer(node, request, None, all, asked_at),
         None => FeedAnswer::Incomplete,
     }
 }
 
-/// The configuration in force, if neither the follower nor `changes` know one as new: the store
-/// may have come back without it.
+/// Returns the configuration in force unless the follower or `changes` already have one as new:
+/// the store may have been restored without it.
 fn unlisted_configuration(
     node: &Node,
-    question: &FollowQuestion,
+    request: &FollowQuestion,
     changes: &[Rc<StoreChange>],
 ) -> Option<StoreChange> {
     let in_force = node.configuration()?;
@@ -128,26 +131,27 @@
         StoreRecord::Configuration(listed) => listed.version >= in_force.version,
         _ => false,
     };
-    let known = question.configuration >= Some(in_force.version) || changes.iter().any(is_known);
+    let known = request.configuration >= Some(in_force.version) || changes.iter().any(is_known);
     (!known).then(|| StoreChange {
         revision: node.feed.revision(),
         record: StoreRecord::Configuration((*in_force).clone()),
     })
 }
 
-/// The answer that tells of `changes`, which are all after `after`, or everything.
+/// Returns an answer with `changes`, which are all changes after the revision `after`, or a
+/// complete listing if `after` is `None`.
 fn changes_answer(
     node: &Rc<Node>,
-    question: &FollowQuestion,
+    request: &FollowQuestion,
     after: Option<StoreRevision>,
     mut changes: Vec<Rc<StoreChange>>,
     asked_at: Timestamp,
 ) -> FeedAnswer {
     let now = node.now();
-    let packed = match unlisted_configuration(node, question, &changes) {
+    let packed = match unlisted_configuration(node, request, &changes) {
         Some(configuration) => {
             changes.push(Rc::new(configuration));
-            node.feed.pack_anew(after, &changes)
+            node.feed.pack_uncached(after, &changes)
         }
         None => node.feed.pack(after, &changes),
     };
@@ -159,8 +163,8 @@
         changes: packed,
         everything: after.is_none(),
         steady_ms: millis(now.since(node.store_steady_since.get())),
-        // Rounded up: knowledge never gets younger on its way.
-        age_ms: millis(now.since(node.feed.news_at())) + 1,
+        // Rounded up, so that the age never decreases while it is passed on.
+        age_ms: millis(now.since(node.feed.reported_at())) + 1,
         covered_ms: millis(now.since(node.feed.coverage.borrow().until())) + 1,
         held_ms: millis(now.since(asked_at)),
     }
--- a/crates/serving/src/feed/following.rs
+++ b/crates/serving/src/feed/following.rs
@@ -1,4 +1,5 @@
-//! Following an upstream, and whose turn it is to ask the store itself.
+//! Follows the store through an upstream node, and determines when this node asks the store
+//! itself.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,56 +16,57 @@
 use crate::ports::StoreChanges;
 use crate::units::millis;
 
-/// Time that an upstream's answer may be late: a large configuration takes its time on a slow
-/// link, and an upstream that does not answer is found out by probes long before.
-const FOLLOW_SLACK: Duration = Duration::from_millis(800);
-/// How long an upstream may leave probes unanswered. One that passes a large configuration
-/// to all its followers fills its link; a follower that turned from it for that would have
-/// the store send it the whole configuration, which takes longer and fills links as well.
+/// Additional time allowed for an upstream's answer: a large configuration takes time on a slow
+/// link, and probes detect an unresponsive upstream long before.
+const ANSWER_SLACK: Duration = Duration::from_millis(800);
+/// How long an upstream may leave probes unanswered. An upstream that sends a large configuration
+/// to all its followers saturates its link. A follower that gave up on it for that reason would
+/// request the whole configuration from the store, which takes longer and saturates links as well.
 const UPSTREAM_SILENCE: Duration = Duration::from_millis(700);
-/// Upstreams asked in one round at the most, before a node looks whether it is to try the
-/// store itself. If the store turns away a third of all nodes, five in a row are rare.
-const ASKED_IN_A_ROUND: usize = 5;
-/// How long a watcher that did not answer is passed over.
-const PASSED_OVER: Duration = Duration::from_secs(2);
-/// The same for one that lacks some of the changes.
-const PASSED_OVER_INCOMPLETE: Duration = Duration::from_millis(500);
+/// Maximum number of upstreams asked in one round before a node checks whether it should try the
+/// store itself. If the store refuses a third of all nodes, five refused upstreams in a row are
+/// rare.
+const MAX_UPSTREAMS_PER_ROUND: usize = 5;
+/// How long an upstream that did not answer is skipped.
+const SKIP_UNANSWERED: Duration = Duration::from_secs(2);
+/// How long an upstream that lacks some of the changes is skipped.
+const SKIP_INCOMPLETE: Duration = Duration::from_millis(500);
 
-/// What following an upstream came to.
+/// The result of asking the upstreams for changes.
 pub enum Followed {
-    /// The changes that it told of; none if there were none.
+    /// The changes reported by an upstream; empty if there were none.
     Changes(StoreChanges),
-    /// Everything that the store holds.
-    Everything(StoreChanges),
-    /// No upstream told anything newer.
+    /// A complete listing of the store.
+    Listing(StoreChanges),
+    /// No upstream reported anything newer.
     Nothing,
 }
 
-/// Why an upstream told nothing newer.
+/// The reason why an upstream reported nothing newer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum NoNews {
-    /// It did not answer, or not so that it could be read.
+enum NoChangesReason {
+    /// The upstream did not answer, or its answer could not be decoded.
     NotAnswered,
-    /// The store turns it away.
-    TurnedAway,
-    /// It knew nothing newer in time.
+    /// The store refuses the upstream's calls.
+    RefusedByStore,
+    /// The upstream learnt of nothing newer in time.
     Behind,
-    /// It lacks some of the changes.
+    /// The upstream lacks some of the changes.
     Incomplete,
 }
 
-/// Follows the store through an upstream. One that the store turns away tells so at once, and
-/// the next one is asked until it is this node's turn to try the store itself.
+/// Follows the store through an upstream. An upstream that the store refuses says so immediately,
+/// and the next one is asked, until it is this node's turn to try the store itself.
 pub async fn follow_upstream(node: &Rc<Node>, revision: StoreRevision) -> Followed {
     let mut asked: Vec<String> = Vec::new();
     while let Some(upstream) = next_upstream(node, &asked) {
         asked.push(upstream.name.clone());
         match ask(node, &upstream, revision).await {
             Ok(followed) => return followed,
-            Err(reason) => note_no_news(node, &upstream, reason),
+            Err(reason) => note_unhelpful_upstream(node, &upstream, reason),
         }
         node.feed.news.borrow_mut().note_nothing_heard(node.now());
-        if turn_is_due(node) {
+        if is_own_turn(node) {
             return Followed::Nothing;
         }
     }
@@ -76,46 +78,46 @@
     Followed::Nothing
 }
 
-/// Takes in that an upstream was of no help, so that another one is asked.
-fn note_no_news(node: &Rc<Node>, upstream: &Peer, reason: NoNews) {
+/// Records that an upstream did not help, so that another one is asked.
+fn note_unhelpful_upstream(node: &Rc<Node>, upstream: &Peer, reason: NoChangesReason) {
     let now = node.now();
     let feed = &node.feed;
     let label = match reason {
-        NoNews::NotAnswered => {
-            feed.pass_over(&upstream.name, now + PASSED_OVER);
+        NoChangesReason::NotAnswered => {
+            feed.skip_upstream(&upstream.name, now + SKIP_UNANSWERED);
             "peer_failed"
         }
-        NoNews::TurnedAway => {
+        NoChangesReason::RefusedByStore => {
             feed.news.borrow_mut().leave_out(&upstream.name, now);
             "peer_turned_away"
         }
-        NoNews::Behind => "peer_behind",
-        NoNews::Incomplete => {
-            feed.pass_over(&upstream.name, now + PASSED_OVER_INCOMPLETE);
+        NoChangesReason::Behind => "peer_behind",
+        NoChangesReason::Incomplete => {
+            feed.skip_upstream(&upstream.name, now + SKIP_INCOMPLETE);
             "peer_incomplete"
         }
     };
     node.counters.count("store_followed", label);
 }
 
-/// The next upstream to ask in a round, after those that were asked in it.
+/// Returns the next upstream to ask in a round, given those already asked in it.
 fn next_upstream(node: &Rc<Node>, asked: &[String]) -> Option<Peer> {
-    if asked.len() == ASKED_IN_A_ROUND {
+    if asked.len() == MAX_UPSTREAMS_PER_ROUND {
         return None;
     }
     let now = node.now();
     upstreams(node)
         .into_iter()
         .filter(|upstream| !asked.contains(&upstream.name))
-        .find(|upstream| !node.feed.is_passed_over(&upstream.name, now))
+        .find(|upstream| !node.feed.is_skipped(&upstream.name, now))
 }
 
-/// Asks an upstream for the changes after `revision`, and takes in how old what it tells is.
+/// Asks an upstream for the changes after `revision`, and records the age of the reported state.
 async fn ask(
     node: &Rc<Node>,
     upstream: &Peer,
     revision: StoreRevision,
-) -> Result<Followed, NoNews> {
+) -> Result<Followed, NoChangesReason> {
     let asked_at = node.now();
     match call(node, upstream, revision).await {
         Some(FeedAnswer::Changes {
@@ -127,55 +129,58 @@
             held_ms,
         }) => {
             let packed_changes = changes;
-            let changes = unpack(node, upstream, &packed_changes).ok_or(NoNews::NotAnswered)?;
+            let changes =
+                unpack(node, upstream, &packed_changes).ok_or(NoChangesReason::NotAnswered)?;
             if changes.revision.era() < revision.era() {
-                return Err(NoNews::Behind);
+                return Err(NoChangesReason::Behind);
             }
-            // All of the time that the upstream did not hold the question back may be the
-            // answer's way.
+            // Apart from the time for which the upstream held the request, all of the round trip
+            // may have been spent on the answer.
             let told_at = node.now().min(asked_at + Duration::from_millis(held_ms));
             node.counters.count("store_followed", "peer");
             let age = Duration::from_millis(age_ms);
-            // A node that starts may be told an old state, which proves nothing of the present.
+            // A starting node may receive an old state, which says nothing about the present one.
             if revision != StoreRevision::default() || age < limits(node).oldest {
                 let covered = told_at - Duration::from_millis(covered_ms);
-                node.feed.note_heard(told_at - age, covered);
+                node.feed.note_relayed_report(told_at - age, covered);
             }
             note_steady(node, Duration::from_millis(steady_ms));
             Ok(if everything {
-                node.feed.keep_packed(&changes, &packed_changes);
-                Followed::Everything(changes)
+                node.feed.cache_packed(&changes, &packed_changes);
+                Followed::Listing(changes)
             } else {
                 Followed::Changes(changes)
             })
         }
-        Some(FeedAnswer::StoreLost) => Err(NoNews::TurnedAway),
-        Some(FeedAnswer::NothingNew) => Err(NoNews::Behind),
-        Some(FeedAnswer::Incomplete) => Err(NoNews::Incomplete),
-        None => Err(NoNews::NotAnswered),
+        Some(FeedAnswer::StoreLost) => Err(NoChangesReason::RefusedByStore),
+        Some(FeedAnswer::NothingNew) => Err(NoChangesReason::Behind),
+        Some(FeedAnswer::Incomplete) => Err(NoChangesReason::Incomplete),
+        None => Err(NoChangesReason::NotAnswered),
     }
 }
 
-/// What a peer answered that was asked for everything.
-pub(crate) enum Everything {
-    /// All that the store holds.
-    Told(StoreChanges),
-    /// It does not know that yet.
+/// The result of asking a peer for a complete listing.
+pub(crate) enum ListingReply {
+    /// The complete listing of the store.
+    Listing(StoreChanges),
+    /// The peer does not know the store's contents yet.
     NotYet,
-    /// It did not answer, or is of no help.
+    /// The peer did not answer or cannot help.
     NotAnswered,
 }
 
-/// Asks a peer for everything that the store holds, for a node that knows nothing.
-pub(crate) async fn ask_for_everything(node: &Rc<Node>, upstream: &Peer) -> Everything {
+/// Asks a peer for a complete listing of the store, for a node that knows nothing.
+pub(crate) async fn request_listing(node: &Rc<Node>, upstream: &Peer) -> ListingReply {
     match ask(node, upstream, StoreRevision::default()).await {
-        Ok(Followed::Everything(everything)) => Everything::Told(everything),
-        Err(NoNews::Behind | NoNews::Incomplete) => Everything::NotYet,
-        Ok(_) | Err(NoNews::NotAnswered | NoNews::TurnedAway) => Everything::NotAnswered,
+        Ok(Followed::Listing(everything)) => ListingReply::Listing(everything),
+        Err(NoChangesReason::Behind | NoChangesReason::Incomplete) => ListingReply::NotYet,
+        Ok(_) | Err(NoChangesReason::NotAnswered | NoChangesReason::RefusedByStore) => {
+            ListingReply::NotAnswered
+        }
     }
 }
 
-/// Sends the question. Nothing if it is not answered.
+/// Sends the request to an upstream. Returns `None` if it is not answered.
 async fn call(node: &Rc<Node>, upstream: &Peer, revision: StoreRevision) -> Option<FeedAnswer> {
     let now = node.now();
     let (age, hold) = {
@@ -188,7 +193,7 @@
         age_ms: millis(age),
         hold_ms: millis(hold),
     });
-    let limit = hold + FOLLOW_SLACK;
+    let limit = hold + ANSWER_SLACK;
     match link::call_for_much(node, upstream, &request, limit, UPSTREAM_SILENCE).await {
         Some((LinkReply::Followed(answer), stream)) => {
             node.links.keep(upstream.name.clone(), stream);
@@ -198,7 +203,7 @@
     }
 }
 
-/// What an upstream packed. Nothing, with a line in the log, if it cannot be read.
+/// Unpacks an upstream's changes. Logs an event and returns `None` if they cannot be decoded.
 fn unpack(node: &Rc<Node>, upstream: &Peer, changes: &[u8]) -> Option<StoreChanges> {
     match packed::unpack(changes) {
         Ok(changes) => Some(changes),
@@ -215,7 +220,8 @@
     }
 }
 
-/// The store has been followed without a gap for no longer than by the watcher.
+/// Limits the time for which this node counts as having followed the store without a gap to that
+/// of its upstream.
 fn note_steady(node: &Rc<Node>, steady: Duration) {
     let since = node.now() - steady;
     let own = node.store_steady_since.get();
@@ -226,37 +232,37 @@
     NewsLimits::of(node.changeable().configuration_limit)
 }
 
-/// Whether what is known here may be taken for the store's present state.
+/// Returns whether this node's information may be used as the store's present state.
 pub fn is_fresh(node: &Node) -> bool {
     let news = node.feed.news.borrow();
     news.is_fresh(node.now(), limits(node))
 }
 
-/// Whether this node watches the store now.
-pub fn watches(node: &Rc<Node>) -> bool {
+/// Returns whether this node watches the store itself at the moment.
+pub fn watches_store(node: &Rc<Node>) -> bool {
     let names = upstream_names(node, |name| {
-        node.answers(name) && node.feed.news.borrow().helps(name, node.now())
+        node.is_responsive(name) && node.feed.news.borrow().helps(name, node.now())
     });
     names.is_empty() && node.feed.news.borrow().watches(node.now())
 }
 
-/// Whether this node tries the store itself, as its upstreams told nothing newer. The one that
-/// is to watch always does; the other nodes of a region take turns.
-pub fn own_try_is_due(node: &Rc<Node>) -> bool {
-    is_watcher(node) || turn_is_due(node)
+/// Returns whether this node should try the store itself because its upstreams reported nothing
+/// newer. The region's watcher always does; the other nodes of the region take turns.
+pub fn should_try_store(node: &Rc<Node>) -> bool {
+    is_region_watcher(node) || is_own_turn(node)
 }
 
-fn turn_is_due(node: &Rc<Node>) -> bool {
+fn is_own_turn(node: &Rc<Node>) -> bool {
     let regions = &node.changeable().regions;
     let order = try_order(&node.as_candidate(), &node.registered_nodes(), regions);
     node.feed.news.borrow().try_is_due(order, node.now())
 }
 
-/// How long the next watch of the store waits for a change.
+/// Returns how long the next watch of the store waits for a change.
 pub fn watch_wait(node: &Rc<Node>) -> Duration {
     let regions = &node.changeable().regions;
     let longest = if is_small_region(&node.settings.zone, &node.registered_nodes(), regions) {
-        // Nobody follows this node.
+        // No other node follows this one.
         LONGEST_WATCH
     } else {
         limits(node).watch
@@ -264,8 +270,8 @@
     node.feed.news.borrow().watch_wait(longest, node.now())
 }
 
-/// The nodes that this node follows; none if it watches the store itself. While the store
-/// turns it away it follows others, though it is the one to watch.
+/// Returns the nodes that this node follows; empty if it watches the store itself. While the store
+/// refuses its calls, this node follows others even if it is the region's watcher.
 fn upstreams(node: &Rc<Node>) -> Vec<Peer> {
     let now = node.now();
     let turned_away = node.feed.news.borrow().is_turned_away(now);
@@ -273,7 +279,7 @@
         if name == node.settings.name {
             return !turned_away;
         }
-        node.answers(name) && node.feed.news.borrow().helps(name, now)
+        node.is_responsive(name) && node.feed.news.borrow().helps(name, now)
     });
     names.iter().filter_map(|name| node.peer(name)).collect()
 }
@@ -287,8 +293,9 @@
         .collect()
 }
 
-/// Whether this node is the one to watch the store itself, if the store answers all nodes.
-pub fn is_watcher(node: &Rc<Node>) -> bool {
+/// Returns whether this node is the one that watches the store, assuming that the store answers
+/// all nodes.
+pub fn is_region_watcher(node: &Rc<Node>) -> bool {
     let own = &node.settings.name;
-    upstream_names(node, |name| name == own || node.answers(name)).is_empty()
+    upstream_names(node, |name| name == own || node.is_responsive(name)).is_empty()
 }
--- a/crates/serving/src/feed/mod.rs
+++ b/crates/serving/src/feed/mod.rs
@@ -1,7 +1,7 @@
-//! Changes of the state store, passed from the node that watches it to the others.
+//! Passes changes of the state store from the node that watches it to the other nodes.
 //!
-//! How old this node's knowledge is, and where it turns for newer, is decided by
-//! `hookpoint_coordination::serving::store_news`.
+//! The rules for the age of this node's information, and for where it looks for newer information,
+//! are in `hookpoint_coordination::serving::store_news`.
 
 mod answering;
 mod following;
@@ -18,43 +18,44 @@
 use tokio::sync::Notify;
 
 pub use self::answering::{FeedAnswer, FollowQuestion, answer};
-pub(crate) use self::following::{Everything, ask_for_everything};
 pub use self::following::{
-    Followed, follow_upstream, is_fresh, is_watcher, own_try_is_due, watch_wait, watches,
+    Followed, follow_upstream, is_fresh, is_region_watcher, should_try_store, watch_wait,
+    watches_store,
 };
+pub(crate) use self::following::{ListingReply, request_listing};
 use crate::packed::{self, PackError};
 use crate::ports::{ChangeSubject, StoreChange, StoreChanges, StoreRecord};
 
-/// What this node knows of the store's changes.
+/// The store's changes known to this node, and their age.
 #[derive(Default)]
 pub struct Feed {
     log: RefCell<ChangeLog<ChangeSubject, Rc<StoreChange>>>,
-    /// Up to where this node follows the store.
+    /// Store revision up to which this node has applied all changes.
     revision: Cell<StoreRevision>,
-    /// How old that is, and the search for newer.
+    /// Age of this node's information, and the state of the search for newer.
     news: RefCell<StoreNews>,
-    /// Up to when every change is known here.
+    /// The time up to which every change is known here.
     coverage: RefCell<Coverage>,
     caught_up: Cell<bool>,
     advanced: Notify,
-    passed_over: RefCell<Vec<(String, Timestamp)>>,
+    skipped_upstreams: RefCell<Vec<(String, Timestamp)>>,
     failures: Cell<u32>,
-    /// What was last packed for a follower: most of them ask for the same.
+    /// The answer last packed for a follower: most followers request the same changes.
     packed: RefCell<Option<PackedChanges>>,
 }
 
-/// Changes as they are sent to followers.
+/// Packed changes as sent to followers.
 struct PackedChanges {
-    /// The follower knows everything up to this revision; none if they are everything.
+    /// Revision after which the changes begin, or `None` for a complete listing.
     after: Option<StoreRevision>,
-    /// The changes are all up to this one.
+    /// Revision of the last change included.
     revision: StoreRevision,
     bytes: Bytes,
 }
 
 impl Feed {
-    /// Takes in everything that the store holds.
-    pub fn take_listing(&self, all: &StoreChanges) {
+    /// Records a complete listing of the store.
+    pub fn record_listing(&self, all: &StoreChanges) {
         self.failures.set(0);
         let listed = all.changes.iter().map(|change| {
             let subject = change.record.subject();
@@ -71,7 +72,7 @@
         self.advance(all.revision);
     }
 
-    /// Takes in one change.
+    /// Records one change.
     pub fn record(&self, change: &StoreChange) {
         let subject = change.record.subject();
         let change = Rc::new(change.clone());
@@ -80,20 +81,21 @@
             .record(change.revision, subject, change);
     }
 
-    /// All changes up to `revision` are taken in.
+    /// Records that all changes up to `revision` have been applied.
     pub fn advance(&self, revision: StoreRevision) {
         self.revision.set(revision);
         self.advanced.notify_waiters();
     }
 
-    /// Up to where this node follows the store; the default before it knows anything.
+    /// Returns the store revision up to which this node has applied all changes; the default
+    /// before the first.
     pub(crate) fn revision(&self) -> StoreRevision {
         self.revision.get()
     }
 
-    /// The store answered a call of this node's own at `when`; the answer is about to be taken
-    /// in, and holds every change up to `covered`.
-    pub fn note_told(&self, when: Timestamp, covered: Timestamp) {
+    /// Records that the store reported its state as of `when` in answer to a call of this node.
+    /// The answer is about to be applied and contains every change up to `covered`.
+    pub fn note_store_report(&self, when: Timestamp, covered: Timestamp) {
         self.failures.set(0);
         self.caught_up.set(true);
         self.coverage.borrow_mut().extend(covered);
@@ -101,23 +103,24 @@
         self.advanced.notify_waiters();
     }
 
-    /// The store answered a call of this node's own, maybe with an old state.
+    /// Records that the store answered a call of this node, possibly with an old state.
     pub(crate) fn note_answered(&self) {
         self.news.borrow_mut().note_answered();
     }
 
-    /// The store is in another era than was known, or this node hears of its era for the first
+    /// Records that the store's era has changed, or that this node has learnt of it for the first
     /// time.
     pub(crate) fn note_era(&self, now: Timestamp) {
         self.coverage.borrow_mut().note_era(now);
     }
 
-    /// The store has been in its era for so long that it holds again what it lost.
+    /// Records that the store's era has settled: what was lost with the previous era has been
+    /// written again.
     pub(crate) fn note_settled(&self) {
         self.coverage.borrow_mut().settle();
     }
 
-    fn note_heard(&self, when: Timestamp, covered: Timestamp) {
+    fn note_relayed_report(&self, when: Timestamp, covered: Timestamp) {
         self.failures.set(0);
         self.caught_up.set(true);
         self.coverage.borrow_mut().extend(covered);
@@ -125,65 +128,65 @@
         self.advanced.notify_waiters();
     }
 
-    /// A call of this node's own failed, or its answer is overdue: those who wait here are told
-    /// so at once.
+    /// Records that a call of this node failed or that its answer is overdue. Followers whose
+    /// requests wait here are informed immediately.
     pub fn note_turned_away(&self, now: Timestamp) {
         self.failures.set(self.failures.get().saturating_add(1));
         self.news.borrow_mut().note_turned_away(now);
         self.advanced.notify_waiters();
     }
 
-    /// Calls to the store that failed since the last that did not.
+    /// Returns the number of calls to the store that have failed since the last successful one.
     pub fn failures(&self) -> u32 {
         self.failures.get()
     }
 
-    /// Takes in that a peer told what it knows.
+    /// Records that a peer's information has been applied.
     pub fn note_caught_up(&self) {
         self.caught_up.set(true);
     }
 
-    /// Whether this node has known the store's present state, or what a peer knew of it, since
-    /// it started.
+    /// Returns whether this node has had the store's present state, or a peer's information about
+    /// it, since it started.
     pub fn has_caught_up(&self) -> bool {
         self.caught_up.get()
     }
 
-    /// When the store told, directly or through others, of the state that is known here.
-    pub fn news_at(&self) -> Timestamp {
+    /// Returns when the store reported, directly or through other nodes, the state known here.
+    pub fn reported_at(&self) -> Timestamp {
         self.news.borrow().told_at()
     }
 
-    /// Up to when every change was known before the news that was taken in last: what that
-    /// tells of changed later.
-    pub(crate) fn covered_before_news(&self) -> Timestamp {
+    /// Returns the time up to which every change was known before the most recently applied
+    /// report: the changes in that report happened later.
+    pub(crate) fn covered_before_last_report(&self) -> Timestamp {
         self.coverage.borrow().before_news()
     }
 
-    /// Pause before upstreams that told nothing newer are asked again.
+    /// Returns the pause before upstreams that reported nothing newer are asked again.
     pub fn search_pause(&self, now: Timestamp) -> Duration {
         self.news.borrow().search_pause(now)
     }
 
-    fn is_passed_over(&self, watcher: &str, now: Timestamp) -> bool {
-        let mut passed_over = self.passed_over.borrow_mut();
-        passed_over.retain(|(_, until)| now < *until);
-        passed_over.iter().any(|(name, _)| name == watcher)
+    fn is_skipped(&self, upstream: &str, now: Timestamp) -> bool {
+        let mut skipped_upstreams = self.skipped_upstreams.borrow_mut();
+        skipped_upstreams.retain(|(_, until)| now < *until);
+        skipped_upstreams.iter().any(|(name, _)| name == upstream)
     }
 
-    fn pass_over(&self, watcher: &str, until: Timestamp) {
-        self.passed_over
+    fn skip_upstream(&self, upstream: &str, until: Timestamp) {
+        self.skipped_upstreams
             .borrow_mut()
-            .push((watcher.to_owned(), until));
+            .push((upstream.to_owned(), until));
     }
 
-    /// The changes after `revision`, if all of them are known.
+    /// Returns the changes after `revision`, or `None` if some of them are not known.
     fn changes_since(&self, revision: StoreRevision) -> Option<Vec<Rc<StoreChange>>> {
         self.log.borrow().since(revision)
     }
 
-    /// Keeps everything as an upstream packed it, so that it can be passed on as it is.
-    fn keep_packed(&self, everything: &StoreChanges, bytes: &Bytes) {
+    /// Caches a complete listing as packed by an upstream, so that it can be forwarded unchanged.
+    fn cache_packed(&self, everything: &StoreChanges, bytes: &Bytes) {
         *self.packed.borrow_mut() = Some(PackedChanges {
             after: None,
             revision: everything.revision,
@@ -191,20 +194,20 @@
         });
     }
 
-    /// Packs `changes`, which are all after `after`, or everything; those that were packed last
-    /// are neither copied nor packed again.
+    /// Packs `changes`, which are all changes after the revision `after`, or a complete listing if
+    /// `after` is `None`. If the same changes were packed last, returns the cached bytes.
     fn pack(
         &self,
         after: Option<StoreRevision>,
         changes: &[Rc<StoreChange>],
     ) -> Result<Bytes, PackError> {
-        let revision = self.known_after(after);
+        let revision = self.known_revision_after(after);
         if let Some(last) = &*self.packed.borrow()
             && (last.after, last.revision) == (after, revision)
         {
             return Ok(last.bytes.clone());
         }
-        let bytes = self.pack_anew(after, changes)?;
+        let bytes = self.pack_uncached(after, changes)?;
         *self.packed.borrow_mut() = Some(PackedChanges {
             after,
             revision,
@@ -213,21 +216,21 @@
         Ok(bytes)
     }
 
-    /// The same without a look at what was packed last.
-    fn pack_anew(
+    /// Packs changes like [`Self::pack`], but without using the cache.
+    fn pack_uncached(
         &self,
         after: Option<StoreRevision>,
         changes: &[Rc<StoreChange>],
     ) -> Result<Bytes, PackError> {
         let changes = changes.iter().map(|change| StoreChange::clone(change));
         packed::pack(&StoreChanges {
-            revision: self.known_after(after),
+            revision: self.known_revision_after(after),
             changes: changes.collect(),
         })
     }
 
-    /// Up to where this node knows the changes after `after`.
-    fn known_after(&self, after: Option<StoreRevision>) -> StoreRevision {
+    /// Returns the revision up to which this node knows the changes after `after`.
+    fn known_revision_after(&self, after: Option<StoreRevision>) -> StoreRevision {
         self.revision.get().max(after.unwrap_or_default())
     }
 }
--- a/crates/serving/src/follower.rs
+++ b/crates/serving/src/follower.rs
@@ -1,4 +1,5 @@
-//! Follows the state store: configuration, databases, members and the fleet's records.
+//! Follows the state store: applies changes of the configuration, the databases and the nodes' own
+//! records.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -26,38 +27,38 @@
 use crate::snapshot;
 use crate::start;
 
-/// Pause after a watch that told of changes: those of the next moment come together.
-const GATHER: Duration = Duration::from_millis(40);
-/// The same where only nodes came or went: many do at once, and nothing waits for that.
-const GATHER_MEMBERS: Duration = Duration::from_millis(250);
-/// How long a node that knows nothing waits for the store before it asks its peers.
-const PATIENCE: Duration = Duration::from_millis(250);
-/// Pause after the first failed call; it doubles with each further one.
+/// Pause after a watch that returned changes, so that changes of the next moment arrive together.
+const GATHER_PAUSE: Duration = Duration::from_millis(40);
+/// The same pause if only members joined or left: many do so at once, and nothing waits for it.
+const MEMBER_GATHER_PAUSE: Duration = Duration::from_millis(250);
+/// How long a node without any information waits for the store before it asks its peers.
+const ASK_PEERS_AFTER: Duration = Duration::from_millis(250);
+/// Pause after the first failed call; doubles with each further failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(150);
-/// Longest pause of a node that others follow, or that has no configuration yet.
-const LONGEST_PAUSE: Duration = Duration::from_millis(200);
-/// Longest pause between listings of a node that hears of changes from others once they reach
-/// the store.
-const LONGEST_PAUSE_FOLLOWING: Duration = Duration::from_millis(1_200);
-/// Failures in a row beyond which the pause no longer doubles.
-const MOST_DOUBLINGS: u32 = 8;
-/// Databases that are missing for this long are forgotten.
+/// Upper bound of that pause for a node that others follow, or that has no configuration yet.
+const MAX_PAUSE: Duration = Duration::from_millis(200);
+/// Upper bound of that pause for a node that receives changes from other nodes once they reach the
+/// store.
+const MAX_PAUSE_FOLLOWING: Duration = Duration::from_millis(1_200);
+/// Number of consecutive failures after which the pause no longer doubles.
+const MAX_DOUBLINGS: u32 = 8;
+/// Databases that have been missing for this long are removed from the directory.
 const FORGET_AFTER: Duration = Duration::from_secs(60);
 
-/// Pause of a node that starts and knows nobody to follow, before it watches the store: the
-/// others that start with it register meanwhile, so one watch tells of all of them.
-const GATHER_AT_START: Duration = Duration::from_millis(120);
+/// Pause of a starting node without upstreams before it watches the store. The nodes that start
+/// with it register meanwhile, so one watch reports all of them.
+const START_GATHER_PAUSE: Duration = Duration::from_millis(120);
 
-/// Follows the store for as long as the node lives.
+/// Follows the store until the node shuts down.
 pub async fn follow(node: Rc<Node>) {
     loop {
         let starts = node.configuration().is_none();
-        let Some(mut revision) = begin(&node).await else {
+        let Some(mut revision) = load_listing(&node).await else {
             sleep(retry_pause(&node)).await;
             continue;
         };
-        if starts && feed::is_watcher(&node) {
-            sleep(GATHER_AT_START).await;
+        if starts && feed::is_region_watcher(&node) {
+            sleep(START_GATHER_PAUSE).await;
         }
         while let Some(next) = follow_once(&node, revision).await {
             revision = next;
@@ -65,34 +66,35 @@
     }
 }
 
-/// Takes in everything that the store holds: from a peer if this node starts and others start
-/// with it or run already, or else from the store. Returns the revision to go on from.
-async fn begin(node: &Rc<Node>) -> Option<StoreRevision> {
+/// Applies a complete listing: from a peer, if this node is starting and others are starting or
+/// running, or else from the store. Returns the revision to continue from.
+async fn load_listing(node: &Rc<Node>) -> Option<StoreRevision> {
     if node.configuration().is_none()
-        && let Some(everything) = start::take_from_peers(node).await
+        && let Some(everything) = start::load_from_peers(node).await
     {
         note_reachable(node, true, "peer");
         node.counters.count("store_followed", "peer_at_start");
-        return Some(take_everything(node, everything, true));
+        return Some(apply_listing(node, everything, true));
     }
-    read_everything(node, listing_freshness(node)).await
+    read_listing(node, listing_freshness(node)).await
 }
 
-/// How long to wait after a call to the store that failed. An outage concerns all nodes at
-/// once, and refused calls cost as much as others.
+/// Returns how long to wait after a failed call to the store. An outage affects all nodes at once,
+/// and refused calls cost as much as others.
 fn retry_pause(node: &Rc<Node>) -> Duration {
-    let failures = node.feed.failures().saturating_sub(1).min(MOST_DOUBLINGS);
-    let waits_for_others = node.configuration().is_some() && !feed::is_watcher(node);
+    let failures = node.feed.failures().saturating_sub(1).min(MAX_DOUBLINGS);
+    let waits_for_others = node.configuration().is_some() && !feed::is_region_watcher(node);
     let longest = if waits_for_others {
-        LONGEST_PAUSE_FOLLOWING
+        MAX_PAUSE_FOLLOWING
     } else {
-        LONGEST_PAUSE
+        MAX_PAUSE
     };
     (RETRY_PAUSE * (1 << failures)).min(longest)
 }
 
-/// Takes a listing of everything. Returns its revision; nothing if the store did not answer.
-async fn read_everything(node: &Rc<Node>, freshness: ReadFreshness) -> Option<StoreRevision> {
+/// Reads and applies a complete listing. Returns its revision, or `None` if the store did not
+/// answer.
+async fn read_listing(node: &Rc<Node>, freshness: ReadFreshness) -> Option<StoreRevision> {
     let asked_at = node.now();
     match read_or_ask_peers(node, freshness).await {
         Ok(all) => {
@@ -102,9 +104,9 @@
             note_era(node, &all);
             let present = freshness == ReadFreshness::Present;
             if present {
-                node.feed.note_told(asked_at, asked_at);
+                node.feed.note_store_report(asked_at, asked_at);
             }
-            Some(take_everything(node, all, present))
+            Some(apply_listing(node, all, present))
         }
         Err(error) => {
             note_store_error(node, &error);
@@ -114,9 +116,9 @@
     }
 }
 
-/// Takes in everything that the store holds, in its present state or an older one. Returns the
-/// revision to go on from.
-fn take_everything(node: &Rc<Node>, all: StoreChanges, present: bool) -> StoreRevision {
+/// Applies a complete listing of the store in its present state or an older one. Returns the
+/// revision to continue from.
+fn apply_listing(node: &Rc<Node>, all: StoreChanges, present: bool) -> StoreRevision {
     let revision = all.revision;
     let known = node.feed.revision();
     if revision.era() < known.era() {
@@ -135,15 +137,15 @@
     if present {
         node.own_record_revision.set(None);
     }
-    node.feed.take_listing(&all);
-    tell_position(node, revision);
+    node.feed.record_listing(&all);
+    export_position(node, revision);
     apply_all(node, all);
     node.note_promotions_known(revision);
     revision
 }
 
-/// Takes notice of the era of a listing that is about to be taken in. A store that came back
-/// from a copy lacks what was written last; what is missing from it proves nothing until that is
+/// Records the era of a listing that is about to be applied. A store that was restored from a copy
+/// lacks the most recent writes; a record missing from it proves nothing until those have been
 /// written again.
 fn note_era(node: &Rc<Node>, all: &StoreChanges) {
     let listed = all.revision;
@@ -157,7 +159,7 @@
     if !fleet_is_new {
         node.feed.note_era(node.now());
     }
-    if tells_settled(all) {
+    if marks_era_settled(all) {
         coordinator_record::note_settled_era(node, listed.era());
     }
     if known_era.is_none() {
@@ -174,22 +176,23 @@
     );
 }
 
-/// Whether a listing tells that its era has settled.
-fn tells_settled(all: &StoreChanges) -> bool {
+/// Returns whether a listing states that its era has settled.
+fn marks_era_settled(all: &StoreChanges) -> bool {
     all.changes.iter().any(|change| match &change.record {
         StoreRecord::Own { key, .. } => settled_era(key) == Some(all.revision.era()),
         _ => false,
     })
 }
 
-fn tell_position(node: &Rc<Node>, revision: StoreRevision) {
+fn export_position(node: &Rc<Node>, revision: StoreRevision) {
     let (era, number) = revision.parts();
     node.counters.set("store_era", era.number());
     node.counters.set("store_revision", number);
 }
 
-/// A node that starts takes a listing that may be old, and catches up from its revision on;
-/// it has promised nothing yet that an older configuration could break.
+/// Returns the freshness required of a listing. A starting node accepts one that may be old and
+/// catches up from its revision: it has made no commitments yet that an older configuration could
+/// break.
 fn listing_freshness(node: &Rc<Node>) -> ReadFreshness {
     if node.configuration().is_none() {
         ReadFreshness::MayBeOld
@@ -198,15 +201,15 @@
     }
 }
 
-/// Reads the store. A node that knows nothing yet asks its peers when that takes long, while
-/// it goes on reading.
+/// Reads the store. If that takes long, a node without any information asks its peers while the
+/// read continues.
 async fn read_or_ask_peers(
     node: &Rc<Node>,
     freshness: ReadFreshness,
 ) -> Result<StoreChanges, StoreError> {
     let mut reading = node.store.read_all(freshness);
     if node.configuration().is_none() {
-        if let Ok(outcome) = timeout(PATIENCE, &mut reading).await {
+        if let Ok(outcome) = timeout(ASK_PEERS_AFTER, &mut reading).await {
             return outcome;
         }
         tokio::select! {
@@ -217,26 +220,26 @@
     reading.await
 }
 
-/// Follows the store for a moment, through an upstream or by a watch of this node's
-/// own. Returns the revision to go on from, or nothing if all is to be read again.
+/// Performs one step of following the store, through an upstream or by a watch of this node's own.
+/// Returns the revision to continue from, or `None` if everything must be read again.
 async fn follow_once(node: &Rc<Node>, revision: StoreRevision) -> Option<StoreRevision> {
-    if feed::watches(node) {
+    if feed::watches_store(node) {
         return watch_once(node, revision).await;
     }
     let followed = feed::follow_upstream(node, revision).await;
-    if let Some(next) = take_followed(node, followed, revision) {
+    if let Some(next) = apply_followed(node, followed, revision) {
         return Some(next);
     }
-    if feed::own_try_is_due(node) {
+    if feed::should_try_store(node) {
         return watch_once(node, revision).await;
     }
     pause_search(node).await;
     Some(revision)
 }
 
-/// Takes in what an upstream told. Returns the revision to go on from; nothing if none told
-/// anything newer.
-fn take_followed(
+/// Applies the result of asking the upstreams. Returns the revision to continue from, or `None` if
+/// no upstream reported anything newer.
+fn apply_followed(
     node: &Rc<Node>,
     followed: Followed,
     revision: StoreRevision,
@@ -244,18 +247,18 @@
     match followed {
         Followed::Changes(changes) => {
             note_reachable(node, true, "peer");
-            Some(take_changes(node, changes, revision))
+            Some(apply_changes(node, changes, revision))
         }
-        Followed::Everything(all) => {
+        Followed::Listing(all) => {
             note_reachable(node, true, "peer");
             node.counters.count("store_followed", "peer_everything");
-            Some(take_everything(node, all, true))
+            Some(apply_listing(node, all, true))
         }
         Followed::Nothing => None,
     }
 }
 
-/// Rests before upstreams that told nothing newer are asked again.
+/// Pauses before upstreams that reported nothing newer are asked again.
 async fn pause_search(node: &Rc<Node>) {
     if !feed::is_fresh(node) {
         note_reachable(node, false, "upstreams do not reach it");
@@ -263,21 +266,22 @@
     sleep(node.feed.search_pause(node.now())).await;
 }
 
-/// Takes changes in and passes them on. Returns the revision to go on from.
-fn take_changes(node: &Rc<Node>, changes: StoreChanges, revision: StoreRevision) -> StoreRevision {
+/// Applies changes and makes them available to followers. Returns the revision to continue from.
+fn apply_changes(node: &Rc<Node>, changes: StoreChanges, revision: StoreRevision) -> StoreRevision {
     let next = changes.revision.max(revision);
     for change in changes.changes {
         node.feed.record(&change);
         apply(node, change);
     }
     node.feed.advance(next);
-    tell_position(node, next);
+    export_position(node, next);
     node.note_promotions_known(next);
     housekeeping(node);
     next
 }
 
-/// One watch. Returns the revision to go on from, or nothing if all is to be read again.
+/// Performs one watch. Returns the revision to continue from, or `None` if everything must be read
+/// again.
 async fn watch_once(node: &Rc<Node>, revision: StoreRevision) -> Option<StoreRevision> {
     let wait = feed::watch_wait(node);
     let asked_at = node.now();
@@ -290,7 +294,7 @@
         },
     };
     match outcome {
-        Ok(changes) => Some(take_watched(node, changes, revision, asked_at, wait).await),
+        Ok(changes) => Some(apply_watch_answer(node, changes, revision, asked_at, wait).await),
         Err(StoreError::HistoryGone) => None,
         Err(error) => {
             note_store_error(node, &error);
@@ -300,28 +304,29 @@
     }
 }
 
-/// How long to wait after a watch that failed before others are asked again.
+/// Returns how long to wait after a failed watch before upstreams are asked again.
 fn pause_after_failed_watch(node: &Rc<Node>) -> Duration {
-    if feed::is_watcher(node) {
+    if feed::is_region_watcher(node) {
         retry_pause(node)
     } else {
         node.feed.search_pause(node.now())
     }
 }
 
-/// What a watch came to whose answer was overdue.
+/// The result of a watch whose answer was overdue.
 enum LateWatch {
-    /// Its answer came after all, or it failed.
+    /// The watch was answered after all, or it failed.
     Answered(Result<StoreChanges, StoreError>),
-    /// An upstream told newer first.
+    /// An upstream reported newer changes first.
     NotNeeded {
-        /// The revision to go on from.
+        /// The revision to continue from.
         next: StoreRevision,
     },
 }
 
-/// Follows others while the answer to a watch is overdue. The store may be silent, or a large
-/// answer is on its way: given up, it would only be asked for again.
+/// Follows upstreams while the answer to a watch is overdue. The store may be unresponsive, or a
+/// large answer may be in transit; abandoning the watch would only cause the answer to be
+/// requested again.
 async fn await_late_watch(
     node: &Rc<Node>,
     watch: impl Future<Output = Result<StoreChanges, StoreError>>,
@@ -332,7 +337,7 @@
     let following = async {
         loop {
             let followed = feed::follow_upstream(node, revision).await;
-            if let Some(next) = take_followed(node, followed, revision) {
+            if let Some(next) = apply_followed(node, followed, revision) {
                 return next;
             }
             pause_search(node).await;
@@ -344,9 +349,9 @@
     }
 }
 
-/// Takes in the answer to a watch that was asked at `asked_at` to wait for `wait`. Returns the
-/// revision to go on from.
-async fn take_watched(
+/// Applies the answer to a watch that was sent at `asked_at` with the wait time `wait`. Returns
+/// the revision to continue from.
+async fn apply_watch_answer(
     node: &Rc<Node>,
     changes: StoreChanges,
     revision: StoreRevision,
@@ -360,17 +365,18 @@
         changed: !changes.changes.is_empty(),
         read_at: node.now(),
     };
-    let pause = gathering_pause(&changes.changes);
-    node.feed.note_told(answer.told_at(), answer.covered());
-    let next = take_changes(node, changes, revision);
+    let pause = gather_pause(&changes.changes);
+    node.feed
+        .note_store_report(answer.told_at(), answer.covered());
+    let next = apply_changes(node, changes, revision);
     if let Some(pause) = pause {
         sleep(pause).await;
     }
     next
 }
 
-/// How long to wait for further changes after these; nothing if there were none.
-fn gathering_pause(changes: &[StoreChange]) -> Option<Duration> {
+/// Returns how long to wait for further changes after these, or `None` if there were none.
+fn gather_pause(changes: &[StoreChange]) -> Option<Duration> {
     let of_member = |change: &StoreChange| match &change.record {
         StoreRecord::Own { key, .. } => member_name(key).is_some(),
         _ => false,
@@ -379,7 +385,11 @@
         return None;
     }
     let only_members = changes.iter().all(of_member);
-    Some(if only_members { GATHER_MEMBERS } else { GATHER })
+    Some(if only_members {
+        MEMBER_GATHER_PAUSE
+    } else {
+        GATHER_PAUSE
+    })
 }
 
 fn note_store_error(node: &Rc<Node>, error: &StoreError) {
@@ -390,7 +400,7 @@
 
 pub(crate) fn note_reachable(node: &Rc<Node>, reachable: bool, detail: &str) {
     if reachable {
-        node.store_heard_at.set(node.now());
+        node.store_answered_at.set(node.now());
     }
     if node.store_reachable.replace(reachable) == reachable {
         return;
@@ -408,7 +418,8 @@
 }
 
 fn apply_all(node: &Rc<Node>, all: StoreChanges) {
-    // Before the configuration: what a node that starts finds evacuated may have been so for long.
+    // Applied before the configuration: a zone that a starting node finds evacuated may have been
+    // so for long.
     node.apply_evacuation_listing(&requested_evacuations(&all), all.revision);
     let mut databases = Vec::new();
     let mut members = BTreeSet::new();
@@ -435,7 +446,7 @@
     housekeeping(node);
 }
 
-/// The requests to evacuate a zone in a complete listing, with their revisions.
+/// Returns the evacuation requests in a complete listing, with their revisions.
 fn requested_evacuations(all: &StoreChanges) -> Vec<(ZoneName, StoreRevision)> {
     let requested = |change: &StoreChange| match &change.record {
         StoreRecord::Evacuation {
@@ -494,7 +505,8 @@
     }
 }
 
-/// Homes depend on a database's zone and group, not on its state or role.
+/// Discards the computed homes of a database if its zone or group changed. They do not depend on
+/// its state or role.
 fn forget_homes_if_moved(node: &Rc<Node>, database: &Database) {
     let stayed = node
         .database(&database.name)
@@ -520,11 +532,11 @@
         let record = value.and_then(decode);
         if *name == node.settings.name {
             node.own_record_revision.set(value.map(|_| revision));
-            let as_now = record == Some(registration::own_record(node));
-            node.lease_found.set(lease.filter(|_| as_now));
+            let matches_own = record == Some(registration::own_member_record(node));
+            node.lease_found.set(lease.filter(|_| matches_own));
         }
         apply_member(node, name, record);
-    } else if is_present_coordinators(node, key) {
+    } else if is_current_coordinator_key(node, key) {
         let record: Option<CoordinatorRecord> = value.and_then(decode);
         node.coordinator.borrow_mut().take_record(revision, record);
     } else if let Some(era) = settled_era(key) {
@@ -534,9 +546,9 @@
     }
 }
 
-/// Whether a key is that of the coordinator in the store's present era, whichever era the listing
-/// that tells of it may be of.
-fn is_present_coordinators(node: &Node, key: &str) -> bool {
+/// Returns whether a key is that of the coordinator record in the store's present era, regardless
+/// of the era of the listing that contains it.
+fn is_current_coordinator_key(node: &Node, key: &str) -> bool {
     let era = node.store_era.get();
     era.is_some_and(|era| is_coordinator_key(key, era))
 }
--- a/crates/serving/src/homes.rs
+++ b/crates/serving/src/homes.rs
@@ -1,8 +1,8 @@
-//! Which nodes hold connections to a database, as this node works it out.
+//! Determines which nodes hold connections to a database.
 //!
-//! It is worked out when a database is needed, and kept until what it was worked out from
-//! changes: a node wins a place or loses one, the database's zone, or the configured number
-//! of connections.
+//! The result is computed when a database is needed, and cached until its inputs change: a node
+//! becomes or ceases to be a home, or the database's zone or the configured number of connections
+//! changes.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,53 +24,53 @@
 use crate::node::{Member, Node};
 use crate::records::MemberRecord;
 
-/// Connections of one database that one node opens at the most before it knows its peers.
+/// Maximum number of connections that a node opens to one database before it knows its peers.
 const CAP_WITHOUT_MEMBERS: usize = 3;
-/// How long a node that no longer registers still counts for the division of connections.
-pub(crate) const MEMBER_MEMORY: Duration = Duration::from_millis(3_500);
+/// How long a node whose record was removed still counts for the division of connections.
+pub(crate) const MEMBER_RETENTION: Duration = Duration::from_millis(3_500);
 
-/// Another node and where it is asked.
+/// Name and address of another node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its name.
+    /// Name of the node.
     pub name: String,
-    /// Address for its datagrams and links.
+    /// Address for datagrams and links to the node.
     pub address: SocketAddr,
 }
 
-/// Who holds connections to one database.
+/// The nodes that hold connections to one database.
 struct HomeView {
-    /// Connections that this node may hold.
+    /// Maximum number of connections that this node may hold.
     cap: usize,
-    /// The other holders, the preferred first.
+    /// The other holders, in order of preference.
     holders: Rc<[Peer]>,
-    /// All homes.
+    /// All homes of the database, including this node if it is one.
     homes: Vec<HomeCandidate>,
-    /// Where the database stands.
+    /// Zone of the database.
     zone: ZoneName,
 }
 
-/// The nodes that count, and what was worked out from them so far.
+/// The nodes that count for the division of connections, and the views computed from them.
 #[derive(Default)]
 pub(crate) struct HomeViews {
     fleet: Fleet,
-    /// Nodes that no longer register, by when they no longer count.
+    /// Nodes whose records were removed, ordered by the time at which they cease to count.
     leaving: BTreeSet<(Timestamp, String)>,
-    /// The nodes that register.
+    /// Cached list of the registered nodes.
     registered: Option<Rc<Vec<HomeCandidate>>>,
     views: BTreeMap<DatabaseName, Rc<HomeView>>,
-    /// Who holds tenants' tokens.
+    /// Cached holders of tenants' tokens.
     token_views: BTreeMap<TenantName, Rc<[Peer]>>,
 }
 
 impl HomeViews {
-    /// The configuration changed.
+    /// Discards all views after a change of the configuration.
     pub(crate) fn forget_views(&mut self) {
         self.views.clear();
         self.token_views.clear();
     }
 
-    /// The database was registered elsewhere, or is new.
+    /// Discards the view of a database that is new or was registered in another place.
     pub(crate) fn forget_view(&mut self, database: &DatabaseName) {
         self.views.remove(database);
     }
@@ -78,7 +78,7 @@
     fn join(&mut self, node: HomeCandidate) {
         let nodes = self.fleet.len();
         self.views.retain(|database, view| {
-            // Where every node is home there may be room for one more.
+            // While every node is a home, there may be room for one more.
             view.homes.len() < nodes && !wins_place(database, &view.zone, &view.homes, &node)
         });
         self.token_views.clear();
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Takes out the nodes that no longer count. Whether there were some.
+    /// Removes the nodes that no longer count. Returns whether there were any.
     fn expire(&mut self, now: Timestamp) -> bool {
         let mut expired = false;
         while let Some((until, _)) = self.leaving.first()
@@ -109,7 +109,7 @@
 }
 
 impl Member {
-    /// A member whose record is in the store.
+    /// Creates a member from its record in the store.
     pub(crate) fn registered(record: MemberRecord) -> Self {
         Self {
             zone: record.zone,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The record of the member called `name`.
+    /// Returns the record of this member, whose name is `name`.
     pub(crate) fn record(&self, name: &str) -> MemberRecord {
         MemberRecord {
             node: name.to_owned(),
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Whether another record of a node tells the same of it.
+    /// Returns whether another record of the node has the same content.
     fn is_same_process_as(&self, other: &Self) -> bool {
         let gone_at = other.gone_at;
         *other
@@ -139,7 +139,7 @@
             }
     }
 
-    /// The member called `name` as one that may be home.
+    /// Returns this member as a candidate for a home.
     fn candidate(&self, name: &str) -> HomeCandidate {
         HomeCandidate {
             node: name.to_owned(),
@@ -148,15 +148,15 @@
         }
     }
 
-    /// When it no longer counts, if it is not registered.
+    /// Returns when the member ceases to count, or `None` if it is registered.
     fn counts_until(&self) -> Option<Timestamp> {
-        self.gone_at.map(|gone| gone + MEMBER_MEMORY)
+        self.gone_at.map(|gone| gone + MEMBER_RETENTION)
     }
 }
 
 impl Node {
-    /// Takes in that a node is registered. One that did so all along, or stopped for a moment
-    /// only, changes nothing.
+    /// Records that a node is registered. Nothing changes if it was registered before, or if its
+    /// record was missing only for a moment.
     pub(crate) fn register_member(&self, record: MemberRecord) {
         let name = record.node.clone();
         let member = Member::registered(record);
@@ -182,7 +182,8 @@
         homes.join(candidate);
     }
 
-    /// Takes in that a node's record is gone. It counts for a while yet.
+    /// Records that a node's record was removed. The node continues to count for
+    /// [`MEMBER_RETENTION`].
     pub(crate) fn note_member_gone(&self, name: &str) {
         let now = self.now();
         let mut members = self.members.borrow_mut();
@@ -193,11 +194,13 @@
             member.gone_at = Some(now);
             let mut homes = self.homes.borrow_mut();
             homes.registered = None;
-            homes.leaving.insert((now + MEMBER_MEMORY, name.to_owned()));
+            homes
+                .leaving
+                .insert((now + MEMBER_RETENTION, name.to_owned()));
         }
     }
 
-    /// Takes out the nodes that no longer count.
+    /// Removes the nodes that no longer count.
     pub(crate) fn expire_members(&self) {
         let now = self.now();
         if self.homes.borrow_mut().expire(now) {
@@ -205,13 +208,14 @@
         }
     }
 
-    /// Nodes that share the connections of the databases.
+    /// Returns the number of nodes that share the connections to the databases.
     pub fn live_members(&self) -> usize {
         self.expire_members();
         self.homes.borrow().fleet.len()
     }
 
-    /// Connections that this node may have open to a database; 0 if it is not home.
+    /// Returns how many connections this node may have open to a database; 0 if it is not a home
+    /// of it.
     pub fn connection_cap(&self, name: &DatabaseName) -> usize {
         if !self.knows_fleet() {
             let cold = self.is_cold(name);
@@ -220,7 +224,7 @@
         self.home_view(name).cap
     }
 
-    /// The other nodes that hold connections to a database, the preferred first.
+    /// Returns the other nodes that hold connections to a database, in order of preference.
     pub fn holders(&self, name: &DatabaseName) -> Rc<[Peer]> {
         if !self.knows_fleet() {
             return Rc::default();
@@ -228,8 +232,8 @@
         Rc::clone(&self.home_view(name).holders)
     }
 
-    /// The other nodes that hold connections to a database and may carry what is placed so,
-    /// those first that keep the principal's.
+    /// Returns the other nodes that hold connections to a database and may carry statements of
+    /// this placement. Nodes that keep the principal's connections come first.
     pub(crate) fn holders_for(
         &self,
         name: &DatabaseName,
@@ -245,7 +249,8 @@
         ranked.into()
     }
 
-    /// The other nodes that hold connections to a database and may carry what is placed so.
+    /// Returns the other nodes that hold connections to a database and may carry statements of
+    /// this placement.
     fn carriers(&self, name: &DatabaseName, placement: &Placement) -> Rc<[Peer]> {
         let holders = self.holders(name);
         if !placement.is_restricted() {
@@ -257,9 +262,9 @@
         carriers.cloned().collect()
     }
 
-    /// Whether this node keeps the principal's connections to a database, of which it is home,
-    /// for statements placed so. One that may not carry those of other nodes keeps them only
-    /// for its own callers, and while none that may answers.
+    /// Returns whether this node, a home of the database, keeps the principal's connections for
+    /// statements of this placement. A node that may not carry the statements of other nodes keeps
+    /// connections only for its own callers, and only while no node that may carry them responds.
     pub(crate) fn keeps_connections_of(
         &self,
         name: &DatabaseName,
@@ -279,8 +284,8 @@
         others.all(|other| may_keep && tenant_weight(tenant, &other.name) < own)
     }
 
-    /// Whether the members that this node knows may be taken for the fleet. Until then it
-    /// opens just what requests wait for.
+    /// Returns whether the members known to this node can be assumed to be the whole fleet. Until
+    /// then it opens only connections that requests are waiting for.
     pub(crate) fn knows_fleet(&self) -> bool {
         let configured_at = self.configured_at.get();
         let start = Start {
@@ -291,14 +296,15 @@
         start.knows_fleet()
     }
 
-    /// One of those, another one with each number; none if there are none.
-    pub fn some_holder(&self, name: &DatabaseName, number: usize) -> Option<SocketAddr> {
+    /// Returns the address of one of the holders, selected by `number`, or `None` if there are
+    /// none.
+    pub fn holder_by_number(&self, name: &DatabaseName, number: usize) -> Option<SocketAddr> {
         let view = self.home_view(name);
         let index = number.checked_rem(view.holders.len())?;
         Some(view.holders[index].address)
     }
 
-    /// Live nodes, and those of them that hold connections to `leader`.
+    /// Returns the number of live nodes, and of those that hold connections to `leader`.
     pub fn witnesses(&self, leader: Option<&DatabaseName>) -> Witnesses {
         let members = self.live_members();
         let holders = leader.map_or(members, |leader| {
@@ -308,7 +314,7 @@
         Witnesses { members, holders }
     }
 
-    /// The nodes that are registered at this moment.
+    /// Returns the nodes that are currently registered.
     pub fn registered_nodes(&self) -> Rc<Vec<HomeCandidate>> {
         if let Some(known) = &self.homes.borrow().registered {
             return Rc::clone(known);
@@ -323,13 +329,14 @@
         found
     }
 
-    /// Whether a member is not known to be silent. One that is gets probed now and then.
-    pub(crate) fn answers(&self, name: &str) -> bool {
+    /// Returns whether a member is not known to be silent. A silent member is probed from time to
+    /// time.
+    pub(crate) fn is_responsive(&self, name: &str) -> bool {
         self.peer(name)
             .is_none_or(|peer| self.reachability.may_ask(&peer, self.now()))
     }
 
-    /// A member as one to ask; nothing if none is called so.
+    /// Returns the address of a member, or `None` if there is no member of this name.
     pub(crate) fn peer(&self, name: &str) -> Option<Peer> {
         let members = self.members.borrow();
         let address = members.get(name)?.peer_address;
@@ -339,7 +346,7 @@
         })
     }
 
-    /// This node as a candidate.
+    /// Returns this node as a candidate for a home.
     pub(crate) fn as_candidate(&self) -> HomeCandidate {
         HomeCandidate {
             node: self.settings.name.clone(),
@@ -348,7 +355,7 @@
         }
     }
 
-    /// Addresses of all other nodes that are known.
+    /// Returns the addresses of all other known nodes.
     pub fn other_members(&self) -> Vec<SocketAddr> {
         self.members
             .borrow()
@@ -363,14 +370,14 @@
         if let Some(view) = self.homes.borrow().views.get(name) {
             return Rc::clone(view);
         }
-        let view = Rc::new(self.work_out_homes(name));
+        let view = Rc::new(self.compute_homes(name));
         let mut homes = self.homes.borrow_mut();
         homes.views.insert(name.clone(), Rc::clone(&view));
         view
     }
 
-    /// The nodes, this one maybe among them, that hold the tokens of a tenant, the nearest
-    /// first; `count` at the most.
+    /// Returns up to `count` nodes, possibly including this one, that hold the tokens of a tenant,
+    /// in order of distance.
     pub(crate) fn token_holders(&self, tenant: &TenantName, count: usize) -> Rc<[Peer]> {
         self.expire_members();
         if let Some(known) = self.homes.borrow().token_views.get(tenant) {
@@ -391,26 +398,26 @@
         holders
     }
 
-    /// Whether this node is home of a database, and which others are.
+    /// Computes whether this node is a home of a database, and which other nodes are.
     ///
-    /// The order of the others differs from node to node among those of one distance, so
-    /// that leases spread over the holders.
-    fn work_out_homes(&self, name: &DatabaseName) -> HomeView {
-        let most = self.most_connections(name);
+    /// Among nodes at the same distance, the order of the others differs from node to node, so
+    /// that borrowed connections spread over the holders.
+    fn compute_homes(&self, name: &DatabaseName) -> HomeView {
+        let limit = self.max_connections_of(name);
         let fleet = &self.homes.borrow().fleet;
         let Some(database) = self.database(name).filter(|_| !fleet.is_empty()) else {
             return HomeView {
-                cap: CAP_WITHOUT_MEMBERS.min(most),
+                cap: CAP_WITHOUT_MEMBERS.min(limit),
                 holders: Rc::default(),
                 homes: Vec::new(),
                 zone: self.settings.zone.clone(),
             };
         };
-        let most = useful_connections(most, database.slots);
-        let count = home_count(most, fleet.len(), self.connection_sharing());
+        let limit = useful_connections(limit, database.slots);
+        let count = home_count(limit, fleet.len(), self.connection_sharing());
         let count = self
             .cold_holders(name)
-            .map_or(count, |most| most.min(count));
+            .map_or(count, |limit| limit.min(count));
         let homes = fleet.choose_homes(name, &database.zone, count);
         let is_home = homes.iter().any(|home| home.node == self.settings.name);
         let own = DatabaseName::new(&self.settings.name);
@@ -419,7 +426,7 @@
             .filter(|home| home.node != self.settings.name)
             .filter_map(|home| self.peer(&home.node))
             .collect();
-        let share = (most / count).max(1);
+        let share = (limit / count).max(1);
         HomeView {
             cap: if is_home { share } else { 0 },
             holders,
@@ -430,16 +437,16 @@
 
     fn connection_sharing(&self) -> ConnectionSharing {
         let configuration = self.configuration();
-        let keyed = configuration.is_some_and(|known| !known.tenants.keys.is_empty());
-        if keyed {
+        let has_keys = configuration.is_some_and(|known| !known.tenants.keys.is_empty());
+        if has_keys {
             ConnectionSharing::ByTenant
         } else {
             ConnectionSharing::Shared
         }
     }
 
-    /// Connections that a database takes from all nodes together.
-    fn most_connections(&self, name: &DatabaseName) -> usize {
+    /// Returns the total number of connections that a database accepts from all nodes together.
+    fn max_connections_of(&self, name: &DatabaseName) -> usize {
         let configuration = self.configuration();
         let group = self.database(name).map(|database| database.group);
         configuration
--- a/crates/serving/src/isolation.rs
+++ b/crates/serving/src/isolation.rs
@@ -26,9 +26,9 @@
     /// Returns the number of groups in use, and how many of them lack their primary on this node.
     fn groups_in_use(&self) -> (usize, usize) {
         let now = self.now();
-        let attended = self.attention.groups();
+        let monitored = self.monitored_groups.groups();
         let groups = self.groups.borrow();
-        let in_use = attended
+        let in_use = monitored
             .iter()
             .filter_map(|group| groups.get(group))
             .filter(|state| state.interest.is_in_use(now));
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -1,9 +1,9 @@
-//! The statement-serving node: caller sessions, database connections, the watch on the
+//! The statement-serving node: caller sessions, database connections, the subscription to the
 //! state store, and the coordinator that replaces lost primaries.
 //!
-//! Everything here runs on one thread and speaks to the outside through the traits of
-//! [`ports`]. How messages are spelt and where the store lives is up to whoever
-//! implements them. The decisions are those of `hookpoint_coordination::serving`.
+//! Everything in this crate runs on one thread and communicates with the outside through the
+//! traits of [`ports`], whose implementations determine the encoding of messages and the access to
+//! the store. The decision logic is in `hookpoint_coordination::serving`.
 #![forbid(unsafe_code)]
 
 mod attention;
--- a/crates/serving/src/monitor/mod.rs
+++ b/crates/serving/src/monitor/mod.rs
@@ -1,9 +1,9 @@
-//! Keeps the primaries known, confirmed and sampled that this node's work needs.
+//! Keeps the primaries that this node needs known, confirmed and sampled.
 //!
-//! A plain transaction opened on a database proves that it leads. One is opened on the
-//! believed primary when it was not confirmed lately, and on every database of a group
-//! whose primary is not known. Only groups that are needed here are looked after (see
-//! `attention`); the coordinator looks at all others in turn, a few in each round.
+//! A plain transaction opened on a database proves that it leads. Such a transaction is opened on
+//! the known primary if that was not confirmed lately, and on every database of a group whose
+//! primary is not known. Only the groups needed on this node are monitored (see `attention`); the
+//! coordinator checks all other groups in turn, a few in each round.
 
 mod questions;
 
@@ -15,7 +15,7 @@
 use hookpoint_state::{DatabaseName, GroupName, Timestamp};
 use tokio::time::{sleep, timeout};
 
-use self::questions::{Questions, SEARCH_PAUSE, ask, try_unreachable};
+use self::questions::{Queries, SEARCH_PAUSE, query_database, reconnect_unreachable};
 use crate::cold_start;
 use crate::evacuation;
 use crate::isolation;
@@ -23,70 +23,70 @@
 use crate::peers::Peers;
 use crate::tokens;
 
-/// Pause between rounds.
-const ROUND: Duration = Duration::from_millis(50);
-/// A primary that was confirmed this lately is not asked.
-const CONFIRMED_LATELY: Duration = Duration::from_millis(250);
-/// The same for a primary that this node asks through another node.
-const CONFIRMED_LATELY_AFAR: Duration = Duration::from_millis(700);
-/// How often a primary is asked that is not in use here at the moment.
-const CONFIRMED_LATELY_UNUSED: Duration = Duration::from_millis(2_000);
-/// Periods without a sample from a peer after which the primary is asked itself.
-const SAMPLES_BEFORE_QUESTION: u32 = 2;
-/// Time in which all nodes register when the whole fleet starts for the first time. Until
-/// then a node knows few of the others and would take itself for home of every database.
+/// Pause between two rounds of the monitor.
+const ROUND_INTERVAL: Duration = Duration::from_millis(50);
+/// A primary confirmed more recently than this is not queried.
+const CONFIRMATION_MAX_AGE: Duration = Duration::from_millis(250);
+/// The same bound for a primary that this node queries through another node.
+const CONFIRMATION_MAX_AGE_REMOTE: Duration = Duration::from_millis(700);
+/// The same bound for a primary that is currently not in use on this node.
+const CONFIRMATION_MAX_AGE_UNUSED: Duration = Duration::from_millis(2_000);
+/// Number of periods without a sample from a peer after which the primary itself is queried.
+const MISSED_SAMPLES_BEFORE_QUERY: u32 = 2;
+/// Time in which all nodes register when the whole fleet starts for the first time. Before that, a
+/// node knows few other nodes and would consider itself a home of every database.
 const REGISTRATION_TIME: Duration = Duration::from_millis(1_500);
-/// Time in which the holders of connections tell a node that holds none who leads.
-const PEERS_TELL: Duration = Duration::from_millis(1_500);
-/// Groups that the coordinator looks at in one round beyond those that it needs itself: 80 a
-/// second, however many there are.
-const SWEPT_A_ROUND: usize = 4;
+/// Time in which the holders of connections report the leader to a node that holds none.
+const PEER_ANSWER_TIME: Duration = Duration::from_millis(1_500);
+/// Number of groups that the coordinator checks per round in addition to those that it needs
+/// itself: 80 a second, regardless of the number of groups.
+const GROUPS_SWEPT_PER_ROUND: usize = 4;
 /// Pause between two reports that a primary is lost.
 const REPORT_PAUSE: Duration = Duration::from_millis(300);
 
-/// What the rounds share.
+/// State shared by the monitor's rounds.
 struct Monitor {
     node: Rc<Node>,
     peers: Rc<Peers>,
-    questions: Rc<Questions>,
-    /// Tries to reach databases that the node lost the way to.
-    tries: Rc<Questions>,
+    queries: Rc<Queries>,
+    /// Attempts to reach databases to which this node has lost its connection.
+    reconnect_attempts: Rc<Queries>,
 }
 
-/// Watches over the primaries for as long as the node lives.
+/// Monitors the primaries until the node shuts down.
 pub async fn monitor(node: Rc<Node>, peers: Rc<Peers>) {
     let monitor = Monitor {
         node,
         peers,
-        questions: Rc::default(),
-        tries: Rc::default(),
+        queries: Rc::default(),
+        reconnect_attempts: Rc::default(),
     };
     if monitor.node.settings.first_start {
         sleep(REGISTRATION_TIME).await;
     }
     let mut round = 0;
-    let mut swept_last = None;
+    let mut last_swept = None;
     loop {
         let node = &monitor.node;
-        let due = node.now() + ROUND;
-        let changed = timeout(ROUND, node.configuration_changed.notified()).await;
+        let due = node.now() + ROUND_INTERVAL;
+        let changed = timeout(ROUND_INTERVAL, node.configuration_changed.notified()).await;
         if changed.is_err() {
             node.reachability.note_timer(due, node.now());
         }
         round += 1;
         node.expire_members();
-        for group in in_turn(node.attention.groups(), round) {
-            monitor.look_after(&group);
+        for group in rotate_groups(node.monitored_groups.groups(), round) {
+            monitor.check_group(&group);
         }
         node.drop_unneeded_groups();
-        node.note_groups_attended();
+        node.export_monitored_groups();
         if node.coordinator_revision().is_some() {
-            for group in node.groups_after(swept_last.as_ref(), SWEPT_A_ROUND) {
+            for group in node.groups_after(last_swept.as_ref(), GROUPS_SWEPT_PER_ROUND) {
                 monitor.sweep(&group);
-                swept_last = Some(group);
+                last_swept = Some(group);
             }
         }
-        try_unreachable(node, &monitor.tries);
+        reconnect_unreachable(node, &monitor.reconnect_attempts);
         tokens::look_for_holders(node);
         isolation::update(node);
         evacuation::clear_evacuated_zones(node);
@@ -95,16 +95,16 @@
     }
 }
 
-/// The groups, with another one first in each round: questions that are bounded in number are
-/// those of the first.
-fn in_turn(mut groups: Vec<GroupName>, round: usize) -> Vec<GroupName> {
+/// Rotates the groups so that each round begins with another one: where the number of queries is
+/// limited, the first groups get them.
+fn rotate_groups(mut groups: Vec<GroupName>, round: usize) -> Vec<GroupName> {
     let first = round.checked_rem(groups.len()).unwrap_or_default();
     groups.rotate_left(first);
     groups
 }
 
-/// What is known of a group when it is looked at.
-struct View {
+/// A snapshot of a group's state at the beginning of a check.
+struct GroupView {
     leader: Option<DatabaseName>,
     confirmed_at: Timestamp,
     is_lost: bool,
@@ -113,7 +113,7 @@
     in_use: bool,
 }
 
-impl View {
+impl GroupView {
     fn of(node: &Node, group: &GroupName) -> Self {
         let now = node.now();
         node.with_group(group, |state| Self {
@@ -128,19 +128,19 @@
 }
 
 impl Monitor {
-    fn look_after(&self, group: &GroupName) {
+    fn check_group(&self, group: &GroupName) {
         let node = &self.node;
         let now = node.now();
-        let view = View::of(node, group);
+        let view = GroupView::of(node, group);
         if !view.in_use && !node.knows_fleet() {
             return;
         }
         if node.shut_leader(group).is_some() {
             if view.in_use {
-                self.ask_who_took_over(group);
+                self.find_successor(group);
             }
             if let Some(candidate) = view.promoting {
-                ask(node, &self.questions, &candidate, view.in_use);
+                query_database(node, &self.queries, &candidate, view.in_use);
             }
             return;
         }
@@ -150,7 +150,7 @@
                 node.with_group(group, |state| {
                     state.leaderless_since.get_or_insert(now);
                 });
-                self.ask_who_leads(group);
+                self.request_leader(group);
             }
         }
         if view.leader.is_none() || view.is_lost {
@@ -159,64 +159,69 @@
         } else if let Some(candidate) = view.promoting
             && view.leader.as_ref() != Some(&candidate)
         {
-            ask(node, &self.questions, &candidate, view.in_use);
+            query_database(node, &self.queries, &candidate, view.in_use);
         }
     }
 
-    /// Asks the primary of a group if it was not confirmed lately, or a peer for its sample. A
-    /// node that holds connections to it asks as often as the group's use allows: often enough to
-    /// notice the primary's loss while it is in use.
-    fn keep_confirmed(&self, group: &GroupName, leader: &DatabaseName, view: &View) {
+    /// Queries the primary of a group, or requests a peer's sample, if the primary was not
+    /// confirmed lately. A node that holds connections to the primary queries it as often as the
+    /// group's use permits: often enough to notice the loss of a primary in use.
+    fn keep_confirmed(&self, group: &GroupName, leader: &DatabaseName, view: &GroupView) {
         let node = &self.node;
         let unconfirmed = node.now().since(view.confirmed_at);
         if node.connection_cap(leader) > 0 {
             let may_ask = || node.with_group(group, |state| state.interest.take_question());
-            if unconfirmed >= CONFIRMED_LATELY && !self.questions.is_asked(leader) && may_ask() {
-                ask(node, &self.questions, leader, view.in_use);
+            if unconfirmed >= CONFIRMATION_MAX_AGE
+                && !self.queries.is_in_progress(leader)
+                && may_ask()
+            {
+                query_database(node, &self.queries, leader, view.in_use);
             }
         } else if view.interest.wants_samples(node.now()) {
-            self.keep_sampled(group, leader, view, CONFIRMED_LATELY_AFAR);
+            self.keep_sampled(group, leader, view, CONFIRMATION_MAX_AGE_REMOTE);
         } else if view.interest.expects_use(node.now()) {
-            self.keep_sampled(group, leader, view, CONFIRMED_LATELY_UNUSED);
+            self.keep_sampled(group, leader, view, CONFIRMATION_MAX_AGE_UNUSED);
         }
     }
 
-    /// Has a holder tell its newest sample if there was none for `period`; without an answer the
-    /// primary is asked itself.
+    /// Requests the newest sample from a holder if there was none for `period`. If that remains
+    /// unanswered, the primary itself is queried.
     fn keep_sampled(
         &self,
         group: &GroupName,
         leader: &DatabaseName,
-        view: &View,
+        view: &GroupView,
         period: Duration,
     ) {
         let unconfirmed = self.node.now().since(view.confirmed_at);
-        if unconfirmed >= period * SAMPLES_BEFORE_QUESTION {
-            ask(&self.node, &self.questions, leader, view.in_use);
+        if unconfirmed >= period * MISSED_SAMPLES_BEFORE_QUERY {
+            query_database(&self.node, &self.queries, leader, view.in_use);
         } else if unconfirmed >= period {
             self.ask_for_sample(group, leader);
         }
     }
 
-    /// Looks at a group as the coordinator, which keeps all primaries known, used or not.
+    /// Checks a group on behalf of the coordinator, which keeps all primaries known, whether used
+    /// or not.
     fn sweep(&self, group: &GroupName) {
         let node = &self.node;
-        let view = View::of(node, group);
+        let view = GroupView::of(node, group);
         if node.shut_leader(group).is_some() || !node.knows_fleet() {
             return;
         }
         let Some(leader) = &view.leader else {
-            self.ask_who_leads(group);
+            self.request_leader(group);
             return;
         };
         if node.connection_cap(leader) == 0 {
-            self.keep_sampled(group, leader, &view, CONFIRMED_LATELY_UNUSED);
-        } else if node.now().since(view.confirmed_at) >= CONFIRMED_LATELY_UNUSED {
-            ask(node, &self.questions, leader, view.in_use);
+            self.keep_sampled(group, leader, &view, CONFIRMATION_MAX_AGE_UNUSED);
+        } else if node.now().since(view.confirmed_at) >= CONFIRMATION_MAX_AGE_UNUSED {
+            query_database(node, &self.queries, leader, view.in_use);
         }
     }
 
-    /// Tells the coordinator, which may use the group seldom or never, that its primary is lost.
+    /// Reports to the coordinator, which may itself rarely or never use the group, that the
+    /// group's primary is lost.
     fn report_loss(&self, group: &GroupName, leader: Option<&DatabaseName>) {
         let node = &self.node;
         let now = node.now();
@@ -232,67 +237,68 @@
         }
     }
 
-    /// Has a node that holds connections to the primary tell its newest sample.
+    /// Requests the newest sample of the primary from a node that holds connections to it.
     fn ask_for_sample(&self, group: &GroupName, leader: &DatabaseName) {
-        if let Some(number) = next_question(&self.node, group) {
+        if let Some(number) = next_request_number(&self.node, group) {
             self.ask_holder(group, leader, number);
         }
     }
 
-    /// Has a node that holds connections to one of the group's databases tell its primary.
-    fn ask_who_leads(&self, group: &GroupName) {
+    /// Asks a node that holds connections to one of the group's databases for the primary.
+    fn request_leader(&self, group: &GroupName) {
         let databases = self.node.by_stated_role(group);
         if databases.is_empty() {
             return;
         }
-        if let Some(number) = next_question(&self.node, group) {
+        if let Some(number) = next_request_number(&self.node, group) {
             let database = &databases[number % databases.len()];
             self.ask_holder(group, database, number / databases.len());
         }
     }
 
-    /// A primary that is shut is not asked any more, so who leads after it is learnt from the
-    /// other databases and from their holders.
-    fn ask_who_took_over(&self, group: &GroupName) {
+    /// Determines the successor of a primary in an evacuated zone. Such a primary is no longer
+    /// queried, so its successor is learnt from the other databases and from their holders.
+    fn find_successor(&self, group: &GroupName) {
         let node = &self.node;
-        self.ask_who_leads(group);
+        self.request_leader(group);
         for database in node.by_stated_role(group) {
             if node.connection_cap(&database) > 0 {
-                ask(node, &self.questions, &database, true);
+                query_database(node, &self.queries, &database, true);
             }
         }
     }
 
-    /// Asks one of the holders of `database`, another one with each number.
+    /// Asks one of the holders of `database`, selected by `number`.
     fn ask_holder(&self, group: &GroupName, database: &DatabaseName, number: usize) {
-        if let Some(address) = self.node.some_holder(database, number) {
+        if let Some(address) = self.node.holder_by_number(database, number) {
             self.node.counters.count("questions", "for_sample");
             self.peers.ask_sample(&self.node, group, address);
         }
     }
 
-    /// Asks the databases of a group which of them leads: those that this node holds
-    /// connections to, and after a while the others as well.
-    fn search(&self, group: &GroupName, view: &View) {
+    /// Asks the databases of a group which of them leads: those to which this node holds
+    /// connections, and after [`PEER_ANSWER_TIME`] the others as well.
+    fn search(&self, group: &GroupName, view: &GroupView) {
         let node = &self.node;
         let now = node.now();
         let leaderless_since = node.with_group(group, |state| state.leaderless_since);
-        let long = leaderless_since.is_none_or(|since| now.since(since) >= PEERS_TELL);
+        let waited_long = leaderless_since.is_none_or(|since| now.since(since) >= PEER_ANSWER_TIME);
         let mut databases = node.by_stated_role(group);
         if !node.knows_fleet() {
             databases.truncate(1);
         }
         for database in databases {
             let held = node.connection_cap(&database) > 0;
-            if view.leader.as_ref() != Some(&database) && (held || long) {
-                ask(node, &self.questions, &database, view.in_use);
+            if view.leader.as_ref() != Some(&database) && (held || waited_long) {
+                query_database(node, &self.queries, &database, view.in_use);
             }
         }
     }
 }
 
-/// The number of a question to a peer, if one is due: at most one in a while.
-fn next_question(node: &Rc<Node>, group: &GroupName) -> Option<usize> {
+/// Returns the sequence number of the next request for a sample, or `None` if the last one was
+/// sent less than [`SEARCH_PAUSE`] ago.
+fn next_request_number(node: &Rc<Node>, group: &GroupName) -> Option<usize> {
     let now = node.now();
     node.with_group(group, |state| {
         if now.since(state.sample_asked_at) < SEARCH_PAUSE {
@@ -305,8 +311,8 @@
 }
 
 impl Node {
-    /// The next `count` of the configured groups in the order of their names, from the first one
-    /// on again after the last; none twice.
+    /// Returns up to `count` configured groups that follow `last` in name order, continuing with
+    /// the first group after the last one. No group is returned twice.
     pub(crate) fn groups_after(&self, last: Option<&GroupName>, count: usize) -> Vec<GroupName> {
         let Some(configuration) = self.configuration() else {
             return Vec::new();
@@ -322,8 +328,8 @@
             .collect()
     }
 
-    fn note_groups_attended(&self) {
-        let attended = u64::try_from(self.attention.len()).unwrap_or(u64::MAX);
-        self.counters.set("groups_looked_after", attended);
+    fn export_monitored_groups(&self) {
+        let monitored = u64::try_from(self.monitored_groups.len()).unwrap_or(u64::MAX);
+        self.counters.set("groups_looked_after", monitored);
     }
 }
--- a/crates/serving/src/monitor/questions.rs
+++ b/crates/serving/src/monitor/questions.rs
@@ -1,4 +1,4 @@
-//! Questions to databases whether they lead.
+//! Queries to databases whether they lead.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -19,26 +19,26 @@
 use crate::relay;
 use crate::second_way;
 
-/// Pause between two questions to the same database while nobody is known to lead.
+/// Pause between two queries to the same database while no database is known to lead.
 pub(super) const SEARCH_PAUSE: Duration = Duration::from_millis(100);
-/// Priority of questions about leadership: they go first.
-const QUESTION_PRIORITY: u8 = 0;
+/// Priority of leadership queries: the most urgent.
+const QUERY_PRIORITY: u8 = 0;
 
-/// Questions on their way.
+/// The queries that are in progress.
 #[derive(Default)]
-pub(super) struct Questions {
+pub(super) struct Queries {
     databases: RefCell<BTreeSet<DatabaseName>>,
-    /// How many of them go through other nodes.
-    afar: Cell<usize>,
+    /// Number of queries in progress that go through other nodes.
+    remote: Cell<usize>,
 }
 
-impl Questions {
-    /// Whether one to a database is on its way.
-    pub(super) fn is_asked(&self, database: &DatabaseName) -> bool {
+impl Queries {
+    /// Returns whether a query to a database is in progress.
+    pub(super) fn is_in_progress(&self, database: &DatabaseName) -> bool {
         self.databases.borrow().contains(database)
     }
 
-    /// Notes one to a database; false if there is one already.
+    /// Registers a query to a database. Returns false if one is in progress already.
     fn begin(&self, database: &DatabaseName) -> bool {
         self.databases.borrow_mut().insert(database.clone())
     }
@@ -48,76 +48,77 @@
     }
 }
 
-/// Asks a database whether it leads, unless a question is on its way, or too many are.
-pub(super) fn ask(
+/// Asks a database whether it leads, unless a query is in progress or too many are.
+pub(super) fn query_database(
     node: &Rc<Node>,
-    questions: &Rc<Questions>,
+    queries: &Rc<Queries>,
     database: &DatabaseName,
     in_use: bool,
 ) {
     if node.is_shut(database) {
         return;
     }
-    let afar = node.connection_cap(database) == 0;
-    if afar && !may_ask_afar(questions.afar.get(), in_use) {
+    let remote = node.connection_cap(database) == 0;
+    if remote && !may_ask_afar(queries.remote.get(), in_use) {
         return;
     }
-    if !questions.begin(database) {
+    if !queries.begin(database) {
         return;
     }
-    let afar = usize::from(afar);
-    questions.afar.set(questions.afar.get() + afar);
+    let remote = usize::from(remote);
+    queries.remote.set(queries.remote.get() + remote);
     let node = Rc::clone(node);
-    let questions = Rc::clone(questions);
+    let queries = Rc::clone(queries);
     let database = database.clone();
     tokio::task::spawn_local(async move {
         let asked_at = node.now();
-        ask_once(&node, &database, asked_at).await;
+        query_once(&node, &database, asked_at).await;
         let pause = SEARCH_PAUSE.saturating_sub(node.now().since(asked_at));
         if !node.leads(&database) {
             sleep(pause).await;
         }
-        questions.end(&database);
-        questions.afar.set(questions.afar.get() - afar);
+        queries.end(&database);
+        queries.remote.set(queries.remote.get() - remote);
     });
 }
 
-/// A connection to ask on: at rest, new, or another node's if this one has no way.
-async fn lease_for_question(node: &Rc<Node>, pool: &Rc<Pool>) -> Result<Lease, AcquireError> {
+/// Returns a connection for the query: an idle one, a new one, or another node's if this node
+/// cannot connect.
+async fn lease_for_query(node: &Rc<Node>, pool: &Rc<Pool>) -> Result<Lease, AcquireError> {
     let values = SessionValues::new();
-    let question = ConnectionRequest {
+    let query = ConnectionRequest {
         principal: None,
-        priority: QUESTION_PRIORITY,
+        priority: QUERY_PRIORITY,
         values: &values,
         placement: &Placement::unrestricted(),
         limits: WaitLimits::patient(CONTROL_LIMIT),
     };
     if node.is_cold(pool.database()) {
-        return cold_start::lease_for_question(node, pool, question).await;
+        return cold_start::lease_for_query(node, pool, query).await;
     }
     if let Some(lease) = pool.try_acquire(None, &values) {
         return Ok(lease);
     }
     let cap = node.connection_cap(pool.database());
     if cap == 0 || !pool.is_reachable() {
-        return relay::lease(node, pool, question)
+        return relay::lease(node, pool, query)
             .await
             .map_err(|refusal| refusal.or(AcquireError::NotHeld));
     }
     if pool.open_connections() > 0 && !pool.may_open(node) {
         return Err(AcquireError::TimedOut);
     }
-    match pool.open(node, question.principal).await {
-        Err(AcquireError::Crowded) => relay::lease(node, pool, question)
+    match pool.open(node, query.principal).await {
+        Err(AcquireError::Crowded) => relay::lease(node, pool, query)
             .await
             .map_err(|refusal| refusal.or(AcquireError::Crowded)),
         other => other,
     }
 }
 
-async fn ask_once(node: &Rc<Node>, database: &DatabaseName, asked_at: Timestamp) {
+async fn query_once(node: &Rc<Node>, database: &DatabaseName, asked_at: Timestamp) {
     let pool = node.pool(database);
-    let lease = lease_for_question(node, &pool).await;
+    let lease = lease_for_query(node, &pool).await;
     let lease = match lease {
         Ok(lease) => lease,
         Err(AcquireError::Connection(error)) => {
@@ -131,8 +132,8 @@
         Err(_) => return,
     };
     let asked_at = node.now();
-    let question = async |lease: &mut Lease| prove_leadership(node, lease).await;
-    if let Err(error) = second_way::ask(node, &pool, lease, question).await {
+    let query = async |lease: &mut Lease| prove_leadership(node, lease).await;
+    if let Err(error) = second_way::ask(node, &pool, lease, query).await {
         note_error(node, database, asked_at, &error);
     }
 }
@@ -150,19 +151,19 @@
     node.note_lost_contact(database, asked_at, refused);
 }
 
-/// Tries to reach databases that this node lost the way to.
-pub(super) fn try_unreachable(node: &Rc<Node>, tries: &Rc<Questions>) {
+/// Attempts to reach databases to which this node has lost its connection.
+pub(super) fn reconnect_unreachable(node: &Rc<Node>, attempts: &Rc<Queries>) {
     for pool in node.unreachable_pools() {
         let held = node.connection_cap(pool.database()) > 0;
         if !held || node.is_shut(pool.database()) {
             continue;
         }
         let database = pool.database().clone();
-        if !tries.begin(&database) {
+        if !attempts.begin(&database) {
             continue;
         }
         let node = Rc::clone(node);
-        let tries = Rc::clone(tries);
+        let attempts = Rc::clone(attempts);
         tokio::task::spawn_local(async move {
             if pool.open(&node, None).await.is_ok() {
                 node.log(
@@ -171,7 +172,7 @@
                 );
             }
             sleep(SEARCH_PAUSE).await;
-            tries.end(&database);
+            attempts.end(&database);
         });
     }
 }
--- a/crates/serving/src/node.rs
+++ b/crates/serving/src/node.rs
@@ -1,4 +1,4 @@
-//! The state that all tasks of a node share.
+//! The state shared by all tasks of a node.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,7 +22,7 @@
 use serde_json::Value;
 use tokio::sync::Notify;
 
-use crate::attention::Attention;
+use crate::attention::MonitoredGroups;
 use crate::cold_databases::ColdDatabases;
 use crate::counted_store::CountedStore;
 use crate::counters::Counters;
@@ -37,113 +37,115 @@
 use crate::tokens::Tokens;
 use crate::zone_evacuations::ZoneEvacuations;
 
-/// Rest of a transaction that is allowed where the configuration tells none.
+/// How long an open transaction may be idle if the configuration sets no limit.
 const DEFAULT_TRANSACTION_IDLE: Duration = Duration::from_secs(3);
 
-/// A node's clock at its start: far enough from zero for times before it.
+/// The node's clock reading at startup: far enough from zero that earlier times can be
+/// represented.
 const START: Timestamp = Timestamp(60_000_000);
 
-/// How this node sees a group's primary.
+/// This node's contact with a group's primary.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Contact {
-    /// When it last answered anything.
+    /// When the primary last answered a request.
     pub last_heard: Timestamp,
-    /// Since when it has not answered.
+    /// Since when the primary has not answered, or `None` if it answers.
     pub lost_since: Option<Timestamp>,
-    /// Whether its host refuses connections.
+    /// Whether the primary's host refuses connections.
     pub refused: bool,
 }
 
-/// An announcement of a promotion as the store holds it.
+/// A promotion announcement as the store holds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListedAnnouncement {
-    /// Its token.
+    /// Fencing token of the announced promotion.
     pub token: FencingToken,
-    /// Revision of the record.
+    /// Store revision of the announcement's record.
     pub revision: StoreRevision,
 }
 
-/// What is known of one group.
+/// This node's state for one group.
 #[derive(Default)]
 pub struct GroupState {
-    /// The belief about its primary.
+    /// Which database leads the group, as far as this node knows.
     pub leadership: Leadership,
-    /// Contact with the database believed to lead, or that led last.
+    /// Contact with the known leader, or with the last one.
     pub contact: Contact,
-    /// What the group is needed for on this node.
+    /// What this node needs the group for.
     pub interest: Interest,
-    /// The primary that a peer reported as lost, none if it knew none, and when.
+    /// The primary that a peer reported as lost (`None` if that peer knew no primary), and when.
     pub reported_lost: Option<(Option<DatabaseName>, Timestamp)>,
     /// When this node last reported that it lacks the primary.
     pub reported_at: Timestamp,
-    /// When a peer was last asked for a sample.
+    /// When a peer was last asked for a sample of the primary.
     pub sample_asked_at: Timestamp,
-    /// How often one was.
+    /// Number of times that a peer was asked for a sample.
     pub samples_asked: usize,
-    /// Since when nobody is known to lead.
+    /// Since when no database is known to lead, or `None` while one is.
     pub leaderless_since: Option<Timestamp>,
-    /// Database that a promotion was ordered for, and when that was learnt.
+    /// The candidate of the newest known promotion, and when this node learnt of it.
     pub promoting: Option<(DatabaseName, Timestamp)>,
-    /// Token of that promotion's announcement. A later announcement has a higher one, whatever
-    /// the store holds.
+    /// Fencing token of that promotion's announcement. A later announcement has a higher token,
+    /// whatever the store holds.
     pub announced: Option<FencingToken>,
-    /// Revision at which it was announced; the default if there is none.
+    /// Store revision of that announcement; the default if there is none.
     pub announced_at: StoreRevision,
-    /// The record of announcements as last seen in the store.
+    /// The group's announcement as last seen in the store, or `None` if the store has none.
     pub announcement_listed: Option<ListedAnnouncement>,
-    /// Whether this node is busy replacing its primary.
+    /// Whether this node is currently replacing the group's primary.
     pub being_replaced: bool,
-    /// Since when this node, as the coordinator, has wanted to move its primary.
+    /// Since when this node, as the coordinator, has wanted to move the primary.
     pub move_wanted_since: Option<Timestamp>,
-    /// The database that last proved to lead though another one was announced, and when
-    /// it was asked.
+    /// The database that last proved that it leads although another one was announced, and when
+    /// the proof was requested.
     pub overruled_proof: Option<(DatabaseName, Timestamp)>,
-    /// Token of the newest announcement that this node has acknowledged.
+    /// Token of the newest announcement whose replaced primary this node no longer accepts
+    /// acknowledgements from.
     pub closed_up_to: Option<FencingToken>,
-    /// Writes and commits that are sent and not answered.
+    /// Number of writes and commits that were sent and have not been answered.
     pub writes_in_flight: usize,
 }
 
-/// A report that a primary is lost counts for this long; who lacks the primary repeats it
-/// sooner.
+/// How long a report that a primary is lost stays valid. A node that lacks the primary repeats its
+/// report more often than this.
 const REPORT_MEMORY: Duration = Duration::from_secs(1);
 
 impl GroupState {
-    /// Whether a peer lately reported that it lacks the primary.
+    /// Returns whether a peer reported within [`REPORT_MEMORY`] that it lacks the primary.
     pub(crate) fn was_reported(&self, now: Timestamp) -> bool {
         self.reported_lost
             .as_ref()
             .is_some_and(|(_, reported_at)| now.since(*reported_at) < REPORT_MEMORY)
     }
 
-    /// Whether the store does not hold the newest announcement that is known here.
+    /// Returns whether the store lacks the newest announcement known to this node.
     pub(crate) fn announcement_is_lost(&self) -> bool {
         let listed = self.announcement_listed.map(|listed| listed.token);
         self.announced > listed
     }
 
-    /// The primary that a peer lately reported as lost.
+    /// Returns the primary that a peer reported as lost within [`REPORT_MEMORY`].
     pub(crate) fn reported_leader(&self, now: Timestamp) -> Option<&DatabaseName> {
         let (leader, _) = self.reported_lost.as_ref()?;
         leader.as_ref().filter(|_| self.was_reported(now))
     }
 }
 
-/// A live peer.
+/// A member of the fleet, as its record in the store describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its zone.
+    /// The member's zone.
     pub zone: ZoneName,
-    /// Address for its datagrams.
+    /// Address for datagrams and links to the member.
     pub peer_address: SocketAddr,
-    /// Bandwidth of its link, in megabits a second; 0 if that is not known.
+    /// Bandwidth of the member's link in megabits per second; 0 if unknown.
     pub bandwidth_mbps: u32,
-    /// When its entry went away.
+    /// When the member's record was removed, or `None` if the member is registered.
     pub gone_at: Option<Timestamp>,
 }
 
-/// A number that no earlier process of this node had.
-fn new_life() -> u64 {
+/// Returns a number that identifies this process among all processes of the node.
+fn new_process_number() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let nanos = since_epoch.map_or(0, |elapsed| elapsed.as_nanos());
     u64::try_from(nanos).unwrap_or(u64::MAX) ^ u64::from(std::process::id()).rotate_left(48)
@@ -151,105 +153,108 @@
 
 /// The shared state of a node.
 pub struct Node {
-    /// Settings as of the start.
+    /// Settings at startup.
     pub settings: NodeSettings,
-    /// Those that may have changed since.
+    /// The settings that can be reloaded, as currently in force.
     changeable: RefCell<Rc<ChangeableSettings>>,
-    /// Spelling of messages.
+    /// Codec of the messages exchanged with callers and databases.
     pub protocol: Rc<dyn WireProtocol>,
-    /// State store.
+    /// The state store; its calls are counted.
     pub store: Rc<dyn StateStore>,
-    /// Promotions.
+    /// The service that carries out promotions.
     pub promotions: Rc<dyn PromotionService>,
-    /// Log.
+    /// The event log.
     pub events: EventLog,
-    /// Counters.
+    /// Counters and gauges exported as metrics.
     pub counters: Rc<Counters>,
-    /// Configuration in force.
+    /// The configuration in force.
     pub configuration: RefCell<ConfigurationHolder>,
-    /// When the first configuration was taken.
+    /// When the first configuration came into force.
     pub(crate) configured_at: Cell<Option<Timestamp>>,
-    /// Regions in which the primaries of groups should be, where the configuration cares.
+    /// Regions in which the primaries of groups should be, for groups that the configuration
+    /// restricts.
     pub(crate) primary_regions: RefCell<BTreeMap<GroupName, BTreeSet<RegionName>>>,
-    /// Databases.
+    /// The registered databases.
     pub directory: RefCell<Directory>,
-    /// Zones that the operator evacuates.
+    /// Evacuations of zones and this node's progress with them.
     pub(crate) evacuations: ZoneEvacuations,
-    /// Groups that are looked after.
-    pub(crate) attention: Attention,
-    /// Groups.
+    /// The groups that this node currently monitors.
+    pub(crate) monitored_groups: MonitoredGroups,
+    /// State per group, created when it is first needed.
     pub groups: RefCell<BTreeMap<GroupName, GroupState>>,
-    /// Peers, this node included.
+    /// Members of the fleet by name, including this node.
     pub members: RefCell<BTreeMap<String, Member>>,
-    /// Revision of this node's own member record as last seen in the store; none if absent.
+    /// Revision of this node's own member record as last seen in the store; `None` if absent.
     pub own_record_revision: Cell<Option<StoreRevision>>,
-    /// The lease that this node's member record goes with as last seen in the store, if the
-    /// record, maybe an earlier process's, says what this process's would.
+    /// The lease of this node's member record as last seen in the store, if the record's content
+    /// is what this process would write. An earlier process may have written the record.
     pub lease_found: Cell<Option<LeaseId>>,
-    /// Who may order promotions.
+    /// What is known of the coordinator, which alone may order promotions.
     pub coordinator: RefCell<CoordinatorView>,
-    /// Era of the newest listing of the store; none before the first.
+    /// Era of the newest listing of the store; `None` before the first listing.
     pub(crate) store_era: Cell<Option<StoreEra>>,
-    /// How long a free record is left alone in the present era of the store.
+    /// How long a free coordinator record is not claimed in the present era of the store.
     pub(crate) claim_delay: Cell<ClaimDelay>,
-    /// Up to which revision of the store all promotions are known.
-    pub promotions_known: Cell<StoreRevision>,
-    /// Leave to use primaries, where promotions are not fenced.
+    /// Store revision up to which this node knows all announced promotions.
+    pub promotions_known_up_to: Cell<StoreRevision>,
+    /// This node's lease on the use of primaries, needed where promotions are not fenced.
     pub primary_lease: RefCell<PrimaryLease>,
-    /// What this node has granted, as the coordinator or a stand-in.
+    /// Leases on primaries that this node has granted, as the coordinator or a stand-in.
     pub grantor: RefCell<LeaseGrantor>,
-    /// Up to which revision of the store the one asked for the lease knows all promotions.
-    pub grantor_knows: Cell<StoreRevision>,
+    /// Store revision up to which the node that grants this node's lease knows all promotions.
+    pub grantor_known_revision: Cell<StoreRevision>,
     /// When the store last answered.
-    pub store_heard_at: Cell<Timestamp>,
-    /// Lease that this node's record as the coordinator goes with.
+    pub store_answered_at: Cell<Timestamp>,
+    /// Lease of the coordinator record written by this node.
     pub coordinator_lease: Cell<Option<u64>>,
-    /// Until when that lease surely holds.
-    pub coordinator_until: Cell<Timestamp>,
-    /// Promotions that this node has ordered in its present tenure, which are part of their tokens.
+    /// Until when that lease is certain to be valid.
+    pub coordinator_lease_valid_until: Cell<Timestamp>,
+    /// Number of promotions ordered in this node's present tenure as coordinator; part of their
+    /// fencing tokens.
     pub promotions_ordered: Cell<u64>,
-    /// Whether the store was reachable at the last call of the follower.
+    /// Whether the follower's last call reached the store.
     pub store_reachable: Cell<bool>,
-    /// Since when the store has been followed without a gap.
+    /// Since when this node has followed the store without a gap.
     pub store_steady_since: Cell<Timestamp>,
-    /// When a stop was asked for.
+    /// When a shutdown was requested.
     pub stopping_since: Cell<Option<Timestamp>>,
-    /// Sessions that are open.
+    /// Number of open caller sessions.
     pub sessions: Cell<usize>,
-    /// Connections that peers use at the moment.
-    pub lent: Cell<usize>,
-    /// Wakes all who wait for a change of a primary.
+    /// Number of this node's connections that peers currently use.
+    pub lent_connections: Cell<usize>,
+    /// Notified when the known primary or the usable databases of a group change.
     pub leader_changed: Notify,
-    /// Wakes the task that keeps the lease on primaries: something is due.
+    /// Notified when the task that maintains the lease on primaries has something to do.
     pub lease_due: Notify,
-    /// Wakes all who wait for configuration.
+    /// Notified when the configuration changes.
     pub configuration_changed: Notify,
-    /// Wakes sessions when a stop is asked for or advances.
+    /// Notified when sessions must check whether to end: a shutdown was requested or advanced, or
+    /// the node or a zone stopped serving.
     pub stop_advanced: Notify,
-    /// Links to peers.
+    /// Streams to peers.
     pub links: Links,
-    /// Which peers answer.
+    /// Which peers respond.
     pub reachability: Reachability,
     /// Whether this node is cut off from the fleet.
     pub(crate) isolation: Cell<Isolation>,
-    /// Tokens for tenants' operations.
+    /// Rate-limit tokens for tenants' operations.
     pub(crate) tokens: Tokens,
-    /// When this node's lease was last taken or renewed.
+    /// When this node's member lease was last taken or renewed.
     pub(crate) lease_renewed_at: Cell<Timestamp>,
-    /// When peers were last asked since when databases leave.
+    /// When peers were last asked for the start of departures learnt of late.
     pub(crate) departures_asked_at: Cell<Timestamp>,
-    /// Changes of the store.
+    /// The state store's changes as received and passed on.
     pub feed: Feed,
-    /// Who holds connections to the databases.
+    /// Which nodes hold connections to the databases.
     pub(crate) homes: RefCell<HomeViews>,
     pub(crate) pools: RefCell<BTreeMap<DatabaseName, Rc<Pool>>>,
-    /// How warm the databases are.
+    /// Which databases are cold.
     pub(crate) cold: ColdDatabases,
     started: Instant,
 }
 
 impl Node {
-    /// A node that knows nothing yet.
+    /// Creates a node without any knowledge of the fleet.
     pub fn new(
         settings: NodeSettings,
         protocol: Rc<dyn WireProtocol>,
@@ -257,7 +262,7 @@
         promotions: Rc<dyn PromotionService>,
         events: EventLog,
     ) -> Rc<Self> {
-        let life = new_life();
+        let process_number = new_process_number();
         let counters = Rc::new(Counters::default());
         Rc::new(Self {
             changeable: RefCell::new(Rc::new(settings.changeable.clone())),
@@ -271,7 +276,7 @@
             primary_regions: RefCell::default(),
             directory: RefCell::default(),
             evacuations: ZoneEvacuations::default(),
-            attention: Attention::default(),
+            monitored_groups: MonitoredGroups::default(),
             groups: RefCell::default(),
             members: RefCell::default(),
             own_record_revision: Cell::default(),
@@ -279,20 +284,21 @@
             coordinator: RefCell::default(),
             store_era: Cell::default(),
             claim_delay: Cell::default(),
-            promotions_known: Cell::default(),
-            primary_lease: RefCell::new(PrimaryLease::new(life, START)),
-            grantor: RefCell::new(LeaseGrantor::new(life)),
-            grantor_knows: Cell::default(),
-            store_heard_at: Cell::default(),
+            promotions_known_up_to: Cell::default(),
+            primary_lease: RefCell::new(PrimaryLease::new(process_number, START)),
+            grantor: RefCell::new(LeaseGrantor::new(process_number)),
+            grantor_known_revision: Cell::default(),
+            store_answered_at: Cell::default(),
             coordinator_lease: Cell::new(None),
-            coordinator_until: Cell::default(),
+            coordinator_lease_valid_until: Cell::default(),
             promotions_ordered: Cell::new(0),
-            // Nothing can be read yet when the whole fleet starts, but each node can register.
+            // Nothing can be read yet when the whole fleet starts for the first time, but each
+            // node can register.
             store_reachable: Cell::new(settings.first_start),
             store_steady_since: Cell::default(),
             stopping_since: Cell::new(None),
             sessions: Cell::new(0),
-            lent: Cell::new(0),
+            lent_connections: Cell::new(0),
             leader_changed: Notify::new(),
             lease_due: Notify::new(),
             configuration_changed: Notify::new(),
@@ -312,64 +318,64 @@
         })
     }
 
-    /// Time since the start, on the steady clock; never zero.
+    /// Returns the time on the monotonic clock; never zero.
     pub fn now(&self) -> Timestamp {
         START + self.started.elapsed()
     }
 
-    /// The clock at the start.
+    /// Returns the clock reading at startup.
     pub(crate) fn started_at(&self) -> Timestamp {
         START
     }
 
-    /// The settings in force that may change while the node runs.
+    /// Returns the reloadable settings in force.
     pub fn changeable(&self) -> Rc<ChangeableSettings> {
         Rc::clone(&self.changeable.borrow())
     }
 
-    /// Takes over changed settings. Says whether they differ from those in force.
+    /// Replaces the reloadable settings. Returns whether they differ from those in force before.
     pub fn change_settings(&self, changed: ChangeableSettings) -> bool {
         let differs = **self.changeable.borrow() != changed;
         *self.changeable.borrow_mut() = Rc::new(changed);
         differs
     }
 
-    /// Logs an event.
+    /// Writes an event to the event log.
     pub fn log(&self, event: &'static str, fields: &[(&str, Value)]) {
         self.events.write(self.now(), event, fields);
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force, or `None` before the first.
     pub fn configuration(&self) -> Option<Rc<Configuration>> {
         self.configuration.borrow().current().cloned()
     }
 
-    /// Groups of the configuration in force.
+    /// Returns the groups of the configuration in force.
     pub fn configured_groups(&self) -> Vec<GroupName> {
         self.configuration()
             .map(|configuration| configuration.groups.keys().cloned().collect())
             .unwrap_or_default()
     }
 
-    /// Whether what this node knows of keys is young enough to let callers pass.
+    /// Returns whether this node's information about keys is recent enough to admit callers.
     pub(crate) fn keys_pass(&self) -> bool {
-        let age = self.now().since(self.feed.news_at());
+        let age = self.now().since(self.feed.reported_at());
         self.changeable().revocation.accepts(age)
     }
 
-    /// Version of the configuration in force.
+    /// Returns the version of the configuration in force.
     pub fn configuration_version(&self) -> Option<u64> {
         self.configuration.borrow().version()
     }
 
-    /// How long an open transaction may rest.
+    /// Returns how long an open transaction may be idle.
     pub fn transaction_idle(&self) -> Duration {
         self.configuration()
             .and_then(|configuration| configuration.transaction_idle)
             .unwrap_or(DEFAULT_TRANSACTION_IDLE)
     }
 
-    /// Takes a configuration if it is newer than the one in force.
+    /// Puts a configuration in force if it is newer than the present one.
     pub fn take_configuration(&self, configuration: Configuration) {
         let version = configuration.version;
         if self.configuration.borrow_mut().offer(configuration) {
@@ -386,25 +392,25 @@
         }
     }
 
-    /// Whether the node can serve callers. One that has lost its lease on primaries is cut
-    /// off from the others, who serve its callers better.
+    /// Returns whether the node can serve callers. A node that has lost its lease on primaries is
+    /// cut off from the other nodes, which can serve its callers better.
     pub fn is_ready(&self) -> bool {
         self.stopping_since.get().is_none()
             && self.lease_lapsed_since().is_none()
             && self.isolated_since().is_none()
-            && self.can_count()
+            && self.can_count_operations()
             && self.uncounted_since().is_none()
             && self.configuration().is_some()
             && self.directory.borrow().iter().next().is_some()
     }
 
-    /// A listed database.
+    /// Returns a registered database.
     pub fn database(&self, name: &DatabaseName) -> Option<Database> {
         let directory = self.directory.borrow();
         directory.get(name).map(|listed| listed.database.clone())
     }
 
-    /// How far a database is.
+    /// Returns the distance from this node to databases in `zone`.
     pub fn distance(&self, zone: &ZoneName) -> Distance {
         if *zone == self.settings.zone {
             return Distance::SameZone;
@@ -417,7 +423,7 @@
         }
     }
 
-    /// Runs `change` on the state of a group.
+    /// Runs `change` on the state of a group, creating the state if there is none.
     pub fn with_group<T>(&self, group: &GroupName, change: impl FnOnce(&mut GroupState) -> T) -> T {
         let mut groups = self.groups.borrow_mut();
         match groups.get_mut(group) {
@@ -426,18 +432,18 @@
         }
     }
 
-    /// The database believed to lead a group.
+    /// Returns the database known to lead a group.
     pub fn leader(&self, group: &GroupName) -> Option<DatabaseName> {
         self.with_group(group, |state| state.leadership.leader().cloned())
     }
 
-    /// Whether a database is believed to lead its group.
+    /// Returns whether a database is known to lead its group.
     pub fn leads(&self, name: &DatabaseName) -> bool {
         self.database(name)
             .is_some_and(|database| self.leader(&database.group).as_ref() == Some(name))
     }
 
-    /// Databases of a group that state that they lead, then the others.
+    /// Returns the databases of a group: first those that state that they lead, then the others.
     pub fn by_stated_role(&self, group: &GroupName) -> Vec<DatabaseName> {
         let directory = self.directory.borrow();
         let mut databases: Vec<&Database> = directory
--- a/crates/serving/src/packed.rs
+++ b/crates/serving/src/packed.rs
@@ -1,5 +1,5 @@
-//! Values that travel between nodes compressed: a configuration of some thousand routes
-//! would fill a slow link for seconds otherwise, before requests that wait behind it.
+//! Compression of values sent between nodes. Uncompressed, a configuration of a few thousand
+//! routes would occupy a slow link for seconds and delay the requests queued behind it.
 
 use std::io::{self, Read, Write};
 
@@ -10,19 +10,19 @@
 use serde::{Serialize, de::DeserializeOwned};
 use thiserror::Error;
 
-/// Bytes of an unpacked value at the most: some hundred thousand routes.
+/// Maximum size of an unpacked value: a few hundred thousand routes.
 const MAX_UNPACKED_BYTES: u64 = 32 << 20;
 
-/// Why a value could not be packed or unpacked.
+/// Error of packing or unpacking a value.
 #[derive(Debug, Error)]
 pub enum PackError {
-    /// The bytes are not those of such a value, or the value cannot be encoded.
+    /// The value cannot be encoded, or the bytes are not a valid encoding of one.
     #[error("encoding: {0}")]
     Encoding(#[from] postcard::Error),
-    /// The bytes are not compressed ones.
+    /// The bytes are not valid compressed data.
     #[error("compression: {0}")]
     Compression(#[from] io::Error),
-    /// The value is larger than any that is sent.
+    /// The value exceeds the maximum size of values that are sent.
     #[error("the value is larger than {MAX_UNPACKED_BYTES} bytes")]
     TooLarge,
 }
@@ -35,7 +35,7 @@
     Ok(encoder.finish()?.into())
 }
 
-/// The value that was packed.
+/// Decompresses and decodes a value produced by [`pack`].
 pub fn unpack<T: DeserializeOwned>(packed: &[u8]) -> Result<T, PackError> {
     let mut encoded = Vec::new();
     let mut decoder = DeflateDecoder::new(packed).take(MAX_UNPACKED_BYTES + 1);
--- a/crates/serving/src/peers.rs
+++ b/crates/serving/src/peers.rs
@@ -383,7 +383,7 @@
             }
             state.reported_lost = Some((leader, now));
         });
-        self.look_after(group);
+        self.monitor_group(group);
     }
 
     /// A node that is asked what it sees of a primary looks, if it has not lately: it can
--- a/crates/serving/src/ports.rs
+++ b/crates/serving/src/ports.rs
@@ -1,7 +1,7 @@
-//! What a node needs from outside, as traits.
+//! Traits for the external services that a node depends on.
 //!
-//! Implementations translate and do I/O. They hold no decision, no retry and no state
-//! beyond open connections.
+//! Implementations translate and do I/O. They contain no decision logic and no retries, and keep
+//! no state beyond open connections.
 
 use std::io;
 use std::time::Duration;
@@ -17,88 +17,91 @@
 
 use crate::message::{CallerInput, CallerOutput, Command, DatabaseMessage, DatabaseStatus};
 
-/// How messages are spelt. Decoders take whole messages off the buffer.
+/// Codec for the messages exchanged with callers and databases. Decoders remove whole messages
+/// from the buffer and return `None` while it holds only part of one.
 pub trait WireProtocol {
-    /// Takes a caller's next message.
+    /// Decodes the next message of a caller.
     fn decode_caller(&self, buffer: &mut BytesMut) -> io::Result<Option<CallerInput>>;
-    /// Appends an answer to a caller.
+    /// Appends an encoded response to a caller.
     fn encode_caller(&self, output: &CallerOutput, buffer: &mut BytesMut);
-    /// Takes a database's next message.
+    /// Decodes the next message of a database.
     fn decode_database(&self, buffer: &mut BytesMut) -> io::Result<Option<DatabaseMessage>>;
-    /// Appends a command to a database.
+    /// Appends an encoded command to a database.
     fn encode_database(&self, command: &Command, buffer: &mut BytesMut);
-    /// Reads the row that answers a question about a database's status.
+    /// Parses the row with which a database answers a status query.
     fn parse_status(&self, row: &[u8]) -> Option<DatabaseStatus>;
 }
 
-/// A failed call to the state store.
+/// Error of a call to the state store.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// No answer, or the connection failed. The call may have been done, or may be later.
+    /// The store did not answer or the connection failed. The call may have been carried out, or
+    /// may still be.
     #[error("the state store did not answer: {0}")]
     NoAnswer(String),
-    /// It was refused and nothing was done.
+    /// The store refused the call and did nothing.
     #[error("the state store refused the call with status {0}")]
     Refused(u16),
-    /// The history after the given revision is gone, maybe with its era: read everything again.
+    /// The history after the given revision is no longer available, possibly together with its
+    /// era: everything must be read again.
     #[error("the state store no longer has the history asked for")]
     HistoryGone,
-    /// The lease is over.
+    /// The lease has expired or was ended.
     #[error("the lease is over")]
     LeaseOver,
-    /// The answer could not be understood.
+    /// The answer could not be decoded.
     #[error("the state store's answer cannot be read: {0}")]
     Unreadable(String),
 }
 
-/// Id of a lease.
+/// Identifier of a lease in the state store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseId(pub u64);
 
-/// One record of the store.
+/// A record of the store, or its removal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum StoreRecord {
-    /// The operator's configuration.
+    /// The configuration set by the operator.
     Configuration(Configuration),
     /// The registration of a database.
     Database(Database),
-    /// A database's registration is gone.
+    /// The registration of a database was removed.
     DatabaseGone(DatabaseName),
-    /// The operator's request that a zone's databases get nothing any more, or its end.
+    /// The operator's request to stop using the databases of a zone, or the end of that request.
     Evacuation {
-        /// The zone.
+        /// The zone concerned.
         zone: ZoneName,
-        /// Whether it is in force.
+        /// Whether the request is in force.
         requested: bool,
     },
-    /// A record that cannot be read. It says nothing; what it was about is as if it were gone.
+    /// A record that cannot be decoded. Its subject is treated as removed.
     Unreadable {
-        /// What it should be about.
+        /// The subject that the record's key belongs to.
         subject: ChangeSubject,
-        /// Why it cannot be read.
+        /// Why the record cannot be decoded.
         reason: String,
     },
-    /// A record of the fleet's own.
+    /// A record written by the nodes themselves.
     Own {
-        /// Key, without the fleet's prefix.
+        /// Key without the fleet's prefix.
         key: String,
-        /// The bytes, or nothing if it is gone.
+        /// The value, or `None` if the record was removed.
         value: Option<Bytes>,
-        /// The lease that it goes with, if it has one.
+        /// The lease that the record is attached to, if any.
         lease: Option<LeaseId>,
     },
 }
 
-/// A record with its revision.
+/// A record of the store with the revision of its last change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StoreChange {
     /// Revision of the change.
     pub revision: StoreRevision,
-    /// The record.
+    /// The record as of that revision.
     pub record: StoreRecord,
 }
 
-/// What a change is about: a later change of the same subject replaces it.
+/// The subject of a change. A later change replaces earlier ones of the same subject.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ChangeSubject {
     /// The operator's configuration.
@@ -107,13 +110,13 @@
     Database(DatabaseName),
     /// The evacuation of a zone.
     Evacuation(ZoneName),
-    /// A key of the fleet's own.
+    /// A key of a record written by the nodes.
     Own(String),
 }
 
 impl StoreRecord {
-    /// The record that says that a subject's key is gone; nothing for the configuration, which
-    /// stays in force.
+    /// Returns the record that states that a subject's key was removed; `None` for the
+    /// configuration, which stays in force.
     pub fn gone(subject: &ChangeSubject) -> Option<Self> {
         match subject {
             ChangeSubject::Configuration => None,
@@ -130,7 +133,7 @@
         }
     }
 
-    /// What the record is about.
+    /// Returns the subject of the record.
     pub fn subject(&self) -> ChangeSubject {
         match self {
             StoreRecord::Configuration(_) => ChangeSubject::Configuration,
@@ -143,100 +146,101 @@
     }
 }
 
-/// Records read together with the revision to continue from.
+/// Records read from the store together with the revision to continue from.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct StoreChanges {
     /// Revision to continue watching from.
     pub revision: StoreRevision,
-    /// The records.
+    /// The records that were read.
     pub changes: Vec<StoreChange>,
 }
 
-/// A write under the condition that a key of the fleet's own is at a revision.
+/// A write of a key of the fleet, conditional on the key's present revision.
 #[derive(Clone, Debug)]
 pub struct ConditionalWrite {
-    /// Key, without the fleet's prefix.
+    /// Key without the fleet's prefix.
     pub key: String,
-    /// Revision that it must have; none if it must be absent. The store compares only the number:
-    /// in a later era another change may have it.
+    /// Revision that the key must have; `None` if the key must be absent. The store compares only
+    /// the revision number, which another change may have in a later era.
     pub expected: Option<StoreRevision>,
-    /// New value.
+    /// The value to write.
     pub value: Bytes,
-    /// Lease that the key goes with.
+    /// Lease to attach the key to.
     pub lease: Option<LeaseId>,
 }
 
-/// Outcome of a conditional write.
+/// Outcome of a conditional write that the store carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// Written, at this revision.
+    /// The value was written at this revision.
     Written(StoreRevision),
-    /// The condition did not hold.
+    /// The key did not have the expected revision.
     Conflict,
 }
 
-/// How fresh a listing has to be.
+/// Required freshness of a listing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadFreshness {
-    /// As of the moment of the call.
+    /// The state at the moment of the call.
     Present,
-    /// It may be seconds old, which makes it cheap. Watching from its revision on catches up.
+    /// The state may be seconds old, which makes the read cheap. Watching from its revision
+    /// catches up.
     MayBeOld,
 }
 
-/// The service that keeps what must last.
+/// The service that stores the fleet's durable state.
 #[async_trait(?Send)]
 pub trait StateStore {
-    /// Reads everything that concerns the fleet.
+    /// Reads all records that concern the fleet.
     async fn read_all(&self, freshness: ReadFreshness) -> Result<StoreChanges, StoreError>;
-    /// Reads those of the fleet's own records whose keys begin with `prefix`.
+    /// Reads the records written by the nodes whose keys begin with `prefix`.
     async fn read_own(
         &self,
         prefix: &str,
         freshness: ReadFreshness,
     ) -> Result<StoreChanges, StoreError>;
-    /// Waits up to `wait` for changes after `revision`, all of its era.
+    /// Waits up to `wait` for changes after `revision`. All returned changes belong to its era.
     async fn watch(
         &self,
         revision: StoreRevision,
         wait: Duration,
     ) -> Result<StoreChanges, StoreError>;
-    /// Reads one of the fleet's own keys with its revision.
+    /// Reads one key of a record written by the nodes, with its revision.
     async fn read(&self, key: &str) -> Result<Option<(StoreRevision, Bytes)>, StoreError>;
-    /// Writes under a condition.
+    /// Carries out a conditional write.
     async fn write(&self, write: ConditionalWrite) -> Result<WriteOutcome, StoreError>;
-    /// Takes a lease.
+    /// Takes a new lease that expires after `time_to_live` without renewal.
     async fn grant_lease(&self, time_to_live: Duration) -> Result<LeaseId, StoreError>;
-    /// Renews a lease. Returns the era of the answer: what was written under the lease in an
-    /// earlier one may be gone though the lease is not.
+    /// Renews a lease. Returns the era of the answer: records written under the lease in an
+    /// earlier era may be lost although the lease is still valid.
     async fn renew_lease(&self, lease: LeaseId) -> Result<StoreEra, StoreError>;
-    /// Ends a lease and its keys.
+    /// Ends a lease, which removes the keys attached to it.
     async fn end_lease(&self, lease: LeaseId) -> Result<(), StoreError>;
 }
 
 /// An order to promote a replica.
 #[derive(Clone, Debug)]
 pub struct PromotionOrder {
-    /// The group.
+    /// The group whose primary is replaced.
     pub group: GroupName,
-    /// The replica.
+    /// The replica to promote.
     pub candidate: DatabaseName,
-    /// The node that orders it.
+    /// Name of the node that orders the promotion.
     pub holder: String,
-    /// Fencing token; one token names one candidate for ever.
+    /// Fencing token. One token is only ever used for one candidate.
     pub fencing_token: FencingToken,
 }
 
-/// Why an order was not confirmed.
+/// The reason why a promotion order was not confirmed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum PromotionError {
-    /// The order is fenced off or the candidate does not run.
+    /// The order's fencing token was superseded, or the candidate is not running.
     #[error("the promotion was rejected")]
     Rejected,
-    /// The service asks to come back.
+    /// The service asks the caller to retry later.
     #[error("the promotion service is overloaded or down")]
     Unavailable,
-    /// No answer: it may be carried out later.
+    /// The order was not answered and may be carried out later.
     #[error("the promotion was not answered")]
     NoAnswer,
 }
--- a/crates/serving/src/primary_lease.rs
+++ b/crates/serving/src/primary_lease.rs
@@ -106,7 +106,8 @@
         let answer = node.answer_lease(&name, &request);
         node.close_replaced_primaries();
         node.primary_lease.borrow_mut().take(&answer, now);
-        node.grantor_knows.set(node.promotions_known.get());
+        node.grantor_known_revision
+            .set(node.promotions_known_up_to.get());
         node.lease_due.notify_one();
         return;
     }
@@ -128,7 +129,7 @@
 /// Returns the store revision up to which the grantor knows all promotions. A grantor whose
 /// coordinator belongs to another era may lack promotions of the previous one.
 fn known_to_grantor(node: &Node, request: &LeaseRequest) -> StoreRevision {
-    let known = node.grantor_knows.get();
+    let known = node.grantor_known_revision.get();
     if known.era() == request.coordinator.era() {
         known
     } else {
@@ -178,7 +179,7 @@
     node.note_promotions_known(promotions.known);
     node.close_replaced_primaries();
     if node.primary_lease.borrow_mut().take(answer, node.now()) {
-        node.grantor_knows.set(promotions.known);
+        node.grantor_known_revision.set(promotions.known);
     }
     node.lease_due.notify_one();
 }
@@ -236,7 +237,7 @@
     fn answer_lease(&self, peer: &str, request: &LeaseRequest) -> LeaseAnswer {
         let electorate = Electorate {
             voters: self.voters().len(),
-            store_heard_at: self.store_heard_at.get(),
+            store_heard_at: self.store_answered_at.get(),
         };
         let coordinator = self.primary_lease.borrow().coordinator();
         let mut grantor = self.grantor.borrow_mut();
@@ -283,7 +284,7 @@
         });
         Promotions {
             newer: newer.collect(),
-            known: self.promotions_known.get(),
+            known: self.promotions_known_up_to.get(),
         }
     }
 
@@ -356,8 +357,8 @@
 
     /// Records that all promotions announced up to `revision` of the store are known.
     pub(crate) fn note_promotions_known(&self, revision: StoreRevision) {
-        let known = self.promotions_known.get();
-        self.promotions_known.set(known.max(revision));
+        let known = self.promotions_known_up_to.get();
+        self.promotions_known_up_to.set(known.max(revision));
     }
 
     /// Returns whether this node may use primaries now.
--- a/crates/serving/src/records.rs
+++ b/crates/serving/src/records.rs
@@ -1,4 +1,4 @@
-//! The fleet's own records in the state store.
+//! Keys and encodings of the records that the nodes write to the state store.
 
 use bytes::Bytes;
 use hookpoint_coordination::serving::fencing::FencingToken;
@@ -7,81 +7,83 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Prefix of the keys of live nodes.
+/// Prefix of the keys of member records.
 pub const MEMBER_PREFIX: &str = "members/";
-/// Parts that the members of a zone are divided into by their keys. A node that starts reads
-/// its own part only, to find others that start with it or run already.
-const PARTS_A_ZONE: u64 = 8;
-/// Prefix of the keys of the nodes that may order promotions.
+/// Number of parts that the members of a zone are divided into by their keys. A node that starts
+/// reads only its own part, to find other nodes that start at the same time or already run.
+const PARTS_PER_ZONE: u64 = 8;
+/// Prefix of the keys of coordinator records, one per era of the store.
 const COORDINATOR_PREFIX: &str = "coordinator/";
-/// Prefix of the keys that say which eras of the store have settled.
+/// Prefix of the keys that mark eras of the store as settled.
 const SETTLED_ERA_PREFIX: &str = "eras/";
-/// Prefix of the keys of ordered promotions.
+/// Prefix of the keys of promotion announcements.
 pub const PROMOTION_PREFIX: &str = "promotions/";
 
-/// Prefix of the keys of the nodes in the same part of a zone as the node called `name`.
+/// Returns the key prefix of the nodes in the same part of a zone as the node `name`.
 pub fn member_part(zone: &ZoneName, name: &str) -> String {
-    let part = choice_weight("part", name) % PARTS_A_ZONE;
+    let part = choice_weight("part", name) % PARTS_PER_ZONE;
     format!("{MEMBER_PREFIX}{}/{part}/", zone.as_str())
 }
 
-/// Key of the node called `name`.
+/// Returns the key of the member record of the node `name`.
 pub fn member_key(zone: &ZoneName, name: &str) -> String {
     format!("{}{name}", member_part(zone, name))
 }
 
-/// Key of the node that may order promotions in an era of the store. A claim of an earlier era
-/// that is carried out late does not touch it, whatever revisions the store gave out again.
+/// Returns the key of the coordinator record in an era of the store. Because the era is part of
+/// the key, a late claim of an earlier era cannot modify the record, even if the store assigns the
+/// same revision numbers again.
 pub fn coordinator_key(era: StoreEra) -> String {
     format!("{COORDINATOR_PREFIX}{era}")
 }
 
-/// Key that says that the store has been in an era for so long that nothing is missing any more
-/// which it lost as it came back from a copy, and that nobody relies on an earlier era.
+/// Returns the key that marks an era as settled: the store has been in the era for so long that
+/// everything lost in its restore from a copy has been written again, and no node relies on an
+/// earlier era.
 pub fn settled_era_key(era: StoreEra) -> String {
     format!("{SETTLED_ERA_PREFIX}{era}")
 }
 
-/// The era that a key tells of; nothing if it tells of none.
+/// Returns the era that a key marks as settled, or `None` if it is no such key.
 pub fn settled_era(key: &str) -> Option<StoreEra> {
     let number = key.strip_prefix(SETTLED_ERA_PREFIX)?.parse().ok()?;
     Some(StoreEra::new(number))
 }
 
-/// Whether `key` is that of the node that may order promotions in `era`.
+/// Returns whether `key` is the key of the coordinator record in `era`.
 pub fn is_coordinator_key(key: &str, era: StoreEra) -> bool {
     let named = key.strip_prefix(COORDINATOR_PREFIX);
     named.and_then(|number| number.parse().ok()) == Some(era.number())
 }
 
-/// Name of the node that a key is of; nothing if it is no node's.
+/// Returns the name of the node whose member record has this key, or `None` if it is no such key.
 pub fn member_name(key: &str) -> Option<&str> {
     let (_, name) = key.strip_prefix(MEMBER_PREFIX)?.rsplit_once('/')?;
     Some(name)
 }
 
-/// A live node.
+/// The record of a live node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Node name.
+    /// Name of the node.
     pub node: String,
     /// Zone of the node.
     pub zone: ZoneName,
-    /// Address for datagrams and links of peers.
+    /// Address for datagrams and links from peers.
     pub peer_address: SocketAddr,
-    /// Bandwidth of its link, in megabits a second; 0 if that is not known. Nodes with more
-    /// of it pass the store's changes on to the others.
+    /// Bandwidth of the node's link in megabits per second; 0 if unknown. Nodes with more
+    /// bandwidth pass the store's changes on to the others.
     pub bandwidth_mbps: u32,
 }
 
-/// An ordered promotion, written so that other nodes learn of it sooner.
+/// The announcement of a promotion, written so that other nodes learn of it sooner.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PromotionRecord {
-    /// The group.
+    /// The group whose primary is replaced.
     pub group: GroupName,
-    /// The database that is to lead.
+    /// The database that is to become the primary.
     pub candidate: DatabaseName,
-    /// The token of the order.
+    /// Fencing token of the promotion order.
     pub fencing_token: FencingToken,
 }
 
@@ -89,13 +91,13 @@
 ///
 /// # Panics
 ///
-/// If it has a sequence of unknown length, which none of this module's records has.
+/// Panics if the record contains a sequence of unknown length. No record of this module does.
 pub fn encode<T: Serialize>(record: &T) -> Bytes {
     let encoded = postcard::to_allocvec(record).expect("a record has only fields of known length");
     Bytes::from(encoded)
 }
 
-/// Decodes a record; nothing if it is not one.
+/// Decodes a record; returns `None` if `value` is not a valid encoding.
 pub fn decode<T: for<'a> Deserialize<'a>>(value: &[u8]) -> Option<T> {
     postcard::from_bytes(value).ok()
 }
--- a/crates/serving/src/registration.rs
+++ b/crates/serving/src/registration.rs
@@ -1,4 +1,4 @@
-//! The node's lease in the store and its member record.
+//! Maintains the node's lease in the store and its member record.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,55 +10,55 @@
 use crate::ports::{ConditionalWrite, LeaseId, StoreError, WriteOutcome};
 use crate::records::{MemberRecord, encode, member_key};
 
-/// Pause after the first failed call; it doubles with each further one.
+/// Pause after the first failed call; doubles with each further failure.
 const RETRY_PAUSE: Duration = Duration::from_millis(250);
-/// Longest such pause.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1_000);
-/// Time over which nodes register again whose leases lapsed together in an outage: the store
-/// takes a bounded number of writes a second, and members count for longer without a record
-/// than this.
-const LAPSED_TOGETHER: Duration = Duration::from_millis(1_000);
-/// Pause between looks whether the store is reachable.
-const STORE_LOOK: Duration = Duration::from_millis(10);
-/// Pause between looks at the lease.
-const LOOK: Duration = Duration::from_millis(100);
-/// Part of the lease time after which it is renewed: each renewal costs, and one that fails
-/// is made again sooner.
+/// Upper bound of that pause.
+const MAX_RETRY_PAUSE: Duration = Duration::from_millis(1_000);
+/// Time over which nodes whose leases expired together in an outage register again. The store
+/// accepts a bounded number of writes per second, and members without a record continue to count
+/// for longer than this.
+const REREGISTRATION_SPREAD: Duration = Duration::from_millis(1_000);
+/// Interval between checks whether the store is reachable.
+const STORE_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval between checks of the lease.
+const LEASE_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The lease is renewed after this fraction of its time: each renewal costs a store call, and a
+/// failed one is retried sooner.
 const RENEWAL_DIVISOR: u32 = 2;
-/// Part of the lease time after which a renewal that failed is made again: three fit before
-/// the lease is over.
-const REPEAT_DIVISOR: u32 = 6;
+/// A failed renewal is retried after this fraction of the lease time, so that three attempts fit
+/// before the lease expires.
+const RETRY_DIVISOR: u32 = 6;
 
-/// Keeps the node registered for as long as it lives.
+/// Keeps the node registered until it shuts down.
 pub async fn register(node: Rc<Node>) {
     let mut pause = RETRY_PAUSE;
     loop {
         await_store(&node).await;
         match take_lease(&node).await {
             Ok(lease) => {
-                hold(&node, lease).await;
+                renew_until_expired(&node, lease).await;
                 node.log("lease_lost", &[]);
-                pause = share_of(&node.settings.name, LAPSED_TOGETHER);
+                pause = share_of(&node.settings.name, REREGISTRATION_SPREAD);
             }
             Err(error) => {
                 pause = pause.max(RETRY_PAUSE);
                 node.log("lease_refused", &[("detail", error.to_string().into())]);
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                pause = (pause * 2).min(MAX_RETRY_PAUSE);
             }
         }
         sleep(pause).await;
     }
 }
 
-/// Waits until the follower reaches the store: while it does not, a call of this node's own
-/// would only cost.
+/// Waits until the follower reaches the store: until then a call of this task would only add cost.
 async fn await_store(node: &Rc<Node>) {
     while !node.store_reachable.get() {
-        sleep(STORE_LOOK).await;
+        sleep(STORE_POLL_INTERVAL).await;
     }
 }
 
-/// Goes on with the lease of an earlier process of this node, or takes one.
+/// Resumes the lease of an earlier process of this node, or takes a new one and writes the member
+/// record.
 async fn take_lease(node: &Rc<Node>) -> Result<LeaseId, StoreError> {
     if let Some(lease) = node.lease_found.take() {
         match node.store.renew_lease(lease).await {
@@ -67,7 +67,7 @@
                 node.log("lease_resumed", &[("lease", lease.0.into())]);
                 return Ok(lease);
             }
-            // It lapsed: nothing was lost but a cheap call.
+            // The lease has expired: the attempt cost no more than one cheap call.
             Err(StoreError::LeaseOver) => {}
             Err(error) => return Err(error),
         }
@@ -79,8 +79,8 @@
     Ok(lease)
 }
 
-/// What this node's member record says.
-pub(crate) fn own_record(node: &Rc<Node>) -> MemberRecord {
+/// Returns the member record of this node.
+pub(crate) fn own_member_record(node: &Rc<Node>) -> MemberRecord {
     MemberRecord {
         node: node.settings.name.clone(),
         zone: node.settings.zone.clone(),
@@ -91,8 +91,8 @@
 
 async fn write_member(node: &Rc<Node>, lease: LeaseId) -> Result<(), StoreError> {
     let key = member_key(&node.settings.zone, &node.settings.name);
-    let record = own_record(node);
-    // An earlier process may have left a record behind.
+    let record = own_member_record(node);
+    // An earlier process of this node may have left a record.
     let mut expected = node.own_record_revision.get();
     loop {
         let write = ConditionalWrite {
@@ -111,21 +111,21 @@
     }
 }
 
-/// Ends a lease that is not needed any more. One that cannot be ended runs out by itself.
+/// Ends a lease that is no longer needed. If the call fails, the lease expires by itself.
 pub(crate) async fn end_lease(node: &Rc<Node>, lease: LeaseId) {
     if let Err(error) = node.store.end_lease(lease).await {
         node.log("lease_left", &[("detail", error.to_string().into())]);
     }
 }
 
-/// Renews the lease until it is over. If the record that goes with it vanishes, the lease
-/// may be over as well, which is then found out at once.
-async fn hold(node: &Rc<Node>, lease: LeaseId) {
+/// Renews the lease until it has expired. If the record attached to it vanishes, the lease may
+/// have expired as well, so it is renewed immediately to find out.
+async fn renew_until_expired(node: &Rc<Node>, lease: LeaseId) {
     let lease_time = node.settings.lease_time;
     let mut due_at = node.now() + lease_time / RENEWAL_DIVISOR;
     let mut record_seen = false;
     loop {
-        sleep(LOOK).await;
+        sleep(LEASE_POLL_INTERVAL).await;
         if node.stopping_since.get().is_some() {
             end_lease(node, lease).await;
             std::future::pending::<()>().await;
@@ -146,13 +146,13 @@
             Err(StoreError::LeaseOver) => return,
             Err(_) => {
                 node.counters.count("lease_renewals", "failed");
-                now + lease_time / REPEAT_DIVISOR
+                now + lease_time / RETRY_DIVISOR
             }
         };
     }
 }
 
-/// Renews the lease, and writes the record again if that vanished without the lease.
+/// Renews the lease, and writes the record again if it vanished although the lease is still valid.
 async fn renew(node: &Rc<Node>, lease: LeaseId, record_vanished: bool) -> Result<(), StoreError> {
     let asked_at = node.now();
     node.store.renew_lease(lease).await?;
--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -327,7 +327,7 @@
 
 impl Lent {
     fn new(node: &Rc<Node>, lease: Lease) -> Self {
-        node.lent.set(node.lent.get() + 1);
+        node.lent_connections.set(node.lent_connections.get() + 1);
         Self {
             node: Rc::clone(node),
             lease,
@@ -337,7 +337,9 @@
 
 impl Drop for Lent {
     fn drop(&mut self) {
-        self.node.lent.set(self.node.lent.get() - 1);
+        self.node
+            .lent_connections
+            .set(self.node.lent_connections.get() - 1);
     }
 }
 
@@ -360,7 +362,7 @@
     let lease = pool.acquire_direct(node, wanted).await?;
     let label = match wanted.principal {
         Some(_) => {
-            node.note_lent(database);
+            node.note_lent_statement(database);
             "for_statement"
         }
         None => "for_question",
--- a/crates/serving/src/shutdown.rs
+++ b/crates/serving/src/shutdown.rs
@@ -59,7 +59,7 @@
         node.stop_advanced.notify_waiters();
         let elapsed = node.now().since(began);
         let idle_closed = node.stop_stage() >= StopStage::CloseIdle;
-        let unused = node.sessions.get() == 0 && node.lent.get() == 0;
+        let unused = node.sessions.get() == 0 && node.lent_connections.get() == 0;
         if elapsed >= limit || (idle_closed && unused) {
             break;
         }
--- a/crates/serving/src/snapshot.rs
+++ b/crates/serving/src/snapshot.rs
@@ -1,7 +1,7 @@
-//! What a node knows of configuration, databases, members and evacuations, for one that cannot read
-//! the store.
+//! Snapshots of a node's configuration, databases, members and evacuations, for nodes that cannot
+//! read the store.
 //!
-//! Versions and revisions go along, so taking a snapshot never replaces newer knowledge.
+//! A snapshot includes versions and revisions, so applying it never replaces newer information.
 
 use std::rc::Rc;
 
@@ -15,21 +15,22 @@
 use crate::records::MemberRecord;
 use crate::relay;
 
-/// One node's knowledge.
+/// A snapshot of what one node knows.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// The configuration in force there.
+    /// The configuration in force on that node.
     pub configuration: Configuration,
-    /// Registered databases with the revisions of their entries.
+    /// Registered databases with the revisions of their records.
     pub databases: Vec<(Database, StoreRevision)>,
-    /// Registered nodes.
+    /// Records of the registered nodes.
     pub members: Vec<MemberRecord>,
-    /// Zones that are being evacuated, or were, with the revisions that say so.
+    /// Zones under evacuation or evacuated earlier: the zone, whether the request is in force, and
+    /// the revision of that state.
     pub evacuations: Vec<(ZoneName, bool, StoreRevision)>,
 }
 
 impl Snapshot {
-    /// What `node` knows; nothing before it has a configuration.
+    /// Takes a snapshot of `node`, or `None` before it has a configuration.
     pub fn of(node: &Node) -> Option<Self> {
         let configuration = node.configuration()?;
         let databases = node
@@ -73,12 +74,12 @@
     }
 }
 
-/// Takes what seeds or known members know, from the first that answers.
+/// Fetches and applies the snapshot of the first seed or known member that answers.
 pub async fn fetch(node: &Rc<Node>) {
     let members = node.other_members();
     let changeable = node.changeable();
     let seeds = changeable.seed_addresses.iter().copied();
-    for address in seeds.chain(members).take(PEERS_ASKED) {
+    for address in seeds.chain(members).take(MAX_PEERS_ASKED) {
         if let Some(snapshot) = relay::fetch_snapshot(address).await {
             node.log(
                 "snapshot_taken",
@@ -94,5 +95,5 @@
     }
 }
 
-/// Peers asked in one round at the most.
-const PEERS_ASKED: usize = 4;
+/// Maximum number of peers asked in one round.
+const MAX_PEERS_ASKED: usize = 4;
--- a/crates/serving/src/tokens.rs
+++ b/crates/serving/src/tokens.rs
@@ -18,7 +18,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::feed;
-use crate::homes::{MEMBER_MEMORY, Peer};
+use crate::homes::{MEMBER_RETENTION, Peer};
 use crate::node::Node;
 use crate::peer_message::PeerMessage;
 use crate::reachability;
@@ -135,13 +135,13 @@
     /// hears of the store, or its lease has held until now.
     fn may_hold_tokens(&self) -> bool {
         let now = self.now();
-        let counted = self.settings.lease_time + MEMBER_MEMORY;
+        let counted = self.settings.lease_time + MEMBER_RETENTION;
         self.knows_fleet()
             && (feed::is_fresh(self) || now.since(self.lease_renewed_at.get()) < counted)
     }
 
     /// Whether operations can be counted: nobody's are, or this node knows who counts them.
-    pub(crate) fn can_count(&self) -> bool {
+    pub(crate) fn can_count_operations(&self) -> bool {
         let counted = self.changeable().quota.is_some()
             && self
                 .configuration()
