--- a/crates/serving/src/cold_databases.rs
+++ b/crates/serving/src/cold_databases.rs
@@ -1,4 +1,4 @@
-//! What a node keeps of databases that have just started.
+//! State of a node's cold databases, that is, databases that have just started.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -6,13 +6,13 @@
 use hookpoint_coordination::serving::cold_start::{ColdReason, ColdStarts};
 use hookpoint_state::{DatabaseName, Timestamp};
 
-/// How warm the databases are, and this node's parts of what the cold ones may get.
+/// The databases' cold-start state and this node's shares of the cold databases' budgets.
 #[derive(Default)]
 pub(crate) struct ColdDatabases {
-    /// Each database's warmth and bucket.
+    /// Cold-start state and token bucket of each database.
     pub(crate) starts: RefCell<ColdStarts>,
-    /// Those that were cold at the last look, and why.
+    /// The databases that were cold at the last check, and why.
     pub(crate) last_cold: RefCell<BTreeMap<DatabaseName, ColdReason>>,
-    /// When that was.
-    pub(crate) looked_at: Cell<Timestamp>,
+    /// When the databases were last checked.
+    pub(crate) checked_at: Cell<Timestamp>,
 }
--- a/crates/serving/src/cold_start.rs
+++ b/crates/serving/src/cold_start.rs
@@ -1,4 +1,4 @@
-//! Sending little to databases that have just started: see
+//! Limits the rate of requests to databases that have just started: see
 //! [`hookpoint_coordination::serving::cold_start`].
 
 use std::collections::BTreeMap;
@@ -21,35 +21,37 @@
 use crate::relay;
 use crate::units::millis;
 
-/// Age of the store's news beyond which a database that this node has no connection to may
-/// have restarted unheard: the longest that news take on a steady way.
-const NEWS_LIMIT: Duration = Duration::from_secs(4);
-/// Time after which a caller may return if no node that holds a part of a cold database's budget
-/// answers: others are holders by then, or the lost ones are back.
-const HOLDERS_AWAY: Duration = Duration::from_millis(1_000);
-/// A node that did not look at its databases for this long stood still: many times the pause
-/// between two looks.
-const STOOD_STILL: Duration = Duration::from_millis(500);
+/// Age of the store's information beyond which a database that this node has no connection to may
+/// have restarted unnoticed: the longest time that changes take to arrive while the store is
+/// followed without a gap.
+const STORE_INFORMATION_MAX_AGE: Duration = Duration::from_secs(4);
+/// Time after which a caller may retry if no node that holds a share of a cold database's budget
+/// responds: by then other nodes are holders, or the lost ones have returned.
+const HOLDERS_RETRY_AFTER: Duration = Duration::from_millis(1_000);
+/// A node that did not check its databases for this long was suspended: many times the pause
+/// between two checks.
+const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(500);
 
-/// A cold database and this node's part of its budget.
-struct ColdPart {
-    part: GrantLimit,
+/// This node's share of the budget of a cold database.
+struct ColdShare {
+    share: GrantLimit,
 }
 
 impl Node {
-    /// Whether a database counts as cold.
+    /// Returns whether a database counts as cold.
     pub fn is_cold(&self, name: &DatabaseName) -> bool {
         self.cold_reason(name).is_some()
     }
 
-    /// How many nodes may send to a database at the most, if it is cold.
+    /// Returns the maximum number of nodes that may send to a database if it is cold, or `None` if
+    /// it is not.
     pub(crate) fn cold_holders(&self, name: &DatabaseName) -> Option<usize> {
         self.is_cold(name).then_some(COLD_HOLDERS)
     }
 
-    /// Takes in for how much longer a database registers that it is cold. `before` is what was
-    /// listed of it.
-    pub(crate) fn hear_warmth(
+    /// Records for how much longer a database registers as cold. `before` is its earlier entry in
+    /// the directory.
+    pub(crate) fn note_registered_warmth(
         &self,
         name: &DatabaseName,
         before: Option<&Listed>,
@@ -59,7 +61,7 @@
         let Some(listed) = directory.get(name) else {
             return;
         };
-        let heard = match (registration, before) {
+        let registration_kind = match (registration, before) {
             (Registration::Outdated, _) => return,
             (Registration::NewLife, _) => Heard::NewLife,
             (Registration::Taken, None) => Heard::First,
@@ -71,15 +73,18 @@
             }
             (Registration::Taken, Some(_)) => Heard::SameLife,
         };
-        // An entry cannot keep its database cold for longer than a start takes.
+        // An entry cannot keep its database cold for longer than the configured duration of a cold
+        // start.
         let longest = self.cold_start_of(name).map(|start| start.duration);
-        let told = listed.database.cold_for;
-        let cold_for = longest.map_or(told, |longest| told.min(longest));
+        let registered = listed.database.cold_for;
+        let cold_for = longest.map_or(registered, |longest| registered.min(longest));
         let mut starts = self.cold.starts.borrow_mut();
-        starts.entry(name).hear(heard, cold_for, self.now());
+        starts
+            .entry(name)
+            .hear(registration_kind, cold_for, self.now());
     }
 
-    /// Notes that a database may have restarted.
+    /// Records that a database may have restarted.
     pub(crate) fn doubt_warmth(&self, name: &DatabaseName) {
         if self.cold_start_of(name).is_some() {
             let mut starts = self.cold.starts.borrow_mut();
@@ -87,17 +92,18 @@
         }
     }
 
-    /// Notes that the first connection to a database was opened. Only the store's news tell
-    /// then how long it has run.
+    /// Records that the first connection to a database was opened. In that case only information
+    /// from the store shows how long the database has been running.
     pub(crate) fn note_first_connection(&self, name: &DatabaseName) {
         let news_at = self.feed.reported_at();
-        let heard_once = news_at > Timestamp::default();
-        if heard_once && self.now().since(news_at) >= NEWS_LIMIT {
+        let store_was_read = news_at > Timestamp::default();
+        if store_was_read && self.now().since(news_at) >= STORE_INFORMATION_MAX_AGE {
             self.doubt_warmth(name);
         }
     }
 
-    /// Waits for a token if the database is cold. Returns how many requests it is for.
+    /// Waits for a token if the database is cold. Returns the number of requests that were
+    /// admitted.
     pub(crate) async fn admit_to_cold(
         &self,
         name: &DatabaseName,
@@ -105,7 +111,7 @@
     ) -> Result<u32, AcquireError> {
         let began = self.now();
         loop {
-            let Some(cold) = self.cold_part(name) else {
+            let Some(cold) = self.cold_share(name) else {
                 return Ok(0);
             };
             let Err(retry_after) = self.take_cold_token(name, &cold, request) else {
@@ -125,55 +131,55 @@
     fn take_cold_token(
         &self,
         name: &DatabaseName,
-        cold: &ColdPart,
+        cold: &ColdShare,
         request: &ConnectionRequest<'_>,
     ) -> Result<(), Duration> {
-        self.note_awake();
+        self.detect_suspension();
         let now = self.now();
         let mut starts = self.cold.starts.borrow_mut();
         let warmth = starts.entry(name);
         match request.principal {
-            Some(_) => warmth.admit(cold.part, now),
-            None => warmth.admit_question(cold.part, now),
+            Some(_) => warmth.admit(cold.share, now),
+            None => warmth.admit_question(cold.share, now),
         }
     }
 
-    /// Counts what is sent to a database beyond the `admitted` requests, if it is cold. Returns
-    /// how many of those are left.
+    /// Charges the requests sent to a cold database beyond the `admitted` ones. Returns the number
+    /// of admitted requests that are left.
     pub(crate) fn charge_cold(
         &self,
         name: &DatabaseName,
         commands: &[Command],
         admitted: u32,
     ) -> u32 {
-        let Some(cold) = self.cold_part(name) else {
+        let Some(cold) = self.cold_share(name) else {
             return admitted;
         };
-        let sent = requests_in(commands);
-        let beyond = sent.saturating_sub(admitted);
-        if beyond > 0 {
+        let sent = count_requests(commands);
+        let excess = sent.saturating_sub(admitted);
+        if excess > 0 {
             let mut starts = self.cold.starts.borrow_mut();
-            starts.entry(name).charge(cold.part, beyond, self.now());
+            starts.entry(name).charge(cold.share, excess, self.now());
             self.counters.count("cold_requests", "in_debt");
         }
         admitted.saturating_sub(sent)
     }
 
-    /// The refusal of a node that holds no part of a cold database's budget.
+    /// Returns the refusal of a node that holds no share of a cold database's budget.
     pub(crate) fn not_for_cold(&self, name: &DatabaseName) -> Option<AcquireError> {
-        let retry_after = HOLDERS_AWAY;
+        let retry_after = HOLDERS_RETRY_AFTER;
         let refusal = AcquireError::Cold { retry_after };
         self.is_cold(name).then_some(refusal)
     }
 
-    /// Forgets the warmth of databases that are not listed any more.
-    pub(crate) fn drop_unlisted_warmth(&self) {
+    /// Removes the state of databases that are no longer listed.
+    pub(crate) fn drop_unlisted_cold_starts(&self) {
         let directory = self.directory.borrow();
         let mut starts = self.cold.starts.borrow_mut();
         starts.retain(|name| directory.get(name).is_some());
     }
 
-    /// Whether databases of any group warm up slowly.
+    /// Returns whether any group has a cold start configured.
     fn has_cold_starts(&self) -> bool {
         self.configuration().is_some_and(|configuration| {
             let mut groups = configuration.groups.values();
@@ -181,20 +187,20 @@
         })
     }
 
-    /// A node that stood still begins with empty buckets: what it had admitted before goes out
-    /// only now.
-    fn note_awake(&self) {
+    /// Empties the buckets if this node was suspended: requests admitted before that are sent only
+    /// now.
+    fn detect_suspension(&self) {
         let now = self.now();
-        if now.since(self.cold.looked_at.replace(now)) >= STOOD_STILL {
+        if now.since(self.cold.checked_at.replace(now)) >= SUSPENSION_THRESHOLD {
             self.cold.starts.borrow_mut().empty_buckets();
         }
     }
 
-    fn cold_part(&self, name: &DatabaseName) -> Option<ColdPart> {
+    fn cold_share(&self, name: &DatabaseName) -> Option<ColdShare> {
         let start = self.cold_start_of(name)?;
         self.cold_reason_of(name, start)?;
-        let part = start.part(self.changeable().cold_start);
-        Some(ColdPart { part })
+        let share = start.part(self.changeable().cold_start);
+        Some(ColdShare { share })
     }
 
     fn cold_reason(&self, name: &DatabaseName) -> Option<ColdReason> {
@@ -217,7 +223,8 @@
         }
     }
 
-    /// How the databases of a database's group warm up; nothing if they are warm at once.
+    /// Returns the cold start configured for a database's group, or `None` if its databases are
+    /// warm immediately.
     fn cold_start_of(&self, name: &DatabaseName) -> Option<ColdStart> {
         let configuration = self.configuration()?;
         let directory = self.directory.borrow();
@@ -226,9 +233,9 @@
     }
 }
 
-/// Requests of callers, and questions, among these commands. What sets a session up or rolls a
-/// transaction back costs a database next to nothing.
-fn requests_in(commands: &[Command]) -> u32 {
+/// Returns the number of callers' requests and queries among the commands. Commands that set up a
+/// session or roll back a transaction cost a database next to nothing and do not count.
+fn count_requests(commands: &[Command]) -> u32 {
     let is_request = |command: &&Command| {
         !matches!(
             command,
@@ -243,13 +250,13 @@
     u32::try_from(count).unwrap_or(u32::MAX)
 }
 
-/// Notes which databases have become cold or warm: others hold connections to them then. Called
-/// now and then.
+/// Detects databases that have become cold or warm, which changes the nodes that hold connections
+/// to them. Called periodically.
 pub(crate) fn update_cold_databases(node: &Node) {
     if !node.has_cold_starts() && node.cold.last_cold.borrow().is_empty() {
         return;
     }
-    node.note_awake();
+    node.detect_suspension();
     let listed: Vec<DatabaseName> = {
         let directory = node.directory.borrow();
         directory
@@ -266,12 +273,12 @@
                 cold.insert(name, reason);
             }
             (None, Some(reason)) => {
-                begin_anew(node, &name);
+                reset_cold_start(node, &name);
                 node.log("database_cold", &change_fields(node, &name, reason));
                 cold.insert(name, reason);
             }
             (Some(reason), None) => {
-                begin_anew(node, &name);
+                reset_cold_start(node, &name);
                 node.log("database_warm", &change_fields(node, &name, reason));
             }
         }
@@ -284,7 +291,8 @@
     *last_cold = cold;
 }
 
-/// A node that is no holder of a database any more begins anew when it is one again.
+/// Empties the buckets of databases that this node is not a holder of, so that it starts with an
+/// empty one when it becomes a holder again.
 fn drop_buckets_of_others(node: &Node, cold: &BTreeMap<DatabaseName, ColdReason>) {
     for name in cold.keys() {
         if node.connection_cap(name) == 0 {
@@ -293,13 +301,14 @@
     }
 }
 
-/// Others hold connections to the database from now on, and their parts are empty.
-fn begin_anew(node: &Node, name: &DatabaseName) {
+/// Discards the holders of a database, which change as it becomes cold or warm, and empties its
+/// bucket.
+fn reset_cold_start(node: &Node, name: &DatabaseName) {
     node.homes.borrow_mut().forget_view(name);
     node.cold.starts.borrow_mut().entry(name).empty_bucket();
 }
 
-/// What decided whether a database is cold.
+/// Returns the event fields that explain why a database counts as cold or warm.
 fn change_fields(
     node: &Node,
     name: &DatabaseName,
@@ -319,8 +328,8 @@
     ]
 }
 
-/// A connection to ask a cold database something on: by way of those that hold a part of its
-/// budget.
+/// Returns a connection for a query to a cold database, from one of the nodes that hold a share of
+/// its budget.
 pub(crate) async fn lease_for_query(
     node: &Rc<Node>,
     pool: &Rc<Pool>,
--- a/crates/serving/src/coordinator/mod.rs
+++ b/crates/serving/src/coordinator/mod.rs
@@ -300,7 +300,7 @@
         return Vec::new();
     }
     peers
-        .gather(node, group, Some(leader), &node.other_members())
+        .gather_views(node, group, Some(leader), &node.other_members())
         .await
 }
 
@@ -319,7 +319,9 @@
             .iter()
             .map(|holder| holder.address)
             .collect();
-        let views = peers.gather(node, group, Some(leader), &holders).await;
+        let views = peers
+            .gather_views(node, group, Some(leader), &holders)
+            .await;
         let observed = observations_of(&views);
         let witnesses = node.witnesses(Some(leader));
         let all_hold = witnesses.holders == witnesses.members;
@@ -334,7 +336,7 @@
         }
     }
     peers
-        .gather(node, group, leader, &node.other_members())
+        .gather_views(node, group, leader, &node.other_members())
         .await
 }
 
--- a/crates/serving/src/counters.rs
+++ b/crates/serving/src/counters.rs
@@ -1,4 +1,4 @@
-//! Counters and latency histograms of a node, as Prometheus text.
+//! Counters, gauges and latency histograms of a node, rendered in the Prometheus text format.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
     sum_us: u64,
 }
 
-/// The node's counters. The number of series is bounded by the names in the code.
+/// The node's metrics. The number of series is bounded by the names in the code.
 #[derive(Default)]
 pub struct Counters {
     counts: RefCell<BTreeMap<(&'static str, &'static str), u64>>,
@@ -24,17 +24,17 @@
 }
 
 impl Counters {
-    /// Adds one to a counter under a label.
+    /// Increments the counter `name` with the label `label`.
     pub fn count(&self, name: &'static str, label: &'static str) {
         *self.counts.borrow_mut().entry((name, label)).or_default() += 1;
     }
 
-    /// Sets a gauge.
+    /// Sets a gauge to `value`.
     pub fn set(&self, name: &'static str, value: u64) {
         self.gauges.borrow_mut().insert(name, value);
     }
 
-    /// Adds an observation to the histogram of a stage.
+    /// Adds an observation to the latency histogram of a stage.
     pub fn observe(&self, stage: &'static str, elapsed: Duration) {
         let mut latencies = self.latencies.borrow_mut();
         let histogram = latencies.entry(stage).or_default();
@@ -49,7 +49,7 @@
         }
     }
 
-    /// All of them as Prometheus text.
+    /// Renders all metrics in the Prometheus text format.
     pub fn render(&self) -> String {
         let mut text = String::new();
         for ((name, label), value) in &*self.counts.borrow() {
--- a/crates/serving/src/database_life.rs
+++ b/crates/serving/src/database_life.rs
@@ -19,7 +19,7 @@
             self.directory
                 .borrow_mut()
                 .put(database, revision, self.learned_times());
-        self.hear_warmth(&name, before.as_ref(), registration);
+        self.note_registered_warmth(&name, before.as_ref(), registration);
         self.log_departure(&name, before.as_ref());
         if registration == Registration::NewLife {
             self.discard_earlier_process(&name);
@@ -96,7 +96,7 @@
         if let Some(pool) = self.pools.borrow_mut().remove(name) {
             pool.retire();
         }
-        self.links.forget_database(name);
+        self.links.unskip_database(name);
         self.homes.borrow_mut().forget_view(name);
         self.log(
             "database_restarted",
@@ -159,6 +159,6 @@
             listed
         });
         drop(directory);
-        self.drop_unlisted_warmth();
+        self.drop_unlisted_cold_starts();
     }
 }
--- a/crates/serving/src/events.rs
+++ b/crates/serving/src/events.rs
@@ -1,8 +1,8 @@
-//! Structured log events: one JSON object a line, bounded, never blocking.
+//! Structured event log: one JSON object per line. Writing never blocks and is rate-limited.
 //!
-//! Lines go through a bounded channel to a writer thread. Each kind of event has a
-//! budget of lines a second; what is over the budget or finds the channel full is
-//! counted and told in the next line of that kind that is written.
+//! Lines go through a bounded channel to a writer thread. Each kind of event has a budget of lines
+//! per second. Events that exceed the budget or find the channel full are dropped and counted, and
+//! the next line of that kind reports the count.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,23 +13,24 @@
 use hookpoint_state::Timestamp;
 use serde_json::{Map, Value};
 
-/// Lines that wait for the writer at the most.
+/// Maximum number of lines waiting for the writer.
 const CHANNEL_LINES: usize = 2_048;
-/// Lines a second for each kind of event.
+/// Budget of each kind of event, in lines per second.
 const LINES_PER_SECOND: u32 = 40;
-/// The same for events that tell of ordinary work, so that they stay few under load.
+/// Budget of each kind of event that reports ordinary work, in lines per second, so that these
+/// stay few under load.
 const ORDINARY_LINES_PER_SECOND: u32 = 10;
-/// Length of a budget window.
+/// Length of the time window that a budget applies to.
 const WINDOW: Duration = Duration::from_secs(1);
 
 #[derive(Default)]
 struct Budget {
     window_start: Timestamp,
     written: u32,
-    left_out: u64,
+    dropped: u64,
 }
 
-/// Writes structured events.
+/// A rate-limited log of structured events.
 pub struct EventLog {
     lines: SyncSender<String>,
     budgets: RefCell<BTreeMap<&'static str, Budget>>,
@@ -37,7 +38,7 @@
 }
 
 impl EventLog {
-    /// Starts a writer that passes lines to `output`.
+    /// Starts a writer thread that passes lines to `output`. Each line carries the name `node`.
     pub fn new(node: &str, mut output: impl Write + Send + 'static) -> Self {
         let (lines, receiver) = sync_channel::<String>(CHANNEL_LINES);
         std::thread::spawn(move || {
@@ -55,13 +56,13 @@
         }
     }
 
-    /// Writes one event if its budget allows.
+    /// Writes an event if its budget allows.
     pub fn write(&self, now: Timestamp, event: &'static str, fields: &[(&str, Value)]) {
         self.write_within(LINES_PER_SECOND, now, event, || fields.to_vec());
     }
 
-    /// Writes one event of ordinary work if its smaller budget allows; what it tells is
-    /// put together only then.
+    /// Writes an event of ordinary work if its smaller budget allows. The fields are built only in
+    /// that case.
     pub fn write_ordinary<'a>(
         &self,
         now: Timestamp,
@@ -85,17 +86,17 @@
             budget.written = 0;
         }
         if budget.written >= lines_per_second {
-            budget.left_out += 1;
+            budget.dropped += 1;
             return;
         }
         let fields = fields();
-        let line = self.line(now, event, &fields, budget.left_out);
+        let line = self.line(now, event, &fields, budget.dropped);
         match self.lines.try_send(line) {
             Ok(()) => {
                 budget.written += 1;
-                budget.left_out = 0;
+                budget.dropped = 0;
             }
-            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => budget.left_out += 1,
+            Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) => budget.dropped += 1,
         }
     }
 
@@ -104,15 +105,15 @@
         now: Timestamp,
         event: &'static str,
         fields: &[(&str, Value)],
-        left_out: u64,
+        dropped: u64,
     ) -> String {
         let mut object = Map::new();
         object.insert("at_ms".into(), Value::from(now.0 / 1_000));
         object.insert("wall_ms".into(), Value::from(wall_clock_ms()));
         object.insert("node".into(), Value::from(self.node.as_str()));
         object.insert("event".into(), Value::from(event));
-        if left_out > 0 {
-            object.insert("left_out".into(), Value::from(left_out));
+        if dropped > 0 {
+            object.insert("left_out".into(), Value::from(dropped));
         }
         for (name, value) in fields {
             object.insert((*name).to_owned(), value.clone());
@@ -123,7 +124,8 @@
     }
 }
 
-/// For people who lay logs of several nodes side by side; nothing is decided by it.
+/// Returns the wall-clock time in milliseconds since the Unix epoch. It only helps people to
+/// compare the logs of several nodes; no decision depends on it.
 fn wall_clock_ms() -> u64 {
     let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = elapsed
--- a/crates/serving/src/explanation.rs
+++ b/crates/serving/src/explanation.rs
@@ -1,9 +1,10 @@
-//! The story of one request, database, configuration or evacuated zone, read from nodes' event logs.
+//! Selects the events that explain one request, database, configuration or zone evacuation from
+//! the nodes' event logs.
 
 use serde_json::Value;
 
-/// Events that change what a node believes; they explain the requests near them.
-const BELIEF_EVENTS: [&str; 16] = [
+/// Events that change a node's state and thereby explain the requests at about the same time.
+const STATE_EVENTS: [&str; 16] = [
     "started",
     "stop_requested",
     "leader_confirmed",
@@ -21,57 +22,59 @@
     "database_missing",
     "configuration_in_force",
 ];
-/// Events that tell of a zone's evacuation by its name.
+/// Events of a zone's evacuation that carry the zone's name.
 const ZONE_EVENTS: [&str; 4] = [
     "evacuation_changed",
     "zone_emptied",
     "zone_in_use",
     "handover_decided",
 ];
-/// Events that tell what became of the move of a group's primary.
+/// Events that report the outcome of a move of a group's primary.
 const PROMOTION_EVENTS: [&str; 4] = [
     "promotion_ordered",
     "promotion_answered",
     "no_candidate",
     "primary_found",
 ];
-/// Beliefs that changed this long before a request are told with it, in milliseconds.
-const BELIEFS_BEFORE_MS: u64 = 10_000;
-/// Beliefs that changed this long after a request are told with it, in milliseconds.
-const BELIEFS_AFTER_MS: u64 = 1_000;
-/// Steps of a node's wall clock that are marked, in milliseconds.
+/// State changes this long before a request are included, in milliseconds.
+const STATE_BEFORE_MS: u64 = 10_000;
+/// State changes this long after a request are included, in milliseconds.
+const STATE_AFTER_MS: u64 = 1_000;
+/// Difference between a node's wall and monotonic clocks beyond which a step of the wall clock is
+/// marked, in milliseconds.
 const CLOCK_STEP_MS: i64 = 250;
 
-/// What is asked for.
+/// The subject to explain.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Subject {
-    /// A request's id.
+    /// A request, by its id.
     Request(String),
-    /// A database's name.
+    /// A database, by its name.
     Database(String),
-    /// A configuration's version.
+    /// A configuration, by its version.
     Configuration(u64),
-    /// A zone that is or was evacuated.
+    /// A zone that is or was under evacuation, by its name.
     Zone(String),
 }
 
-/// One event of a log.
+/// An event read from a log.
 #[derive(Clone, Debug)]
 pub struct Event {
-    /// Wall-clock time at the node, in milliseconds since 1970.
+    /// Wall-clock time on the node, in milliseconds since 1970.
     pub wall_ms: u64,
-    /// Steady time at the node, in milliseconds from an origin of its own.
+    /// Monotonic time on the node, in milliseconds from an origin of its own.
     pub steady_ms: u64,
-    /// The node.
+    /// Name of the node.
     pub node: String,
-    /// The kind of event.
+    /// Kind of the event.
     pub name: String,
-    /// All fields.
+    /// All fields of the event, including those above.
     pub fields: Value,
 }
 
 impl Event {
-    /// Reads a line. A prefix before the object is passed over.
+    /// Parses a line. A prefix before the JSON object is skipped. Returns `None` if the line is
+    /// not an event.
     pub fn parse(line: &str) -> Option<Self> {
         let object = &line[line.find('{')?..];
         let fields: Value = serde_json::from_str(object).ok()?;
@@ -94,12 +97,12 @@
             .any(|field| self.text(field) == Some(name))
     }
 
-    fn is_belief(&self) -> bool {
-        BELIEF_EVENTS.contains(&self.name.as_str())
+    fn is_state_change(&self) -> bool {
+        STATE_EVENTS.contains(&self.name.as_str())
     }
 }
 
-/// The events that tell the story of `subject`, in order of time.
+/// Returns the events that explain `subject`, ordered by wall-clock time.
 pub fn select(events: &[Event], subject: &Subject) -> Vec<Event> {
     let mut chosen: Vec<Event> = match subject {
         Subject::Request(id) => select_request(events, id),
@@ -131,23 +134,23 @@
         return Vec::new();
     };
     let group = own.iter().find_map(|event| event.text("group"));
-    let from = first.wall_ms.saturating_sub(BELIEFS_BEFORE_MS);
-    let until = first.wall_ms + BELIEFS_AFTER_MS;
+    let from = first.wall_ms.saturating_sub(STATE_BEFORE_MS);
+    let until = first.wall_ms + STATE_AFTER_MS;
     events
         .iter()
         .filter(|event| {
             let near = (from..=until).contains(&event.wall_ms);
             let same_group = group.is_some() && event.text("group") == group;
             let same_node = event.node == first.node;
-            let belief = near && event.is_belief() && (same_group || same_node);
-            event.text("request") == Some(id) || belief
+            let state_change = near && event.is_state_change() && (same_group || same_node);
+            event.text("request") == Some(id) || state_change
         })
         .cloned()
         .collect()
 }
 
-/// The events of a zone's evacuation: what nodes heard and found in use, and the moves of its
-/// primaries with what became of them.
+/// Returns the events of a zone's evacuation: what the nodes learnt and found in use, and the
+/// moves of its primaries with their outcomes.
 fn select_zone(events: &[Event], zone: &str) -> Vec<Event> {
     let of_zone = |event: &&Event| {
         event.text("zone") == Some(zone) && ZONE_EVENTS.contains(&event.name.as_str())
@@ -168,7 +171,7 @@
         .collect()
 }
 
-/// One line for each event, with a mark where a node's wall clock was stepped.
+/// Formats one line per event, with a mark where a node's wall clock was stepped.
 pub fn tell(events: &[Event]) -> Vec<String> {
     let mut lines = Vec::with_capacity(events.len());
     for (index, event) in events.iter().enumerate() {
@@ -180,7 +183,7 @@
             Some(before) if is_stepped(before, event) => " (its clock was stepped)",
             _ => "",
         };
-        let fields = event.fields.as_object().map(tell_fields);
+        let fields = event.fields.as_object().map(format_fields);
         lines.push(format!(
             "{}.{:03} {}{mark} {}{}",
             event.wall_ms / 1_000,
@@ -203,7 +206,7 @@
     !restarted && (wall - steady).abs() > CLOCK_STEP_MS
 }
 
-fn tell_fields(fields: &serde_json::Map<String, Value>) -> String {
+fn format_fields(fields: &serde_json::Map<String, Value>) -> String {
     let mut text = String::new();
     for (name, value) in fields {
         if !matches!(name.as_str(), "wall_ms" | "at_ms" | "node" | "event") {
--- a/crates/serving/src/feed/following.rs
+++ b/crates/serving/src/feed/following.rs
@@ -194,7 +194,7 @@
         hold_ms: millis(hold),
     });
     let limit = hold + ANSWER_SLACK;
-    match link::call_for_much(node, upstream, &request, limit, UPSTREAM_SILENCE).await {
+    match link::call_for_large_answer(node, upstream, &request, limit, UPSTREAM_SILENCE).await {
         Some((LinkReply::Followed(answer), stream)) => {
             node.links.keep(upstream.name.clone(), stream);
             Some(answer)
--- a/crates/serving/src/link.rs
+++ b/crates/serving/src/link.rs
@@ -1,4 +1,4 @@
-//! Links between nodes: framed messages over TCP, kept at rest between uses.
+//! Links between nodes: framed messages over TCP. Idle links are kept for reuse.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,55 +26,55 @@
 use crate::reachability;
 use crate::socket;
 
-/// Largest message on a link.
+/// Largest message on a link, in bytes.
 const MAX_MESSAGE_BYTES: usize = 4 << 20;
-/// Limit for connecting to a peer.
-const CONNECT_LIMIT: Duration = Duration::from_millis(200);
-/// Time that an answer takes on a link beyond the asked node's own limit.
+/// Timeout for connecting to a peer.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
+/// Time allowed for the answer's transfer in addition to the peer's own time limit.
 pub(crate) const LINK_SLACK: Duration = Duration::from_millis(60);
-/// Links to one peer kept at rest.
-const KEPT_LINKS: usize = 8;
-/// How long a peer is passed over for a database after its link broke.
-const PASSED_OVER_BROKEN: Duration = Duration::from_millis(400);
-/// The same after it answered that it has no connection to lease. It may have just started.
-const PASSED_OVER_REFUSED: Duration = Duration::from_millis(100);
+/// Maximum number of idle links kept per peer.
+const MAX_IDLE_LINKS: usize = 8;
+/// How long a peer is not asked for a database's connections after its link broke.
+const SKIP_BROKEN: Duration = Duration::from_millis(400);
+/// The same after the peer answered that it has no connection to lease. It may have just started.
+const SKIP_REFUSED: Duration = Duration::from_millis(100);
 
-/// Why a peer is passed over for a database for a while.
+/// The reason why a peer is not asked for a database's connections for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum PassedOver {
-    /// Its link broke.
+pub(crate) enum SkipReason {
+    /// The link to the peer broke.
     Broken,
-    /// It answered that it has no connection to lease.
+    /// The peer answered that it has no connection to lease.
     Refused,
 }
 
-impl PassedOver {
+impl SkipReason {
     fn time(self) -> Duration {
         match self {
-            PassedOver::Broken => PASSED_OVER_BROKEN,
-            PassedOver::Refused => PASSED_OVER_REFUSED,
+            SkipReason::Broken => SKIP_BROKEN,
+            SkipReason::Refused => SKIP_REFUSED,
         }
     }
 
-    /// Short name for metrics.
+    /// Returns the label used in metrics.
     pub(crate) fn as_str(self) -> &'static str {
         match self {
-            PassedOver::Broken => "broken",
-            PassedOver::Refused => "refused",
+            SkipReason::Broken => "broken",
+            SkipReason::Refused => "refused",
         }
     }
 }
 
-/// A message to another node.
+/// A request sent over a link.
 #[derive(Serialize, Deserialize)]
 pub(crate) enum LinkRequest {
     Lease {
         database: DatabaseName,
-        /// On whose behalf statements will run; none for a question of the node's own.
+        /// The principal for which statements will run; `None` for a query of the node itself.
         principal: Option<Principal>,
         priority: u8,
         values: SessionValues,
-        /// What the connection is wanted for.
+        /// What the connection is to be used for.
         wanted: ConnectionUse,
         patience_ms: u64,
         limit_ms: u64,
@@ -85,13 +85,13 @@
     },
     Release,
     Snapshot,
-    /// Changes of the store, or newer word that there are none.
+    /// Requests changes of the store, or newer confirmation that there are none.
     Follow(FollowQuestion),
-    /// When databases announced their end.
+    /// Requests the times at which databases announced that they are leaving.
     Departures,
 }
 
-/// The answer.
+/// The answer to a [`LinkRequest`].
 #[derive(Serialize, Deserialize)]
 pub(crate) enum LinkReply {
     Granted {
@@ -103,7 +103,7 @@
     Refused,
     /// The queue for the database's connections is too long.
     Overloaded,
-    /// The database has just started and gets no more from this node at the moment.
+    /// The database has just started, and this node may not send it more at the moment.
     Cold {
         retry_after_ms: u64,
     },
@@ -111,17 +111,18 @@
     Broken {
         timed_out: bool,
     },
-    /// A [`Snapshot`], packed; nothing before there is a configuration.
+    /// A packed [`Snapshot`](crate::snapshot::Snapshot); `None` before the node has a
+    /// configuration.
     Snapshot(Option<Bytes>),
     Followed(FeedAnswer),
     Departures(Vec<AnnouncedDeparture>),
-    /// Nothing was sent: the database gets no more work.
+    /// Nothing was sent, because the database gets no more work.
     NotSent,
 }
 
 pub(crate) type LinkStream = Framed<TcpStream, LengthDelimitedCodec>;
 
-/// Makes a link of a connection. Fails if that has ended already.
+/// Turns a connection into a link. Fails if the connection has already ended.
 pub(crate) fn framed(stream: TcpStream) -> io::Result<LinkStream> {
     socket::prepare(&stream)?;
     Ok(LengthDelimitedCodec::builder()
@@ -139,11 +140,12 @@
     postcard::from_bytes(&frame).map_err(io::Error::other)
 }
 
-/// Links at rest, and peers that could not help lately.
+/// Idle links by peer, and the peers that are not asked for a database's connections at the
+/// moment.
 #[derive(Default)]
 pub struct Links {
     idle: RefCell<BTreeMap<String, Vec<LinkStream>>>,
-    passed_over: RefCell<BTreeMap<(String, DatabaseName), (PassedOver, Timestamp)>>,
+    skipped: RefCell<BTreeMap<(String, DatabaseName), (SkipReason, Timestamp)>>,
 }
 
 impl Links {
@@ -154,51 +156,54 @@
     pub(crate) fn keep(&self, peer: String, stream: LinkStream) {
         let mut idle = self.idle.borrow_mut();
         let links = idle.entry(peer).or_default();
-        if links.len() < KEPT_LINKS {
+        if links.len() < MAX_IDLE_LINKS {
             links.push(stream);
         }
     }
 
-    /// Closes the links at rest to a peer: one of them had no answer, and what silenced or
-    /// broke it may have done so to all.
-    fn forget(&self, peer: &str) {
+    /// Closes the idle links to a peer. Called when one of its links broke or had no answer, as
+    /// the cause may affect all of them.
+    fn close_idle(&self, peer: &str) {
         self.idle.borrow_mut().remove(peer);
     }
 
-    /// Why a peer is passed over for a database at the moment, if it is.
-    pub(crate) fn passed_over(
+    /// Returns why a peer is currently not asked for a database's connections, or `None` if it may
+    /// be asked.
+    pub(crate) fn skip_reason(
         &self,
         peer: &str,
         database: &DatabaseName,
         now: Timestamp,
-    ) -> Option<PassedOver> {
-        let passed_over = self.passed_over.borrow();
-        let (reason, until) = passed_over.get(&(peer.to_owned(), database.clone()))?;
+    ) -> Option<SkipReason> {
+        let skipped = self.skipped.borrow();
+        let (reason, until) = skipped.get(&(peer.to_owned(), database.clone()))?;
         (now < *until).then_some(*reason)
     }
 
-    /// Asks all peers for a database again, whatever they lacked of an earlier life of it.
-    pub(crate) fn forget_database(&self, database: &DatabaseName) {
-        let mut passed_over = self.passed_over.borrow_mut();
-        passed_over.retain(|(_, other), _| other != database);
+    /// Allows all peers to be asked for a restarted database again: earlier failures concern its
+    /// previous process.
+    pub(crate) fn unskip_database(&self, database: &DatabaseName) {
+        let mut skipped = self.skipped.borrow_mut();
+        skipped.retain(|(_, other), _| other != database);
     }
 
-    pub(crate) fn pass_over(
+    pub(crate) fn skip_peer(
         &self,
         peer: &str,
         database: &DatabaseName,
-        reason: PassedOver,
+        reason: SkipReason,
         now: Timestamp,
     ) {
-        let mut passed_over = self.passed_over.borrow_mut();
-        passed_over.retain(|_, (_, until)| *until > now);
+        let mut skipped = self.skipped.borrow_mut();
+        skipped.retain(|_, (_, until)| *until > now);
         let until = now + reason.time();
-        passed_over.insert((peer.to_owned(), database.clone()), (reason, until));
+        skipped.insert((peer.to_owned(), database.clone()), (reason, until));
     }
 }
 
-/// Asks a peer and waits for its answer, for as long as it answers probes. While it says
-/// nothing the `alternatives` are probed as well, so that it is known whom to ask next.
+/// Sends a request to a peer and waits for the answer for as long as the peer responds to probes.
+/// While it does not, the `alternatives` are probed as well, to find out which of them can be
+/// asked next.
 pub(crate) async fn call(
     node: &Rc<Node>,
     peer: &Peer,
@@ -207,12 +212,12 @@
     limit: Duration,
 ) -> Option<(LinkReply, LinkStream)> {
     let silence = reachability::until_silent(node, peer, alternatives);
-    call_unless(silence, node, peer, request, limit).await
+    call_unless_silent(silence, node, peer, request, limit).await
 }
 
-/// Asks a peer for much that can wait: it may leave probes unanswered for `silence`, as one
-/// does whose link is full, with what was asked for among other things.
-pub(crate) async fn call_for_much(
+/// Sends a request with a large answer that can wait. The peer may leave probes unanswered for
+/// `silence`, which happens while its link is saturated, possibly by this very answer.
+pub(crate) async fn call_for_large_answer(
     node: &Rc<Node>,
     peer: &Peer,
     request: &LinkRequest,
@@ -220,10 +225,10 @@
     silence: Duration,
 ) -> Option<(LinkReply, LinkStream)> {
     let silence = reachability::until_silent_for(node, peer, silence);
-    call_unless(silence, node, peer, request, limit).await
+    call_unless_silent(silence, node, peer, request, limit).await
 }
 
-async fn call_unless(
+async fn call_unless_silent(
     silence: impl Future<Output = ()>,
     node: &Rc<Node>,
     peer: &Peer,
@@ -231,7 +236,7 @@
     limit: Duration,
 ) -> Option<(LinkReply, LinkStream)> {
     tokio::select! {
-        answer = call_patiently(node, peer, request, limit) => {
+        answer = call_until_answered(node, peer, request, limit) => {
             if answer.is_some() {
                 reachability::note_heard(node, &peer.name);
             }
@@ -241,9 +246,9 @@
     }
 }
 
-/// Asks a peer, on a link at rest or a new one. One that was at rest may have ended
-/// meanwhile, so a request that breaks on it is sent again on a new one.
-async fn call_patiently(
+/// Sends a request to a peer on an idle link or a new one. An idle link may have ended meanwhile,
+/// so a request that breaks on it is repeated on a new link.
+async fn call_until_answered(
     node: &Rc<Node>,
     peer: &Peer,
     request: &LinkRequest,
@@ -252,20 +257,20 @@
     if let Some(stream) = node.links.take(&peer.name) {
         match call_on(stream, request, limit).await {
             Ok(answered) => return Some(answered),
-            Err(CallError::Broken) => node.links.forget(&peer.name),
+            Err(CallError::Broken) => node.links.close_idle(&peer.name),
             Err(CallError::TimedOut) => {
-                node.links.forget(&peer.name);
+                node.links.close_idle(&peer.name);
                 return None;
             }
         }
     }
     node.counters.count("connections_opened", "link");
-    let connecting = timeout(CONNECT_LIMIT, TcpStream::connect(peer.address)).await;
+    let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(peer.address)).await;
     let stream = connecting.ok()?.ok()?;
     call_on(framed(stream).ok()?, request, limit).await.ok()
 }
 
-/// Why a call had no answer.
+/// The reason why a call had no answer.
 enum CallError {
     Broken,
     TimedOut,
--- a/crates/serving/src/monitor/mod.rs
+++ b/crates/serving/src/monitor/mod.rs
@@ -87,7 +87,7 @@
             }
         }
         reconnect_unreachable(node, &monitor.reconnect_attempts);
-        tokens::look_for_holders(node);
+        tokens::check_holders(node);
         isolation::update(node);
         evacuation::clear_evacuated_zones(node);
         cold_start::update_cold_databases(node);
@@ -197,7 +197,7 @@
         if unconfirmed >= period * MISSED_SAMPLES_BEFORE_QUERY {
             query_database(&self.node, &self.queries, leader, view.in_use);
         } else if unconfirmed >= period {
-            self.ask_for_sample(group, leader);
+            self.request_sample_from_holder(group, leader);
         }
     }
 
@@ -238,7 +238,7 @@
     }
 
     /// Requests the newest sample of the primary from a node that holds connections to it.
-    fn ask_for_sample(&self, group: &GroupName, leader: &DatabaseName) {
+    fn request_sample_from_holder(&self, group: &GroupName, leader: &DatabaseName) {
         if let Some(number) = next_request_number(&self.node, group) {
             self.ask_holder(group, leader, number);
         }
@@ -272,7 +272,7 @@
     fn ask_holder(&self, group: &GroupName, database: &DatabaseName, number: usize) {
         if let Some(address) = self.node.holder_by_number(database, number) {
             self.node.counters.count("questions", "for_sample");
-            self.peers.ask_sample(&self.node, group, address);
+            self.peers.request_sample(&self.node, group, address);
         }
     }
 
--- a/crates/serving/src/node.rs
+++ b/crates/serving/src/node.rs
@@ -399,7 +399,7 @@
             && self.lease_lapsed_since().is_none()
             && self.isolated_since().is_none()
             && self.can_count_operations()
-            && self.uncounted_since().is_none()
+            && self.not_counted_since().is_none()
             && self.configuration().is_some()
             && self.directory.borrow().iter().next().is_some()
     }
--- a/crates/serving/src/peer_message.rs
+++ b/crates/serving/src/peer_message.rs
@@ -1,7 +1,7 @@
-//! The datagrams that nodes exchange.
+//! The datagrams exchanged between nodes.
 //!
-//! A datagram may be lost. Each question is answered by one datagram, and whoever asks waits
-//! for a bounded time or asks again.
+//! A datagram may be lost. Each request is answered by one datagram, and the requester waits for a
+//! bounded time or repeats the request.
 
 use hookpoint_coordination::serving::coordinator::CoordinatorRecord;
 use hookpoint_coordination::serving::failover::Observation;
@@ -12,127 +12,132 @@
 
 use crate::primary_lease::{Announcement, Promotions};
 
-/// A datagram between nodes.
+/// A datagram sent from one node to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// What do you see of this database as the primary of this group?
-    Ask {
-        /// Number of the question.
+    /// Requests the receiver's observation of the primary of a group; answered by `TellObservation`.
+    #[serde(rename = "Ask")]
+    AskObservation {
+        /// Number that the answer repeats.
         nonce: u64,
-        /// The group.
+        /// The group concerned.
         group: GroupName,
-        /// The database believed to lead, if any.
+        /// The database that the sender considers the primary, if any.
         leader: Option<DatabaseName>,
     },
-    /// Where is this group's primary, and at which position?
+    /// Requests a group's primary and its position; answered by `TellSample`.
     AskSample {
-        /// Number of the question.
+        /// Number that the answer repeats.
         nonce: u64,
-        /// The group.
+        /// The group concerned.
         group: GroupName,
     },
-    /// The answer to that, from a node that knows.
+    /// Answers `AskSample`; sent only by a node that knows the primary.
     TellSample {
-        /// Number of the question.
+        /// Number of the request.
         nonce: u64,
-        /// What it knows.
+        /// The newest sample known to the sender.
         sample: PrimarySample,
     },
-    /// May I use primaries?
+    /// Requests a lease on the use of primaries; answered by `TellLease`.
     AskLease {
-        /// Who asks.
+        /// Name of the sender.
         node: String,
-        /// The request, which is a vote as well.
+        /// The request, which is also a vote.
         request: LeaseRequest,
-        /// What the asking node knows of promotions.
+        /// Promotions known to the sender.
         promotions: Promotions,
     },
-    /// The answer to that.
+    /// Answers `AskLease`.
     TellLease {
-        /// The answer.
+        /// Whether and for how long the lease is granted.
         answer: LeaseAnswer,
-        /// What the answering node knows of promotions.
+        /// Promotions known to the sender.
         promotions: Promotions,
     },
-    /// May this tenant run one more operation?
+    /// Requests a token for one operation of a tenant; answered by `TellToken`.
     AskToken {
-        /// Number of the question.
+        /// Number that the answer repeats.
         nonce: u64,
-        /// The tenant.
+        /// The tenant whose operation is to run.
         tenant: TenantName,
         /// How long the operation may wait for the token, in microseconds.
         patience_us: u64,
     },
-    /// The answer to that, of a node that holds its tokens.
+    /// Answers `AskToken`.
     TellToken {
-        /// Number of the question.
+        /// Number of the request.
         nonce: u64,
-        /// Who answers.
+        /// Name of the sender.
         node: String,
-        /// The answer.
+        /// Whether a token is granted.
         answer: TokenAnswer,
     },
-    /// Are you there?
+    /// Probes whether the receiver responds; answered by `AnswerProbe`.
     Probe,
-    /// The answer to that.
+    /// Answers `Probe`.
     AnswerProbe {
-        /// Who answers.
+        /// Name of the sender.
         node: String,
     },
-    /// The sender lacks this group's primary: see whether it has to be replaced.
+    /// Reports that the sender lacks a group's primary, so that the coordinator checks whether it
+    /// has to be replaced.
     ReportLoss {
-        /// The group.
+        /// The group concerned.
         group: GroupName,
-        /// The primary that does not answer the sender; none if it knows none.
+        /// The primary that does not answer the sender, or `None` if the sender knows no primary.
         leader: Option<DatabaseName>,
     },
-    /// The sender coordinates from now on.
+    /// States that the sender is the coordinator from now on.
     TellCoordinator {
-        /// Revision of its record.
+        /// Revision of the sender's coordinator record.
         revision: StoreRevision,
-        /// Its name.
+        /// Name of the sender.
         node: String,
     },
-    /// A primary is about to be replaced: use it no more.
+    /// Announces that a primary is about to be replaced and must no longer be used; answered by
+    /// `Acknowledge`.
     Announce {
-        /// Revision of the coordinator's record.
+        /// Revision of the coordinator record.
         coordinator: StoreRevision,
-        /// Name of the coordinator, which sends this.
+        /// Name of the coordinator, which is the sender.
         node: String,
-        /// What is announced.
+        /// The announced promotion.
         announcement: Announcement,
     },
-    /// The answer: it is used no more.
+    /// Answers `Announce`: the sender no longer uses the replaced primary.
     Acknowledge {
-        /// Who answers.
+        /// Name of the sender.
         node: String,
         /// Revision of the announcement.
         revision: StoreRevision,
-        /// Whether others may have granted leases by its vote.
+        /// Whether other nodes may have granted leases by the sender's vote.
         voted_for_others: bool,
     },
-    /// The answer.
-    Tell {
-        /// Number of the question.
+    /// Answers `AskObservation`.
+    #[serde(rename = "Tell")]
+    TellObservation {
+        /// Number of the request.
         nonce: u64,
-        /// Who answers.
+        /// Name of the sender.
         node: String,
-        /// What it sees.
+        /// The sender's observation of the primary.
         observation: Observation,
-        /// Whether it reaches the state store.
+        /// Whether the sender reaches the state store.
         store_reachable: bool,
-        /// The coordinator that it knows of.
+        /// The coordinator known to the sender.
         coordinator: Option<CoordinatorRecord>,
     },
 }
 
-/// What a node knows of a group's primary, for one that does not ask it itself.
+/// A primary's position as known to one node, for nodes that do not query the primary themselves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrimarySample {
-    /// The primary.
+    /// The database that leads the group.
     pub leader: DatabaseName,
-    /// Its position.
+    /// Position that the primary reported.
     pub position: Position,
-    /// How long ago the teller asked for it, in microseconds on the teller's steady clock.
+    /// Time since the sender requested the position, in microseconds on the sender's monotonic
+    /// clock.
     pub age_us: u64,
 }
--- a/crates/serving/src/peers.rs
+++ b/crates/serving/src/peers.rs
@@ -1,4 +1,5 @@
-//! Datagrams among nodes: what each sees of the primaries.
+//! Exchanges datagrams with other nodes: observations of primaries, leases, samples, tokens and
+//! probes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,51 +24,53 @@
 use crate::reachability;
 use crate::tokens;
 
-/// Largest datagram.
+/// Largest datagram that is received, in bytes.
 const MAX_DATAGRAM: usize = 4 << 10;
-/// How long the answer to a question for a sample is taken in.
+/// How long the answer to a request for a sample is accepted.
 const SAMPLE_ANSWER_TIME: Duration = Duration::from_millis(500);
 
-/// A primary that said nothing for longer than this may have been lost meanwhile. Holders ask
-/// one in use, or one that they are asked about, several times in it.
-const HEARD_LATELY: Duration = Duration::from_secs(1);
+/// A primary that has not answered for longer than this may have been lost. Holders of connections
+/// query a primary that is in use, or that they are asked about, several times in this period.
+const RECENT_CONTACT: Duration = Duration::from_secs(1);
 
-/// Questions about lost primaries that one node has on their way: with their answers, in the time
-/// of a round trip, what fits into a link of some tens of megabits a second beside its requests.
-const ASKED_AT_ONCE: u32 = 2_000;
+/// Maximum number of requests about lost primaries that one node has in progress. In the time of a
+/// round trip, this number of requests and answers fits into a link of a few tens of megabits per
+/// second beside the node's other traffic.
+const MAX_REQUESTS_IN_PROGRESS: u32 = 2_000;
 
-/// Pause after datagrams could not be received.
+/// Pause after a failure to receive datagrams.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(10);
 
-/// Time in which a group's first primary may still be about to register.
+/// Time within which a group's first primary may still be about to register.
 pub(crate) const FIRST_PRIMARY_TIME: Duration = Duration::from_secs(3);
 
-/// What one node answered.
+/// A node's answer about a primary.
 #[derive(Clone, Debug)]
 pub struct PeerView {
-    /// How it sees the primary.
+    /// The node's observation of the primary.
     pub observation: Observation,
-    /// Whether it reaches the state store.
+    /// Whether the node reaches the state store.
     pub store_reachable: bool,
-    /// The coordinator that it knows of.
+    /// The coordinator known to the node.
     pub coordinator: Option<CoordinatorRecord>,
 }
 
-/// The datagram socket and the answers that are awaited.
+/// The datagram socket and the pending requests.
 pub struct Peers {
     counters: Rc<Counters>,
     socket: UdpSocket,
     next_nonce: Cell<u64>,
     answers: RefCell<BTreeMap<u64, BTreeMap<String, PeerView>>>,
     samples_asked: RefCell<BTreeMap<u64, Timestamp>>,
-    /// Questions to peers about lost primaries that may be on their way.
+    /// Permits for requests about lost primaries that may be in progress.
     gathering: Semaphore,
-    /// Who acknowledged the announcement of a revision.
+    /// Acknowledgements received for each announcement that awaits them, by its revision: the
+    /// node's name, and whether other nodes may have granted leases by its vote.
     acknowledged: RefCell<BTreeMap<StoreRevision, Vec<(String, bool)>>>,
 }
 
 impl Peers {
-    /// Binds the socket; what cannot be sent is counted in `counters`.
+    /// Binds the socket. Datagrams that cannot be sent are counted in `counters`.
     pub async fn bind(address: SocketAddr, counters: Rc<Counters>) -> io::Result<Rc<Self>> {
         Ok(Rc::new(Self {
             counters,
@@ -75,12 +78,12 @@
             next_nonce: Cell::new(1),
             answers: RefCell::default(),
             samples_asked: RefCell::default(),
-            gathering: Semaphore::new(ASKED_AT_ONCE as usize),
+            gathering: Semaphore::new(MAX_REQUESTS_IN_PROGRESS as usize),
             acknowledged: RefCell::default(),
         }))
     }
 
-    /// Answers peers and takes in their answers for as long as the node lives.
+    /// Answers requests and handles answers of peers until the node shuts down.
     pub async fn serve(self: Rc<Self>, node: Rc<Node>) {
         let mut datagram = vec![0_u8; MAX_DATAGRAM];
         loop {
@@ -90,26 +93,26 @@
                 continue;
             };
             match postcard::from_bytes(&datagram[..length]) {
-                Ok(message) => self.take(&node, message, sender),
+                Ok(message) => self.handle(&node, message, sender),
                 Err(_) => node.counters.count("peer_datagrams", "unreadable"),
             }
         }
     }
 
-    fn take(&self, node: &Rc<Node>, message: PeerMessage, sender: SocketAddr) {
+    fn handle(&self, node: &Rc<Node>, message: PeerMessage, sender: SocketAddr) {
         match message {
             PeerMessage::Probe => {
                 let node = node.settings.name.clone();
                 self.send(&PeerMessage::AnswerProbe { node }, sender);
             }
             PeerMessage::AnswerProbe { node: peer } => reachability::note_heard(node, &peer),
-            PeerMessage::Ask {
+            PeerMessage::AskObservation {
                 nonce,
                 group,
                 leader,
             } => {
-                node.look_before_testifying(&group, leader.as_ref());
-                let answer = PeerMessage::Tell {
+                node.monitor_before_reporting(&group, leader.as_ref());
+                let answer = PeerMessage::TellObservation {
                     nonce,
                     node: node.settings.name.clone(),
                     observation: node.observe(&group, leader.as_ref()),
@@ -118,7 +121,7 @@
                 };
                 self.send(&answer, sender);
             }
-            PeerMessage::Tell {
+            PeerMessage::TellObservation {
                 nonce,
                 node: peer,
                 observation,
@@ -130,16 +133,16 @@
                     store_reachable,
                     coordinator,
                 };
-                self.take_view(nonce, peer, view);
+                self.record_view(nonce, peer, view);
             }
-            PeerMessage::ReportLoss { group, leader } => node.take_loss_report(&group, leader),
+            PeerMessage::ReportLoss { group, leader } => node.record_loss_report(&group, leader),
             PeerMessage::AskSample { nonce, group } => {
                 node.note_relied_on(&group);
                 if let Some(sample) = node.primary_sample(&group) {
                     self.send(&PeerMessage::TellSample { nonce, sample }, sender);
                 }
             }
-            PeerMessage::TellSample { nonce, sample } => self.take_sample(node, nonce, &sample),
+            PeerMessage::TellSample { nonce, sample } => self.apply_sample(node, nonce, &sample),
             PeerMessage::AskToken {
                 nonce,
                 tenant,
@@ -156,19 +159,19 @@
                 nonce,
                 node: peer,
                 answer,
-            } => tokens::take_answer(node, nonce, &peer, answer),
-            message => self.take_lease_message(node, message, sender),
+            } => tokens::handle_answer(node, nonce, &peer, answer),
+            message => self.handle_lease_message(node, message, sender),
         }
     }
 
-    /// Takes the answer to a question that is still open.
-    fn take_view(&self, nonce: u64, peer: String, view: PeerView) {
+    /// Records the answer to a request that is still pending.
+    fn record_view(&self, nonce: u64, peer: String, view: PeerView) {
         if let Some(answers) = self.answers.borrow_mut().get_mut(&nonce) {
             answers.insert(peer, view);
         }
     }
 
-    /// Sends the probes that become due for as long as the node lives.
+    /// Sends probes as they become due, until the node shuts down.
     pub async fn send_probes(self: Rc<Self>, node: Rc<Node>) {
         loop {
             for address in node.reachability.due_probes().await {
@@ -177,17 +180,17 @@
         }
     }
 
-    /// Sends the questions for tokens for as long as the node lives.
+    /// Sends token requests as they become due, until the node shuts down.
     pub async fn send_token_questions(self: Rc<Self>, node: Rc<Node>) {
         loop {
-            for (question, address) in node.tokens.due_questions().await {
-                self.send(&question, address);
+            for (request, address) in node.tokens.due_requests().await {
+                self.send(&request, address);
             }
         }
     }
 
-    /// Takes what concerns leases on primaries and announcements.
-    fn take_lease_message(&self, node: &Rc<Node>, message: PeerMessage, sender: SocketAddr) {
+    /// Handles messages that concern leases on primaries and announcements.
+    fn handle_lease_message(&self, node: &Rc<Node>, message: PeerMessage, sender: SocketAddr) {
         match message {
             PeerMessage::AskLease {
                 node: peer,
@@ -202,7 +205,7 @@
                 node: coordinator,
             } => primary_lease::learn_coordinator(node, revision, &coordinator),
             PeerMessage::TellLease { answer, promotions } => {
-                primary_lease::take_answer(node, &answer, &promotions);
+                primary_lease::handle_answer(node, &answer, &promotions);
             }
             PeerMessage::Announce {
                 coordinator,
@@ -235,13 +238,13 @@
         }
     }
 
-    /// Begins to take in acknowledgements of an announcement.
+    /// Starts collecting acknowledgements of an announcement.
     pub(crate) fn await_acknowledgements(&self, revision: StoreRevision) {
         self.acknowledged.borrow_mut().insert(revision, Vec::new());
     }
 
-    /// The nodes that have acknowledged it since the last look, and whether others may have
-    /// granted leases by their votes.
+    /// Returns the nodes that have acknowledged the announcement since the last call, and for each
+    /// whether other nodes may have granted leases by its vote.
     pub(crate) fn take_acknowledgements(&self, revision: StoreRevision) -> Vec<(String, bool)> {
         let mut acknowledged = self.acknowledged.borrow_mut();
         acknowledged
@@ -250,13 +253,13 @@
             .unwrap_or_default()
     }
 
-    /// Takes in no more of them.
+    /// Stops collecting acknowledgements of an announcement.
     pub(crate) fn end_acknowledgements(&self, revision: StoreRevision) {
         self.acknowledged.borrow_mut().remove(&revision);
     }
 
-    /// Sends a datagram. One that cannot be sent is lost like any other: whoever waits for an
-    /// answer asks again.
+    /// Sends a datagram. A send failure is treated like a datagram lost in the network: the node
+    /// that waits for an answer repeats its request.
     pub(crate) fn send(&self, message: &PeerMessage, address: SocketAddr) {
         let sent = postcard::to_allocvec(message)
             .ok()
@@ -266,9 +269,9 @@
         }
     }
 
-    /// Asks one peer for a group's primary and its position; the answer is taken in when
-    /// it comes.
-    pub fn ask_sample(&self, node: &Rc<Node>, group: &GroupName, peer: SocketAddr) {
+    /// Requests a group's primary and its position from one peer. The answer is applied when it
+    /// arrives.
+    pub fn request_sample(&self, node: &Rc<Node>, group: &GroupName, peer: SocketAddr) {
         let nonce = self.next_nonce.get();
         self.next_nonce.set(nonce + 1);
         let now = node.now();
@@ -279,7 +282,8 @@
         self.send(&PeerMessage::AskSample { nonce, group }, peer);
     }
 
-    /// Tells the coordinator, if it is another node, that this one lacks a group's primary.
+    /// Reports to the coordinator, if that is another node, that this node lacks a group's
+    /// primary.
     pub(crate) fn report_loss(
         &self,
         node: &Rc<Node>,
@@ -301,10 +305,10 @@
         self.send(&report, peer.address);
     }
 
-    /// The teller asked the primary no later than `age` before this node's question was
-    /// answered, so counting the age from the question makes the sample look older than it
-    /// is, never younger.
-    fn take_sample(&self, node: &Rc<Node>, nonce: u64, sample: &PrimarySample) {
+    /// Applies a sample. The peer asked the primary no earlier than `age` before it answered this
+    /// node's request, so counting the age from when the request was sent can only make the sample
+    /// look older than it is.
+    fn apply_sample(&self, node: &Rc<Node>, nonce: u64, sample: &PrimarySample) {
         let Some(asked_at) = self.samples_asked.borrow_mut().remove(&nonce) else {
             return;
         };
@@ -316,9 +320,10 @@
         node.apply_leader_proof(&sample.leader, proof);
     }
 
-    /// Asks peers what they see of a primary; this node's own view comes first. Where many
-    /// primaries are lost at once, and all nodes are asked for each, those wait their turn.
-    pub async fn gather(
+    /// Requests the peers' observations of a primary. This node's own observation comes first in
+    /// the result. If many primaries are lost at once and all nodes are asked about each, requests
+    /// wait for permits.
+    pub async fn gather_views(
         &self,
         node: &Rc<Node>,
         group: &GroupName,
@@ -328,17 +333,20 @@
         let nonce = self.next_nonce.get();
         self.next_nonce.set(nonce + 1);
         self.answers.borrow_mut().insert(nonce, BTreeMap::new());
-        let question = PeerMessage::Ask {
+        let request = PeerMessage::AskObservation {
             nonce,
             group: group.clone(),
             leader: leader.cloned(),
         };
         let weight = u32::try_from(asked.len()).unwrap_or(u32::MAX);
-        let permits = self.gathering.acquire_many(weight.min(ASKED_AT_ONCE));
-        // The semaphore is never closed; without a permit the questions are merely more.
+        let permits = self
+            .gathering
+            .acquire_many(weight.min(MAX_REQUESTS_IN_PROGRESS));
+        // The semaphore is never closed; an error would only leave the number of requests
+        // unlimited.
         let _permits = permits.await.ok();
         for address in asked {
-            self.send(&question, *address);
+            self.send(&request, *address);
         }
         sleep(LONGEST_ROUND_TRIP).await;
         let answers = self.answers.borrow_mut().remove(&nonce).unwrap_or_default();
@@ -352,7 +360,7 @@
 }
 
 impl Node {
-    /// What this node knows of a group's primary, if it reaches it.
+    /// Returns the newest sample of a group's primary, if this node reaches that primary.
     fn primary_sample(&self, group: &GroupName) -> Option<PrimarySample> {
         let now = self.now();
         self.with_group(group, |state| {
@@ -368,9 +376,10 @@
         })
     }
 
-    /// Takes a peer's word that it lacks a group's primary. The group is looked after until it
-    /// is known better; whether the primary is lost is decided by those that hold connections.
-    fn take_loss_report(&self, group: &GroupName, leader: Option<DatabaseName>) {
+    /// Records a peer's report that it lacks a group's primary. The group is monitored until its
+    /// state is known; whether the primary is lost is decided by the nodes that hold connections
+    /// to it.
+    fn record_loss_report(&self, group: &GroupName, leader: Option<DatabaseName>) {
         if self.coordinator_revision().is_none() {
             return;
         }
@@ -378,7 +387,7 @@
         self.with_group(group, |state| {
             let known = state.leadership.leader();
             let agrees = known.is_some() && known == leader.as_ref();
-            if agrees && now.since(state.contact.last_heard) >= HEARD_LATELY {
+            if agrees && now.since(state.contact.last_heard) >= RECENT_CONTACT {
                 state.contact.lost_since.get_or_insert(now);
             }
             state.reported_lost = Some((leader, now));
@@ -386,9 +395,9 @@
         self.monitor_group(group);
     }
 
-    /// A node that is asked what it sees of a primary looks, if it has not lately: it can
-    /// testify the next time.
-    fn look_before_testifying(&self, group: &GroupName, leader: Option<&DatabaseName>) {
+    /// Starts monitoring a primary that a peer asks about, if this node holds connections to it,
+    /// so that this node can report an observation the next time.
+    fn monitor_before_reporting(&self, group: &GroupName, leader: Option<&DatabaseName>) {
         let known = self.leader(group);
         let leader = leader.or(known.as_ref());
         if leader.is_some_and(|leader| self.connection_cap(leader) > 0) {
@@ -396,8 +405,8 @@
         }
     }
 
-    /// What this node sees of a group's primary. If the one that asks knows none, what it
-    /// sees of the one that it knows itself.
+    /// Returns this node's observation of a group's primary. If the requester knows no primary
+    /// (`leader` is `None`), the observation concerns the one known to this node.
     pub fn observe(&self, group: &GroupName, leader: Option<&DatabaseName>) -> Observation {
         let now = self.now();
         let known = self.leader(group);
@@ -419,7 +428,7 @@
                 return Observation::Reachable;
             }
             match state.contact.lost_since {
-                None if held && now.since(state.contact.last_heard) < HEARD_LATELY => {
+                None if held && now.since(state.contact.last_heard) < RECENT_CONTACT => {
                     Observation::Reachable
                 }
                 None => Observation::Unknown,
--- a/crates/serving/src/primary_lease.rs
+++ b/crates/serving/src/primary_lease.rs
@@ -174,7 +174,7 @@
 
 /// Handles the answer to a lease request. The announcements in the answer take effect before the
 /// lease does, so the lease never covers a primary that they replace.
-pub(crate) fn take_answer(node: &Rc<Node>, answer: &LeaseAnswer, promotions: &Promotions) {
+pub(crate) fn handle_answer(node: &Rc<Node>, answer: &LeaseAnswer, promotions: &Promotions) {
     node.learn_announcements(&promotions.newer);
     node.note_promotions_known(promotions.known);
     node.close_replaced_primaries();
@@ -398,7 +398,7 @@
     pub(crate) fn sessions_move_since(&self) -> Option<Timestamp> {
         let now = self.now();
         self.lease_lapsed_since()
-            .or_else(|| self.uncounted_since())
+            .or_else(|| self.not_counted_since())
             .or_else(|| self.isolated_since())
             .filter(|since| now.since(*since) >= SESSIONS_MOVE_AFTER)
     }
--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -1,9 +1,9 @@
-//! Leases of database connections that another node holds.
+//! Leases of database connections held by other nodes.
 //!
-//! A node that is not home of a database, or that cannot reach it, leases a connection
-//! from a node that can: for one statement or one transaction. The holder runs the
-//! commands on its own connection and sends the answers back, so what the database
-//! promises holds end to end. A link that breaks ends its lease; the holder rolls back.
+//! A node that is not a home of a database, or that cannot reach it, leases a connection from a
+//! node that can, for one statement or one transaction. The holder runs the commands on its own
+//! connection and returns the answers, so the database's guarantees hold end to end. When a link
+//! breaks, its lease ends and the holder rolls back.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -24,7 +24,7 @@
 use crate::homes::Peer;
 use crate::lease::{Lease, note_begin};
 use crate::link::{
-    self, LINK_SLACK, LinkReply, LinkRequest, LinkStream, PassedOver, framed, receive, send,
+    self, LINK_SLACK, LinkReply, LinkRequest, LinkStream, SkipReason, framed, receive, send,
 };
 use crate::message::Command;
 use crate::node::Node;
@@ -34,29 +34,29 @@
 use crate::snapshot::Snapshot;
 use crate::units::millis;
 
-/// Limit for the beginning of a snapshot.
-const SNAPSHOT_BEGINS: Duration = Duration::from_millis(400);
-/// Limit for the rest of it: on the narrowest links a large configuration takes seconds, and
-/// beginning anew with another peer takes longer.
-const SNAPSHOT_ARRIVES: Duration = Duration::from_secs(5);
-/// Peers that are asked for one lease at the most.
-const PEERS_ASKED: usize = 3;
-/// A lease is taken back when its user has been silent for as long as a transaction may
-/// rest and this long besides: a peer that froze or lost power never gives it back.
-const HELD_SLACK: Duration = Duration::from_secs(1);
-/// A link without a lease is closed when it has been silent for this long.
+/// Timeout for the start of a snapshot's transfer.
+const SNAPSHOT_START_TIMEOUT: Duration = Duration::from_millis(400);
+/// Timeout for the rest of the transfer. On the narrowest links a large configuration takes
+/// seconds, and starting again with another peer would take longer.
+const SNAPSHOT_TRANSFER_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of peers asked for one lease.
+const MAX_PEERS_ASKED: usize = 3;
+/// A lease is revoked when its user has been silent for as long as a transaction may be idle plus
+/// this time: a peer that froze or lost power never returns it.
+const REVOCATION_SLACK: Duration = Duration::from_secs(1);
+/// Idle time after which a link without a lease is closed.
 const IDLE_LINK_LIMIT: Duration = Duration::from_secs(60);
-/// Pause after a link could not be accepted.
+/// Pause after a failure to accept a link.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// The way to a leased connection.
+/// The link over which a leased connection is used.
 pub struct RelayedChannel {
     stream: LinkStream,
     peer: String,
 }
 
 impl RelayedChannel {
-    /// Has the holder run commands.
+    /// Sends commands to the holder, which runs them on its connection, and returns the answers.
     pub async fn exchange(
         &mut self,
         commands: &[Command],
@@ -83,7 +83,7 @@
     }
 }
 
-/// Ends a lease and keeps its link for the next one.
+/// Ends a lease and keeps its link for reuse.
 pub async fn release(node: Rc<Node>, mut channel: RelayedChannel) {
     if send(&mut channel.stream, &LinkRequest::Release)
         .await
@@ -106,55 +106,56 @@
     let principal = wanted.principal.unwrap_or(&Principal::Anonymous);
     let holders = node.holders_for(database, principal, wanted.placement);
     let request = lease_request(database, wanted);
-    let mut answering = 0;
+    let mut responsive = 0;
     for peer in holders.iter() {
-        if asked == PEERS_ASKED {
+        if asked == MAX_PEERS_ASKED {
             break;
         }
         if !node.reachability.may_ask(peer, node.now()) {
             continue;
         }
-        let mut passed_over = node.links.passed_over(&peer.name, database, node.now());
-        if passed_over.is_none() {
+        let mut skip_reason = node.links.skip_reason(&peer.name, database, node.now());
+        if skip_reason.is_none() {
             asked += 1;
-            match ask(node, peer, &holders, &request, limit).await {
+            match request_lease(node, peer, &holders, &request, limit).await {
                 Ok(granted) => {
                     let connection = granted.into_connection(database, principal);
                     node.counters.count("relayed_leases", "granted");
                     return Ok(pool.lend_relayed(connection));
                 }
-                Err(NotLent::Overloaded) => {
+                Err(PeerRefusal::Overloaded) => {
                     node.counters.count("relayed_leases", "overloaded");
                     refusal = NoLease::Overloaded;
                 }
-                Err(NotLent::Cold { retry_after }) => {
+                Err(PeerRefusal::Cold { retry_after }) => {
                     node.counters.count("relayed_leases", "cold");
                     refusal = NoLease::Cold { retry_after };
                 }
-                Err(NotLent::PassedOver(reason)) => {
+                Err(PeerRefusal::Skipped(reason)) => {
                     node.counters.count("relayed_leases", reason.as_str());
                     node.links
-                        .pass_over(&peer.name, database, reason, node.now());
-                    passed_over = Some(reason);
+                        .skip_peer(&peer.name, database, reason, node.now());
+                    skip_reason = Some(reason);
                 }
             }
         }
-        if counts_as_answering(passed_over, wanted.placement) {
-            answering += 1;
+        if counts_as_responsive(skip_reason, wanted.placement) {
+            responsive += 1;
         }
     }
-    if answering == 0 && !node.holders(database).is_empty() {
+    if responsive == 0 && !node.holders(database).is_empty() {
         refusal = NoLease::Silent;
     }
     Err(refusal)
 }
 
-/// Whether a holder that probes do not show as silent is relied on for a lease.
+/// Returns whether a lease can be expected from a holder that probes do not show as silent.
 ///
-/// Of those that may carry a confined statement few are left once one is lost, often none,
-/// so that one whose link broke is not waited for until probes tell.
-fn counts_as_answering(passed_over: Option<PassedOver>, placement: &Placement) -> bool {
-    passed_over != Some(PassedOver::Broken) || !placement.is_restricted()
+/// After the loss of one node, few or none of the holders that may carry a confined statement are
+/// left. Therefore a holder whose link broke does not count for such statements, without waiting
+/// for the result of probes.
+fn counts_as_responsive(skip_reason: Option<SkipReason>, placement: &Placement) -> bool {
+    skip_reason != Some(SkipReason::Broken) || !placement.is_restricted()
 }
 
 fn lease_request(database: &DatabaseName, wanted: ConnectionRequest<'_>) -> LinkRequest {
@@ -170,24 +171,24 @@
     }
 }
 
-/// Why no peer gave a connection.
+/// The reason why no peer leased a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoLease {
-    /// None of those asked has one.
+    /// None of the peers asked has a connection to lease.
     NotLent,
-    /// The queue of the last one that answered is too long.
+    /// The queue of the last peer that answered is too long.
     Overloaded,
-    /// The database has just started, and the parts of those asked are used up.
+    /// The database has just started, and the budgets of the peers asked are used up.
     Cold {
-        /// When there is a part again.
+        /// When a budget is available again.
         retry_after: Duration,
     },
-    /// None of the nodes that hold connections and may be asked answers.
+    /// None of the nodes that hold connections and may be asked responds.
     Silent,
 }
 
 impl NoLease {
-    /// The error to tell, `otherwise` if the peers' refusals say nothing.
+    /// Converts to the error to report; `otherwise` if the peers' refusals give no reason.
     pub(crate) fn or(self, otherwise: AcquireError) -> AcquireError {
         match self {
             NoLease::NotLent | NoLease::Silent => otherwise,
@@ -197,17 +198,18 @@
     }
 }
 
-/// Why a peer gave no connection.
-enum NotLent {
-    /// Its queue is too long.
+/// The reason why one peer leased no connection.
+enum PeerRefusal {
+    /// The peer's queue is too long.
     Overloaded,
-    /// Its part of what a cold database may get is used up.
+    /// The peer's share of a cold database's budget is used up.
     Cold { retry_after: Duration },
-    /// It did not answer, or has none to lend; then the link is as good as before.
-    PassedOver(PassedOver),
+    /// The peer did not answer, or it has no connection to lease; in the latter case its link
+    /// remains usable.
+    Skipped(SkipReason),
 }
 
-/// A connection that a peer lends, as it stands.
+/// A connection leased by a peer, with its state.
 struct Granted {
     channel: RelayedChannel,
     in_transaction: bool,
@@ -227,13 +229,13 @@
     }
 }
 
-async fn ask(
+async fn request_lease(
     node: &Rc<Node>,
     peer: &Peer,
     holders: &[Peer],
     request: &LinkRequest,
     limit: Duration,
-) -> Result<Granted, NotLent> {
+) -> Result<Granted, PeerRefusal> {
     match link::call(node, peer, holders, request, limit).await {
         Some((
             LinkReply::Granted {
@@ -258,23 +260,23 @@
         }
         Some((LinkReply::Overloaded, stream)) => {
             node.links.keep(peer.name.clone(), stream);
-            Err(NotLent::Overloaded)
+            Err(PeerRefusal::Overloaded)
         }
         Some((LinkReply::Cold { retry_after_ms }, stream)) => {
             node.links.keep(peer.name.clone(), stream);
-            Err(NotLent::Cold {
+            Err(PeerRefusal::Cold {
                 retry_after: Duration::from_millis(retry_after_ms),
             })
         }
         Some((LinkReply::Refused, stream)) => {
             node.links.keep(peer.name.clone(), stream);
-            Err(NotLent::PassedOver(PassedOver::Refused))
+            Err(PeerRefusal::Skipped(SkipReason::Refused))
         }
-        _ => Err(NotLent::PassedOver(PassedOver::Broken)),
+        _ => Err(PeerRefusal::Skipped(SkipReason::Broken)),
     }
 }
 
-/// Asks the node at `address` for what it knows.
+/// Fetches the snapshot of the node at `address`.
 pub async fn fetch_snapshot(address: SocketAddr) -> Option<Snapshot> {
     let beginning = async {
         let mut stream = framed(TcpStream::connect(address).await?)?;
@@ -282,14 +284,17 @@
         stream.get_ref().readable().await?;
         io::Result::Ok(stream)
     };
-    let mut stream = timeout(SNAPSHOT_BEGINS, beginning).await.ok()?.ok()?;
-    match timeout(SNAPSHOT_ARRIVES, receive(&mut stream)).await {
+    let mut stream = timeout(SNAPSHOT_START_TIMEOUT, beginning)
+        .await
+        .ok()?
+        .ok()?;
+    match timeout(SNAPSHOT_TRANSFER_TIMEOUT, receive(&mut stream)).await {
         Ok(Ok(LinkReply::Snapshot(Some(snapshot)))) => packed::unpack(&snapshot).ok(),
         _ => None,
     }
 }
 
-/// What this node knows, for a peer that starts.
+/// Returns a packed snapshot of this node for a peer that is starting.
 fn packed_snapshot(node: &Rc<Node>) -> Option<Bytes> {
     let snapshot = Snapshot::of(node)?;
     match packed::pack(&snapshot) {
@@ -301,7 +306,7 @@
     }
 }
 
-/// Serves the links of peers for as long as the node lives.
+/// Serves the links of peers until the node shuts down.
 pub async fn serve(node: Rc<Node>, listener: TcpListener) {
     loop {
         match listener.accept().await {
@@ -319,13 +324,13 @@
     }
 }
 
-/// A connection of this node's that a peer uses; a stop waits until it comes back.
-struct Lent {
+/// A connection of this node that a peer uses. A shutdown waits until it is returned.
+struct LentConnection {
     node: Rc<Node>,
     lease: Lease,
 }
 
-impl Lent {
+impl LentConnection {
     fn new(node: &Rc<Node>, lease: Lease) -> Self {
         node.lent_connections.set(node.lent_connections.get() + 1);
         Self {
@@ -335,7 +340,7 @@
     }
 }
 
-impl Drop for Lent {
+impl Drop for LentConnection {
     fn drop(&mut self) {
         self.node
             .lent_connections
@@ -343,18 +348,19 @@
     }
 }
 
-/// Takes a connection for a peer. A node that stops lends no more once callers have had
-/// time to turn away from it.
+/// Takes a connection for a peer. A node that is shutting down lends no more connections once
+/// callers have had time to move to other nodes.
 async fn lend(
     node: &Rc<Node>,
     database: &DatabaseName,
     wanted: ConnectionRequest<'_>,
-) -> Result<Lent, AcquireError> {
+) -> Result<LentConnection, AcquireError> {
     if node.stop_stage() >= StopStage::CloseIdle {
         return Err(AcquireError::NotHeld);
     }
-    // A peer that has heard otherwise turns to another holder. Its statement would be refused
-    // only as it is sent, again and again.
+    // A peer that does not know yet that the database is leaving turns to another holder. If the
+    // connection were lent, its statements would be refused only when they are sent, again and
+    // again.
     if wanted.principal.is_some() && !node.gets_new_work(database) {
         return Err(AcquireError::NotHeld);
     }
@@ -368,14 +374,14 @@
         None => "for_question",
     };
     node.counters.count("lent_leases", label);
-    Ok(Lent::new(node, lease))
+    Ok(LentConnection::new(node, lease))
 }
 
 async fn serve_link(node: Rc<Node>, mut stream: LinkStream) {
-    let mut held: Option<Lent> = None;
+    let mut held: Option<LentConnection> = None;
     loop {
         let limit = if held.is_some() {
-            node.transaction_idle() + HELD_SLACK
+            node.transaction_idle() + REVOCATION_SLACK
         } else {
             IDLE_LINK_LIMIT
         };
@@ -405,7 +411,7 @@
                     principal: principal.as_ref(),
                     priority,
                     values: &values,
-                    // The node that asks has chosen this one by its caller's placement.
+                    // The requesting node has selected this holder by the caller's placement.
                     placement: &Placement::unrestricted(),
                     limits,
                 };
@@ -421,7 +427,7 @@
             LinkRequest::Exchange { commands, limit_ms } => {
                 let limit = Duration::from_millis(limit_ms);
                 match &mut held {
-                    Some(lent) => run(&node, &mut lent.lease, &commands, limit).await,
+                    Some(lent) => run_commands(&node, &mut lent.lease, &commands, limit).await,
                     None => LinkReply::Broken { timed_out: false },
                 }
             }
@@ -451,7 +457,7 @@
     }
 }
 
-async fn run(
+async fn run_commands(
     node: &Rc<Node>,
     lease: &mut Lease,
     commands: &[Command],
@@ -474,7 +480,8 @@
     }
 }
 
-/// What a peer's plain transaction proves of the primary, this node need not ask itself.
+/// Records proofs of leadership from a peer's plain transactions, so that this node need not query
+/// the primary itself.
 fn note_proofs(
     node: &Rc<Node>,
     lease: &Lease,
@@ -492,8 +499,8 @@
     }
 }
 
-/// Keeps track of what a peer's command does to the connection. Values that a peer set
-/// are not relied on: the next user resets them.
+/// Tracks how a peer's command changes the connection's state. Values set by a peer are treated as
+/// unknown, so that the next user resets them.
 fn note_command(connection: &mut Connection, command: &Command) {
     match command {
         Command::Set { .. } => connection.values_unknown = true,
--- a/crates/serving/src/shutdown.rs
+++ b/crates/serving/src/shutdown.rs
@@ -1,4 +1,5 @@
-//! A stop in stages: not ready at once, then idle sessions close, then transactions end.
+//! Shutdown in stages: readiness is withdrawn first, then idle sessions are closed, then
+//! transactions are ended.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -7,26 +8,26 @@
 
 use crate::node::Node;
 
-/// How long callers may still be sent here after readiness was withdrawn.
-const WITHDRAWAL: Duration = Duration::from_millis(2_200);
-/// Pause between looks at the open sessions.
-const LOOK: Duration = Duration::from_millis(50);
+/// How long callers may still be routed to this node after its readiness was withdrawn.
+const READINESS_WITHDRAWAL_TIME: Duration = Duration::from_millis(2_200);
+/// Interval between checks of the open sessions.
+const SESSION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How far a stop has come.
+/// The stage of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopStage {
-    /// No stop was asked for.
+    /// No shutdown was requested.
     Running,
-    /// The node says that it is not ready and serves on.
+    /// The node reports that it is not ready, but continues to serve.
     Withdrawn,
-    /// Sessions without a transaction close.
+    /// Sessions without an open transaction are closed.
     CloseIdle,
-    /// Sessions that rest inside a transaction close as well.
+    /// Sessions that are idle in a transaction are closed as well.
     EndTransactions,
 }
 
 impl Node {
-    /// How far the stop has come.
+    /// Returns the present stage of the shutdown.
     pub fn stop_stage(&self) -> StopStage {
         let Some(since) = self.stopping_since.get() else {
             return StopStage::Running;
@@ -34,7 +35,7 @@
         let elapsed = self.now().since(since);
         if elapsed >= self.changeable().grace_period / 2 {
             StopStage::EndTransactions
-        } else if elapsed >= WITHDRAWAL.min(self.changeable().grace_period / 3) {
+        } else if elapsed >= READINESS_WITHDRAWAL_TIME.min(self.changeable().grace_period / 3) {
             StopStage::CloseIdle
         } else {
             StopStage::Withdrawn
@@ -42,7 +43,8 @@
     }
 }
 
-/// Stops the node: returns when no session is open and no connection is lent, or the grace period nears its end.
+/// Shuts the node down. Returns when no session is open and no connection is lent, or when the
+/// grace period is about to end.
 pub async fn stop(node: &Rc<Node>) {
     if node.stopping_since.get().is_some() {
         return;
@@ -55,7 +57,7 @@
     );
     let limit = node.changeable().grace_period * 9 / 10;
     loop {
-        sleep(LOOK).await;
+        sleep(SESSION_CHECK_INTERVAL).await;
         node.stop_advanced.notify_waiters();
         let elapsed = node.now().since(began);
         let idle_closed = node.stop_stage() >= StopStage::CloseIdle;
--- a/crates/serving/src/tokens.rs
+++ b/crates/serving/src/tokens.rs
@@ -1,7 +1,8 @@
-//! Tokens for the operations of tenants: asking for them, and granting those held here.
+//! Rate-limit tokens for the operations of tenants: requests tokens from their holders, and grants
+//! those held by this node.
 //!
-//! What is granted is decided by `hookpoint_coordination::serving::quota`, who holds a tenant's
-//! tokens by `token_holders`.
+//! `hookpoint_coordination::serving::quota` decides what is granted, and `token_holders` which
+//! nodes hold a tenant's tokens.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -23,95 +24,99 @@
 use crate::peer_message::PeerMessage;
 use crate::reachability;
 
-/// A question without an answer is sent once more after this time, as datagrams get lost: the
-/// usual round trip between regions (40 ms) and half as much.
+/// A request without an answer is repeated once after this time, because datagrams may be lost:
+/// one and a half times the usual round trip between regions (40 ms).
 const REPEAT_AFTER: Duration = Duration::from_millis(60);
-/// An answer that takes longer is not waited for, and another holder is asked.
-const ANSWER_LIMIT: Duration = Duration::from_millis(130);
-/// Pause between looks whether the other nodes are known.
-const FLEET_LOOK: Duration = Duration::from_millis(10);
-/// Pause between looks whether the holders answer.
-const HOLDERS_LOOK: Duration = Duration::from_millis(250);
+/// Time after which an answer is no longer awaited and another holder is asked.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(130);
+/// Interval between checks whether the other nodes are known.
+const FLEET_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval between checks whether the holders respond.
+const HOLDER_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a node keeps of tokens.
+/// A node's state for requesting and granting tokens.
 #[derive(Default)]
 pub(crate) struct Tokens {
     granting: RefCell<TokenHolder>,
-    /// From when on the tokens held here came back.
-    held_from: RefCell<BTreeMap<TenantName, Timestamp>>,
-    /// When one of them last ceased to.
+    /// For each tenant, the time from which the tokens held here are replenished.
+    replenished_from: RefCell<BTreeMap<TenantName, Timestamp>>,
+    /// When a node last ceased to count as a member.
     member_left_at: Cell<Option<Timestamp>>,
-    /// Until when each holder has no token of a tenant.
-    dry: RefCell<BTreeMap<(TenantName, String), Timestamp>>,
+    /// For each tenant and holder, the time until which the holder has no token.
+    exhausted: RefCell<BTreeMap<(TenantName, String), Timestamp>>,
     awaiting: RefCell<BTreeMap<u64, oneshot::Sender<TokenAnswer>>>,
     next_nonce: Cell<u64>,
     due: RefCell<Vec<(PeerMessage, SocketAddr)>>,
-    question_due: Notify,
-    /// Since when most tenants' operations cannot be counted here.
-    uncounted_since: Cell<Option<Timestamp>>,
-    looked_at: Cell<Timestamp>,
+    request_due: Notify,
+    /// Since when the operations of most tenants cannot be counted on this node.
+    not_counted_since: Cell<Option<Timestamp>>,
+    checked_at: Cell<Timestamp>,
 }
 
-/// Why an operation may not run.
+/// The reason why an operation may not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum NoToken {
-    /// The tenant is over its limit.
+    /// The tenant has exceeded its limit.
     OverLimit {
-        /// When a token comes back.
+        /// When a token is available again.
         retry_after: Duration,
     },
-    /// No node that counts the tenant's operations answers.
+    /// No node that counts the tenant's operations responds.
     NotCounted,
 }
 
 impl Tokens {
-    /// The questions to send, as soon as there are some.
-    pub(crate) async fn due_questions(&self) -> Vec<(PeerMessage, SocketAddr)> {
+    /// Waits for requests to become due and returns them with their destinations.
+    pub(crate) async fn due_requests(&self) -> Vec<(PeerMessage, SocketAddr)> {
         while self.due.borrow().is_empty() {
-            self.question_due.notified().await;
+            self.request_due.notified().await;
         }
         self.due.take()
     }
 
-    /// Takes in that a node no longer counts as a member.
+    /// Records that a node no longer counts as a member.
     pub(crate) fn note_member_left(&self, now: Timestamp) {
         self.member_left_at.set(Some(now));
     }
 
-    /// From when on tokens that this node holds now come back. A process that has just
-    /// started has granted none, and begins at once; one that takes over from another node
-    /// waits until nobody asks that one any more.
-    fn held_from(&self, tenant: &TenantName, started_at: Timestamp) -> Timestamp {
+    /// Returns the time from which the tokens that this node holds now are replenished. A process
+    /// that has just started has granted none and begins immediately; one that takes over from
+    /// another node waits until that node is no longer asked.
+    fn replenished_from(&self, tenant: &TenantName, started_at: Timestamp) -> Timestamp {
         let left_at = self.member_left_at.get();
         let from = left_at.map_or(started_at, |left_at| left_at + TAKEOVER_PAUSE);
-        let mut held_from = self.held_from.borrow_mut();
-        *held_from.entry(tenant.clone()).or_insert(from)
+        let mut replenished_from = self.replenished_from.borrow_mut();
+        *replenished_from.entry(tenant.clone()).or_insert(from)
     }
 
-    fn let_go(&self, tenant: &TenantName) {
-        if self.held_from.borrow_mut().remove(tenant).is_some() {
+    fn release(&self, tenant: &TenantName) {
+        if self.replenished_from.borrow_mut().remove(tenant).is_some() {
             self.granting.borrow_mut().forget(tenant);
         }
     }
 
-    fn dry_until(&self, tenant: &TenantName, holder: &Peer) -> Timestamp {
+    fn exhausted_until(&self, tenant: &TenantName, holder: &Peer) -> Timestamp {
         let key = (tenant.clone(), holder.name.clone());
-        self.dry.borrow().get(&key).copied().unwrap_or_default()
+        self.exhausted
+            .borrow()
+            .get(&key)
+            .copied()
+            .unwrap_or_default()
     }
 
-    /// Forgets until when holders were dry that no longer are.
-    fn forget_past(&self, now: Timestamp) {
-        self.dry.borrow_mut().retain(|_, until| *until > now);
+    /// Removes entries of holders that may have tokens again.
+    fn remove_expired(&self, now: Timestamp) {
+        self.exhausted.borrow_mut().retain(|_, until| *until > now);
     }
 
-    fn note_dry(&self, tenant: &TenantName, holder: &Peer, until: Timestamp) {
+    fn note_exhausted(&self, tenant: &TenantName, holder: &Peer, until: Timestamp) {
         let key = (tenant.clone(), holder.name.clone());
-        self.dry.borrow_mut().insert(key, until);
+        self.exhausted.borrow_mut().insert(key, until);
     }
 
-    fn send(&self, question: PeerMessage, address: SocketAddr) {
-        self.due.borrow_mut().push((question, address));
-        self.question_due.notify_one();
+    fn send(&self, request: PeerMessage, address: SocketAddr) {
+        self.due.borrow_mut().push((request, address));
+        self.request_due.notify_one();
     }
 
     fn await_answer(&self) -> (u64, oneshot::Receiver<TokenAnswer>) {
@@ -124,15 +129,15 @@
 }
 
 impl Node {
-    /// What all holders together may grant to a tenant; nothing if it has no limit.
+    /// Returns what all holders together may grant to a tenant, or `None` if it has no limit.
     fn grant_limit(&self, tenant: &TenantName) -> Option<GrantLimit> {
         let bounds = self.changeable().quota?;
         let limit = self.configuration()?.tenants.limit(tenant)?;
         Some(bounds.grant_limit(limit))
     }
 
-    /// Whether others still count this node as a member if they know better than it does: it
-    /// hears of the store, or its lease has held until now.
+    /// Returns whether other nodes still count this node as a member, even if they have newer
+    /// information: this node follows the store, or its lease was valid until recently.
     fn may_hold_tokens(&self) -> bool {
         let now = self.now();
         let counted = self.settings.lease_time + MEMBER_RETENTION;
@@ -140,7 +145,8 @@
             && (feed::is_fresh(self) || now.since(self.lease_renewed_at.get()) < counted)
     }
 
-    /// Whether operations can be counted: nobody's are, or this node knows who counts them.
+    /// Returns whether operations can be counted: no tenant is limited, or this node knows which
+    /// nodes count them.
     pub(crate) fn can_count_operations(&self) -> bool {
         let counted = self.changeable().quota.is_some()
             && self
@@ -149,14 +155,14 @@
         !counted || self.knows_fleet()
     }
 
-    /// Since when most tenants' operations cannot be counted here, as no holder of their tokens
-    /// answers: others serve this node's callers better.
-    pub(crate) fn uncounted_since(&self) -> Option<Timestamp> {
-        self.tokens.uncounted_since.get()
+    /// Returns since when the operations of most tenants cannot be counted on this node because no
+    /// holder of their tokens responds. Other nodes can then serve this node's callers better.
+    pub(crate) fn not_counted_since(&self) -> Option<Timestamp> {
+        self.tokens.not_counted_since.get()
     }
 
-    /// Whether a holder of the tenant's tokens may answer.
-    fn counts(&self, tenant: &TenantName) -> bool {
+    /// Returns whether at least one holder of the tenant's tokens may respond.
+    fn has_responsive_holder(&self, tenant: &TenantName) -> bool {
         let Some(limit) = self.grant_limit(tenant) else {
             return true;
         };
@@ -167,7 +173,7 @@
     }
 }
 
-/// Grants one token held here, if there is one within `patience`.
+/// Grants one token held by this node, if one is available within `patience`.
 pub(crate) fn grant(node: &Node, tenant: &TenantName, patience: Duration) -> TokenAnswer {
     let Some(limit) = node.grant_limit(tenant) else {
         return TokenAnswer::NotHeld;
@@ -178,18 +184,18 @@
         .iter()
         .any(|holder| holder.name == node.settings.name);
     if !held {
-        node.tokens.let_go(tenant);
+        node.tokens.release(tenant);
     }
     if !held || !node.may_hold_tokens() {
         return TokenAnswer::NotHeld;
     }
-    let from = node.tokens.held_from(tenant, node.started_at());
+    let from = node.tokens.replenished_from(tenant, node.started_at());
     let mut granting = node.tokens.granting.borrow_mut();
     granting.take(tenant, limit.part(holders), from, node.now(), patience)
 }
 
-/// Takes the answer to a question that may still be open.
-pub(crate) fn take_answer(node: &Node, nonce: u64, peer: &str, answer: TokenAnswer) {
+/// Handles the answer to a request that may still be pending.
+pub(crate) fn handle_answer(node: &Node, nonce: u64, peer: &str, answer: TokenAnswer) {
     reachability::note_heard(node, peer);
     let waiting = node.tokens.awaiting.borrow_mut().remove(&nonce);
     let unused = waiting.is_none_or(|waiting| waiting.send(answer).is_err());
@@ -198,8 +204,8 @@
     }
 }
 
-/// Takes a token for one operation of a tenant, from the nearest holder that has one; waits
-/// for one that comes back within `patience`.
+/// Takes a token for one operation of a tenant from the nearest holder that has one. Waits for a
+/// token that becomes available within `patience`.
 pub(crate) async fn take(
     node: &Rc<Node>,
     tenant: &TenantName,
@@ -213,19 +219,19 @@
     let holders = node.token_holders(tenant, limit.holders(MOST_HOLDERS));
     let mut soonest: Option<(Timestamp, &Peer)> = None;
     for holder in holders.iter() {
-        let mut dry_until = node.tokens.dry_until(tenant, holder);
-        if dry_until <= node.now() {
-            match ask(node, tenant, holder, Duration::ZERO).await {
+        let mut exhausted_until = node.tokens.exhausted_until(tenant, holder);
+        if exhausted_until <= node.now() {
+            match request_token(node, tenant, holder, Duration::ZERO).await {
                 Some(TokenAnswer::Granted { .. }) => return Ok(()),
                 Some(TokenAnswer::Dry { retry_after_us }) => {
-                    dry_until = node.now() + Duration::from_micros(retry_after_us);
-                    node.tokens.note_dry(tenant, holder, dry_until);
+                    exhausted_until = node.now() + Duration::from_micros(retry_after_us);
+                    node.tokens.note_exhausted(tenant, holder, exhausted_until);
                 }
                 Some(TokenAnswer::NotHeld) | None => continue,
             }
         }
-        if soonest.is_none_or(|(until, _)| dry_until < until) {
-            soonest = Some((dry_until, holder));
+        if soonest.is_none_or(|(until, _)| exhausted_until < until) {
+            soonest = Some((exhausted_until, holder));
         }
     }
     let Some((until, holder)) = soonest else {
@@ -236,25 +242,25 @@
     if retry_after > left {
         return Err(NoToken::OverLimit { retry_after });
     }
-    take_when_back(node, tenant, holder, left).await
+    take_when_replenished(node, tenant, holder, left).await
 }
 
-/// Waits until this node knows the others, which takes a moment after its start.
+/// Waits until this node knows the other nodes, which takes a moment after its start.
 async fn await_fleet(node: &Rc<Node>, until: Timestamp) {
     while !node.knows_fleet() && node.now() < until {
-        sleep(FLEET_LOOK).await;
+        sleep(FLEET_POLL_INTERVAL).await;
     }
 }
 
-/// Takes a token that comes back soon, and waits until it has.
-async fn take_when_back(
+/// Reserves a token that becomes available soon, and waits for it.
+async fn take_when_replenished(
     node: &Rc<Node>,
     tenant: &TenantName,
     holder: &Peer,
     patience: Duration,
 ) -> Result<(), NoToken> {
     let asked_at = node.now();
-    match ask(node, tenant, holder, patience).await {
+    match request_token(node, tenant, holder, patience).await {
         Some(TokenAnswer::Granted { after_us }) => {
             let after = Duration::from_micros(after_us);
             sleep((asked_at + after).since(node.now())).await;
@@ -268,15 +274,16 @@
         Some(TokenAnswer::Dry { retry_after_us }) => {
             let retry_after = Duration::from_micros(retry_after_us);
             let until = node.now() + retry_after;
-            node.tokens.note_dry(tenant, holder, until);
+            node.tokens.note_exhausted(tenant, holder, until);
             Err(NoToken::OverLimit { retry_after })
         }
         Some(TokenAnswer::NotHeld) | None => Err(NoToken::NotCounted),
     }
 }
 
-/// Asks one holder; nothing if it does not answer, or too late for its answer to be used.
-async fn ask(
+/// Requests a token from one holder. Returns `None` if it does not answer, or too late for its
+/// answer to be used.
+async fn request_token(
     node: &Rc<Node>,
     tenant: &TenantName,
     holder: &Peer,
@@ -290,17 +297,17 @@
         return None;
     }
     let (nonce, mut answer) = node.tokens.await_answer();
-    let question = PeerMessage::AskToken {
+    let request = PeerMessage::AskToken {
         nonce,
         tenant: tenant.clone(),
         patience_us: u64::try_from(patience.as_micros()).unwrap_or(u64::MAX),
     };
-    node.tokens.send(question.clone(), holder.address);
+    node.tokens.send(request.clone(), holder.address);
     let mut received = timeout(REPEAT_AFTER, &mut answer).await;
     if received.is_err() {
         node.counters.count("tokens", "asked_again");
-        node.tokens.send(question, holder.address);
-        received = timeout(ANSWER_LIMIT - REPEAT_AFTER, &mut answer).await;
+        node.tokens.send(request, holder.address);
+        received = timeout(ANSWER_TIMEOUT - REPEAT_AFTER, &mut answer).await;
     }
     node.tokens.awaiting.borrow_mut().remove(&nonce);
     let in_time = node.now() <= now + TOKEN_LIFE;
@@ -314,24 +321,26 @@
     }
 }
 
-/// Looks now and then whether the holders of tenants' tokens answer.
-pub(crate) fn look_for_holders(node: &Node) {
+/// Checks whether the holders of tenants' tokens respond. Called periodically.
+pub(crate) fn check_holders(node: &Node) {
     let now = node.now();
     let tokens = &node.tokens;
-    if now.since(tokens.looked_at.get()) < HOLDERS_LOOK || !node.knows_fleet() {
+    if now.since(tokens.checked_at.get()) < HOLDER_CHECK_INTERVAL || !node.knows_fleet() {
         return;
     }
-    tokens.looked_at.set(now);
-    tokens.forget_past(now);
+    tokens.checked_at.set(now);
+    tokens.remove_expired(now);
     let Some(configuration) = node.configuration() else {
         return;
     };
     let tenants = configuration.tenants.limits.keys();
-    let uncounted = tenants.filter(|tenant| !node.counts(tenant)).count();
+    let uncounted = tenants
+        .filter(|tenant| !node.has_responsive_holder(tenant))
+        .count();
     if uncounted * 2 <= configuration.tenants.limits.len() {
-        tokens.uncounted_since.set(None);
-    } else if tokens.uncounted_since.get().is_none() {
-        tokens.uncounted_since.set(Some(now));
+        tokens.not_counted_since.set(None);
+    } else if tokens.not_counted_since.get().is_none() {
+        tokens.not_counted_since.set(Some(now));
         node.log("limits_not_counted", &[("tenants", uncounted.into())]);
     }
 }
--- a/crates/serving/tests/event_log.rs
+++ b/crates/serving/tests/event_log.rs
@@ -1,4 +1,4 @@
-//! The event log: bounded, never blocking, and readable as a story.
+//! Tests the event log and the selection of events that explain a request or a zone.
 
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, channel};
@@ -8,10 +8,10 @@
 use hookpoint_serving::explanation::{Event, Subject, select, tell};
 use hookpoint_state::Timestamp;
 
-/// A reader that never reads.
-struct Stuck;
+/// A writer that never returns.
+struct BlockedWriter;
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, _: &[u8]) -> io::Result<usize> {
         loop {
             std::thread::park();
@@ -23,9 +23,9 @@
     }
 }
 
-struct Lines(std::sync::mpsc::Sender<String>);
+struct LineSender(std::sync::mpsc::Sender<String>);
 
-impl Write for Lines {
+impl Write for LineSender {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let _ = self.0.send(String::from_utf8_lossy(bytes).into_owned());
         Ok(bytes.len())
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn a_reader_that_does_not_read_delays_nothing() {
-    let log = EventLog::new("n", Stuck);
+fn a_blocked_writer_does_not_delay_logging() {
+    let log = EventLog::new("n", BlockedWriter);
     let began = Instant::now();
     for second in 0..1_000 {
         for _ in 0..100 {
@@ -53,26 +53,26 @@
 }
 
 #[test]
-fn ordinary_work_has_a_smaller_budget_and_costs_nothing_beyond_it() {
+fn ordinary_events_have_a_smaller_budget_and_build_no_fields_beyond_it() {
     let (sender, lines) = channel();
-    let log = EventLog::new("n", Lines(sender));
-    let mut put_together = 0;
+    let log = EventLog::new("n", LineSender(sender));
+    let mut fields_built = 0;
     for _ in 0..100 {
         log.write_ordinary(Timestamp::from_millis(1_000), "served", || {
-            put_together += 1;
+            fields_built += 1;
             Vec::new()
         });
     }
-    assert_eq!(put_together, 10);
+    assert_eq!(fields_built, 10);
     log.write_ordinary(Timestamp::from_millis(2_100), "served", Vec::new);
-    let told = (0..11).map(|_| next(&lines)).nth(10).unwrap();
-    assert!(told.contains("\"left_out\":90"), "{told}");
+    let line = (0..11).map(|_| next(&lines)).nth(10).unwrap();
+    assert!(line.contains("\"left_out\":90"), "{line}");
 }
 
 #[test]
-fn what_is_over_the_budget_is_counted_in_the_next_line() {
+fn dropped_events_are_counted_in_the_next_line() {
     let (sender, lines) = channel();
-    let log = EventLog::new("n", Lines(sender));
+    let log = EventLog::new("n", LineSender(sender));
     for _ in 0..100 {
         log.write(Timestamp::from_millis(1_000), "busy", &[]);
     }
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn a_story_holds_the_request_and_what_its_node_believed() {
+fn a_request_selects_its_events_and_the_state_changes_near_it() {
     let events = [
         event(
             50_000,
@@ -135,47 +135,47 @@
             "\"event\":\"dependency_lost\",\"dependency\":\"store\"",
         ),
     ];
-    let story = select(&events, &Subject::Request("r1".to_owned()));
-    let names: Vec<&str> = story.iter().map(|event| event.name.as_str()).collect();
+    let selected = select(&events, &Subject::Request("r1".to_owned()));
+    let names: Vec<&str> = selected.iter().map(|event| event.name.as_str()).collect();
     assert_eq!(
         names,
         ["promotion_ordered", "statement_decided", "dependency_lost"]
     );
-    let told = tell(&story);
-    assert!(told[2].contains("its clock was stepped"), "{told:?}");
+    let lines = tell(&selected);
+    assert!(lines[2].contains("its clock was stepped"), "{lines:?}");
     let database = select(&events, &Subject::Database("d2".to_owned()));
     assert_eq!(database.len(), 1);
     assert!(select(&events, &Subject::Request("r9".to_owned())).is_empty());
 }
 
 #[test]
-fn the_story_of_a_zone_holds_what_nodes_found_there_and_the_moves_of_its_primaries() {
-    let told = |wall: u64, node: &str, name: &str, rest: &str| {
+fn a_zone_selects_its_evacuation_events_and_the_moves_of_its_primaries() {
+    let zone_event = |wall: u64, node: &str, name: &str, rest: &str| {
         event(wall, wall, node, &format!("\"event\":\"{name}\",{rest}"))
     };
     let zone = "\"zone\":\"z1\"";
     let events = [
-        told(40, "a", "promotion_ordered", "\"group\":\"g\""),
-        told(50, "a", "started", zone),
-        told(60, "a", "evacuation_changed", zone),
-        told(61, "b", "evacuation_changed", "\"zone\":\"z2\""),
-        told(70, "a", "promotion_ordered", "\"group\":\"g\""),
-        told(71, "a", "promotion_ordered", "\"group\":\"other\""),
-        told(
+        zone_event(40, "a", "promotion_ordered", "\"group\":\"g\""),
+        zone_event(50, "a", "started", zone),
+        zone_event(60, "a", "evacuation_changed", zone),
+        zone_event(61, "b", "evacuation_changed", "\"zone\":\"z2\""),
+        zone_event(70, "a", "promotion_ordered", "\"group\":\"g\""),
+        zone_event(71, "a", "promotion_ordered", "\"group\":\"other\""),
+        zone_event(
             80,
             "a",
             "handover_decided",
             &format!("\"group\":\"g\",{zone}"),
         ),
-        told(90, "b", "zone_emptied", zone),
+        zone_event(90, "b", "zone_emptied", zone),
     ];
-    let story = select(&events, &Subject::Zone("z1".to_owned()));
-    let told: Vec<(u64, &str)> = story
+    let selected = select(&events, &Subject::Zone("z1".to_owned()));
+    let names: Vec<(u64, &str)> = selected
         .iter()
         .map(|event| (event.wall_ms, event.name.as_str()))
         .collect();
     assert_eq!(
-        told,
+        names,
         [
             (60, "evacuation_changed"),
             (70, "promotion_ordered"),
--- a/crates/serving/tests/event_names.rs
+++ b/crates/serving/tests/event_names.rs
@@ -1,10 +1,10 @@
-//! The page on events and the code name the same events.
+//! Tests that the documentation lists exactly the events that the code writes.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
-/// Calls that write an event; its name is the first string after them.
+/// Calls that write an event; its name is the first string literal after them.
 const WRITERS: [&str; 5] = [
     ".log(",
     "log_order(",
@@ -47,7 +47,7 @@
     names
 }
 
-fn names_on_page() -> BTreeSet<String> {
+fn documented_names() -> BTreeSet<String> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let page = fs::read_to_string(root.join("../../docs/EVENTS.md")).unwrap();
     page.lines()
@@ -57,6 +57,6 @@
 }
 
 #[test]
-fn every_event_is_on_the_page_and_the_page_names_no_other() {
-    assert_eq!(names_in_code(), names_on_page());
+fn the_documentation_lists_exactly_the_events_in_the_code() {
+    assert_eq!(names_in_code(), documented_names());
 }
--- a/crates/serving/tests/packed.rs
+++ b/crates/serving/tests/packed.rs
@@ -1,4 +1,4 @@
-//! Values that travel between nodes compressed.
+//! Tests the compression of values that are sent between nodes.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -9,7 +9,7 @@
 use hookpoint_serving::ports::{StoreChange, StoreChanges, StoreRecord};
 use hookpoint_state::{GroupName, StoreEra, StoreRevision};
 
-/// Routes of the largest configuration that the users describe.
+/// Number of routes of the largest configuration that users describe.
 const ROUTES: usize = 2_900;
 
 fn large_configuration() -> StoreChanges {
@@ -41,14 +41,14 @@
 }
 
 #[test]
-fn a_large_configuration_comes_out_as_it_went_in() {
+fn a_large_configuration_survives_packing_and_unpacking() {
     let changes = large_configuration();
     let unpacked: StoreChanges = unpack(&pack(&changes).unwrap()).unwrap();
     assert_eq!(unpacked, changes);
 }
 
 #[test]
-fn a_large_configuration_takes_less_than_half_of_its_bytes() {
+fn a_large_configuration_is_packed_into_less_than_half_of_its_bytes() {
     let changes = large_configuration();
     let plain = postcard::to_allocvec(&changes).unwrap().len();
     let packed = pack(&changes).unwrap().len();
@@ -56,14 +56,14 @@
 }
 
 #[test]
-fn what_was_not_packed_is_an_error() {
+fn unpacking_invalid_bytes_fails() {
     for bytes in [&b"no such thing"[..], b"", &[0xff; 40]] {
         assert!(unpack::<StoreChanges>(bytes).is_err(), "{bytes:?}");
     }
 }
 
 #[test]
-fn a_value_that_unpacks_to_more_than_any_is_refused() {
+fn unpacking_a_value_over_the_size_limit_fails() {
     let packed = pack(&vec![0_u8; 33 << 20]).unwrap();
     let unpacked: Result<Vec<u8>, PackError> = unpack(&packed);
     assert!(matches!(unpacked, Err(PackError::TooLarge)));
