--- a/crates/serving/src/cold_start.rs
+++ b/crates/serving/src/cold_start.rs
@@ -95,9 +95,9 @@
     /// Records that the first connection to a database was opened. In that case only information
     /// from the store shows how long the database has been running.
     pub(crate) fn note_first_connection(&self, name: &DatabaseName) {
-        let news_at = self.feed.reported_at();
-        let store_was_read = news_at > Timestamp::default();
-        if store_was_read && self.now().since(news_at) >= STORE_INFORMATION_MAX_AGE {
+        let reported_at = self.feed.reported_at();
+        let store_was_read = reported_at > Timestamp::default();
+        if store_was_read && self.now().since(reported_at) >= STORE_INFORMATION_MAX_AGE {
             self.doubt_warmth(name);
         }
     }
--- a/crates/serving/src/coordinator/mod.rs
+++ b/crates/serving/src/coordinator/mod.rs
@@ -132,7 +132,7 @@
     }
 
     /// Records whether a group's primary should move. If the primary is not known but a database
-    /// that states that it leads should move, the primary is requested.
+    /// that states that it leads should move, the group is monitored to determine its primary.
     fn note_move(&mut self, node: &Rc<Node>, group: &GroupName) {
         let wanted = match node.leader(group) {
             Some(leader) => handover::time_wanted(node, group, &leader).is_some(),
--- a/crates/serving/src/coordinator/order.rs
+++ b/crates/serving/src/coordinator/order.rs
@@ -161,7 +161,12 @@
         fencing_token,
         ..order.clone()
     };
-    log_order(node, &order, "promotion_taken_back", "the primary answers");
+    log_order(
+        node,
+        &order,
+        "promotion_taken_back",
+        "the primary answers again",
+    );
     announce(Rc::clone(node), order).await;
 }
 
--- a/crates/serving/src/database_life.rs
+++ b/crates/serving/src/database_life.rs
@@ -48,8 +48,8 @@
     /// Records that the entry of a database was removed as of `revision`.
     pub(crate) fn remove_database(&self, name: &DatabaseName, revision: StoreRevision) {
         let before = self.directory.borrow().get(name).cloned();
-        let hearing = self.learned_times();
-        self.directory.borrow_mut().remove(name, revision, hearing);
+        let times = self.learned_times();
+        self.directory.borrow_mut().remove(name, revision, times);
         self.log_departure(name, before.as_ref());
     }
 
--- a/crates/serving/src/departures.rs
+++ b/crates/serving/src/departures.rs
@@ -16,9 +16,9 @@
 use crate::node::Node;
 use crate::units::millis;
 
-/// Limit on how long before it was learnt a departure may have begun; an older one was learnt
-/// late. It exceeds one watch of the store and the forwarding of its result. Peers that learnt of
-/// the departure in time have a more accurate start.
+/// A departure that was learnt more than this after its start counts as learnt late. The time
+/// exceeds one watch of the store and the forwarding of its result. Peers that learnt of the
+/// departure in time have a more accurate start.
 const LATE_THRESHOLD: Duration = Duration::from_secs(3);
 /// Number of peers asked at once. Even if half of the fleet learnt of the departure late, at least
 /// one of four peers knows better in fifteen of sixteen cases.
--- a/crates/serving/src/evacuation.rs
+++ b/crates/serving/src/evacuation.rs
@@ -168,10 +168,10 @@
     /// than it should to arrive has less time left. A request found by a starting node may be of
     /// any age, and such a node has no open work in the zone that needs time to end.
     fn evacuation_counted_from(&self) -> Timestamp {
-        let hearing = self.learned_times();
+        let times = self.learned_times();
         let limit = self.changeable().evacuation_limit;
         let in_time = limit.saturating_sub(STATEMENT_TRANSIT_LIMIT);
-        hearing.at.min(hearing.not_before + in_time)
+        times.at.min(times.not_before + in_time)
     }
 
     fn note_evacuation(&self, zone: &ZoneName, requested: bool, revision: StoreRevision) {
--- a/crates/serving/src/feed/answering.rs
+++ b/crates/serving/src/feed/answering.rs
@@ -78,7 +78,7 @@
         let now = node.now();
         let changes = feed.changes_since(request.revision);
         if request.is_from_new_node() && feed.log.borrow().is_whole() {
-            return news_answer(node, request, changes, asked_at);
+            return new_changes_answer(node, request, changes, asked_at);
         }
         let changed = changes.as_ref().is_some_and(|changes| !changes.is_empty());
         let (changed, known_at) = match request.revision.era().cmp(&feed.revision().era()) {
@@ -92,7 +92,7 @@
             Ordering::Greater => (false, now),
         };
         match feed.news.borrow().reply(known_at, changed, until, now) {
-            Reply::News => return news_answer(node, request, changes, asked_at),
+            Reply::News => return new_changes_answer(node, request, changes, asked_at),
             Reply::StoreLost => return FeedAnswer::StoreLost,
             Reply::NothingNew => return FeedAnswer::NothingNew,
             Reply::Wait => {}
@@ -103,7 +103,7 @@
 
 /// Returns an answer with `changes`, which are all changes after the follower's revision, or with
 /// a complete listing if some of those are not known.
-fn news_answer(
+fn new_changes_answer(
     node: &Rc<Node>,
     request: &FollowQuestion,
     changes: Option<Vec<Rc<StoreChange>>>,
--- a/crates/serving/src/feed/following.rs
+++ b/crates/serving/src/feed/following.rs
@@ -136,13 +136,13 @@
             }
             // Apart from the time for which the upstream held the request, all of the round trip
             // may have been spent on the answer.
-            let told_at = node.now().min(asked_at + Duration::from_millis(held_ms));
+            let reported_at = node.now().min(asked_at + Duration::from_millis(held_ms));
             node.counters.count("store_followed", "peer");
             let age = Duration::from_millis(age_ms);
             // A starting node may receive an old state, which says nothing about the present one.
             if revision != StoreRevision::default() || age < limits(node).oldest {
-                let covered = told_at - Duration::from_millis(covered_ms);
-                node.feed.note_relayed_report(told_at - age, covered);
+                let covered = reported_at - Duration::from_millis(covered_ms);
+                node.feed.note_relayed_report(reported_at - age, covered);
             }
             note_steady(node, Duration::from_millis(steady_ms));
             Ok(if everything {
--- a/crates/serving/src/follower.rs
+++ b/crates/serving/src/follower.rs
@@ -261,7 +261,7 @@
 /// Pauses before upstreams that reported nothing newer are asked again.
 async fn pause_search(node: &Rc<Node>) {
     if !feed::is_fresh(node) {
-        note_reachable(node, false, "upstreams do not reach it");
+        note_reachable(node, false, "no upstream reaches the store");
     }
     sleep(node.feed.search_pause(node.now())).await;
 }
--- a/crates/serving/src/leaders.rs
+++ b/crates/serving/src/leaders.rs
@@ -116,7 +116,7 @@
             let ended = led && state.leadership.leader().is_none();
             if state.leadership.leader() == Some(name) {
                 state.contact = Contact {
-                    last_heard: now,
+                    last_answer_at: now,
                     ..Contact::default()
                 };
                 state.leaderless_since = None;
--- a/crates/serving/src/link.rs
+++ b/crates/serving/src/link.rs
@@ -238,7 +238,7 @@
     tokio::select! {
         answer = call_until_answered(node, peer, request, limit) => {
             if answer.is_some() {
-                reachability::note_heard(node, &peer.name);
+                reachability::note_answer(node, &peer.name);
             }
             answer
         }
--- a/crates/serving/src/node.rs
+++ b/crates/serving/src/node.rs
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Contact {
     /// When the primary last answered a request.
-    pub last_heard: Timestamp,
+    pub last_answer_at: Timestamp,
     /// Since when the primary has not answered, or `None` if it answers.
     pub lost_since: Option<Timestamp>,
     /// Whether the primary's host refuses connections.
--- a/crates/serving/src/peer_message.rs
+++ b/crates/serving/src/peer_message.rs
@@ -15,7 +15,8 @@
 /// A datagram sent from one node to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Requests the receiver's observation of the primary of a group; answered by `TellObservation`.
+    /// Requests the receiver's observation of the primary of a group; answered by
+    /// `TellObservation`.
     #[serde(rename = "Ask")]
     AskObservation {
         /// Number that the answer repeats.
--- a/crates/serving/src/peers.rs
+++ b/crates/serving/src/peers.rs
@@ -105,7 +105,7 @@
                 let node = node.settings.name.clone();
                 self.send(&PeerMessage::AnswerProbe { node }, sender);
             }
-            PeerMessage::AnswerProbe { node: peer } => reachability::note_heard(node, &peer),
+            PeerMessage::AnswerProbe { node: peer } => reachability::note_answer(node, &peer),
             PeerMessage::AskObservation {
                 nonce,
                 group,
@@ -387,7 +387,7 @@
         self.with_group(group, |state| {
             let known = state.leadership.leader();
             let agrees = known.is_some() && known == leader.as_ref();
-            if agrees && now.since(state.contact.last_heard) >= RECENT_CONTACT {
+            if agrees && now.since(state.contact.last_answer_at) >= RECENT_CONTACT {
                 state.contact.lost_since.get_or_insert(now);
             }
             state.reported_lost = Some((leader, now));
@@ -428,7 +428,7 @@
                 return Observation::Reachable;
             }
             match state.contact.lost_since {
-                None if held && now.since(state.contact.last_heard) < RECENT_CONTACT => {
+                None if held && now.since(state.contact.last_answer_at) < RECENT_CONTACT => {
                     Observation::Reachable
                 }
                 None => Observation::Unknown,
--- a/crates/serving/src/ports.rs
+++ b/crates/serving/src/ports.rs
@@ -44,13 +44,13 @@
     Refused(u16),
     /// The history after the given revision is no longer available, possibly together with its
     /// era: everything must be read again.
-    #[error("the state store no longer has the history asked for")]
+    #[error("the state store no longer has the requested history")]
     HistoryGone,
     /// The lease has expired or was ended.
-    #[error("the lease is over")]
+    #[error("the lease has expired or was ended")]
     LeaseOver,
     /// The answer could not be decoded.
-    #[error("the state store's answer cannot be read: {0}")]
+    #[error("the answer of the state store cannot be decoded: {0}")]
     Unreadable(String),
 }
 
--- a/crates/serving/src/primary_contact.rs
+++ b/crates/serving/src/primary_contact.rs
@@ -20,7 +20,7 @@
             }
             let before = state.contact.lost_since;
             state.contact = Contact {
-                last_heard: now,
+                last_answer_at: now,
                 ..Contact::default()
             };
             before
@@ -38,7 +38,7 @@
         };
         let newly_lost = self.with_group(&database.group, |state| {
             let contact = &mut state.contact;
-            if state.leadership.leader() != Some(name) || contact.last_heard > asked_at {
+            if state.leadership.leader() != Some(name) || contact.last_answer_at > asked_at {
                 return false;
             }
             let newly_lost = contact.lost_since.is_none();
--- a/crates/serving/src/primary_lease.rs
+++ b/crates/serving/src/primary_lease.rs
@@ -20,7 +20,7 @@
 /// Longest pause between two checks of the lease.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long writes in flight at a primary that is about to be replaced delay this node's
-/// acknowledgement. The outcome of writes answered later is reported as unknown.
+/// acknowledgement. The outcome of writes that are answered later is unknown.
 const WRITE_GRACE_PERIOD: Duration = Duration::from_millis(250);
 
 /// An announcement that a database is to become the primary of a group.
@@ -155,7 +155,7 @@
 }
 
 /// Answers a peer's lease request. The peer's announcements are taken over first, because its vote
-/// may complete the majority that binds this node to the nodes that acknowledged them.
+/// may be what links this node's grants to the nodes that acknowledged those announcements.
 pub(crate) fn answer(
     node: &Rc<Node>,
     peer: &str,
@@ -304,8 +304,8 @@
     }
 
     /// Returns whether writes are in flight at a primary that is about to be replaced and are
-    /// still within [`WRITE_GRACE_PERIOD`]. Taking a lease before they end would leave their outcome
-    /// unknown.
+    /// still within [`WRITE_GRACE_PERIOD`]. Taking a lease before they end would leave their
+    /// outcome unknown.
     fn has_finishing_writes(&self) -> bool {
         let now = self.now();
         self.groups.borrow().values().any(|state| {
--- a/crates/serving/src/reachability.rs
+++ b/crates/serving/src/reachability.rs
@@ -77,13 +77,13 @@
 }
 
 /// Records that something was received from a peer.
-pub(crate) fn note_heard(node: &Node, peer: &str) {
-    let heard = node
+pub(crate) fn note_answer(node: &Node, peer: &str) {
+    let silent_for = node
         .reachability
         .contacts
         .borrow_mut()
         .note_heard(peer, node.now());
-    if let Some(away) = heard {
+    if let Some(away) = silent_for {
         node.log(
             "peer_regained",
             &[("peer", peer.into()), ("away_ms", millis(away).into())],
--- a/crates/serving/src/tokens.rs
+++ b/crates/serving/src/tokens.rs
@@ -196,7 +196,7 @@
 
 /// Handles the answer to a request that may still be pending.
 pub(crate) fn handle_answer(node: &Node, nonce: u64, peer: &str, answer: TokenAnswer) {
-    reachability::note_heard(node, peer);
+    reachability::note_answer(node, peer);
     let waiting = node.tokens.awaiting.borrow_mut().remove(&nonce);
     let unused = waiting.is_none_or(|waiting| waiting.send(answer).is_err());
     if unused {
