--- a/crates/serving/src/cold_start.rs
+++ b/crates/serving/src/cold_start.rs
@@ -134,7 +134,7 @@
         cold: &ColdShare,
         request: &ConnectionRequest<'_>,
     ) -> Result<(), Duration> {
-        self.detect_suspension();
+        self.empty_buckets_if_suspended();
         let now = self.now();
         let mut starts = self.cold.starts.borrow_mut();
         let warmth = starts.entry(name);
@@ -189,7 +189,7 @@
 
     /// Empties the buckets if this node was suspended: requests admitted before that are sent only
     /// now.
-    fn detect_suspension(&self) {
+    fn empty_buckets_if_suspended(&self) {
         let now = self.now();
         if now.since(self.cold.checked_at.replace(now)) >= SUSPENSION_THRESHOLD {
             self.cold.starts.borrow_mut().empty_buckets();
@@ -256,7 +256,7 @@
     if !node.has_cold_starts() && node.cold.last_cold.borrow().is_empty() {
         return;
     }
-    node.detect_suspension();
+    node.empty_buckets_if_suspended();
     let listed: Vec<DatabaseName> = {
         let directory = node.directory.borrow();
         directory
@@ -286,14 +286,14 @@
     if !cold.is_empty() || !last_cold.is_empty() {
         let count = u64::try_from(cold.len()).unwrap_or(u64::MAX);
         node.counters.set("databases_cold", count);
-        drop_buckets_of_others(node, &cold);
+        empty_unheld_buckets(node, &cold);
     }
     *last_cold = cold;
 }
 
 /// Empties the buckets of databases that this node is not a holder of, so that it starts with an
 /// empty one when it becomes a holder again.
-fn drop_buckets_of_others(node: &Node, cold: &BTreeMap<DatabaseName, ColdReason>) {
+fn empty_unheld_buckets(node: &Node, cold: &BTreeMap<DatabaseName, ColdReason>) {
     for name in cold.keys() {
         if node.connection_cap(name) == 0 {
             node.cold.starts.borrow_mut().entry(name).empty_bucket();
--- a/crates/serving/src/node.rs
+++ b/crates/serving/src/node.rs
@@ -108,14 +108,14 @@
 
 /// How long a report that a primary is lost stays valid. A node that lacks the primary repeats its
 /// report more often than this.
-const REPORT_MEMORY: Duration = Duration::from_secs(1);
+const REPORT_VALIDITY: Duration = Duration::from_secs(1);
 
 impl GroupState {
-    /// Returns whether a peer reported within [`REPORT_MEMORY`] that it lacks the primary.
+    /// Returns whether a peer reported within [`REPORT_VALIDITY`] that it lacks the primary.
     pub(crate) fn was_reported(&self, now: Timestamp) -> bool {
         self.reported_lost
             .as_ref()
-            .is_some_and(|(_, reported_at)| now.since(*reported_at) < REPORT_MEMORY)
+            .is_some_and(|(_, reported_at)| now.since(*reported_at) < REPORT_VALIDITY)
     }
 
     /// Returns whether the store lacks the newest announcement known to this node.
@@ -124,7 +124,7 @@
         self.announced > listed
     }
 
-    /// Returns the primary that a peer reported as lost within [`REPORT_MEMORY`].
+    /// Returns the primary that a peer reported as lost within [`REPORT_VALIDITY`].
     pub(crate) fn reported_leader(&self, now: Timestamp) -> Option<&DatabaseName> {
         let (leader, _) = self.reported_lost.as_ref()?;
         leader.as_ref().filter(|_| self.was_reported(now))
