--- a/crates/coordination/src/serving/admission.rs
+++ b/crates/coordination/src/serving/admission.rs
@@ -1,60 +1,66 @@
-//! Whether a request may join the queue for a database's connections.
+//! Admission control for the queue of requests that wait for a connection to a database.
 //!
-//! A queue whose wait is longer than callers' objectives serves everybody late, and what it
-//! serves late is lost to those who could have been served in time. So a request only
-//! joins a queue that it can leave in time; else it is refused at once, and its caller
-//! comes back.
+//! If the queue's wait exceeds callers' latency objectives, every request is served too late,
+//! including those that could still have been served in time. A request is therefore queued only if
+//! it can be dequeued in time. Otherwise it is rejected at once and the caller retries.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Part of a request's latency objective that it may spend in a queue. The rest is for
-/// the database's own queue, the work, and the way.
-const PATIENCE_DIVISOR: u32 = 6;
+/// A request may spend this fraction (one part in this many) of its latency objective in a queue.
+/// The rest covers the database's own queue, the execution and the network.
+const QUEUE_WAIT_DIVISOR: u32 = 6;
 
-/// What a request takes of a connection once it has one.
+/// How long a request occupies a connection once it has one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConnectionUse {
-    /// One statement.
+    /// A single statement.
     Statement,
-    /// A transaction: several statements, its end, and the caller's pauses between them.
+    /// A transaction: several statements, the commit or rollback, and the caller's pauses in
+    /// between.
     Transaction,
 }
 
-/// Part of a single statement's patience that a transaction has for a queue in which others
-/// are ahead: it takes the place of several of them.
-const TRANSACTION_DIVISOR: u32 = 4;
+/// If other requests are ahead in the queue, a transaction may wait for this fraction (one part in
+/// this many) of the time that a single statement may wait, since it occupies a connection for as
+/// long as several statements.
+const TRANSACTION_WAIT_DIVISOR: u32 = 4;
 
-/// A queue for connections.
+/// State of the queue for connections to one database.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionQueue {
-    /// Requests that go first.
+    /// Number of requests ahead in the queue.
     pub ahead: usize,
-    /// Connections that they wait for.
+    /// Number of connections that serve the queue.
     pub connections: usize,
-    /// How long one of them is held, lately.
+    /// Recent mean time for which a request occupies a connection.
     pub held: Duration,
 }
 
 impl ConnectionQueue {
-    /// How long a request that joins now waits, if the connections come free evenly.
+    /// Estimates how long a request that joins the queue now waits, assuming that connections
+    /// become free at even intervals.
     pub fn expected_wait(self) -> Duration {
         let turns = u32::try_from(self.ahead + 1).unwrap_or(u32::MAX);
         let connections = u32::try_from(self.connections.max(1)).unwrap_or(u32::MAX);
         self.held.saturating_mul(turns) / connections
     }
 
-    /// Whether a request may join that can spend `patience` waiting.
+    /// Returns whether a request that can wait for at most `patience` may join the queue.
     pub fn admits(self, patience: Duration, wanted: ConnectionUse) -> bool {
         let others_first = wanted == ConnectionUse::Transaction && self.ahead > 0;
-        let divisor = if others_first { TRANSACTION_DIVISOR } else { 1 };
+        let divisor = if others_first {
+            TRANSACTION_WAIT_DIVISOR
+        } else {
+            1
+        };
         self.expected_wait() <= patience / divisor
     }
 }
 
-/// How long a request may wait in a queue: a part of its latency objective, less the time
-/// that has passed since it arrived.
+/// Returns how long a request may wait in a queue: a fraction of its latency objective, less the
+/// time elapsed since it arrived.
 pub fn patience(target_latency: Duration, elapsed: Duration) -> Duration {
-    (target_latency / PATIENCE_DIVISOR).saturating_sub(elapsed)
+    (target_latency / QUEUE_WAIT_DIVISOR).saturating_sub(elapsed)
 }
--- a/crates/coordination/src/serving/attempt_limit.rs
+++ b/crates/coordination/src/serving/attempt_limit.rs
@@ -1,29 +1,30 @@
-//! How long one attempt at a read may take before another database is asked.
+//! Time limit of one attempt at a read, after which another database is tried.
 
 use std::time::Duration;
 
-/// Least time of an attempt: several times what most reads take, so that a loaded database is
-/// not left for nothing.
-const LEAST: Duration = Duration::from_millis(300);
+/// Minimum time limit of an attempt: several times the duration of most reads, so that a merely
+/// loaded database is not abandoned without need.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(300);
 /// Multiple of the mean service time that an attempt is given.
-const SERVICE_TIMES: u32 = 8;
-/// Part of the latency objective that the first attempt is given: as much is left for another.
+const SERVICE_TIME_MULTIPLE: u32 = 8;
+/// The first attempt is given this fraction (one part in this many) of the latency objective, which
+/// leaves as much for a second attempt.
 const OBJECTIVE_DIVISOR: u32 = 2;
-/// Doublings after which an attempt's time grows no more; the statement's own limit is
+/// Maximum number of times that the limit is doubled. The timeout of the statement itself is
 /// reached long before.
-const MOST_DOUBLINGS: u32 = 6;
+const MAX_DOUBLINGS: u32 = 6;
 
-/// The limit of an attempt at a read of which `timed_out` attempts have run out of time.
+/// Returns the time limit of the next attempt at a read after `timed_out` attempts have timed out.
 ///
-/// A read may simply be long, and then it takes as long everywhere: each attempt after one
-/// that ran out of time is given twice the time of that one.
+/// A read may simply be long, in which case it takes as long on every database. So the limit
+/// doubles after each attempt that timed out.
 pub fn read_attempt_limit(
     service_time: Duration,
     target_latency: Duration,
     timed_out: u32,
 ) -> Duration {
-    let first = LEAST
-        .max(service_time * SERVICE_TIMES)
+    let first = MIN_ATTEMPT_TIME
+        .max(service_time * SERVICE_TIME_MULTIPLE)
         .max(target_latency / OBJECTIVE_DIVISOR);
-    first * (1 << timed_out.min(MOST_DOUBLINGS))
+    first * (1 << timed_out.min(MAX_DOUBLINGS))
 }
--- a/crates/coordination/src/serving/cold_start.rs
+++ b/crates/coordination/src/serving/cold_start.rs
@@ -1,14 +1,15 @@
-//! Databases that have just started and bear little load until they are warm.
+//! Rate limiting for databases that have just started and can take little load until they are warm.
 //!
-//! Over all nodes, a cold database gets no more than [`ColdStart::rate_milli`] allows within its
-//! bounds. Nodes do not agree on that on the way of a request. Only a few nodes, its
-//! *cold holders*, send to it, the first of its homes, and each keeps a fixed part of what is
-//! allowed in a token bucket of its own, whoever else is alive. The parts are so small that two
-//! sets of holders, as two sides of a split see them, stay within the bound together. A holder
-//! begins with an empty bucket.
+//! Across all nodes, a cold database receives no more than [`ColdStart::rate_milli`], within the
+//! configured bounds. Nodes do not coordinate on the request path. Instead, only a few nodes, the
+//! first of the database's home nodes (its *cold holders*), send requests to it, and each enforces
+//! a fixed share of the allowed rate with its own token bucket, whichever other nodes are alive.
+//! The shares are small enough that two sets of holders, as the two sides of a network partition
+//! see them, stay within the bound together. A holder starts with an empty bucket.
 //!
-//! A node takes a database for cold for as long as it registers that it is, by this node's steady
-//! clock from when the entry was heard; and while it may have restarted without a word.
+//! A node treats a database as cold for as long as its registration says so, measured on the node's
+//! own monotonic clock from the receipt of the entry, and also while the database may have
+//! restarted without having registered again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,64 +19,69 @@
 
 use super::quota::{GrantLimit, MICROS, TokenAnswer, TokenBucket};
 
-/// Nodes that send to a cold database: one more than one, so that the loss of one, or of its way
-/// to the database, leaves half of the budget and another to testify about a primary.
+/// Number of nodes that send requests to a cold database. With two, the loss of one node or of its
+/// network path to the database leaves half of the budget, and a second node that can report on the
+/// state of a primary.
 pub const COLD_HOLDERS: usize = 2;
 
-/// Sets of holders that may be at work at once: two sides of a split.
-const VIEWS: u64 = 2;
+/// Number of disjoint holder sets that may be active at once: one on each side of a network
+/// partition.
+const PARTITION_SIDES: u64 = 2;
 
-/// Time from a token to the request that is sent for it: a connection is opened, or handed to
-/// the node that asked for it.
-const SENDING_TIME: Duration = Duration::from_millis(200);
+/// Maximum delay between taking a token and sending the request: a connection is opened or handed
+/// to the requesting node in between.
+const MAX_SEND_DELAY: Duration = Duration::from_millis(200);
 
-/// Pause between two questions of a holder's own.
-const QUESTION_PAUSE: Duration = Duration::from_secs(1);
+/// Minimum interval between two status queries that a holder sends on its own behalf.
+const QUERY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long the next token is kept for a question that had none: it is asked again within a
-/// tenth of a second, while callers would take each token as it comes.
-const QUESTION_GOES_FIRST: Duration = Duration::from_millis(500);
+/// How long the next token is reserved for a status query that found none. The query is retried
+/// within a tenth of a second; without the reservation, callers' requests would take every token as
+/// it becomes available.
+const QUERY_RESERVATION_TIME: Duration = Duration::from_millis(500);
 
-/// Time within which a restart shows in the store: the entry changes at once, or lapses after
-/// three heartbeats if the database cannot write there, and nodes hear of it a moment later.
-const RESTART_SHOWS: Duration = Duration::from_millis(4_500);
+/// Time within which a restart becomes visible in the store. The entry changes at once, or expires
+/// after three heartbeats if the database cannot write to the store, and nodes receive the change
+/// shortly afterwards.
+const RESTART_DETECTION_TIME: Duration = Duration::from_millis(4_500);
 
-/// How the databases of a group warm up.
+/// Warm-up settings of a group's databases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ColdStart {
-    /// How long a database is cold after its start.
+    /// How long a database is cold after it starts.
     pub duration: Duration,
-    /// Requests a second that a cold database should get from the whole fleet, in thousandths.
+    /// Requests per second that a cold database should receive from all nodes together, in
+    /// thousandths.
     pub rate_milli: u64,
 }
 
-/// How exactly the rate of a cold database is kept.
+/// Tolerances within which the rate limit of a cold database is enforced.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ColdStartBounds {
-    /// Part of the rate by which the requests of any second may exceed it, in thousandths.
+    /// By how much the requests in any one second may exceed the rate, in thousandths of the rate.
     pub overshoot_milli: u64,
-    /// Requests by which they may do so besides.
+    /// Number of requests by which they may exceed it in addition.
     pub slack: u64,
 }
 
 impl ColdStart {
-    /// Millionths of a request that a cold database may get in any second.
+    /// Returns how much a cold database may receive in any one second, in millionths of a request.
     pub fn allowed(self, bounds: ColdStartBounds) -> u64 {
         self.rate_milli
             .saturating_mul(1_000 + bounds.overshoot_milli)
             .saturating_add(bounds.slack.saturating_mul(MICROS))
     }
 
-    /// The part of one holder: rate x (a second and the sending time) and a full bucket of one
-    /// request stay within it.
+    /// Returns the share of one holder. The share is such that rate x (one second + the sending
+    /// time) plus a full bucket of one request stays within the bound.
     ///
-    /// A bound of four requests a second or less cannot be divided so: a cold database then gets
-    /// nothing.
+    /// A bound of four requests per second or less cannot be divided in this way; a cold database
+    /// then receives nothing.
     pub fn part(self, bounds: ColdStartBounds) -> GrantLimit {
         let holders = u64::try_from(COLD_HOLDERS).unwrap_or(u64::MAX);
-        let part = self.allowed(bounds) / (holders * VIEWS);
+        let part = self.allowed(bounds) / (holders * PARTITION_SIDES);
         let sustained = part.saturating_sub(MICROS);
-        let window = 1_000 + u64::try_from(SENDING_TIME.as_millis()).unwrap_or(u64::MAX);
+        let window = 1_000 + u64::try_from(MAX_SEND_DELAY.as_millis()).unwrap_or(u64::MAX);
         let configured = self.rate_milli.saturating_mul(1_000) / holders;
         GrantLimit {
             rate: (sustained.saturating_mul(1_000) / window).min(configured),
@@ -84,41 +90,42 @@
     }
 }
 
-/// What a registration is to what a node knew of its database.
+/// How a registration relates to what the node knew of the database before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Heard {
-    /// Nothing was known of it.
+    /// The database was not known.
     First,
-    /// The same life goes on.
+    /// The database is still in the same incarnation.
     SameLife,
-    /// Another life has begun.
+    /// The database has restarted: a new incarnation has begun.
     NewLife,
-    /// The entry was gone and is back, and tells the same start.
+    /// The entry had been removed and is back with the same start time.
     Returned,
-    /// The entry was gone and is back, and does not tell whether the same life goes on.
+    /// The entry had been removed and is back without a start time, so it is not known whether the
+    /// database has restarted.
     ReturnedUntold,
 }
 
-/// What else a node knows when it judges whether a database is cold.
+/// Further facts on which the decision whether a database is cold depends.
 #[derive(Clone, Copy, Debug)]
 pub struct Circumstances {
-    /// When the store told of the state that the node knows.
+    /// Time as of which the node knows the store's state.
     pub news_at: Timestamp,
-    /// Whether the database is registered and tells its start.
+    /// Whether the database is registered with a start time.
     pub told_start: bool,
 }
 
-/// Why a database counts as cold.
+/// Why a database is treated as cold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ColdReason {
-    /// It registers that it is.
+    /// Its registration says that it is cold.
     Registered,
-    /// It may have restarted: this node lost its connections.
+    /// This node lost its connections to it, so it may have restarted.
     MayHaveRestarted,
 }
 
 impl ColdReason {
-    /// For logs.
+    /// Returns the reason's name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             ColdReason::Registered => "registered",
@@ -127,44 +134,45 @@
     }
 }
 
-/// What a node knows of one database's warmth, and its part of the budget.
+/// The warm-up state of one database as this node knows it, and this node's share of the request
+/// budget.
 #[derive(Clone, Debug, Default)]
-pub struct Warmth {
+pub struct WarmUpState {
     cold_until: Timestamp,
     /// When this node last found that the database may have restarted.
-    doubted_at: Option<Timestamp>,
+    restart_suspected_at: Option<Timestamp>,
     bucket: Option<TokenBucket>,
-    /// When this node last asked something of its own.
-    asked_at: Option<Timestamp>,
-    /// Until when the next token is kept for a question.
-    question_until: Timestamp,
+    /// When this node last sent a status query of its own.
+    queried_at: Option<Timestamp>,
+    /// Until when the next token is reserved for a status query.
+    reserved_until: Timestamp,
 }
 
-impl Warmth {
-    /// Takes a registration that says for how much longer the database is cold.
-    pub fn hear(&mut self, heard: Heard, cold_for: Duration, now: Timestamp) {
+impl WarmUpState {
+    /// Applies a registration which states that the database is cold for another `cold_for`.
+    pub fn hear(&mut self, change: Heard, cold_for: Duration, now: Timestamp) {
         let until = now + cold_for;
-        match heard {
+        match change {
             Heard::First | Heard::Returned => self.cold_until = until,
             Heard::SameLife => self.cold_until = self.cold_until.min(until),
             Heard::NewLife => {
                 self.cold_until = until;
-                self.doubted_at = None;
+                self.restart_suspected_at = None;
                 self.bucket = None;
             }
             Heard::ReturnedUntold => {
                 self.cold_until = until;
-                self.doubted_at = Some(now);
+                self.restart_suspected_at = Some(now);
             }
         }
     }
 
-    /// Notes that the database may have restarted.
+    /// Records that the database may have restarted.
     pub fn doubt(&mut self, now: Timestamp) {
-        self.doubted_at = Some(now);
+        self.restart_suspected_at = Some(now);
     }
 
-    /// Why the database counts as cold, if it does.
+    /// Returns why the database is treated as cold, or `None` if it is not cold.
     pub fn cold_reason(
         &self,
         start: ColdStart,
@@ -174,21 +182,22 @@
         if now < self.cold_until {
             return Some(ColdReason::Registered);
         }
-        let doubted_at = self.doubted_at?;
-        let stands = known.told_start && known.news_at >= doubted_at + RESTART_SHOWS;
-        let open = now < doubted_at + start.duration && !stands;
-        open.then_some(ColdReason::MayHaveRestarted)
+        let restart_suspected_at = self.restart_suspected_at?;
+        let confirmed_since =
+            known.told_start && known.news_at >= restart_suspected_at + RESTART_DETECTION_TIME;
+        let still_suspected = now < restart_suspected_at + start.duration && !confirmed_since;
+        still_suspected.then_some(ColdReason::MayHaveRestarted)
     }
 
-    /// How much longer the database says that it is cold.
+    /// Returns for how much longer the database is cold according to its registration.
     pub fn cold_for(&self, now: Timestamp) -> Duration {
         self.cold_until.since(now)
     }
 
-    /// Takes a token for a caller's request; else the time after which there is one.
+    /// Takes a token for a caller's request. If none is available, returns the time until one is.
     pub fn admit(&mut self, part: GrantLimit, now: Timestamp) -> Result<(), Duration> {
-        if now < self.question_until {
-            return Err(self.question_until.since(now));
+        if now < self.reserved_until {
+            return Err(self.reserved_until.since(now));
         }
         self.take(part, now)
     }
@@ -201,29 +210,31 @@
         }
     }
 
-    /// Takes a token for a question of this node's own, which is asked once in a while. If
-    /// there is none, the next one is kept for it.
+    /// Takes a token for a status query of this node's own; such queries are rate-limited. If no
+    /// token is available, the next one is reserved for the query.
     pub fn admit_question(&mut self, part: GrantLimit, now: Timestamp) -> Result<(), Duration> {
-        let since = self.asked_at.map(|asked_at| now.since(asked_at));
-        if let Some(since) = since.filter(|since| *since < QUESTION_PAUSE) {
-            return Err(QUESTION_PAUSE - since);
+        let since = self.queried_at.map(|queried_at| now.since(queried_at));
+        if let Some(since) = since.filter(|since| *since < QUERY_INTERVAL) {
+            return Err(QUERY_INTERVAL - since);
         }
         let taken = self.take(part, now);
         if taken.is_ok() {
-            self.asked_at = Some(now);
-            self.question_until = now;
-        } else if now >= self.question_until + QUESTION_PAUSE {
-            self.question_until = now + QUESTION_GOES_FIRST;
+            self.queried_at = Some(now);
+            self.reserved_until = now;
+        } else if now >= self.reserved_until + QUERY_INTERVAL {
+            self.reserved_until = now + QUERY_RESERVATION_TIME;
         }
         taken
     }
 
-    /// Counts requests that are sent in any case; the bucket may fall into debt.
+    /// Charges requests that are sent regardless of the budget; the bucket's level may become
+    /// negative.
     pub fn charge(&mut self, part: GrantLimit, requests: u32, now: Timestamp) {
         self.bucket(part, now).charge(now, requests);
     }
 
-    /// Drops this node's part: it is no holder, was not awake, or the database is warm.
+    /// Drops this node's share, because the node is not a holder, was suspended, or the database is
+    /// warm.
     pub fn empty_bucket(&mut self) {
         self.bucket = None;
     }
@@ -232,35 +243,37 @@
         let bucket = self
             .bucket
             .get_or_insert_with(|| TokenBucket::empty(part, now));
-        bucket.keep_limit(now, part);
+        bucket.update_limit(now, part);
         bucket
     }
 }
 
-/// The warmth of all databases that a node knows.
+/// The warm-up states of all databases that the node knows.
 #[derive(Clone, Debug, Default)]
 pub struct ColdStarts {
-    databases: BTreeMap<DatabaseName, Warmth>,
+    databases: BTreeMap<DatabaseName, WarmUpState>,
 }
 
 impl ColdStarts {
-    /// One database's.
-    pub fn get(&self, name: &DatabaseName) -> Option<&Warmth> {
+    /// Returns the state of one database, if it is known.
+    pub fn get(&self, name: &DatabaseName) -> Option<&WarmUpState> {
         self.databases.get(name)
     }
 
-    /// One database's, to change it.
-    pub fn entry(&mut self, name: &DatabaseName) -> &mut Warmth {
+    /// Returns the state of one database for modification, and creates it if it is not known.
+    pub fn entry(&mut self, name: &DatabaseName) -> &mut WarmUpState {
         self.databases.entry(name.clone()).or_default()
     }
 
-    /// Drops databases that are not listed any more.
+    /// Removes databases that are no longer listed.
     pub fn retain(&mut self, is_listed: impl Fn(&DatabaseName) -> bool) {
         self.databases.retain(|name, _| is_listed(name));
     }
 
-    /// Empties all buckets.
+    /// Drops this node's share for every database.
     pub fn empty_buckets(&mut self) {
-        self.databases.values_mut().for_each(Warmth::empty_bucket);
+        self.databases
+            .values_mut()
+            .for_each(WarmUpState::empty_bucket);
     }
 }
--- a/crates/coordination/src/serving/coordinator.rs
+++ b/crates/coordination/src/serving/coordinator.rs
@@ -1,29 +1,32 @@
-//! Who may order promotions, as one node knows it.
+//! The node that may order promotions (the coordinator), as known to one node.
 //!
-//! A coordinator writes a record to the state store, and announces what it is about to
-//! order to its peers. A record can lapse while the store is away though its writer lives
-//! and others go on voting for it, so the newest coordinator stays known without it.
+//! A coordinator writes a record to the state store and announces each planned order to its peers.
+//! While the store is unavailable, the record can expire although the coordinator is alive and
+//! other nodes still vote for it. The newest known coordinator is therefore remembered even without
+//! its record.
 
 use std::time::Duration;
 
 use hookpoint_state::{StoreEra, StoreRevision, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// Time to live of a coordinator's record.
+/// Time to live of the coordinator's record.
 pub const RECORD_TIME: Duration = Duration::from_millis(1_500);
-/// Time before the end of its lease from which a record is not relied on any more.
+/// The record is not relied on for this long before its time to live ends.
 const RECORD_MARGIN: Duration = Duration::from_millis(300);
 
-/// Until when a coordinator relies on a record that it asked to be renewed at `asked_at`.
+/// Returns until when a coordinator relies on its record after a renewal that it requested at
+/// `asked_at`.
 pub fn relied_on_until(asked_at: Timestamp) -> Timestamp {
     asked_at + RECORD_TIME - RECORD_MARGIN
 }
 
-/// How long a node leaves a free record alone after it first heard of the store's era.
+/// Delays claiming a free coordinator record after this node first observed the store's era.
 ///
-/// A store that comes back from a copy may have lost the record of a coordinator that goes on
-/// relying on it: that one was last answered in the earlier era, which ended before anybody
-/// heard of the new one. Once the era has settled, nobody relies on an earlier one.
+/// A store that was restored from a copy may have lost the record of a coordinator that still
+/// relies on it. The last answer to that coordinator came from the earlier era, which ended before
+/// any node could observe the new one. Once the era has settled, no coordinator relies on a record
+/// from an earlier era.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ClaimDelay {
     era: Option<StoreEra>,
@@ -32,18 +35,19 @@
 }
 
 impl ClaimDelay {
-    /// The store has been in `era` for long.
+    /// Records that the store has been in `era` for long enough that no coordinator relies on an
+    /// earlier one.
     pub fn settle(&mut self, era: StoreEra) {
         self.settled = self.settled.max(Some(era));
     }
 
-    /// Whether the present era is known to have settled.
+    /// Returns whether the current era is known to have settled.
     pub fn is_settled(&self) -> bool {
         self.era.is_some() && self.settled >= self.era
     }
 
-    /// Takes notice of the era of an answer. `no_other` says that no other node can be the
-    /// coordinator of the era before.
+    /// Records the era of an answer from the store. `no_other` states that no other node can be the
+    /// coordinator of the previous era.
     pub fn note_era(&mut self, era: StoreEra, no_other: bool, now: Timestamp) {
         if self.era.is_some_and(|known| known >= era) {
             return;
@@ -52,7 +56,7 @@
         self.until = if no_other { now } else { now + RECORD_TIME };
     }
 
-    /// Whether no coordinator of an earlier era can rely on its record any more.
+    /// Returns whether no coordinator of an earlier era can rely on its record any more.
     pub fn is_over(&self, now: Timestamp) -> bool {
         self.is_settled() || self.era.is_some() && now >= self.until
     }
@@ -61,13 +65,14 @@
 /// The coordinator's record in the state store.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoordinatorRecord {
-    /// Node name.
+    /// Name of the coordinating node.
     pub node: String,
-    /// The lease that the record goes with. It tells lives of one node apart.
+    /// The store lease that the record is attached to. It distinguishes successive processes of the
+    /// same node.
     pub lease: u64,
 }
 
-/// What a node knows of coordinators. A revision is that of a record in the store.
+/// What a node knows about coordinators. Revisions are those of the record in the store.
 #[derive(Clone, Debug, Default)]
 pub struct CoordinatorView {
     revision: StoreRevision,
@@ -76,7 +81,8 @@
 }
 
 impl CoordinatorView {
-    /// Takes the record as of `revision`, or that it is gone. An older one is passed over.
+    /// Applies the record as of `revision`, or its removal. A revision older than the known one is
+    /// ignored.
     pub fn take_record(&mut self, revision: StoreRevision, record: Option<CoordinatorRecord>) {
         if revision < self.revision {
             return;
@@ -91,14 +97,14 @@
         self.holder = record;
     }
 
-    /// Notes that there is no record now.
+    /// Records that the store holds no coordinator record now.
     pub fn forget_record(&mut self) {
         self.revision = StoreRevision::default();
         self.holder = None;
     }
 
-    /// Takes notice of a coordinator that announces something. A node that has lost the
-    /// store learns of a new one only so.
+    /// Records a coordinator that has announced an order. For a node that has lost the store this
+    /// is the only way to learn of a new coordinator.
     pub fn learn(&mut self, revision: StoreRevision, node: &str) {
         if self
             .newest
@@ -109,30 +115,30 @@
         }
     }
 
-    /// The record, while there is one.
+    /// Returns the current record, if there is one.
     pub fn holder(&self) -> Option<&CoordinatorRecord> {
         self.holder.as_ref()
     }
 
-    /// Its revision; the default if there is none.
+    /// Returns the revision of the current record, or the default if there is none.
     pub fn revision(&self) -> StoreRevision {
         self.revision
     }
 
-    /// The record, if a process of `node` wrote it that no longer runs: not the one that
-    /// holds `lease`.
+    /// Returns the record if it was written by an earlier process of `node`, that is, if it is not
+    /// attached to `lease`.
     pub fn left_behind(&self, node: &str, lease: Option<u64>) -> Option<&CoordinatorRecord> {
         self.holder()
             .filter(|record| record.node == node && Some(record.lease) != lease)
     }
 
-    /// Revision of the newest coordinator known of; the default if there is none.
+    /// Returns the revision of the newest known coordinator, or the default if none is known.
     pub fn newest_revision(&self) -> StoreRevision {
         let newest = self.newest.as_ref();
         newest.map_or_else(StoreRevision::default, |(revision, _)| *revision)
     }
 
-    /// Name of the newest coordinator known of, whether its record is there or not.
+    /// Returns the name of the newest known coordinator, whether or not its record still exists.
     pub fn newest(&self) -> Option<&str> {
         self.newest.as_ref().map(|(_, node)| node.as_str())
     }
--- a/crates/coordination/src/serving/database_life.rs
+++ b/crates/coordination/src/serving/database_life.rs
@@ -1,39 +1,39 @@
-//! Lives of a database.
+//! Incarnations of a database.
 //!
-//! A database that starts again may do so under its name, and then holds and knows nothing
-//! of before. Its identity is the name *and* the start that it tells. Every process that
-//! learns of a start learns it after the life before had ended, so a fact counts for the
-//! present life only if it was asked for after this node had learnt of that life. The rule
-//! needs no word from whoever passes a fact on, and errs by passing over a fact that is
-//! asked for again a moment later.
+//! A database that restarts may keep its name, but loses all of its state. It is therefore
+//! identified by its name *and* the start time that it reports. Every process that observes a start
+//! time does so after the previous incarnation has ended, so a fact applies to the current
+//! incarnation only if it was requested after this node observed that incarnation. This rule needs
+//! no additional data from the nodes that relay facts. It errs towards discarding a fact that is
+//! requested again a moment later.
 //!
-//! A start that is told where none was, or none where one was, is another life as well: to
-//! forget what still holds costs a few questions, to keep what does not costs commits.
+//! A start time that appears or disappears also counts as a new incarnation: discarding a fact that
+//! is still valid costs a few queries, while keeping one that is not costs commits.
 
 use std::collections::BTreeMap;
 
 use hookpoint_state::{DatabaseName, StoreRevision};
 use serde::{Deserialize, Serialize};
 
-/// When a database's process started, as the database tells it: Unix milliseconds.
+/// Start time of a database's process as reported by the database, in Unix milliseconds.
 ///
-/// It tells two lives of one name apart and is compared with nothing but itself; this
-/// node's clocks know nothing of it.
+/// It only distinguishes incarnations of the same name. It is compared for equality with other
+/// start times only, never with this node's clocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DatabaseStart(pub u64);
 
-/// Forgotten databases that are remembered at the most: many times what a fleet of thousands
-/// of databases replaces in the minutes for which a late message may be on its way.
+/// Maximum number of removed databases that are remembered: many times the number that a fleet of
+/// thousands of databases replaces in the minutes for which a late message may be in transit.
 const TOMBSTONES_KEPT: usize = 16_384;
 
-/// Revision and start of the last entry of databases that were forgotten.
+/// Revision and start time of the last entry of each removed database.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Tombstones {
     entries: BTreeMap<DatabaseName, (StoreRevision, Option<DatabaseStart>)>,
 }
 
 impl Tombstones {
-    /// What is remembered of a database.
+    /// Returns the last revision and start time of a removed database.
     pub(super) fn get(
         &self,
         name: &DatabaseName,
@@ -41,8 +41,8 @@
         self.entries.get(name).copied()
     }
 
-    /// Remembers a database that is forgotten. Where there are too many, the one that
-    /// changed first goes.
+    /// Remembers a removed database. Above the maximum, the entry with the oldest revision is
+    /// dropped.
     pub(super) fn put(
         &mut self,
         name: &DatabaseName,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// The database is known again.
+    /// Drops the tombstone of a database that is registered again.
     pub(super) fn remove(&mut self, name: &DatabaseName) {
         self.entries.remove(name);
     }
--- a/crates/coordination/src/serving/demand.rs
+++ b/crates/coordination/src/serving/demand.rs
@@ -1,8 +1,8 @@
-//! How many connections to one database a node keeps open.
+//! Number of connections that a node keeps open to a database.
 //!
-//! A database takes a bounded number of connections from all nodes together, and for some
-//! seconds it counts those of a node that lost power. So a node keeps only what it lately
-//! needed: what it leaves free lets restarted nodes in at once.
+//! A database accepts a bounded number of connections from all nodes together, and for some seconds
+//! it still counts those of a node that lost power. Each node therefore keeps only as many as it
+//! needed recently; the unused remainder lets restarted nodes connect at once.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,77 +11,78 @@
 
 use super::tenancy::Principal;
 
-/// Length of the window over which the need is measured; the one before counts as well.
+/// Length of the window over which the peak use is measured. The previous window counts as well.
 const WINDOW: Duration = Duration::from_secs(2);
-/// Connections kept beyond the need, so that the next request seldom waits for one.
+/// Connections kept open beyond the recent peak, so that the next request seldom waits for one.
 const SPARE: usize = 1;
 
-/// The most connections that one principal had in use at once, lately.
+/// The maximum number of connections that one principal had in use at once, over the current and
+/// the previous window.
 #[derive(Clone, Debug, Default)]
-struct Need {
+struct RecentPeak {
     window_start: Timestamp,
-    present: usize,
-    before: usize,
+    current_window: usize,
+    previous_window: usize,
 }
 
-impl Need {
+impl RecentPeak {
     fn note(&mut self, now: Timestamp, in_use: usize) {
-        self.roll(now);
-        self.present = self.present.max(in_use);
+        self.rotate_windows(now);
+        self.current_window = self.current_window.max(in_use);
     }
 
-    fn lately(&mut self, now: Timestamp) -> usize {
-        self.roll(now);
-        self.present.max(self.before)
+    fn recent_max(&mut self, now: Timestamp) -> usize {
+        self.rotate_windows(now);
+        self.current_window.max(self.previous_window)
     }
 
-    fn roll(&mut self, now: Timestamp) {
+    fn rotate_windows(&mut self, now: Timestamp) {
         let elapsed = now.since(self.window_start);
         if elapsed < WINDOW {
             return;
         }
-        self.before = if elapsed < WINDOW * 2 {
-            self.present
+        self.previous_window = if elapsed < WINDOW * 2 {
+            self.current_window
         } else {
             0
         };
-        self.present = 0;
+        self.current_window = 0;
         self.window_start = now;
     }
 }
 
-/// What all principals needed lately. A connection serves one of them only, so their needs
-/// add up.
+/// Recent peak use of all principals. A connection serves a single principal, so the peaks add up.
 #[derive(Clone, Debug, Default)]
 pub struct Demand {
-    needs: BTreeMap<Principal, Need>,
+    peaks: BTreeMap<Principal, RecentPeak>,
 }
 
 impl Demand {
-    /// Notes that `in_use` connections of a principal were in use or waited for at once.
+    /// Records that `in_use` connections of a principal were in use or waited for at the same time.
     pub fn note(&mut self, now: Timestamp, principal: &Principal, in_use: usize) {
-        match self.needs.get_mut(principal) {
-            Some(need) => need.note(now, in_use),
+        match self.peaks.get_mut(principal) {
+            Some(peak) => peak.note(now, in_use),
             None => {
-                let need = self.needs.entry(principal.clone()).or_default();
-                need.note(now, in_use);
+                let peak = self.peaks.entry(principal.clone()).or_default();
+                peak.note(now, in_use);
             }
         }
     }
 
-    /// Connections that a home of the database keeps open.
+    /// Returns the number of connections that a home node of the database keeps open.
     pub fn kept(&mut self, now: Timestamp) -> usize {
         self.needed(now) + SPARE
     }
 
-    /// Connections that were lately needed. A node that is not home keeps no others: those that it
-    /// opened while it knew few of the fleet are the homes' to open.
+    /// Returns the number of connections needed recently. A node that is not a home node of the
+    /// database keeps no more than these: any others, opened while it knew only a few members of
+    /// the fleet, are for the home nodes to open.
     pub fn needed(&mut self, now: Timestamp) -> usize {
         let mut needed = 0;
-        self.needs.retain(|_, need| {
-            let lately = need.lately(now);
-            needed += lately;
-            lately > 0
+        self.peaks.retain(|_, peak| {
+            let recent_max = peak.recent_max(now);
+            needed += recent_max;
+            recent_max > 0
         });
         needed
     }
--- a/crates/coordination/src/serving/departure.rs
+++ b/crates/coordination/src/serving/departure.rs
@@ -1,38 +1,40 @@
-//! For how long a database that leaves still gets new work.
+//! How long a database that leaves the fleet still receives new work.
 //!
-//! The time runs from its announcement, and a node only knows when it heard of that. A node that
-//! starts, was paused or cut off, or whose upstream was, hears late. So each node keeps up to
-//! when it knows of every change of the store: an announcement that is news came after that.
-//! The time is counted from there, at most some seconds too early and never too late. Where
-//! nodes know different bounds of one announcement, the latest holds.
+//! The time runs from the database's announcement, but a node only knows when it received the
+//! announcement. A node that starts, was paused or was partitioned, or whose upstream was, receives
+//! it late. Each node therefore tracks the time up to which it knows every change in the store: an
+//! announcement that is new to it was made after that time. The grace period is counted from there,
+//! which is at most some seconds too early and never too late. If nodes know different lower bounds
+//! for the same announcement, the latest one applies.
 
 use std::time::Duration;
 
 use hookpoint_state::Timestamp;
 use serde::{Deserialize, Serialize};
 
-/// Absence in a steady store that proves that a database left: over two heartbeats, as
-/// an entry that lapsed in an outage comes back with the next one.
-pub const ABSENCE_PROVES: Duration = Duration::from_millis(3_500);
+/// How long an entry has to be absent from a store without gaps before the database is known to
+/// have left: more than two heartbeats, since an entry that expired in an outage is written again
+/// with the next heartbeat.
+pub const ABSENCE_CONFIRMED_AFTER: Duration = Duration::from_millis(3_500);
 
-/// Time within which databases and operators write again what a store lost that came back from
-/// an older copy: over two heartbeats.
+/// Time within which databases and operators rewrite what was lost when the store was restored from
+/// an older copy: more than two heartbeats.
 pub const WRITTEN_AGAIN: Duration = Duration::from_millis(3_500);
 
-/// Up to when a node knows of every change of the store.
+/// The time up to which a node knows every change in the store.
 ///
-/// A store that came back from a copy lists no change that it lost, though it had acknowledged
-/// it. Until those are written again its news cover nothing.
+/// A store that was restored from a copy does not list the changes that it lost, although it had
+/// acknowledged them. Until these have been rewritten, its updates do not extend the coverage.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Coverage {
     until: Timestamp,
     before_news: Timestamp,
-    /// News from before this moment may lack lost changes.
+    /// Updates as of an earlier time may lack lost changes.
     incomplete_until: Timestamp,
 }
 
 impl Coverage {
-    /// News of the store was taken in that holds every change up to `until`.
+    /// Records an update from the store that includes every change up to `until`.
     pub fn extend(&mut self, until: Timestamp) {
         self.before_news = self.until;
         if until >= self.incomplete_until {
@@ -40,46 +42,47 @@
         }
     }
 
-    /// The store is in another era than it was known to be in before `now`.
+    /// Records that the store changed its era; `now` is when this node observed it.
     pub fn note_era(&mut self, now: Timestamp) {
         self.incomplete_until = now + WRITTEN_AGAIN;
     }
 
-    /// The store has been in its era for longer than that takes.
+    /// Records that the store has been in its era for longer than the rewriting takes.
     pub fn settle(&mut self) {
         self.incomplete_until = Timestamp::default();
     }
 
-    /// Up to when every change is known; zero for a node that has just started.
+    /// Returns the time up to which every change is known; zero for a node that has just started.
     pub fn until(&self) -> Timestamp {
         self.until
     }
 
-    /// The same before the newest news: what that tells of happened later.
+    /// Returns the same time as of before the latest update: what that update reports happened
+    /// later.
     pub fn before_news(&self) -> Timestamp {
         self.before_news
     }
 }
 
-/// When a node hears of something, and a bound of when that happened.
+/// When a node received a piece of information, and a lower bound for when the event happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hearing {
-    /// When it hears of it.
+    /// When the node received the information.
     pub at: Timestamp,
-    /// It happened later than this.
+    /// The event happened later than this.
     pub not_before: Timestamp,
 }
 
-/// How a database leaves.
+/// How a node knows that a database leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Sign {
     /// Its registration says so.
     Announced,
-    /// Its registration is gone, which an outage of the store may be the reason for.
+    /// Its registration is missing, which may be due to an outage of the store.
     Missing,
 }
 
-/// A database's leaving, as far as a node knows.
+/// The departure of a database, as far as a node knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Departure {
     sign: Sign,
@@ -88,7 +91,7 @@
 }
 
 impl Departure {
-    /// One that is news.
+    /// Creates the record of a departure that is new to this node.
     pub fn heard(sign: Sign, hearing: Hearing) -> Self {
         Self {
             sign,
@@ -97,37 +100,38 @@
         }
     }
 
-    /// How the database leaves.
+    /// Returns how the departure is known.
     pub fn sign(&self) -> Sign {
         self.sign
     }
 
-    /// When this node heard of it.
+    /// Returns when this node received the information.
     pub fn heard_at(&self) -> Timestamp {
         self.heard_at
     }
 
-    /// From when its time counts: it began to leave no earlier.
+    /// Returns the start of the grace period: the database began to leave no earlier.
     pub fn counted_from(&self) -> Timestamp {
         self.not_before
     }
 
-    /// Another node knows that it began to leave no earlier than this.
+    /// Applies a lower bound known to another node: the database began to leave no earlier than
+    /// `not_before`.
     pub fn learn(&mut self, not_before: Timestamp) {
         self.not_before = self.not_before.max(not_before.min(self.heard_at));
     }
 
-    /// Until when the database gets new work, if that is allowed for `limit` after it began to
-    /// leave.
+    /// Returns until when the database receives new work, if that is allowed for `limit` after it
+    /// began to leave.
     ///
-    /// Many registrations go missing in an outage of the store, and their databases live. A node
-    /// that hears of that late would lose them all, so for as long as absence proves nothing it
-    /// goes on using them.
+    /// Many registrations go missing in an outage of the store although their databases are alive.
+    /// A node that receives this information late would drop them all, so it keeps using them until
+    /// their absence is conclusive.
     pub fn work_ends(&self, limit: Duration) -> Timestamp {
         let ends = self.not_before + limit;
         match self.sign {
             Sign::Announced => ends,
-            Sign::Missing => ends.max(self.heard_at + ABSENCE_PROVES.min(limit)),
+            Sign::Missing => ends.max(self.heard_at + ABSENCE_CONFIRMED_AFTER.min(limit)),
         }
     }
 }
--- a/crates/coordination/src/serving/directory.rs
+++ b/crates/coordination/src/serving/directory.rs
@@ -1,15 +1,16 @@
-//! The databases as they register themselves, with the time each was last listed.
+//! Registered databases, and the time at which each was last listed.
 //!
-//! An entry that is missing from a complete listing proves that the database left only
-//! if the listing was stable, so absence is remembered with its time and the caller
-//! decides how long a missing database is still used.
+//! An entry that is missing from a complete listing proves that the database left only if the
+//! listing was stable. The time of its absence is therefore recorded, and the caller decides how
+//! long a missing database is still used.
 //!
-//! The store may come back from an older copy of itself, and lists again what was over: a
-//! registration from before an announced end, of a database that left, or of an earlier life.
-//! What was known of these holds on until the database itself writes anew.
+//! A store that was restored from an older copy of itself may list outdated entries again: a
+//! registration from before a database announced its departure, of a database that has left, or of
+//! an earlier incarnation. What was known of these remains in force until the database itself
+//! writes a new entry.
 //!
-//! A database that starts again may keep its name. It then holds and knows nothing of
-//! before: see [`database_life`](super::database_life).
+//! A database that restarts may keep its name, but loses all of its state: see
+//! [`database_life`](super::database_life).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,138 +20,139 @@
 use serde::{Deserialize, Serialize};
 
 use super::database_life::{DatabaseStart, Tombstones};
-use super::departure::{ABSENCE_PROVES, Departure, Hearing, Sign};
+use super::departure::{ABSENCE_CONFIRMED_AFTER, Departure, Hearing, Sign};
 
-/// Time within which an entry lapses that a store brought back with a copy, if its database does
-/// not live: three heartbeats, and the passing on of the news.
-pub const COPY_LAPSES: Duration = Duration::from_secs(6);
+/// Time within which an entry that was restored with a copy of the store expires if its database is
+/// not running: three heartbeats plus the propagation of the change.
+pub const RESTORED_ENTRY_EXPIRY: Duration = Duration::from_secs(6);
 
-/// Role that a database states for itself. It may be out of date.
+/// Role that a database reports for itself. It may be out of date.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StatedRole {
-    /// It takes writes.
+    /// It accepts writes.
     Primary,
-    /// It follows a primary.
+    /// It replicates from a primary.
     Replica,
 }
 
-/// One database as registered.
+/// A database as registered.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Database {
-    /// Its own name, unique in the fleet.
+    /// Name of the database, unique in the fleet.
     pub name: DatabaseName,
-    /// The group it belongs to.
+    /// The replicated group that it belongs to.
     pub group: GroupName,
-    /// Where it accepts connections.
+    /// Address on which it accepts connections.
     pub address: SocketAddr,
-    /// Its zone.
+    /// Zone in which it runs.
     pub zone: ZoneName,
-    /// Statements that it works on at once.
+    /// Number of statements that it executes concurrently.
     pub slots: usize,
-    /// Whether it has announced its end.
+    /// Whether it has announced its departure.
     pub draining: bool,
-    /// Role as it states it.
+    /// Role that it reports for itself.
     pub role: StatedRole,
-    /// Start of its present life; none if it does not tell.
+    /// Start time of its current incarnation; `None` if it does not report one.
     pub started: Option<DatabaseStart>,
-    /// How much longer it is cold, from when it wrote this.
+    /// For how much longer it is cold, counted from when it wrote the registration.
     pub cold_for: Duration,
 }
 
-/// A registered database with what is known of its leaving.
+/// A registered database, and what is known about its departure.
 #[derive(Clone, Debug)]
 pub struct Listed {
     /// The registration.
     pub database: Database,
-    /// Revision of the registration, or of its end.
+    /// Revision of the registration, or of its removal.
     pub revision: StoreRevision,
     /// Revision of the registration itself.
-    registered_at: StoreRevision,
-    /// Its leaving: it has announced its end, or its entry is missing.
+    registration_revision: StoreRevision,
+    /// Set if the database has announced its departure or its entry is missing.
     pub departure: Option<Departure>,
-    /// Era of the store in which that was told.
-    departed_in: StoreEra,
+    /// Era of the store in which the departure was reported.
+    departure_era: StoreEra,
     /// Whether its entry is missing from the store.
     pub missing: bool,
-    /// When its entry, which had gone, was listed again by a store that came back from a copy.
+    /// When a store restored from a copy listed its removed entry again.
     relisted_at: Option<Timestamp>,
-    /// When this node learnt of its present life.
-    pub life_since: Timestamp,
-    /// Start of the life before, if there was one that this node knew of.
-    ended: Option<Option<DatabaseStart>>,
+    /// When this node learned of its current incarnation.
+    pub incarnation_since: Timestamp,
+    /// Start time of the previous incarnation, if this node knew one.
+    previous_start: Option<Option<DatabaseStart>>,
 }
 
 impl Listed {
-    /// Whether what the database said to a question of `asked_at` is of its present life for
-    /// certain: an earlier one had ended before anybody could learn of the present one.
+    /// Returns whether an answer to a query sent at `asked_at` certainly comes from the current
+    /// incarnation: the previous one had ended before any node could learn of the current one.
     pub fn is_of_this_life(&self, asked_at: Timestamp) -> bool {
-        asked_at > self.life_since
+        asked_at > self.incarnation_since
     }
 
-    /// Whether a registration tells of a life that had ended before its era of the store.
-    fn has_ended(&self, started: Option<DatabaseStart>, told_at: StoreRevision) -> bool {
+    /// Returns whether a registration describes an incarnation that ended before its era of the
+    /// store began.
+    fn is_ended_incarnation(&self, started: Option<DatabaseStart>, told_at: StoreRevision) -> bool {
         let is_later = told_at.era() > self.revision.era();
-        is_later && self.ended == Some(started) && started != self.database.started
+        is_later && self.previous_start == Some(started) && started != self.database.started
     }
 
-    /// Whether a registration is the one that had gone, which a store brought back with a copy.
-    fn had_gone(&self, told_at: StoreRevision) -> bool {
-        self.missing && told_at.may_be_copy_of(self.registered_at)
+    /// Returns whether a registration is the removed one, restored with a copy of the store.
+    fn is_restored_entry(&self, told_at: StoreRevision) -> bool {
+        self.missing && told_at.may_be_copy_of(self.registration_revision)
     }
 
-    /// The announcement of the database's end that a registration of the same life told at
-    /// `revision` does not take back.
-    fn lasting_announcement(&self, draining: bool, revision: StoreRevision) -> Option<Departure> {
+    /// Returns the announced departure if it remains in force after a registration of the same
+    /// incarnation at `revision`.
+    fn retained_announcement(&self, draining: bool, revision: StoreRevision) -> Option<Departure> {
         let announced = self
             .departure
             .filter(|known| known.sign() == Sign::Announced);
-        let lost = self.departed_in < revision.era();
+        let lost = self.departure_era < revision.era();
         announced.filter(|_| draining || lost)
     }
 
-    /// Whether the database is leaving for certain.
+    /// Returns whether the database is certainly leaving.
     ///
-    /// It is if it says so. If its entry is missing, the store has to have been followed
-    /// without a gap since `steady_since` for long enough, and the entry to have been
-    /// missing all the while.
+    /// It is if it has announced its departure. If its entry is missing, the store must have been
+    /// followed without a gap since `steady_since` for long enough, and the entry must have been
+    /// missing throughout.
     pub fn is_leaving(&self, steady_since: Timestamp, now: Timestamp) -> bool {
         match self.departure {
             None => false,
             Some(_) if !self.missing => true,
             Some(departure) => {
                 let absent_since = departure.heard_at().max(steady_since);
-                now.since(absent_since) >= ABSENCE_PROVES
+                now.since(absent_since) >= ABSENCE_CONFIRMED_AFTER
             }
         }
     }
 }
 
-/// All databases known.
+/// All known databases.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
     databases: BTreeMap<DatabaseName, Listed>,
-    /// Names of the databases of each group, so that a request touches only its own group's.
+    /// Names of the databases of each group, so that a request only touches those of its own group.
     by_group: BTreeMap<GroupName, BTreeSet<DatabaseName>>,
-    /// Those that are leaving, so that a look at these does not touch all others.
+    /// Databases that are leaving, so that iterating over them does not touch all others.
     leaving: BTreeSet<DatabaseName>,
-    /// Those that were forgotten, so that a late word of one does not bring it back.
+    /// Databases that were removed, so that a late message does not bring one back.
     tombstones: Tombstones,
 }
 
-/// What a registration was to the directory.
+/// The effect of a registration on the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Registration {
-    /// Older than what is known, and passed over.
+    /// It was older than the known state and was ignored.
     Outdated,
-    /// The first of a database, or news of the life that was known.
+    /// It was the first of its database, or an update of the known incarnation.
     Taken,
-    /// That of another life: what was learnt of the one before holds no more.
+    /// It was of a different incarnation: what was known of the previous one no longer applies.
     NewLife,
 }
 
 impl Directory {
-    /// Takes one registration; an older revision than the one held is passed over, so it
-    /// brings no earlier life back.
+    /// Applies a registration. A revision older than the known one is ignored, so it cannot restore
+    /// an earlier incarnation.
     pub fn put(
         &mut self,
         database: Database,
@@ -158,12 +160,12 @@
         hearing: Hearing,
     ) -> Registration {
         if let Some(listed) = self.databases.get_mut(&database.name) {
-            if listed.had_gone(revision) {
+            if listed.is_restored_entry(revision) {
                 listed.relisted_at.get_or_insert(hearing.at);
                 listed.revision = revision;
                 return Registration::Outdated;
             }
-            if listed.has_ended(database.started, revision) {
+            if listed.is_ended_incarnation(database.started, revision) {
                 listed.revision = revision;
                 return Registration::Outdated;
             }
@@ -176,20 +178,21 @@
         if known.is_some_and(|(known_revision, _)| known_revision > revision) {
             return Registration::Outdated;
         }
-        let is_new_life = known.is_some_and(|(_, started)| started != database.started);
-        let same_life = before.filter(|_| !is_new_life);
-        let lasting =
-            same_life.and_then(|listed| listed.lasting_announcement(database.draining, revision));
+        let is_new_incarnation = known.is_some_and(|(_, started)| started != database.started);
+        let same_incarnation = before.filter(|_| !is_new_incarnation);
+        let retained = same_incarnation
+            .and_then(|listed| listed.retained_announcement(database.draining, revision));
         let announced = || Departure::heard(Sign::Announced, hearing);
-        let departure = lasting.or_else(|| database.draining.then(announced));
-        let departed_in = match same_life.filter(|_| lasting.is_some()) {
-            Some(listed) => listed.departed_in,
+        let departure = retained.or_else(|| database.draining.then(announced));
+        let departure_era = match same_incarnation.filter(|_| retained.is_some()) {
+            Some(listed) => listed.departure_era,
             None => revision.era(),
         };
-        let life_since = same_life.map_or(hearing.at, |listed| listed.life_since);
-        let ended = match before {
-            Some(listed) if is_new_life => Some(listed.database.started),
-            Some(listed) => listed.ended,
+        let incarnation_since =
+            same_incarnation.map_or(hearing.at, |listed| listed.incarnation_since);
+        let previous_start = match before {
+            Some(listed) if is_new_incarnation => Some(listed.database.started),
+            Some(listed) => listed.previous_start,
             None => None,
         };
         self.tombstones.remove(&database.name);
@@ -199,16 +202,16 @@
                 ..database
             },
             revision,
-            registered_at: revision,
+            registration_revision: revision,
             departure,
-            departed_in,
+            departure_era,
             missing: false,
             relisted_at: None,
-            life_since,
-            ended,
+            incarnation_since,
+            previous_start,
         };
         self.insert(listed);
-        if is_new_life {
+        if is_new_incarnation {
             Registration::NewLife
         } else {
             Registration::Taken
@@ -225,12 +228,12 @@
         }
         let before = self.databases.insert(name.clone(), listed);
         if let Some(before) = before.filter(|before| before.database.group != group) {
-            self.leave_group(&before.database);
+            self.remove_from_group(&before.database);
         }
         self.by_group.entry(group).or_default().insert(name);
     }
 
-    fn leave_group(&mut self, database: &Database) {
+    fn remove_from_group(&mut self, database: &Database) {
         if let Some(names) = self.by_group.get_mut(&database.group) {
             names.remove(&database.name);
             if names.is_empty() {
@@ -239,7 +242,7 @@
         }
     }
 
-    /// Notes that the entry of `name` is gone as of `revision`.
+    /// Records that the entry of `name` was removed as of `revision`.
     pub fn remove(&mut self, name: &DatabaseName, revision: StoreRevision, hearing: Hearing) {
         if let Some(listed) = self.databases.get_mut(name)
             && listed.revision <= revision
@@ -250,13 +253,13 @@
             self.leaving.insert(name.clone());
             if listed.departure.is_none() {
                 listed.departure = Some(Departure::heard(Sign::Missing, hearing));
-                listed.departed_in = revision.era();
+                listed.departure_era = revision.era();
             }
         }
     }
 
-    /// Takes in that another node knows when a database of a life announced its end, or that it
-    /// was no earlier than `not_before`.
+    /// Applies another node's knowledge that an incarnation of a database announced its departure
+    /// no earlier than `not_before`.
     pub fn learn_departure(
         &mut self,
         name: &DatabaseName,
@@ -264,14 +267,14 @@
         not_before: Timestamp,
     ) {
         let listed = self.databases.get_mut(name);
-        let same_life = listed.filter(|listed| listed.database.started == started);
-        let departure = same_life.and_then(|listed| listed.departure.as_mut());
+        let same_incarnation = listed.filter(|listed| listed.database.started == started);
+        let departure = same_incarnation.and_then(|listed| listed.departure.as_mut());
         if let Some(departure) = departure.filter(|known| known.sign() == Sign::Announced) {
             departure.learn(not_before);
         }
     }
 
-    /// The databases that a complete listing of `present` ones lacks.
+    /// Returns the known databases that are absent from a complete listing, `present`.
     pub fn lacking(&self, present: &BTreeSet<DatabaseName>) -> Vec<DatabaseName> {
         let names = self.databases.keys();
         names
@@ -280,19 +283,19 @@
             .collect()
     }
 
-    /// Takes databases for present whose entries came back with a copy of the store and have not
-    /// lapsed since.
+    /// Marks databases as present whose entries were restored with a copy of the store and have not
+    /// expired since.
     pub fn note_lasting(&mut self, now: Timestamp) {
-        let lasts = |listed: &&Listed| {
+        let has_lasted = |listed: &&Listed| {
             let since = listed.relisted_at;
-            since.is_some_and(|since| now.since(since) >= COPY_LAPSES)
+            since.is_some_and(|since| now.since(since) >= RESTORED_ENTRY_EXPIRY)
         };
-        let lasting: Vec<DatabaseName> = self
+        let retained: Vec<DatabaseName> = self
             .leaving()
-            .filter(lasts)
+            .filter(has_lasted)
             .map(|listed| listed.database.name.clone())
             .collect();
-        for name in lasting {
+        for name in retained {
             if let Some(listed) = self.databases.get_mut(&name) {
                 listed.relisted_at = None;
                 listed.missing = false;
@@ -306,7 +309,7 @@
         }
     }
 
-    /// Forgets databases that have been missing since before `before`; tells which.
+    /// Removes the databases that have been missing since before `before`, and returns their names.
     pub fn forget_missing(&mut self, before: Timestamp) -> Vec<DatabaseName> {
         let heard_before = |departure: Departure| departure.heard_at() <= before;
         let forgotten: Vec<DatabaseName> = self
@@ -320,31 +323,31 @@
             if let Some(listed) = self.databases.remove(name) {
                 self.tombstones
                     .put(name, listed.revision, listed.database.started);
-                self.leave_group(&listed.database);
+                self.remove_from_group(&listed.database);
             }
         }
         forgotten
     }
 
-    /// One database.
+    /// Returns a known database.
     pub fn get(&self, name: &DatabaseName) -> Option<&Listed> {
         self.databases.get(name)
     }
 
-    /// The databases of a group, by name.
+    /// Returns the databases of a group, ordered by name.
     pub fn of_group<'a>(&'a self, group: &GroupName) -> impl Iterator<Item = &'a Listed> {
         let names = self.by_group.get(group).into_iter().flatten();
         names.filter_map(|name| self.databases.get(name))
     }
 
-    /// The databases that are leaving, by name.
+    /// Returns the databases that are leaving, ordered by name.
     pub fn leaving(&self) -> impl Iterator<Item = &Listed> {
         self.leaving
             .iter()
             .filter_map(|name| self.databases.get(name))
     }
 
-    /// All databases, by name.
+    /// Returns all databases, ordered by name.
     pub fn iter(&self) -> impl Iterator<Item = &Listed> {
         self.databases.values()
     }
--- a/crates/coordination/src/serving/evacuation.rs
+++ b/crates/coordination/src/serving/evacuation.rs
@@ -1,4 +1,4 @@
-//! Zones whose databases the operator wants to get no more requests.
+//! Zones whose databases the operator has asked to take out of service.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,41 +10,41 @@
 /// What the databases of a zone may be used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ZoneStanding {
-    /// Anything.
+    /// Any request.
     Open,
-    /// Anything, but only if no other database will do: an evacuation has just ended.
+    /// Any request, but only if no other database can serve it: an evacuation has just ended.
     Returning,
-    /// Only what is open already, questions, and what a primary alone can run, which is on its
-    /// way to another zone.
+    /// Only open transactions and connections, status queries, and statements that only a primary
+    /// can run, while that primary is being moved to another zone.
     Evacuating,
-    /// Nothing.
+    /// No requests at all.
     Evacuated,
 }
 
-/// What is known of one zone's evacuation.
+/// What is known about one zone's evacuation.
 #[derive(Clone, Copy, Debug)]
 struct Evacuation {
-    /// Revision of the request, or of its end.
+    /// Revision of the evacuation request, or of its end.
     revision: StoreRevision,
-    /// Whether it is in force.
+    /// Whether the request is in force.
     requested: bool,
-    /// When this node learnt of the request or its end.
+    /// When this node learned of the request or its end.
     since: Timestamp,
-    /// Since when the store has not listed the request, after it came back from a copy. Lost
-    /// requests are written again; one that was taken back is not.
+    /// Since when a store restored from a copy has not listed the request. Lost requests are
+    /// rewritten; a withdrawn one is not.
     unlisted_since: Option<Timestamp>,
 }
 
-/// The evacuations that this node knows of. A request that has ended is remembered, so that
-/// an older word of it does not bring it back.
+/// The evacuations known to this node. A request that has ended is remembered, so that an older
+/// message does not bring it back.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     zones: BTreeMap<ZoneName, Evacuation>,
 }
 
 impl Evacuations {
-    /// Takes a request, or its end, of `revision`; one that is not newer than what is known is
-    /// passed over. Says whether what is in force changed.
+    /// Applies a request, or its end, as of `revision`. A revision that is not newer than the known
+    /// one is ignored. Returns whether the request's state changed.
     pub fn take(
         &mut self,
         zone: &ZoneName,
@@ -71,9 +71,9 @@
         before != requested
     }
 
-    /// Takes a complete listing of the requests in force, read at `revision`: what it lacks
-    /// has ended. A listing of a later era may lack what the store has lost, which holds on for
-    /// a while. Returns the zones for which what is in force changed.
+    /// Applies a complete listing of the requests in force, read at `revision`: a request that is
+    /// absent has ended. A listing of a later era may lack requests that the store has lost; those
+    /// remain in force for a while. Returns the zones whose state changed.
     pub fn replace(
         &mut self,
         listed: &[(ZoneName, StoreRevision)],
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Ends the requests that were not written again after the store came back without them, as
-    /// of `revision`. Returns their zones.
+    /// Ends, as of `revision`, the requests that were not rewritten after the store was restored
+    /// without them. Returns their zones.
     pub fn end_unlisted(&mut self, revision: StoreRevision, now: Timestamp) -> Vec<ZoneName> {
         let is_over = |evacuation: &Evacuation| {
             let since = evacuation.unlisted_since;
@@ -126,26 +126,26 @@
         over
     }
 
-    /// Whether no zone has been evacuated as far as is known.
+    /// Returns whether no evacuation, current or ended, is known.
     pub fn is_empty(&self) -> bool {
         self.zones.is_empty()
     }
 
-    /// All that is known: each zone, whether its request is in force, and the revision of the
-    /// request or its end.
+    /// Returns every known zone, whether its request is in force, and the revision of the request
+    /// or its end.
     pub fn known(&self) -> impl Iterator<Item = (&ZoneName, bool, StoreRevision)> {
         self.zones
             .iter()
             .map(|(zone, evacuation)| (zone, evacuation.requested, evacuation.revision))
     }
 
-    /// How long the request for a zone has been known, if it is in force.
+    /// Returns for how long the request for a zone has been known, if it is in force.
     pub fn age(&self, zone: &ZoneName, now: Timestamp) -> Option<Duration> {
         let evacuation = self.zones.get(zone)?;
         evacuation.requested.then(|| now.since(evacuation.since))
     }
 
-    /// The requests in force and their revisions.
+    /// Returns the requests in force and their revisions.
     pub fn requested(&self) -> impl Iterator<Item = (&ZoneName, StoreRevision)> {
         self.zones
             .iter()
@@ -153,8 +153,9 @@
             .map(|(zone, evacuation)| (zone, evacuation.revision))
     }
 
-    /// What the databases of a zone may be used for. They get nothing any more once the
-    /// request has been known for `limit`; after its end they are spared for `return_time`.
+    /// Returns what the databases of a zone may be used for. They receive nothing once the request
+    /// has been known for `limit`; after its end they are used only as a last resort for
+    /// `return_time`.
     pub fn standing(
         &self,
         zone: &ZoneName,
--- a/crates/coordination/src/serving/failover.rs
+++ b/crates/coordination/src/serving/failover.rs
@@ -1,11 +1,12 @@
-//! When a group gets another primary, and which one.
+//! Decides when a group needs a new primary, and which replica is promoted.
 //!
-//! Nobody announces that a primary is dead. A false promotion rolls back commits and
-//! costs a second of writes; a late one costs every write until then. What counts is what
-//! the nodes that hold connections to it see: more of them must have lost it than reach
-//! it, and those that answer must be a majority of the holders, or the loss must have
-//! lasted much longer. Nodes that only lease connections, or know no primary, may be cut
-//! off from the holders or crowded out, so they count only where nobody reaches it.
+//! No component reports that a primary has failed. A false promotion rolls back commits and
+//! interrupts writes for a second; a late one fails every write until then. The decision rests on
+//! the observations of the nodes that hold connections to the primary: more of them must have lost
+//! it than reach it, and those that answer must be a majority of the holders, or the loss must have
+//! lasted much longer. Nodes that only lease connections, or that know no primary, may be
+//! partitioned from the holders or get no connection because of load. Their observations count only
+//! if no node reaches the primary.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -15,41 +16,41 @@
 
 use super::handover::Drawbacks;
 
-/// Loss by silence that counts as evidence.
+/// Duration of silence from which the loss of a primary counts as evidence.
 pub const SILENCE_EVIDENCE: Duration = Duration::from_millis(550);
-/// Loss by refused connections that counts as evidence.
+/// Duration of refused connections from which the loss of a primary counts as evidence.
 pub const REFUSAL_EVIDENCE: Duration = Duration::from_millis(150);
-/// Loss after which a minority of answering nodes is enough.
+/// Duration of a loss from which a minority of answering nodes is enough.
 pub const LONG_LOSS: Duration = Duration::from_millis(2_500);
 
-/// How one node sees a group's primary.
+/// The state of a group's primary as observed by one node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Observation {
-    /// It answers.
+    /// The primary answers.
     Reachable,
-    /// Its host refuses connections.
+    /// Its host has refused connections for this long.
     Refused(Duration),
-    /// It has said nothing for this long.
+    /// It has not answered for this long.
     Silent(Duration),
-    /// This node holds no connections to it, and no holder has helped for this long.
+    /// This node holds no connections to it, and no holder has provided one for this long.
     Unhelped(Duration),
     /// This node has known no primary for this long.
     Leaderless(Duration),
-    /// This node has not looked.
+    /// This node has made no observation.
     Unknown,
 }
 
-/// Nodes that may testify.
+/// Number of nodes whose observations may count.
 #[derive(Clone, Copy, Debug)]
 pub struct Witnesses {
     /// Live nodes.
     pub members: usize,
-    /// Those of them that hold connections to the primary.
+    /// Live nodes that hold connections to the primary.
     pub holders: usize,
 }
 
-/// Whether the primary counts as lost, by the observations of the nodes that answered,
-/// the asking one included.
+/// Returns whether the primary counts as lost, given the observations of the nodes that answered,
+/// including the node that collects them.
 pub fn is_lost(observations: &[Observation], witnesses: Witnesses) -> bool {
     let mut reachable = 0;
     let mut direct = 0;
@@ -87,36 +88,38 @@
         || (all >= majority(witnesses.members) && long)
 }
 
-/// The least number of `nodes` that any other as large shares a node with.
+/// Returns the size of the smallest majority of `nodes`: any two majorities have a node in common.
 pub(super) fn majority(nodes: usize) -> usize {
     nodes / 2 + 1
 }
 
-/// One replica's state, as it answered for itself.
+/// State of one replica, as reported by the replica itself.
 #[derive(Clone, Debug)]
 pub struct ReplicaState {
-    /// The replica.
+    /// Name of the replica.
     pub name: DatabaseName,
     /// Newest position that it has received.
     pub received: Position,
-    /// What speaks against it as the place of the primary.
+    /// Reasons against making it the primary.
     pub drawbacks: Drawbacks,
-    /// Whether it is in a zone that most nodes are close to; breaks ties.
+    /// Whether it is in a zone that is close to most nodes; used as a tie-breaker.
     pub preferred: bool,
 }
 
-/// Commits by which replicas in step may differ: what is on its way to them. One that lacks
-/// more has restarted empty or was cut off, and is no match for one that announces its end.
-const COMMITS_ON_THEIR_WAY: u64 = 64;
+/// Maximum number of commits by which replicas in step may differ, because the commits are still in
+/// transit. A replica that lacks more has restarted empty or was partitioned; a replica that has
+/// announced its departure is preferred to it.
+const MAX_COMMITS_IN_TRANSIT: u64 = 64;
 
 impl ReplicaState {
-    /// Whether the replica has received about as much as one at `newest`.
+    /// Returns whether the replica has received about as much as one at position `newest`.
     fn is_near(&self, newest: Position) -> bool {
         let lacks = newest.lsn.0.saturating_sub(self.received.lsn.0);
-        lacks <= COMMITS_ON_THEIR_WAY && (self.received.lsn.0 > 0 || newest.lsn.0 == 0)
+        lacks <= MAX_COMMITS_IN_TRANSIT && (self.received.lsn.0 > 0 || newest.lsn.0 == 0)
     }
 
-    /// Whether it lacks what one of `others` holds: it restarted empty or was cut off.
+    /// Returns whether it lacks commits that one of `others` holds, because it restarted empty or
+    /// was partitioned.
     pub fn is_behind(&self, others: &[ReplicaState]) -> bool {
         others.iter().any(|other| !self.is_near(other.received))
     }
@@ -128,49 +131,50 @@
     /// No replica answered.
     #[error("no replica answered")]
     NoneAnswered,
-    /// With acknowledgements by replicas, every one of them has to be asked.
+    /// Commits are acknowledged by replicas, and too few replicas answered to be sure that every
+    /// acknowledged commit is among their positions.
     #[error("a replica that may hold acknowledged commits did not answer")]
     SomeMissing,
-    /// None of the replicas that the primary may move to holds enough.
+    /// None of the permitted targets of a planned move holds enough commits.
     #[error("no replica that the primary may move to holds enough")]
     NoTarget,
 }
 
-/// Fails unless enough replicas answered to tell who holds every acknowledged commit.
+/// Fails unless enough replicas answered to determine which of them hold every acknowledged commit.
 fn require_answers(
     answered: &[ReplicaState],
     replicas: usize,
     sync_replicas: u32,
 ) -> Result<(), NoCandidate> {
     let missing = replicas.saturating_sub(answered.len());
-    let may_miss = match usize::try_from(sync_replicas).unwrap_or(usize::MAX) {
+    let max_missing = match usize::try_from(sync_replicas).unwrap_or(usize::MAX) {
         0 => usize::MAX,
         sync => sync - 1,
     };
-    if missing > may_miss {
+    if missing > max_missing {
         return Err(NoCandidate::SomeMissing);
     }
     Ok(())
 }
 
-/// Chooses the replica with the least against it, of those the one that has received most.
-/// One that has received nothing, as it started anew, is the last choice; that one is cold only
-/// decides among those that have received as much.
+/// Selects the replica with the fewest drawbacks and, among equals, the one that has received most.
+/// A replica that restarted empty and has received nothing is the last choice. A replica being cold
+/// only decides between replicas that have received the same position.
 ///
-/// `replicas` is the number of replicas of the group. If `sync_replicas` is above zero
-/// a commit may be held by just that many replicas, so at most `sync_replicas - 1` may
-/// be missing from `answered`, and what was received goes before all else.
+/// `replicas` is the number of replicas of the group. If `sync_replicas` is above zero, a commit
+/// may be held by only that many replicas. Then at most `sync_replicas - 1` replicas may be missing
+/// from `answered`, and the received position takes precedence over everything else.
 pub fn choose_candidate(
     answered: &[ReplicaState],
     replicas: usize,
     sync_replicas: u32,
 ) -> Result<DatabaseName, NoCandidate> {
     require_answers(answered, replicas, sync_replicas)?;
-    best(answered, sync_replicas).ok_or(NoCandidate::NoneAnswered)
+    select_best(answered, sync_replicas).ok_or(NoCandidate::NoneAnswered)
 }
 
-/// The same among the `targets` of a planned move. With acknowledgements by replicas only one
-/// that has received as much as any other will do.
+/// Selects a replica in the same way among the `targets` of a planned move. With synchronous
+/// replicas, only a replica that has received as much as any other is eligible.
 pub fn choose_target(
     answered: &[ReplicaState],
     replicas: usize,
@@ -185,13 +189,13 @@
         .filter(|state| sync_replicas == 0 || Some(state.received) == newest)
         .cloned()
         .collect();
-    best(&eligible, sync_replicas).ok_or(NoCandidate::NoTarget)
+    select_best(&eligible, sync_replicas).ok_or(NoCandidate::NoTarget)
 }
 
-fn best(states: &[ReplicaState], sync_replicas: u32) -> Option<DatabaseName> {
+fn select_best(states: &[ReplicaState], sync_replicas: u32) -> Option<DatabaseName> {
     let newest = states.iter().map(|state| state.received).max();
     let in_step = |state: &ReplicaState| newest.is_none_or(|newest| state.is_near(newest));
-    let merit = |state: &ReplicaState| {
+    let preference = |state: &ReplicaState| {
         let lasting = Drawbacks {
             cold: false,
             ..state.drawbacks
@@ -206,7 +210,7 @@
             in_step(left).cmp(&in_step(right))
         };
         order
-            .then_with(|| merit(left).cmp(&merit(right)))
+            .then_with(|| preference(left).cmp(&preference(right)))
             .then_with(|| right.name.cmp(&left.name))
     });
     best.map(|state| state.name.clone())
--- a/crates/coordination/src/serving/feed.rs
+++ b/crates/coordination/src/serving/feed.rs
@@ -1,11 +1,12 @@
-//! Who watches the state store, and the changes that a watcher passes on.
+//! Distribution of the state store's changes: which nodes watch the store, and the change log that
+//! a watcher passes on.
 //!
-//! Each call to the store has a price, and it serves a bounded number of them, so a large
-//! fleet cannot have every node watch it. One node watches for all: the first node of each
-//! large region follows that one over a link, and the other nodes of a region form a tree
-//! below their first. A node has as many followers as its link can serve in time. What is
-//! passed on is state, not history: of each subject only the newest change counts, so a log
-//! of them is as large as the state itself and no larger.
+//! Each call to the store has a cost and the store serves a bounded number of calls, so not every
+//! node of a large fleet can watch it. One node watches on behalf of all: the first node of each
+//! large region follows that node over a link, and the other nodes of a region form a tree below
+//! their first node. A node has as many followers as its link can serve in time. The log is of
+//! state, not of history: only the newest change of each subject is kept, so the log is never
+//! larger than the state itself.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,38 +15,38 @@
 use hookpoint_state::{StoreEra, StoreRevision, ZoneName};
 
 use super::homes::{HomeCandidate, rendezvous_score};
-use super::store_news::TryOrder;
+use super::store_news::StoreTryOrder;
 
-/// Nodes of a region up to which each watches the store by itself.
-const SMALL_REGION: usize = 4;
-/// What regions are ranked for when one of their first nodes watches for all.
+/// Maximum size of a region in which every node watches the store itself.
+const SMALL_REGION_SIZE: usize = 4;
+/// Subject for which regions are ranked to choose the fleet's watcher among their first nodes.
 const WATCH_SUBJECT: &str = "store";
-/// What the members of a part of the fleet are ranked for when they start.
+/// Subject for which the members of a part of the fleet are ranked when they start.
 const START_SUBJECT: &str = "start";
-/// Nodes that a node turns to before it watches the store itself: one may be lost without a
-/// gap.
-const UPSTREAMS: usize = 2;
-/// Followers of a node whose bandwidth is small or not known. A message that each node passes
-/// to a few others reaches all of them soonest with three or four.
-const LEAST_FOLLOWERS: usize = 4;
-/// Bandwidth for one more follower, in megabits a second: a configuration of some thousand
-/// routes is about 60 KB packed, and takes a quarter of a second with it.
+/// Number of upstreams that a node tries before it watches the store itself. With two, one can be
+/// lost without a gap.
+const MAX_UPSTREAMS: usize = 2;
+/// Number of followers of a node whose bandwidth is small or not known. A message that each node
+/// forwards to a few others reaches all nodes soonest with a fan-out of three or four.
+const MIN_FOLLOWERS: usize = 4;
+/// Bandwidth per additional follower, in megabits per second. A configuration of a few thousand
+/// routes is about 60 KB compressed, and takes a quarter of a second at this rate.
 const BANDWIDTH_PER_FOLLOWER_MBPS: u32 = 2;
-/// Subjects kept at the most; beyond that the oldest changes are forgotten.
-const SUBJECTS_KEPT: usize = 16_384;
+/// Maximum number of subjects in the log; beyond that, the oldest changes are dropped.
+const MAX_SUBJECTS: usize = 16_384;
 
 /// Region of each zone. A zone that is not listed is a region of its own.
 pub type Regions = BTreeMap<ZoneName, String>;
 
-/// The nodes that `own` hears the store's changes from, the preferred first. If there are
-/// none it watches the store itself.
+/// Returns the nodes from which `own` receives the store's changes, in order of preference. If
+/// there are none, it watches the store itself.
 ///
-/// All nodes of a small region watch by themselves. Of a large one the first node hears from
-/// the fleet's watcher, or from its substitute, and each other one from its parent in the
-/// region's tree, or from that one's. Nodes with the same view of the membership agree on
-/// all of this without a message. Those that `helps` rules out are left out, so nodes that
-/// are cut off together find one of them to follow. A node that rules itself out, as the store
-/// turns it away, follows others wherever they are.
+/// All nodes of a small region watch the store themselves. In a large region the first node follows
+/// the fleet's watcher or its substitute, and every other node follows its parent or grandparent in
+/// the region's tree. Nodes with the same view of the membership agree on all of this without
+/// exchanging messages. Nodes for which `helps` returns false are left out, so nodes that are
+/// partitioned together find one among them to follow. A node that excludes itself, because the
+/// store rejects its calls, follows other nodes wherever they are.
 pub fn store_upstreams<'a>(
     own: &HomeCandidate,
     nodes: &'a [HomeCandidate],
@@ -58,7 +59,7 @@
         if helps(&own.node) {
             return Vec::new();
         }
-        return upstreams_afar(own, nodes, regions, helps);
+        return remote_upstreams(own, nodes, regions, helps);
     };
     let mut first_nodes = vec![in_region[0]];
     first_nodes.extend(large.values().map(|members| members[0]));
@@ -74,9 +75,9 @@
     first_distinct(upstreams, &own.node)
 }
 
-/// The nodes that `own`, which starts, takes everything from that the store holds: those that
-/// come before it in the tree of `near`, the members of its part of the fleet. None if it is the
-/// one to list the store.
+/// Returns the nodes from which `own` reads the whole state of the store when it starts: its
+/// ancestors in the tree of `near`, the members of its part of the fleet. The result is empty if
+/// `own` is the node that lists the store.
 pub fn start_upstreams<'a>(own: &HomeCandidate, near: &'a [HomeCandidate]) -> Vec<&'a str> {
     if near.is_empty() {
         return Vec::new();
@@ -85,9 +86,9 @@
     first_distinct(ancestors(&own.node, &ranked), &own.node)
 }
 
-/// The nodes that `own` hears from when no other node of its region passes changes on and it
-/// cannot watch the store itself: those that watch, nearby ones first.
-fn upstreams_afar<'a>(
+/// Returns the upstreams of `own` if no other node of its region forwards changes and it cannot
+/// watch the store itself: nodes that watch the store, nearby ones first.
+fn remote_upstreams<'a>(
     own: &HomeCandidate,
     nodes: &'a [HomeCandidate],
     regions: &'a Regions,
@@ -105,7 +106,7 @@
     first_distinct(upstreams.map(|node| node.node.as_str()), &own.node)
 }
 
-/// The first of `names` without repetition and without the node itself.
+/// Returns the first [`MAX_UPSTREAMS`] distinct `names` other than `own`.
 fn first_distinct<'a>(names: impl IntoIterator<Item = &'a str>, own: &str) -> Vec<&'a str> {
     let mut distinct: Vec<&str> = Vec::new();
     for name in names {
@@ -113,71 +114,72 @@
             distinct.push(name);
         }
     }
-    distinct.truncate(UPSTREAMS);
+    distinct.truncate(MAX_UPSTREAMS);
     distinct
 }
 
-/// When `own` tries the store among the nodes of its region, if those that watch it are lost:
-/// in the order in which they pass changes on.
-pub fn try_order(own: &HomeCandidate, nodes: &[HomeCandidate], regions: &Regions) -> TryOrder {
+/// Returns the order in which `own` tries the store among the nodes of its region if the watchers
+/// are lost. It is the order in which the nodes forward changes.
+pub fn try_order(own: &HomeCandidate, nodes: &[HomeCandidate], regions: &Regions) -> StoreTryOrder {
     let region = region_of(&own.zone, regions);
     let in_region = |node: &&HomeCandidate| region_of(&node.zone, regions) == region;
     let members = ranked(region, nodes.iter().filter(in_region).collect());
-    let place = members.iter().position(|node| node.node == own.node);
-    TryOrder {
-        rank: count(place.unwrap_or(members.len())),
-        nodes: count(members.len()),
+    let index = members.iter().position(|node| node.node == own.node);
+    StoreTryOrder {
+        rank: saturating_u32(index.unwrap_or(members.len())),
+        nodes: saturating_u32(members.len()),
     }
 }
 
-fn count(nodes: usize) -> u32 {
+fn saturating_u32(nodes: usize) -> u32 {
     u32::try_from(nodes).unwrap_or(u32::MAX)
 }
 
-/// The node's parent in its region's tree, that one's parent, and so on. A node that does
-/// not help has the first one as its parent.
+/// Returns the node's ancestors in its region's tree, its parent first. A node that is not in the
+/// tree has the root as its parent.
 fn ancestors<'a>(own: &str, in_region: &[&'a HomeCandidate]) -> Vec<&'a str> {
     let parents = parents(in_region);
     let mut found = Vec::new();
-    let place = in_region.iter().position(|node| node.node == own);
-    let mut next = match place {
-        Some(place) => parents[place],
+    let index = in_region.iter().position(|node| node.node == own);
+    let mut next = match index {
+        Some(index) => parents[index],
         None => Some(0),
     };
-    while let Some(place) = next {
-        found.push(in_region[place].node.as_str());
-        next = parents[place];
+    while let Some(index) = next {
+        found.push(in_region[index].node.as_str());
+        next = parents[index];
     }
     found
 }
 
-/// The place of each node's parent among `ranked` nodes; the first has none. Each node in
-/// turn takes as many followers as it can serve.
+/// Returns the index of each node's parent among the `ranked` nodes; the root has none. Each node
+/// in turn takes as many followers as it can serve.
 fn parents(ranked: &[&HomeCandidate]) -> Vec<Option<usize>> {
     let mut parents = vec![None];
-    for (place, node) in ranked.iter().enumerate() {
+    for (index, node) in ranked.iter().enumerate() {
         let left = ranked.len().saturating_sub(parents.len());
-        let followers = most_followers(node).min(left);
-        parents.extend(std::iter::repeat_n(Some(place), followers));
+        let followers = max_followers(node).min(left);
+        parents.extend(std::iter::repeat_n(Some(index), followers));
     }
     parents
 }
 
-fn most_followers(node: &HomeCandidate) -> usize {
+fn max_followers(node: &HomeCandidate) -> usize {
     let by_bandwidth = node.bandwidth_mbps / BANDWIDTH_PER_FOLLOWER_MBPS;
     usize::try_from(by_bandwidth)
         .unwrap_or(usize::MAX)
-        .max(LEAST_FOLLOWERS)
+        .max(MIN_FOLLOWERS)
 }
 
-/// Whether so few nodes are in the region of `zone` that each watches the store by itself.
+/// Returns whether the region of `zone` has so few nodes that each of them watches the store
+/// itself.
 pub fn is_small_region(zone: &ZoneName, nodes: &[HomeCandidate], regions: &Regions) -> bool {
     let region = region_of(zone, regions);
     let in_region = |candidate: &&HomeCandidate| region_of(&candidate.zone, regions) == region;
-    nodes.iter().filter(in_region).count() <= SMALL_REGION
+    nodes.iter().filter(in_region).count() <= SMALL_REGION_SIZE
 }
 
-/// The nodes that help of each region that is not small, the first ones first.
+/// Returns, for each region that is not small, the nodes for which `helps` is true, in rank order.
 fn large_regions<'a>(
     nodes: &'a [HomeCandidate],
     regions: &'a Regions,
@@ -190,7 +192,7 @@
     }
     by_region
         .into_iter()
-        .filter(|(_, members)| members.len() > SMALL_REGION)
+        .filter(|(_, members)| members.len() > SMALL_REGION_SIZE)
         .map(|(region, mut members)| {
             members.retain(|candidate| helps(&candidate.node));
             (region, ranked(region, members))
@@ -199,7 +201,8 @@
         .collect()
 }
 
-/// The order in which nodes take on work for others: those with the most bandwidth first.
+/// Ranks nodes in the order in which they take on work for others: by descending bandwidth, then by
+/// rendezvous score.
 fn ranked<'a>(subject: &str, mut nodes: Vec<&'a HomeCandidate>) -> Vec<&'a HomeCandidate> {
     nodes.sort_by_cached_key(|candidate| {
         let score = rendezvous_score(subject, &candidate.node);
@@ -216,18 +219,19 @@
     regions.get(zone).map_or(zone.as_str(), String::as_str)
 }
 
-/// Part of a period, spread evenly by name: when a node does what all would do at once.
+/// Returns a fraction of `period` that is spread evenly by name, to stagger work that all nodes
+/// would otherwise do at the same time.
 pub fn share_of(name: &str, period: Duration) -> Duration {
     let share = u32::try_from(rendezvous_score(WATCH_SUBJECT, name) >> 48).unwrap_or(0);
     period * share / u32::from(u16::MAX)
 }
 
-/// The newest change of each subject, in the order of the store's revisions.
+/// The newest change of each subject, ordered by the store's revisions.
 #[derive(Clone, Debug)]
 pub struct ChangeLog<Subject, Change> {
-    /// The log holds every change after this revision; none if nothing is known yet.
+    /// The log holds every change after this revision; `None` if nothing is known yet.
     complete_after: Option<StoreRevision>,
-    /// Whether the log holds the newest of every subject, whenever that changed.
+    /// Whether the log holds the newest change of every subject, however old.
     whole: bool,
     changes: BTreeMap<(StoreRevision, Subject), Change>,
     newest: BTreeMap<Subject, StoreRevision>,
@@ -245,8 +249,8 @@
 }
 
 impl<Subject: Ord + Clone, Change: Clone> ChangeLog<Subject, Change> {
-    /// Begins anew after a listing of everything that was read at `revision`; each record of the
-    /// listing is to be recorded next.
+    /// Clears the log before a complete listing that was read at `revision`; the caller records
+    /// each entry of the listing next.
     pub fn restart(&mut self, revision: StoreRevision) {
         self.changes.clear();
         self.newest.clear();
@@ -254,15 +258,16 @@
         self.whole = true;
     }
 
-    /// Takes in a listing of everything that was read at `revision`, after changes were missed.
+    /// Applies a complete listing that was read at `revision`, after changes were missed.
     ///
-    /// What is listed as it was known stays as it is, so that followers, who know it as well,
-    /// hear only of what changed meanwhile. What is known and not listed has gone: `gone` says
-    /// how that is told of a subject, nothing if its last change told it or it never goes.
+    /// Entries that are listed as they were known stay unchanged, so that followers that know them
+    /// as well receive only what changed in the meantime. Entries that are known but not listed
+    /// have been removed: `gone` returns the change that reports the removal of a subject, or
+    /// `None` if its last change already did or if it is never removed.
     ///
-    /// A listing of another era begins anew: followers may know changes of the earlier one that
-    /// are not known here. So does one of an earlier state than that of the first listing, which
-    /// was old then, and of an era before.
+    /// A listing of another era resets the log, because followers may know changes of the earlier
+    /// era that are not known here. So does a listing whose revision is lower than that of the
+    /// listing with which the log began: that first listing was outdated, from an earlier era.
     pub fn take_listing(
         &mut self,
         revision: StoreRevision,
@@ -270,7 +275,7 @@
         gone: impl Fn(&Subject, &Change) -> Option<Change>,
     ) {
         let began_later = self.complete_after > Some(revision);
-        if !self.whole || began_later || !self.is_of(revision.era()) {
+        if !self.whole || began_later || !self.is_of_era(revision.era()) {
             self.restart(revision);
         }
         let present: BTreeSet<&Subject> = listed.iter().map(|(_, subject, _)| subject).collect();
@@ -291,7 +296,7 @@
         }
     }
 
-    /// Takes a change; one that is older than the newest of its subject is passed over.
+    /// Records a change; one that is older than the newest of its subject is ignored.
     pub fn record(&mut self, revision: StoreRevision, subject: Subject, change: Change) {
         if let Some(known) = self.newest.get(&subject).copied() {
             if known >= revision {
@@ -301,7 +306,7 @@
         }
         self.newest.insert(subject.clone(), revision);
         self.changes.insert((revision, subject), change);
-        while self.changes.len() > SUBJECTS_KEPT {
+        while self.changes.len() > MAX_SUBJECTS {
             self.forget_oldest();
         }
     }
@@ -314,29 +319,29 @@
         }
     }
 
-    /// Whether the newest change of every subject is known here.
+    /// Returns whether the newest change of every subject is known here.
     pub fn is_whole(&self) -> bool {
         self.whole
     }
 
-    /// The newest change of every subject; nothing if some are not known here.
+    /// Returns the newest change of every subject, or `None` if some are not known here.
     pub fn everything(&self) -> Option<Vec<Change>> {
         self.whole.then(|| self.changes.values().cloned().collect())
     }
 
-    /// Whether the log holds the changes of this era.
-    fn is_of(&self, era: StoreEra) -> bool {
+    /// Returns whether the log holds the changes of this era.
+    fn is_of_era(&self, era: StoreEra) -> bool {
         self.complete_after
             .is_some_and(|complete| complete.era() == era)
     }
 
-    /// The changes after `revision`; nothing if some of them are not known here, as those of
-    /// another era never are.
+    /// Returns the changes after `revision`, or `None` if some of them are not known here, which is
+    /// always the case for another era.
     pub fn since(&self, revision: StoreRevision) -> Option<Vec<Change>> {
         let known = self
             .complete_after
             .is_some_and(|complete| complete <= revision);
-        if !known || !self.is_of(revision.era()) {
+        if !known || !self.is_of_era(revision.era()) {
             return None;
         }
         let later = self
--- a/crates/coordination/src/serving/fencing.rs
+++ b/crates/coordination/src/serving/fencing.rs
@@ -1,36 +1,40 @@
 //! Fencing tokens of promotions.
 //!
-//! The promotion service refuses an order whose token is lower than one that it has seen for the
-//! same group, and an order without an answer may be carried out seconds later. So a token names
-//! one candidate for ever, and a later coordinator's tokens are above all of an earlier one's.
+//! The promotion service rejects an order whose token is lower than one that it has seen for the
+//! same group, and an order that was not answered may still be executed seconds later. A token is
+//! therefore bound to one candidate for good, and all tokens of a later coordinator are higher than
+//! those of an earlier one.
 //!
-//! A token is made of the revision at which its coordinator's claim was written, and of the
-//! number of the order in that tenure. Claims are made one after another within an era of the
-//! store; after the store came back from a copy their numbers begin lower, and the era, which
-//! counts most, is higher.
+//! A token combines the revision at which its coordinator's claim was written with the sequence
+//! number of the order within that coordinator's tenure. Claims are ordered within an era of the
+//! store. After the store is restored from a copy, revision numbers restart lower, but the era,
+//! which forms the most significant bits, is higher.
 
 use std::fmt;
 
 use hookpoint_state::StoreRevision;
 use serde::{Deserialize, Serialize};
 
-/// Bits that number the orders of one tenure: more than the groups of the largest fleet.
+/// Bits for the sequence number of an order within one tenure: enough for more groups than the
+/// largest fleet has.
 const ORDER_BITS: u32 = 12;
-/// Bits of the claim's number in its era: some hundreds of changes a second for years.
+/// Bits for the claim's revision number within its era: enough for several hundred changes per
+/// second over years.
 const NUMBER_BITS: u32 = 36;
-/// Bits of the era. All bits together leave the sign of a 64-bit integer free.
+/// Bits for the era. The three parts together leave the sign bit of a 64-bit integer free.
 const ERA_BITS: u32 = 15;
 
-/// A fencing token.
+/// A fencing token; a higher token supersedes a lower one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct FencingToken(u64);
 
 impl FencingToken {
-    /// Orders of one tenure are numbered below this.
+    /// Exclusive upper bound of the sequence numbers of one tenure's orders.
     pub const ORDERS_PER_CLAIM: u64 = 1 << ORDER_BITS;
 
-    /// The token of the `order`th order of the coordinator whose claim was written at `claim`.
-    /// None if it cannot be told apart from another one: a tenure has a bounded number of them.
+    /// Returns the token of order number `order` of the coordinator whose claim was written at
+    /// `claim`. Returns `None` if a part does not fit, so that the token would not be unique; the
+    /// number of orders of a tenure is bounded.
     pub fn new(claim: StoreRevision, order: u64) -> Option<Self> {
         let (era, number) = claim.parts();
         let fits = |value: u64, bits: u32| value < 1 << bits;
--- a/crates/coordination/src/serving/fleet.rs
+++ b/crates/coordination/src/serving/fleet.rs
@@ -1,8 +1,9 @@
-//! The live nodes, in the order in which databases choose their homes among them.
+//! The live nodes, ranked per database to choose its home nodes.
 //!
-//! Homes are nodes of the database's own zone as long as there are enough, so choosing them
-//! looks at that zone alone. A node that comes changes the homes of just those databases where
-//! it wins a place, and one that goes those where it had one: see [`wins_place`].
+//! The home nodes of a database are nodes of its own zone as long as that zone has enough of them,
+//! so choosing them only considers that zone. A node that joins changes the home nodes of just
+//! those databases where it ranks high enough, and one that leaves those of the databases that had
+//! it as a home node: see [`wins_place`].
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -18,7 +19,7 @@
     zone_of: BTreeMap<String, ZoneName>,
 }
 
-/// Place of a node in the order in which nodes become home of a database; the least comes first.
+/// Rank of a node among the candidates for home node of a database; the lowest comes first.
 type Rank<'a> = (bool, Reverse<u64>, &'a str);
 
 fn rank<'a>(database: &DatabaseName, zone: &ZoneName, node: &'a HomeCandidate) -> Rank<'a> {
@@ -28,7 +29,7 @@
 }
 
 impl Fleet {
-    /// Takes in a node, in place of what was known under its name.
+    /// Adds a node, replacing a known node of the same name.
     pub fn join(&mut self, node: HomeCandidate) {
         self.leave(&node.node);
         self.zone_of.insert(node.node.clone(), node.zone.clone());
@@ -36,7 +37,7 @@
         zone.insert(node.node.clone(), node);
     }
 
-    /// Takes a node out. Whether it was there.
+    /// Removes a node. Returns whether it was present.
     pub fn leave(&mut self, name: &str) -> bool {
         let Some(zone) = self.zone_of.remove(name) else {
             return false;
@@ -50,23 +51,23 @@
         true
     }
 
-    /// Number of nodes.
+    /// Returns the number of nodes.
     pub fn len(&self) -> usize {
         self.zone_of.len()
     }
 
-    /// Whether there are none.
+    /// Returns whether there are no nodes.
     pub fn is_empty(&self) -> bool {
         self.zone_of.is_empty()
     }
 
-    /// All nodes.
+    /// Returns all nodes, grouped by zone.
     pub fn iter(&self) -> impl Iterator<Item = &HomeCandidate> {
         self.zones.values().flat_map(BTreeMap::values)
     }
 
-    /// The first `count` nodes in the order in which they become home of `database`, which
-    /// stands in `zone`.
+    /// Returns the `count` highest-ranked candidates for home node of `database`, which is in
+    /// `zone`.
     pub fn choose_homes(
         &self,
         database: &DatabaseName,
@@ -92,7 +93,7 @@
     }
 }
 
-/// Whether a node that comes takes the place of one of `homes`, the homes of `database` so far.
+/// Returns whether a node that joins replaces one of `homes`, the current home nodes of `database`.
 pub fn wins_place(
     database: &DatabaseName,
     zone: &ZoneName,
--- a/crates/coordination/src/serving/freshness.rs
+++ b/crates/coordination/src/serving/freshness.rs
@@ -1,41 +1,41 @@
-//! Positions of a group's primary with the time each was asked for.
+//! Samples of the position of a group's primary, each with the time at which it was requested.
 //!
-//! A sample asked for at `t` and answered by the confirmed primary covers every commit
-//! acknowledged before `t`. A read that may be `s` old therefore needs a database that
-//! holds some sample asked for no earlier than the read's arrival less `s`. The oldest
-//! such sample demands least of the replicas.
+//! A sample requested at `t` and answered by the confirmed primary covers every commit acknowledged
+//! before `t`. A read that may be stale by `s` therefore needs a database that has reached some
+//! sample requested no earlier than the read's arrival less `s`. The oldest such sample requires
+//! the least of the replicas.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use hookpoint_state::{Position, Timestamp};
 
-/// Samples closer together than this are not both kept.
+/// Minimum interval between two samples that are kept.
 const SAMPLE_SPACING: Duration = Duration::from_millis(40);
-/// Samples kept at the most.
-const SAMPLES_KEPT: usize = 256;
+/// Maximum number of samples.
+const MAX_SAMPLES: usize = 256;
 
-/// The samples of one primary's reign, oldest first.
+/// The position samples of one leadership term, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct FreshnessLog {
     samples: VecDeque<(Timestamp, Position)>,
 }
 
 impl FreshnessLog {
-    /// Notes that the primary, asked at `asked_at`, was at `position`.
+    /// Records that the primary reported `position` in answer to a query sent at `asked_at`.
     pub fn record(&mut self, asked_at: Timestamp, position: Position) {
         if let Some((last_asked, _)) = self.samples.back()
             && asked_at < *last_asked + SAMPLE_SPACING
         {
             return;
         }
-        if self.samples.len() == SAMPLES_KEPT {
+        if self.samples.len() == MAX_SAMPLES {
             self.samples.pop_front();
         }
         self.samples.push_back((asked_at, position));
     }
 
-    /// The least position that covers every commit acknowledged before `horizon`.
+    /// Returns the lowest known position that covers every commit acknowledged before `horizon`.
     pub fn floor(&self, horizon: Timestamp) -> Option<Position> {
         self.samples
             .iter()
@@ -43,17 +43,17 @@
             .map(|(_, position)| *position)
     }
 
-    /// The first sample of the reign.
+    /// Returns the first sample of the leadership term.
     pub fn first(&self) -> Option<Position> {
         self.samples.front().map(|(_, position)| *position)
     }
 
-    /// The newest sample.
+    /// Returns the newest sample and the time at which it was requested.
     pub fn newest(&self) -> Option<(Timestamp, Position)> {
         self.samples.back().copied()
     }
 
-    /// Drops all samples: another primary reigns.
+    /// Drops all samples, because another leadership term has begun.
     pub fn clear(&mut self) {
         self.samples.clear();
     }
--- a/crates/coordination/src/serving/handover.rs
+++ b/crates/coordination/src/serving/handover.rs
@@ -1,9 +1,9 @@
-//! Planned moves of a group's primary: whether it has to move, and to which databases it may.
+//! Planned moves of a group's primary: whether it has to move, and to which databases.
 //!
-//! What speaks against a database as the place of a primary is ordered in one place,
-//! [`Drawbacks`]. A primary moves only to a database that has less against it by that order, so
-//! while the facts stay as they are each move lowers it, and no two reasons can move a primary
-//! to and fro.
+//! The reasons against a database as the location of a primary have a single defined order,
+//! [`Drawbacks`]. A primary only moves to a database that ranks lower in that order. Each move thus
+//! lowers the rank as long as the facts stay the same, and no two reasons can move a primary back
+//! and forth.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,54 +12,54 @@
 
 use super::evacuation::ZoneStanding;
 
-/// Least time from a promotion until the primary moves for its region or because it is cold.
-/// Each move costs its callers about a second of writes; a primary in the wrong place costs
-/// them far less in that time, while one that moves again and again serves nobody well.
-pub const LEAST_STAY: Duration = Duration::from_secs(30);
-/// How long a planned move waits for a candidate that lacks commits of the primary. Replicas
-/// are some hundred milliseconds behind at most while they receive at all.
-pub const CATCH_UP_TIME: Duration = Duration::from_millis(1_000);
-/// Part of the promotion service's rate that planned moves take. The rest is left to groups
-/// without a primary, which cannot wait.
-pub const PLANNED_SHARE: f64 = 0.7;
-/// Planned moves that may start together: those of this long at their rate.
-const PACE_WINDOW: Duration = Duration::from_millis(200);
-
-/// What is known of one database as the place of its group's primary.
+/// Minimum time after a promotion before the primary moves because of its region or because it is
+/// cold. Each move costs its callers about a second of writes. A badly placed primary costs them
+/// far less in that time, while one that moves repeatedly serves none of them well.
+pub const MIN_STAY: Duration = Duration::from_secs(30);
+/// Maximum time for which a planned move waits for a candidate that lacks commits of the primary.
+/// Replicas that receive commits at all lag by a few hundred milliseconds at most.
+pub const MAX_CATCH_UP_WAIT: Duration = Duration::from_millis(1_000);
+/// Fraction of the promotion service's rate that planned moves may use. The rest is reserved for
+/// groups without a primary, which cannot wait.
+pub const PLANNED_MOVE_SHARE: f64 = 0.7;
+/// Planned moves that accrue over this time at their rate may start in one burst.
+const BURST_WINDOW: Duration = Duration::from_millis(200);
+
+/// What is known about one database as the location of its group's primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Place {
-    /// Whether it is about to end.
+    /// Whether it is about to leave the fleet.
     pub leaving: bool,
-    /// What its zone's databases may be used for.
+    /// What the databases of its zone may be used for.
     pub zone: ZoneStanding,
-    /// Its region, if that is known.
+    /// Its region, if known.
     pub region: Option<RegionName>,
-    /// Whether it has started lately and is slow.
+    /// Whether it has started recently and is slow.
     pub cold: bool,
 }
 
-/// What speaks against a database as the place of a primary. The order of the fields is the
-/// order of their weight.
+/// Reasons against a database as the location of a primary, in order of weight: the derived order
+/// compares the fields in the order of their declaration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Drawbacks {
-    /// Its zone is being evacuated, so that soon nothing may be sent to it.
+    /// Its zone is being evacuated, so that no requests may be sent to it soon.
     pub evacuated: bool,
-    /// It is about to end.
+    /// It is about to leave the fleet.
     pub leaving: bool,
     /// It is in a region that the routes of its group do not allow.
     pub outside_regions: bool,
-    /// It has started lately and is slow.
+    /// It has started recently and is slow.
     pub cold: bool,
-    /// The evacuation of its zone ended lately.
+    /// The evacuation of its zone has ended recently.
     pub returning: bool,
 }
 
 impl Drawbacks {
-    /// The drawbacks of a place. `allowed` are the regions that the group's routes allow; none,
-    /// or no region, if they allow all.
+    /// Returns the drawbacks of a location. `allowed` are the regions that the group's routes
+    /// allow; `None` or an empty set allows all.
     pub fn of(place: &Place, allowed: Option<&BTreeSet<RegionName>>) -> Self {
-        let bound = allowed.filter(|regions| !regions.is_empty());
-        let outside_regions = bound.is_some_and(|regions| {
+        let restricted_to = allowed.filter(|regions| !regions.is_empty());
+        let outside_regions = restricted_to.is_some_and(|regions| {
             let region = place.region.as_ref();
             region.is_none_or(|region| !regions.contains(region))
         });
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Whether it has the drawback that `reason` names.
+    /// Returns whether it has the drawback that corresponds to `reason`.
     pub fn includes(&self, reason: MoveReason) -> bool {
         match reason {
             MoveReason::Evacuated => self.evacuated,
@@ -86,20 +86,20 @@
     }
 }
 
-/// Why a primary moves.
+/// Why a primary is moved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveReason {
     /// Its zone is being evacuated.
     Evacuated,
-    /// It is about to end.
+    /// It is about to leave the fleet.
     Leaving,
     /// It is in a region that the routes of its group do not allow.
     OutsideRegions,
-    /// It has started lately and is slow.
+    /// It has started recently and is slow.
     Cold,
 }
 
-/// All reasons, those that cannot wait first.
+/// All reasons, the most urgent first.
 const REASONS: [MoveReason; 4] = [
     MoveReason::Evacuated,
     MoveReason::Leaving,
@@ -108,7 +108,7 @@
 ];
 
 impl MoveReason {
-    /// Its name in the log.
+    /// Returns the reason's name in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             MoveReason::Evacuated => "evacuated",
@@ -118,37 +118,38 @@
         }
     }
 
-    /// Whether it holds however short ago the primary was promoted.
+    /// Returns whether the reason applies regardless of how recently the primary was promoted.
     fn is_urgent(self) -> bool {
         matches!(self, MoveReason::Evacuated | MoveReason::Leaving)
     }
 }
 
-/// The first reason for which a primary with these drawbacks should move, whether there is a
-/// place for it or not. `stayed`: since its promotion, if there was one.
+/// Returns the first reason for which a primary with these drawbacks should move, whether or not a
+/// target exists. `stayed` is the time since its promotion, if there was one.
 pub fn reason_to_move(present: Drawbacks, stayed: Option<Duration>) -> Option<MoveReason> {
     reasons(present, stayed).next()
 }
 
 fn reasons(present: Drawbacks, stayed: Option<Duration>) -> impl Iterator<Item = MoveReason> {
-    let long = stayed.is_none_or(|stayed| stayed >= LEAST_STAY);
+    let stayed_long = stayed.is_none_or(|stayed| stayed >= MIN_STAY);
     REASONS
         .into_iter()
-        .filter(move |reason| present.includes(*reason) && (long || reason.is_urgent()))
+        .filter(move |reason| present.includes(*reason) && (stayed_long || reason.is_urgent()))
 }
 
-/// A move that has to be made.
+/// A planned move of a primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedMove {
-    /// Why.
+    /// Why the primary has to move.
     pub reason: MoveReason,
-    /// The databases that the primary may move to.
+    /// Databases that the primary may move to.
     pub targets: Vec<DatabaseName>,
 }
 
-/// Whether a primary has to move, and to which of the group's other databases it may.
+/// Returns the move that a primary has to make, if any, and the databases of the group that it may
+/// move to.
 ///
-/// The first reason counts that one of them relieves it of.
+/// The reason is the first one that some target would resolve.
 pub fn plan_move(
     present: Drawbacks,
     stayed: Option<Duration>,
@@ -164,9 +165,9 @@
     })
 }
 
-/// Whether a candidate of a planned move holds enough. It should hold what the primary held
-/// when the move was wanted. One that does not is waited for, but not for ever; one that holds
-/// nothing at all never leads after a primary that holds commits.
+/// Returns whether the candidate of a planned move has received enough. It should hold what the
+/// primary held when the move was requested. If it does not, the move waits for it for a bounded
+/// time. A candidate that holds nothing at all never replaces a primary that holds commits.
 pub fn holds_enough(
     received: Position,
     primary_held: Option<Position>,
@@ -176,24 +177,26 @@
         return true;
     };
     let empty = received.lsn.0 == 0 && held.lsn.0 > 0;
-    !empty && (received >= held || wanted_for >= CATCH_UP_TIME)
+    !empty && (received >= held || wanted_for >= MAX_CATCH_UP_WAIT)
 }
 
-/// Spreads planned moves, so that the promotion service has room for lost primaries.
+/// Rate limiter of planned moves, which leaves capacity of the promotion service for groups that
+/// have lost their primary.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HandoverPace {
     next_at: Timestamp,
 }
 
 impl HandoverPace {
-    /// Whether one more planned move may start now. `service_rate`: promotions that the service
-    /// takes a second; any number if it tells none.
+    /// Returns whether one more planned move may start now, and counts it if so. `service_rate` is
+    /// the number of promotions per second that the service accepts; there is no limit if the
+    /// service does not report one.
     pub fn take(&mut self, service_rate: f64, now: Timestamp) -> bool {
-        let spacing = Duration::try_from_secs_f64(1.0 / (service_rate * PLANNED_SHARE));
+        let spacing = Duration::try_from_secs_f64(1.0 / (service_rate * PLANNED_MOVE_SHARE));
         let Ok(spacing) = spacing else {
             return true;
         };
-        let next_at = self.next_at.max(now - PACE_WINDOW);
+        let next_at = self.next_at.max(now - BURST_WINDOW);
         if next_at > now {
             return false;
         }
--- a/crates/coordination/src/serving/homes.rs
+++ b/crates/coordination/src/serving/homes.rs
@@ -1,10 +1,10 @@
-//! Which nodes hold connections to a database.
+//! Selection of the nodes that hold connections to a database (its home nodes).
 //!
-//! A database takes a bounded number of connections from all nodes together. While the
-//! fleet is small every node holds its share. In a larger fleet only a home set does, and
-//! the other nodes lease connections from it. The set is chosen by rendezvous hashing,
-//! nodes of the database's own zone first, so nodes with the same view of the membership
-//! agree on it without a message.
+//! A database accepts a bounded number of connections from all nodes together. In a small fleet
+//! every node holds its share. In a larger fleet only the home nodes do, and the other nodes lease
+//! connections from them. Home nodes are chosen by rendezvous hashing, nodes of the database's own
+//! zone first, so nodes with the same view of the membership agree on them without exchanging
+//! messages.
 
 use std::cmp::Reverse;
 use std::hash::Hasher;
@@ -13,19 +13,20 @@
 use hookpoint_state::{DatabaseName, TenantName, ZoneName};
 use siphasher::sip::SipHasher13;
 
-/// Whether any request may use any connection.
+/// Whether a connection may serve requests of any tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionSharing {
-    /// All requests share them.
+    /// Any request may use any connection.
     Shared,
-    /// Each is one tenant's.
+    /// Each connection serves a single tenant.
     ByTenant,
 }
 
 impl ConnectionSharing {
-    /// Connections that a home node should have at the least. Where each is one tenant's, fewer
-    /// homes with more of them wait less for one: with 8 instead of 4 a fleet of 59 nodes and 72
-    /// tenants earned 0.885 instead of 0.873 of its worth, the mean of five days of trouble.
+    /// Returns the minimum number of connections per home node. If each connection serves a single
+    /// tenant, fewer home nodes with more connections each give shorter waits: with 8 instead of 4,
+    /// a fleet of 59 nodes and 72 tenants earned 0.885 instead of 0.873 of its worth, as the mean
+    /// of five days with faults.
     fn connections_per_home(self) -> usize {
         match self {
             ConnectionSharing::Shared => 4,
@@ -34,27 +35,27 @@
     }
 }
 
-/// Connections worth having for each slot of a database: some are on their way or rest in
-/// a transaction. What is sent on more of them waits in the database, where it cannot be
-/// ordered, moved or given up, and each statement of a transaction waits there anew.
+/// Number of useful connections per slot of a database; at any time, some are in transit or idle in
+/// a transaction. Statements sent on further connections queue in the database, where they cannot
+/// be reordered, moved or cancelled, and every statement of a transaction queues there again.
 const CONNECTIONS_PER_SLOT: usize = 8;
 
-/// What nodes are ranked for when one of them has to claim a record.
+/// Subject for which nodes are ranked when one of them has to claim a record.
 const CLAIM_SUBJECT: &str = "coordinator";
 
-/// One node that may be home.
+/// A node that may be chosen as a home node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HomeCandidate {
     /// Name of the node.
     pub node: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// Bandwidth of its link, in megabits a second; 0 if that is not known.
+    /// Bandwidth of its link in megabits per second; 0 if not known.
     pub bandwidth_mbps: u32,
 }
 
-/// Connections that all nodes together should open to a database that takes
-/// `max_connections` and works on `slots` statements at once; 0 if that is not known.
+/// Returns the number of connections that all nodes together should open to a database that accepts
+/// `max_connections` and executes `slots` statements concurrently; `slots` is 0 if not known.
 pub fn useful_connections(max_connections: usize, slots: usize) -> usize {
     match slots {
         0 => max_connections,
@@ -62,12 +63,13 @@
     }
 }
 
-/// Number of home nodes of a database that takes `max_connections`, in a fleet of `nodes`.
+/// Returns the number of home nodes of a database that accepts `max_connections`, in a fleet of
+/// `nodes`.
 pub fn home_count(max_connections: usize, nodes: usize, sharing: ConnectionSharing) -> usize {
     (max_connections / sharing.connections_per_home()).clamp(1, nodes.max(1))
 }
 
-/// The nodes in the order in which they become home of `database`.
+/// Returns the nodes in the order in which they are chosen as home nodes of `database`.
 pub fn rank_homes<'a>(
     database: &DatabaseName,
     zone: &ZoneName,
@@ -76,7 +78,8 @@
     choose_homes(database, zone, nodes, nodes.len())
 }
 
-/// The first `count` of the nodes in the order in which they become home of `database`.
+/// Returns the first `count` nodes in the order in which they are chosen as home nodes of
+/// `database`.
 pub fn choose_homes<'a>(
     database: &DatabaseName,
     zone: &ZoneName,
@@ -107,25 +110,26 @@
         .collect()
 }
 
-/// Weight of `node` for the connections of `tenant`: where the tenant's are kept, so that its
-/// next statement finds one open. The highest wins.
+/// Returns the rendezvous weight of `node` for the connections of `tenant`; the highest wins. A
+/// tenant's connections are kept on that node, so that its next statement finds one open.
 pub fn tenant_weight(tenant: &TenantName, node: &str) -> u64 {
     rendezvous_score(tenant.as_str(), node)
 }
 
-/// Weight of `node` when `subject` chooses a few of many; the highest wins.
+/// Returns the rendezvous weight of `node` for a choice of a few nodes for `subject`; the highest
+/// wins.
 pub fn choice_weight(subject: &str, node: &str) -> u64 {
     rendezvous_score(subject, node)
 }
 
-/// The nodes in the order in which they claim one record or stand in for who holds it.
+/// Returns the nodes in the order in which they claim a record or stand in for its holder.
 pub fn claim_order(nodes: &[HomeCandidate]) -> Vec<&str> {
     let mut names: Vec<&str> = nodes.iter().map(|node| node.node.as_str()).collect();
     names.sort_by_cached_key(|name| (Reverse(rendezvous_score(CLAIM_SUBJECT, name)), *name));
     names
 }
 
-/// Weight of `node` for `subject` in rendezvous hashing: the highest wins.
+/// Returns the score of `node` for `subject` in rendezvous hashing; the highest wins.
 pub(super) fn rendezvous_score(subject: &str, node: &str) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(subject.as_bytes());
@@ -134,31 +138,33 @@
     hasher.finish()
 }
 
-/// Time in which a node that starts catches up with the store, or goes on as if it had: five
-/// times the 120 ms between its listing and its first watch.
-const CATCHING_UP: Duration = Duration::from_millis(600);
+/// Time after which a starting node is taken to have caught up with the store: five times the 120
+/// ms between its listing and its first watch.
+const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// How far a node that started has come.
+/// Start-up progress of a node.
 #[derive(Clone, Copy, Debug)]
 pub struct Start {
-    /// Whether it has known the store's present state since.
+    /// Whether it has known the store's current state since it started.
     pub caught_up: bool,
-    /// Whether it has seen its own record among the members.
+    /// Whether it has seen its own record in the membership.
     pub registered: bool,
-    /// How long it has had a configuration; nothing if it has none.
+    /// For how long it has had a configuration; `None` if it has none.
     pub configured_for: Option<Duration>,
 }
 
 impl Start {
-    /// Whether the members that the node knows may be taken for the fleet.
+    /// Returns whether the members known to the node may be taken for the whole fleet.
     ///
-    /// A node that has just started may have read a listing that shows none or few of the
-    /// others, as they start with it. It would take itself for home of every database, and
-    /// all nodes together would open more connections than the databases can. Without a
-    /// configuration there is nothing to open.
+    /// A node that has just started may have read a listing that shows none or few of the other
+    /// nodes, because they are starting at the same time. It would take itself for a home node of
+    /// every database, and all nodes together would open more connections than the databases
+    /// accept. Without a configuration there are no connections to open.
     pub fn knows_fleet(self) -> bool {
         self.caught_up
             || self.registered
-            || self.configured_for.is_none_or(|time| time >= CATCHING_UP)
+            || self
+                .configured_for
+                .is_none_or(|time| time >= CATCH_UP_TIMEOUT)
     }
 }
--- a/crates/coordination/src/serving/leadership.rs
+++ b/crates/coordination/src/serving/leadership.rs
@@ -1,9 +1,9 @@
-//! Which database of a group is believed to be its primary, and since when that is known.
+//! The believed primary of a group, and since when the belief has been confirmed.
 //!
-//! A reign is the time of one primary as this node sees it. Positions of different
-//! reigns are never compared: a promotion rolls back what the new primary had not
-//! received, so a position held from an earlier reign may not exist any more. The first
-//! sample of a reign covers all that survived of earlier ones.
+//! A reign is a leadership term: the period for which this node considers one database the primary.
+//! Positions of different reigns are never compared: a promotion rolls back what the new primary
+//! had not received, so a position from an earlier reign may no longer exist. The first sample of a
+//! reign covers everything that survived from earlier ones.
 
 use std::time::Duration;
 
@@ -11,33 +11,33 @@
 
 use super::freshness::FreshnessLog;
 
-/// How long a primary that came back without its commits is not taken for the primary, so that a replica
-/// which holds the acknowledged commits is promoted instead. A lost primary is replaced well
-/// within this time; after it there is none to promote, and an empty group is better than
-/// none.
+/// How long a primary that restarted without its commits is not accepted as the primary, so that a
+/// replica which holds the acknowledged commits is promoted instead. A lost primary is replaced
+/// well within this time. After it there is no replica to promote, and a group with an empty
+/// primary is better than one without a primary.
 const LOST_COMMITS_TIME: Duration = Duration::from_secs(3);
 
-/// Number of a reign on this node, from 1.
+/// Sequence number of a leadership term on this node, starting at 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Reign(pub u64);
 
-/// A position together with the reign in which it was read.
+/// A position together with the leadership term in which it was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReignPosition {
-    /// The reign.
+    /// Leadership term in which the position was read.
     pub reign: Reign,
-    /// The position.
+    /// Position in the database's log.
     pub position: Position,
 }
 
-/// One answer that proves that a database led its group.
+/// An answer that proves that a database was the primary of its group.
 #[derive(Clone, Copy, Debug)]
 pub struct Confirmation {
-    /// When the question was sent.
+    /// When the query was sent.
     pub asked_at: Timestamp,
     /// When the answer arrived.
     pub answered_at: Timestamp,
-    /// Position in the answer, if it told one.
+    /// Position in the answer, if it contained one.
     pub position: Option<Position>,
 }
 
@@ -45,30 +45,31 @@
 #[derive(Clone, Debug)]
 struct LostCommits {
     database: DatabaseName,
-    /// Newest position that it had told.
+    /// Newest position that it had reported.
     highest: Position,
-    /// When this node learnt of it.
+    /// When this node detected the loss.
     since: Timestamp,
 }
 
-/// The belief about one group's primary.
+/// What one node knows about the primary of one group.
 #[derive(Clone, Debug, Default)]
 pub struct Leadership {
     leader: Option<DatabaseName>,
     previous: Option<DatabaseName>,
     reign: Reign,
     confirmed_at: Timestamp,
-    /// The database last found not to lead, and when the question was sent.
+    /// The database last found not to lead, and when the query was sent.
     refuted: Option<(DatabaseName, Timestamp)>,
     highest: Option<(Timestamp, Position)>,
     freshness: FreshnessLog,
-    /// The last leader if it restarted without what it had acknowledged.
-    lost: Option<LostCommits>,
+    /// Set if the last leader restarted without the commits that it had acknowledged.
+    lost_commits: Option<LostCommits>,
 }
 
 impl Leadership {
-    /// Takes a proof that `database` led. Says whether the belief changed. A proof that the
-    /// leader lost all of its commits ends the belief: it restarted empty.
+    /// Applies a proof that `database` was the primary. Returns whether the believed primary or its
+    /// term changed. A proof that the leader has lost all of its commits clears the belief: the
+    /// leader restarted empty.
     pub fn confirm(&mut self, database: &DatabaseName, proof: Confirmation) -> bool {
         let same = self.leader.as_ref() == Some(database);
         if !same && (proof.asked_at < self.confirmed_at || self.is_refuted(database, &proof)) {
@@ -78,7 +79,7 @@
             self.end_life(database, proof.answered_at);
             return false;
         }
-        if self.is_passed_over(database, &proof) {
+        if self.is_rejected(database, &proof) {
             return false;
         }
         let resumed = self.leader.is_none() && self.previous.as_ref() == Some(database);
@@ -86,7 +87,7 @@
         if new_reign {
             self.begin_reign();
         }
-        self.lost = None;
+        self.lost_commits = None;
         self.leader = Some(database.clone());
         self.previous = Some(database.clone());
         self.confirmed_at = self.confirmed_at.max(proof.asked_at);
@@ -94,15 +95,16 @@
         !same || new_reign
     }
 
-    /// Whether the database was asked later than for this proof and did not lead. Proofs
-    /// that peers pass on may be older than what this node found out itself.
+    /// Returns whether a query sent no earlier than the proof's found that the database did not
+    /// lead. Proofs forwarded by peers may be older than this node's own findings.
     fn is_refuted(&self, database: &DatabaseName, proof: &Confirmation) -> bool {
         self.refuted
             .as_ref()
             .is_some_and(|(refuted, asked_at)| refuted == database && proof.asked_at <= *asked_at)
     }
 
-    /// Whether the answer shows a position behind one seen before the question was sent.
+    /// Returns whether the answer shows a position behind one that was seen before the query was
+    /// sent.
     fn rolled_back(&self, proof: &Confirmation) -> bool {
         match (self.highest, proof.position) {
             (Some((seen_at, highest)), Some(position)) => {
@@ -112,29 +114,29 @@
         }
     }
 
-    /// Whether the answer shows a database without any commit that had some before the
-    /// question was sent.
+    /// Returns whether the answer shows a database without any commits that had some before the
+    /// query was sent.
     fn shows_loss(&self, proof: &Confirmation) -> bool {
         let empty = proof.position.is_some_and(|position| position.lsn.0 == 0);
         empty && self.rolled_back(proof)
     }
 
-    /// Whether the database lost commits, lacks them yet, and may be replaced by one that
-    /// holds them.
-    fn is_passed_over(&self, database: &DatabaseName, proof: &Confirmation) -> bool {
-        self.lost.as_ref().is_some_and(|lost| {
+    /// Returns whether the database lost commits, still lacks them, and may be replaced by a
+    /// database that holds them.
+    fn is_rejected(&self, database: &DatabaseName, proof: &Confirmation) -> bool {
+        self.lost_commits.as_ref().is_some_and(|lost_commits| {
             let lacks = proof
                 .position
-                .is_none_or(|position| position < lost.highest);
-            let lately = proof.answered_at.since(lost.since) < LOST_COMMITS_TIME;
-            lost.database == *database && lacks && lately
+                .is_none_or(|position| position < lost_commits.highest);
+            let recent = proof.answered_at.since(lost_commits.since) < LOST_COMMITS_TIME;
+            lost_commits.database == *database && lacks && recent
         })
     }
 
-    /// Ends all that was learnt of a life of `database`, which has begun another one by
-    /// `now`: samples, positions and refutations. Says whether it was believed to lead.
+    /// Discards everything known about the previous incarnation of `database`, which has restarted
+    /// by `now`: samples, positions and refutations. Returns whether it was believed to lead.
     ///
-    /// Samples of a reign of another database stand: they are that one's positions.
+    /// Samples from the reign of another database are kept, as they are that database's positions.
     pub fn end_life(&mut self, database: &DatabaseName, now: Timestamp) -> bool {
         if self
             .refuted
@@ -147,7 +149,7 @@
         if !led_last {
             return false;
         }
-        self.lost = self.highest.take().map(|(_, highest)| LostCommits {
+        self.lost_commits = self.highest.take().map(|(_, highest)| LostCommits {
             database: database.clone(),
             highest,
             since: now,
@@ -173,8 +175,8 @@
         }
     }
 
-    /// Takes a proof, asked for at `asked_at`, that `database` does not lead. Says whether
-    /// it was believed to.
+    /// Applies a proof, requested at `asked_at`, that `database` does not lead. Returns whether it
+    /// was believed to lead.
     pub fn refute(&mut self, database: &DatabaseName, asked_at: Timestamp) -> bool {
         self.refuted = Some((database.clone(), asked_at));
         if self.leader.as_ref() == Some(database) {
@@ -184,33 +186,34 @@
         false
     }
 
-    /// Whether a database that states that it leads may be tried as the primary: it was not
-    /// found out not to lead since another one was last known to.
+    /// Returns whether a database that reports itself as the primary may be tried as such: it has
+    /// not been found not to lead since another database was last known to lead.
     pub fn may_presume(&self, database: &DatabaseName) -> bool {
         self.refuted
             .as_ref()
             .is_none_or(|(refuted, _)| refuted != database)
-            && self.lost.is_none()
+            && self.lost_commits.is_none()
     }
 
-    /// The database believed to lead.
+    /// Returns the database that is believed to lead, if any.
     pub fn leader(&self) -> Option<&DatabaseName> {
         self.leader.as_ref()
     }
 
-    /// When the belief was last confirmed: the time the question was sent.
+    /// Returns when the last query that confirmed the belief was sent.
     pub fn confirmed_at(&self) -> Timestamp {
         self.confirmed_at
     }
 
-    /// The present reign.
+    /// Returns the current reign.
     pub fn reign(&self) -> Reign {
         self.reign
     }
 
-    /// The reign to which a position belongs that `database` told with the answer to a
-    /// write. Also while it is being replaced and nobody else is known to lead, since until
-    /// then its positions are those that count. Reign 0 if another one reigns.
+    /// Returns the reign to which a position belongs that `database` reported in its answer to a
+    /// write. This is the current reign also while `database` is being replaced and no other leader
+    /// is known, since until then its positions are the valid ones. Returns reign 0 if another
+    /// database leads.
     pub fn reign_of(&self, database: &DatabaseName) -> Reign {
         let led_last = self.leader.is_none() && self.previous.as_ref() == Some(database);
         if led_last || self.leader.as_ref() == Some(database) {
@@ -220,18 +223,18 @@
         }
     }
 
-    /// The least position that covers all commits acknowledged before `horizon`.
+    /// Returns the lowest known position that covers all commits acknowledged before `horizon`.
     pub fn floor(&self, horizon: Timestamp) -> Option<Position> {
         self.freshness.floor(horizon)
     }
 
-    /// The newest position sample and when it was asked for.
+    /// Returns the newest position sample and the time at which it was requested.
     pub fn newest_sample(&self) -> Option<(Timestamp, Position)> {
         self.freshness.newest()
     }
 
-    /// What a database has to hold to show `held` to the session that holds it.
-    /// `None` if nothing is known of the present reign yet.
+    /// Returns the position that a database must have reached for a session that has seen `held` to
+    /// read its own writes. Returns `None` if no sample of the current reign is known yet.
     pub fn translate(&self, held: ReignPosition) -> Option<Position> {
         if held.reign == self.reign {
             return Some(held.position);
--- a/crates/coordination/src/serving/lease_grantor.rs
+++ b/crates/coordination/src/serving/lease_grantor.rs
@@ -1,5 +1,6 @@
-//! The granting side of [`primary_lease`](super::primary_lease): who was granted a lease,
-//! and when all from before an announcement have run out or been given back.
+//! The granting side of [`primary_lease`](super::primary_lease): records to which nodes leases were
+//! granted, and determines when all leases from before an announcement have expired or been given
+//! up.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,59 +10,60 @@
 use super::failover::majority;
 use super::primary_lease::{GRANT_TIME, LeaseAnswer, LeaseRequest, ProcessTime, VOTE_TIME};
 
-/// How long after a renewal in the state store, counted from when it was asked for, no
-/// other coordinator orders anything. The store may take a record away at once, so a new
-/// coordinator waits this long.
+/// How long after a renewal in the state store, counted from when it was requested, no other
+/// coordinator issues orders. The store may delete a record at any time, so a new coordinator waits
+/// this long.
 pub const STORE_AUTHORITY: Duration = Duration::from_millis(1_100);
-/// How long a node that has lost the store grants leases on a majority's votes.
+/// How long a node that has lost the store grants leases based on the votes of a majority.
 pub const OUTAGE_AUTHORITY: Duration = Duration::from_secs(12);
-/// How long a node that is no longer registered counts as a voter: until those who still
-/// count it, as they have lost the store, can grant no more.
+/// How long a node that is no longer registered counts as a voter: until nodes that still count it,
+/// because they have lost the store, can no longer grant leases.
 pub const VOTER_MEMORY: Duration = Duration::from_secs(15);
 
-/// The store's word that this node coordinates.
+/// This node's term as coordinator according to the store.
 #[derive(Clone, Copy, Debug)]
 struct CoordinatorTerm {
     coordinator: StoreRevision,
     claimed_at: Timestamp,
     renewed_at: Timestamp,
-    /// Whether this process knows all promotions that were announced before.
+    /// Whether this process knows all promotions that earlier coordinators announced.
     knows_predecessors: bool,
 }
 
-/// What the store holds of earlier coordinators' announcements as a process begins to coordinate.
+/// What the store holds of earlier coordinators' announcements when a process begins to coordinate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Predecessors {
-    /// All that they announced.
+    /// Everything that they announced.
     Listed,
-    /// Maybe less: the store came back from a copy. Each announcement that was carried out is
-    /// known to a majority, so one node of any majority tells of it.
+    /// Possibly less, because the store was restored from a copy. Each announcement that was
+    /// carried out is known to a majority, so any majority includes a node that reports it.
     MaybeLost,
 }
 
-/// Those who may vote, as the granting node sees it.
+/// The nodes that may vote, as known to the granting node.
 #[derive(Clone, Copy, Debug)]
 pub struct Electorate {
-    /// Nodes that may hold a lease, the granting one included.
+    /// Number of nodes that may hold a lease, including the granting node.
     pub voters: usize,
-    /// When the store was last heard of.
+    /// Time as of which the store's state was last known.
     pub store_heard_at: Timestamp,
 }
 
-/// What one process has granted.
+/// The leases granted and the votes received by one process.
 #[derive(Clone, Debug)]
 pub struct LeaseGrantor {
     life: u64,
     term: Option<CoordinatorTerm>,
-    /// The coordinator under which the votes were given.
+    /// The coordinator under which the votes were cast.
     coordinator: StoreRevision,
-    /// This process's own time that each voter's last request told back.
+    /// For each voter, the latest timestamp of this process's clock that the voter's requests have
+    /// echoed.
     votes: BTreeMap<String, Timestamp>,
     granted_at: BTreeMap<String, Timestamp>,
 }
 
 impl LeaseGrantor {
-    /// A process that has granted nothing.
+    /// Creates the state of a process that has granted no leases.
     pub fn new(life: u64) -> Self {
         Self {
             life,
@@ -72,8 +74,8 @@
         }
     }
 
-    /// The process coordinates: its record has this revision and was written in a call
-    /// made at `claimed_at`.
+    /// Begins this process's term as coordinator. Its record has the revision `coordinator` and was
+    /// written by a call made at `claimed_at`.
     pub fn begin_coordinating(
         &mut self,
         coordinator: StoreRevision,
@@ -88,20 +90,20 @@
         });
     }
 
-    /// The store renewed the record in a call made at `asked_at`.
+    /// Records that the store renewed the record in a call made at `asked_at`.
     pub fn note_renewed(&mut self, asked_at: Timestamp) {
         if let Some(term) = &mut self.term {
             term.renewed_at = term.renewed_at.max(asked_at);
         }
     }
 
-    /// The process no longer coordinates.
+    /// Ends this process's term as coordinator.
     pub fn end_coordinating(&mut self) {
         self.term = None;
     }
 
-    /// Takes a request as a vote and answers it. `coordinator` is the newest that this
-    /// node knows of; a vote under another one does not count.
+    /// Counts a request as a vote and answers it. `coordinator` is the newest coordinator known to
+    /// this node; a vote cast under another one does not count.
     pub fn answer(
         &mut self,
         voter: &str,
@@ -134,7 +136,8 @@
         }
     }
 
-    /// A request that tells a time back was made after that, however long it took.
+    /// Records a vote. A request that echoes a timestamp was made after that time, however long it
+    /// was in transit.
     fn take_vote(&mut self, voter: &str, told: Option<ProcessTime>) {
         let Some(told) = told.filter(|told| told.life == self.life) else {
             return;
@@ -143,8 +146,8 @@
         *vote = (*vote).max(told.time);
     }
 
-    /// Once a majority has voted for this process, and told it what it knew, it knows what was
-    /// announced before.
+    /// Marks earlier announcements as known once a majority has voted for this process and thereby
+    /// reported what it knew.
     fn note_majority(&mut self, electorate: Electorate) {
         let majority_voted = self.votes.len() >= majority(electorate.voters);
         if let Some(term) = &mut self.term
@@ -155,8 +158,9 @@
         }
     }
 
-    /// Whether nobody can replace a primary now without this process's hearing of it: it
-    /// is the only coordinator by the store's word, or a majority is bound by its votes.
+    /// Returns whether no primary can be replaced now without this process's knowledge: either it
+    /// is the only coordinator according to the store, or the votes of a majority bind that
+    /// majority to it.
     pub fn has_authority(&self, electorate: Electorate, now: Timestamp) -> bool {
         let by_store = self.term.is_some_and(|term| {
             let relied_on = now.since(term.renewed_at) < STORE_AUTHORITY;
@@ -171,9 +175,9 @@
         remembered && votes >= majority(electorate.voters)
     }
 
-    /// Begins to withdraw the leases granted so far, as far as one group is concerned.
-    /// Every later answer tells of the announcement, so those need no withdrawal. Nothing
-    /// if this process does not coordinate.
+    /// Begins to withdraw the leases granted so far with respect to one group. Every later answer
+    /// includes the announcement, so leases granted from now on need no withdrawal. Returns `None`
+    /// if this process is not the coordinator.
     pub fn withdraw(&self) -> Option<Withdrawal> {
         let term = self.term?;
         let until = |(node, granted_at): (&String, &Timestamp)| {
@@ -184,7 +188,7 @@
             claimed_at: term.claimed_at,
             outstanding: self.granted_at.iter().map(until).collect(),
             acknowledged: BTreeSet::new(),
-            loyal: BTreeSet::new(),
+            exclusive_voters: BTreeSet::new(),
             majority_at: None,
         })
     }
@@ -197,22 +201,22 @@
     /// Until when the lease that this process granted to each node may be in force.
     outstanding: BTreeMap<String, Timestamp>,
     acknowledged: BTreeSet<String>,
-    /// Those of them that have voted for nobody else lately.
-    loyal: BTreeSet<String>,
+    /// Nodes among them that have not voted for another node recently.
+    exclusive_voters: BTreeSet<String>,
     majority_at: Option<Timestamp>,
 }
 
 impl Withdrawal {
-    /// Notes that a node knows the announcement and no longer uses the replaced primary,
-    /// and whether others may have granted leases by its vote.
+    /// Records that a node knows the announcement and no longer uses the replaced primary, and
+    /// whether other nodes may have granted leases based on its vote.
     pub fn acknowledge(&mut self, node: &str, voted_for_others: bool) {
         self.acknowledged.insert(node.to_owned());
         if !voted_for_others {
-            self.loyal.insert(node.to_owned());
+            self.exclusive_voters.insert(node.to_owned());
         }
     }
 
-    /// Those of `voters` that have not acknowledged.
+    /// Returns the `voters` that have not acknowledged the announcement.
     pub fn missing<'a>(&self, voters: &'a [String]) -> Vec<&'a String> {
         voters
             .iter()
@@ -220,8 +224,8 @@
             .collect()
     }
 
-    /// Whether no lease can be in force any more under which a node that has not
-    /// acknowledged uses the replaced primary. `voters` are all nodes that may hold one.
+    /// Returns whether no node that has not acknowledged can still hold a lease under which it uses
+    /// the replaced primary. `voters` are all nodes that may hold a lease.
     pub fn is_complete(&mut self, voters: &[String], now: Timestamp) -> bool {
         let missing = self.missing(voters);
         if missing.is_empty() {
@@ -238,19 +242,21 @@
         self.predecessor_has_ended(now) && self.others_have_ended(voters, now)
     }
 
-    /// Whether what an earlier coordinator granted by the store's word has run out.
+    /// Returns whether all leases that an earlier coordinator granted with the store's authority
+    /// have expired.
     fn predecessor_has_ended(&self, now: Timestamp) -> bool {
         now.since(self.claimed_at) >= STORE_AUTHORITY + GRANT_TIME
     }
 
-    /// Whether what others granted on a majority's votes has run out. Every majority has a
-    /// node in common with those that acknowledged: it is bound to nobody else since, and
-    /// tells whom it votes for of the announcement.
+    /// Returns whether all leases that other nodes granted based on a majority's votes have
+    /// expired. Every majority has a node in common with those that acknowledged. That node has not
+    /// been bound to any other node since, and reports the announcement to the node that it votes
+    /// for.
     fn others_have_ended(&mut self, voters: &[String], now: Timestamp) -> bool {
         let count =
             |set: &BTreeSet<String>| voters.iter().filter(|node| set.contains(*node)).count();
         let needed = majority(voters.len());
-        if count(&self.loyal) >= needed {
+        if count(&self.exclusive_voters) >= needed {
             return true;
         }
         if count(&self.acknowledged) < needed {
--- a/crates/coordination/src/serving/mod.rs
+++ b/crates/coordination/src/serving/mod.rs
@@ -1,7 +1,7 @@
-//! Decisions of the statement-serving path: which database serves a statement, how
-//! fresh its answer has to be, and when a group needs another primary.
+//! Decision logic of the statement-serving path: which database serves a statement, how fresh its
+//! result has to be, and when a group needs a new primary.
 //!
-//! All of it is deterministic. Time is an argument, and nothing here does I/O.
+//! The logic is deterministic. Time is passed as an argument, and no function performs I/O.
 
 pub mod admission;
 pub mod attempt_limit;
--- a/crates/coordination/src/serving/own_lateness.rs
+++ b/crates/coordination/src/serving/own_lateness.rs
@@ -1,77 +1,80 @@
-//! How late this node itself runs, as far as it takes others for late.
+//! Accounts for the time in which this node itself was stalled, so that it does not take other
+//! nodes for silent.
 //!
-//! A node whose share of a processor is used up rests, and what it receives meanwhile waits
-//! unread. To its own clock everybody else seems to have said nothing for that time. So each
-//! timer that comes late tells of a time in which this node did not listen, and a silence is
-//! measured in the time in which it did.
+//! A node that has used up its share of a processor is suspended, and what it receives in the
+//! meantime waits unread. By its own clock, all other nodes seem to have been silent for that time.
+//! Each timer that fires late therefore reveals a period in which this node did not receive, and
+//! silence is measured only in the time in which it did.
 
 use std::time::Duration;
 
 use hookpoint_state::Timestamp;
 
-/// A timer that is this late or less is on time: whatever else was due at the same moment goes
-/// first, and a busy machine takes turns. A rest for lack of processor time is longer.
-const ON_TIME: Duration = Duration::from_millis(15);
+/// Maximum lateness at which a timer counts as on time: other work that was due at the same moment
+/// runs first, and processes take turns on a busy machine. A suspension for lack of processor time
+/// is longer.
+const MAX_TIMER_DELAY: Duration = Duration::from_millis(15);
 
-/// After a time of not listening, what was received meanwhile has to be read before a
-/// silence may be told: some hundred datagrams take about this long.
-const READING_TIME: Duration = Duration::from_millis(10);
+/// After a period without receiving, the messages that arrived meanwhile must be read before a peer
+/// can be declared silent. Reading some hundred datagrams takes about this long.
+const BACKLOG_READ_TIME: Duration = Duration::from_millis(10);
 
-/// A node that comes late again and again still tells a silence after this multiple of the
-/// time that is enough for one that does not.
-const AGAIN_AND_AGAIN: u32 = 2;
+/// A node that is stalled repeatedly still detects silence after this multiple of the time that
+/// suffices for a node that is not.
+const REPEATED_STALL_MULTIPLE: u32 = 2;
 
-/// A moment, and for how long this node had not listened until then.
+/// A point in time, and this node's accumulated stalled time up to then.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Listening {
+pub struct ReceiveMark {
     at: Timestamp,
-    absent: Duration,
+    stalled: Duration,
 }
 
-/// The times in which this node did not listen.
+/// The periods in which this node did not receive messages.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct OwnLateness {
-    absent: Duration,
-    returned_at: Timestamp,
+pub struct LocalStalls {
+    stalled: Duration,
+    resumed_at: Timestamp,
 }
 
-impl OwnLateness {
-    /// Takes in that a timer which was due at `due` came at `now`. Several timers that tell
-    /// of the same time count once.
+impl LocalStalls {
+    /// Records that a timer which was due at `due` fired at `now`. Overlapping periods reported by
+    /// several timers count once.
     pub fn note_timer(&mut self, due: Timestamp, now: Timestamp) {
-        if now.since(due) <= ON_TIME {
+        if now.since(due) <= MAX_TIMER_DELAY {
             return;
         }
-        let from = due.max(self.returned_at);
-        self.absent += now.since(from);
-        self.returned_at = self.returned_at.max(now);
+        let from = due.max(self.resumed_at);
+        self.stalled += now.since(from);
+        self.resumed_at = self.resumed_at.max(now);
     }
 
-    /// Begins to measure.
-    pub fn begin(&self, now: Timestamp) -> Listening {
-        Listening {
+    /// Starts a measurement at `now`.
+    pub fn begin(&self, now: Timestamp) -> ReceiveMark {
+        ReceiveMark {
             at: now,
-            absent: self.absent,
+            stalled: self.stalled,
         }
     }
 
-    /// Whether nothing that came in a `time` of listening since then can still be unread.
-    pub fn has_listened_for(&self, time: Duration, since: Listening, now: Timestamp) -> bool {
-        let listened = self.listened(since, now);
-        if listened < time {
+    /// Returns whether this node has received for at least `time` since the start of the
+    /// measurement, and nothing that arrived in that time can still be unread.
+    pub fn has_received_for(&self, time: Duration, since: ReceiveMark, now: Timestamp) -> bool {
+        let received_for = self.received_for(since, now);
+        if received_for < time {
             return false;
         }
-        !self.still_reads(now) || listened >= time * AGAIN_AND_AGAIN
+        !self.has_unread_backlog(now) || received_for >= time * REPEATED_STALL_MULTIPLE
     }
 
-    /// For how long this node has listened since then.
-    fn listened(&self, since: Listening, now: Timestamp) -> Duration {
-        let absent = self.absent.saturating_sub(since.absent);
-        now.since(since.at).saturating_sub(absent)
+    /// Returns for how long this node has received messages since the start of the measurement.
+    fn received_for(&self, since: ReceiveMark, now: Timestamp) -> Duration {
+        let stalled = self.stalled.saturating_sub(since.stalled);
+        now.since(since.at).saturating_sub(stalled)
     }
 
-    /// Whether what was received while this node did not listen may still be unread.
-    fn still_reads(&self, now: Timestamp) -> bool {
-        self.absent > Duration::ZERO && now.since(self.returned_at) < READING_TIME
+    /// Returns whether messages that arrived during the last stall may still be unread.
+    fn has_unread_backlog(&self, now: Timestamp) -> bool {
+        self.stalled > Duration::ZERO && now.since(self.resumed_at) < BACKLOG_READ_TIME
     }
 }
--- a/crates/coordination/src/serving/placement.rs
+++ b/crates/coordination/src/serving/placement.rs
@@ -1,8 +1,8 @@
-//! Where a caller's statement may run, and which nodes may carry its text.
+//! Restricts where a caller's statement may run, and which nodes may forward its text.
 //!
-//! A route and a tenant may each name the regions that their statements are confined to. If
-//! both do, both bind. The node that the caller is connected to always has the text; apart
-//! from it, only nodes in the allowed regions may have it.
+//! A route and a tenant may each name the regions to which their statements are confined. If both
+//! do, both restrictions apply. The node to which the caller is connected always has the text;
+//! apart from it, only nodes in the allowed regions may receive it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -14,15 +14,15 @@
 use super::tenancy::Principal;
 use super::topology::{Configuration, Route};
 
-/// The regions that one statement is confined to.
+/// The regions to which one statement is confined.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
-    /// None if any region will do; empty if none will.
+    /// `None` if any region is allowed; empty if no region is.
     allowed: Option<BTreeSet<RegionName>>,
 }
 
-/// A database that a placement permits. Only a placement makes one, so what asks for it
-/// cannot be given a database that was not checked.
+/// A database that a placement permits. Only a placement creates one, so code that takes one cannot
+/// be given a database that was not checked.
 #[derive(Clone, Debug)]
 pub struct PermittedDatabase {
     name: DatabaseName,
@@ -30,12 +30,12 @@
 }
 
 impl PermittedDatabase {
-    /// The database.
+    /// Returns the name of the database.
     pub fn name(&self) -> &DatabaseName {
         &self.name
     }
 
-    /// What permitted it.
+    /// Returns the placement that permitted it.
     pub fn placement(&self) -> &Placement {
         &self.placement
     }
@@ -46,18 +46,18 @@
 pub enum Need {
     /// The primary.
     Primary,
-    /// Any that holds a position.
+    /// Any database that has reached a given position.
     AnyDatabase,
 }
 
-/// What is known of the databases of a group.
+/// What is known about the databases of a group.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupView<'a> {
-    /// Those that work may be sent to, reachable or not.
+    /// Databases to which work may be sent, whether or not they are reachable.
     pub databases: &'a [&'a Database],
-    /// The one believed to lead; none while it does not answer and may be replaced.
+    /// The database believed to lead; `None` while it does not answer and may be replaced.
     pub leader: Option<&'a DatabaseName>,
-    /// The one that is to lead next, if a promotion is under way.
+    /// The database that is to lead next, if a promotion is in progress.
     pub successor: Option<&'a DatabaseName>,
 }
 
@@ -74,16 +74,16 @@
 /// Why no permitted database can run a statement, however long it waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Obstacle {
-    /// The route's and the tenant's regions have none in common.
+    /// The regions of the route and of the tenant have none in common.
     NoCommonRegion,
-    /// No database of the group stands in an allowed region.
+    /// No database of the group is in an allowed region.
     NoDatabase,
-    /// Only the primary can run it, and that stands in another region.
+    /// Only the primary can run the statement, and the primary is in a region that is not allowed.
     PrimaryOutside,
 }
 
 impl Obstacle {
-    /// Short name for logs.
+    /// Returns the short name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Obstacle::NoCommonRegion => "no_common_region",
@@ -94,13 +94,15 @@
 }
 
 impl Placement {
-    /// A placement that allows every region: for a question of the node's own, which carries
-    /// no text of a caller's, and for a node that lends to one which has made the choice.
+    /// Returns a placement that allows every region. It is used for a node's own status queries,
+    /// which carry no text of a caller, and by a node that lends a connection to a node which has
+    /// checked the placement.
     pub fn unrestricted() -> Self {
         Self { allowed: None }
     }
 
-    /// The placement of a route's statements for a tenant. An empty set binds nothing.
+    /// Returns the placement of a route's statements for a tenant. An empty set imposes no
+    /// restriction.
     pub fn of(route: &BTreeSet<RegionName>, tenant: Option<&BTreeSet<RegionName>>) -> Self {
         let tenant = tenant.filter(|regions| !regions.is_empty());
         let allowed = match (route.is_empty(), tenant) {
@@ -112,8 +114,9 @@
         Self { allowed }
     }
 
-    /// The placement by the newest configuration. `admitted` is the route as it was when the
-    /// statement arrived; it binds if the configuration no longer has a route called `name`.
+    /// Returns the placement according to the newest configuration. `admitted` is the route as it
+    /// was when the statement arrived; it applies if the configuration no longer has a route called
+    /// `name`.
     pub fn in_force(
         configuration: Option<&Configuration>,
         name: &str,
@@ -128,27 +131,27 @@
         Self::of(&route.allowed_regions, tenant)
     }
 
-    /// Whether some region is not allowed.
+    /// Returns whether some regions are not allowed.
     pub fn is_restricted(&self) -> bool {
         self.allowed.is_some()
     }
 
-    /// The allowed regions; none if any is.
+    /// Returns the allowed regions, or `None` if all are allowed.
     pub fn allowed_regions(&self) -> Option<&BTreeSet<RegionName>> {
         self.allowed.as_ref()
     }
 
-    /// Whether a node of `zone` may carry the text from the caller's node to a database.
+    /// Returns whether a node of `zone` may forward the text from the caller's node to a database.
     pub fn may_carry(&self, zone: &ZoneName, regions: &Regions) -> bool {
         self.allows(zone, regions)
     }
 
-    /// Whether the statement may run on a database of `zone`.
+    /// Returns whether the statement may run on a database of `zone`.
     pub fn may_run(&self, zone: &ZoneName, regions: &Regions) -> bool {
         self.allows(zone, regions)
     }
 
-    /// The database, if the statement may run there.
+    /// Returns the database as permitted if the statement may run on it.
     pub fn permit(
         self: &Rc<Self>,
         database: &Database,
@@ -161,7 +164,7 @@
         })
     }
 
-    /// Whether everything that `earlier` allowed is still allowed.
+    /// Returns whether everything that `earlier` allowed is still allowed.
     pub fn covers(&self, earlier: &Placement) -> bool {
         match (&self.allowed, &earlier.allowed) {
             (None, _) => true,
@@ -170,8 +173,8 @@
         }
     }
 
-    /// Why waiting is in vain; nothing if a permitted database can run the statement, or may
-    /// be able to in a moment.
+    /// Returns why waiting is futile, or `None` if a permitted database can run the statement or
+    /// may be able to shortly.
     pub fn obstacle(
         &self,
         need: Need,
@@ -186,17 +189,20 @@
         if !group.databases.iter().any(|known| is_permitted(known)) {
             return Some(Obstacle::NoDatabase);
         }
-        let outside = group
+        let leader_outside = group
             .find(group.leader)
             .is_some_and(|leader| !is_permitted(leader));
-        let arrives = group.find(group.successor).is_some_and(is_permitted);
+        let successor_permitted = group.find(group.successor).is_some_and(is_permitted);
         match need {
-            Need::Primary if outside && !arrives => Some(Obstacle::PrimaryOutside),
+            Need::Primary if leader_outside && !successor_permitted => {
+                Some(Obstacle::PrimaryOutside)
+            }
             _ => None,
         }
     }
 
-    /// A zone whose region is not known is in no allowed one.
+    /// Returns whether `zone` is in an allowed region. A zone of unknown region is in none if the
+    /// placement is restricted.
     fn allows(&self, zone: &ZoneName, regions: &Regions) -> bool {
         let Some(allowed) = &self.allowed else {
             return true;
@@ -206,11 +212,12 @@
     }
 }
 
-/// Regions in which each group's primary serves all routes of the group that are confined to
-/// some. A group is absent if no route of it is, or if they have no region in common.
+/// Returns, for each group, the regions in which its primary can serve all region-restricted routes
+/// of the group. A group is absent if none of its routes is restricted, or if the restricted ones
+/// have no region in common.
 ///
-/// Routes that contradict each other therefore never ask for a move, and two nodes with the
-/// same configuration ask for the same one.
+/// Routes that contradict each other therefore never cause a move, and two nodes with the same
+/// configuration request the same move.
 pub fn primary_regions(configuration: &Configuration) -> BTreeMap<GroupName, BTreeSet<RegionName>> {
     let mut common: BTreeMap<GroupName, BTreeSet<RegionName>> = BTreeMap::new();
     let confined = configuration
--- a/crates/coordination/src/serving/primary_lease.rs
+++ b/crates/coordination/src/serving/primary_lease.rs
@@ -1,83 +1,85 @@
-//! A node's leave to use primaries where the promotion service does not fence.
+//! A node's permission to use primaries where the promotion service does not fence the replaced
+//! primary.
 //!
-//! There a replaced primary goes on taking writes from whoever reaches it. So a node uses
-//! primaries only under a lease, and a primary is replaced only when no lease from before
-//! the announcement can be in force any more. A lease counts from when it was asked for,
-//! on the node's own steady clock.
+//! Without fencing, a replaced primary continues to accept writes from any node that reaches it. A
+//! node therefore uses primaries only under a lease, and a primary is replaced only when no lease
+//! from before the announcement can be in force any more. A lease counts from when it was
+//! requested, on the node's own monotonic clock.
 //!
-//! The coordinator grants leases. Every request is also a vote for whom it is sent to:
-//! for [`VOTE_TIME`] the voter acknowledges no announcement of anybody else. So a
-//! coordinator that has lost the state store may go on while a majority votes for it, and
-//! while no coordinator answers a stand-in may grant on the same ground. A stand-in cannot
-//! order promotions, so several of them do no harm.
+//! The coordinator grants leases. Every request is also a vote for the node to which it is sent:
+//! for [`VOTE_TIME`] the voter acknowledges no announcement of any other node. A coordinator that
+//! has lost the state store may therefore continue while a majority votes for it, and while no
+//! coordinator answers, a stand-in may grant leases on the same basis. A stand-in cannot order
+//! promotions, so several of them do no harm.
 
 use std::time::Duration;
 
 use hookpoint_state::{StoreRevision, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// How long a lease lasts, from when it was asked for. Longer than it takes to turn to a
-/// stand-in, so that the loss of a coordinator costs no statement.
+/// Duration of a lease, counted from when it was requested. It is longer than switching to a
+/// stand-in takes, so the loss of a coordinator fails no statement.
 pub const GRANT_TIME: Duration = Duration::from_millis(2_000);
-/// Pause between two requests.
+/// Interval between two requests.
 pub const RENEWAL_PERIOD: Duration = Duration::from_millis(350);
-/// How long a vote binds the node that gave it.
+/// How long a vote binds the node that cast it.
 pub const VOTE_TIME: Duration = Duration::from_millis(1_000);
-/// How long an answer is awaited: over the longest round trip.
-const ANSWER_TIME: Duration = Duration::from_millis(250);
-/// Unanswered requests in a row after which the next node is asked.
+/// How long the node waits for an answer: more than the longest round trip.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
+/// Number of consecutive unanswered requests after which the next node is asked.
 const FAILURES_BEFORE_NEXT: u32 = 2;
-/// Answers without a grant after which somebody else is asked: who answers may not be the
-/// one that the others vote for.
-const REFUSALS_BEFORE_TURN: u32 = 4;
+/// Number of answers without a grant after which another node is asked, as the answering node may
+/// not be the one that the other nodes vote for.
+const REFUSALS_BEFORE_SWITCH: u32 = 4;
 
-/// Tells the time of one process: no other process is meant by it.
+/// A timestamp of one process's clock, together with the process's number, so that it is never
+/// applied to another process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessTime {
     /// Number of the process.
     pub life: u64,
-    /// Its steady clock.
+    /// Time on its monotonic clock.
     pub time: Timestamp,
 }
 
 /// A request for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseRequest {
-    /// Revision of the newest coordinator's record that the node knows.
+    /// Revision of the newest coordinator record that the requesting node knows.
     pub coordinator: StoreRevision,
-    /// When it is asked for, by the node's clock.
+    /// When the lease is requested, by the requesting node's clock.
     pub asked_at: ProcessTime,
-    /// The time that the last answer told, if there was one.
+    /// The timestamp in the last answer, echoed back; `None` if there was no answer.
     pub told: Option<ProcessTime>,
 }
 
-/// The answer to one.
+/// The answer to a [`LeaseRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeaseAnswer {
-    /// Revision of the newest coordinator's record that the answering node knows.
+    /// Revision of the newest coordinator record that the answering node knows.
     pub coordinator: StoreRevision,
-    /// As in the request.
+    /// Copied from the request.
     pub asked_at: ProcessTime,
-    /// When it was answered, by the clock of who answers.
+    /// When the request was answered, by the answering node's clock.
     pub told: ProcessTime,
-    /// Whether the lease is granted; if not, the answer still tells the time.
+    /// Whether the lease is granted. The timestamp is valid in either case.
     pub granted: bool,
 }
 
-/// Whom to ask.
+/// The node from which a lease is requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Grantor {
     /// The coordinator.
     Coordinator,
-    /// The node at this place in the order of stand-ins.
+    /// The node at this index in the order of stand-ins.
     StandIn(usize),
 }
 
-/// One node's side of its lease.
+/// The lease of one node, from the requesting side.
 #[derive(Clone, Debug)]
 pub struct PrimaryLease {
     life: u64,
-    /// The newest coordinator that this node knows of.
+    /// The newest coordinator known to this node.
     coordinator: StoreRevision,
     grantor: Grantor,
     unanswered: Option<Timestamp>,
@@ -86,15 +88,15 @@
     next_at: Timestamp,
     last_request: Timestamp,
     told: Option<ProcessTime>,
-    /// When somebody else than the present coordinator was last voted for.
-    other_vote: Timestamp,
-    /// From when until when leases have covered every moment.
+    /// When this node last voted for a node other than the current coordinator.
+    other_vote_at: Timestamp,
+    /// Start and end of the latest period throughout which a lease was in force.
     covered: Option<(Timestamp, Timestamp)>,
 }
 
 impl PrimaryLease {
-    /// The lease of a process that starts now. What an earlier process of the node voted
-    /// is not known, so it counts as having voted up to now.
+    /// Creates the lease state of a process that starts now. The votes of an earlier process of the
+    /// node are not known, so the node counts as having voted for another node until now.
     pub fn new(life: u64, now: Timestamp) -> Self {
         Self {
             life,
@@ -106,27 +108,27 @@
             next_at: now,
             last_request: Timestamp::default(),
             told: None,
-            other_vote: now,
+            other_vote_at: now,
             covered: None,
         }
     }
 
-    /// Revision of the newest coordinator's record that this node knows of.
+    /// Returns the revision of the newest coordinator record that this node knows.
     pub fn coordinator(&self) -> StoreRevision {
         self.coordinator
     }
 
-    /// Takes notice of a coordinator; one that is not newer is passed over.
+    /// Applies a newly known coordinator; one that is not newer is ignored.
     pub fn follow(&mut self, coordinator: StoreRevision, now: Timestamp) {
         if coordinator <= self.coordinator {
             return;
         }
-        self.other_vote = self.other_vote.max(self.last_request);
+        self.other_vote_at = self.other_vote_at.max(self.last_request);
         self.coordinator = coordinator;
-        self.turn_to(Grantor::Coordinator, now);
+        self.switch_to(Grantor::Coordinator, now);
     }
 
-    fn turn_to(&mut self, grantor: Grantor, now: Timestamp) {
+    fn switch_to(&mut self, grantor: Grantor, now: Timestamp) {
         self.grantor = grantor;
         self.unanswered = None;
         self.failures = 0;
@@ -135,16 +137,16 @@
         self.next_at = now;
     }
 
-    /// The next request and whom it goes to, if one is due.
+    /// Returns the next request and the node to send it to, if a request is due.
     pub fn request(&mut self, now: Timestamp) -> Option<(Grantor, LeaseRequest)> {
-        self.note_silence(now);
+        self.note_timeout(now);
         if self.unanswered.is_some() || now < self.next_at {
             return None;
         }
         self.unanswered = Some(now);
         self.last_request = now;
         if self.grantor != Grantor::Coordinator {
-            self.other_vote = now;
+            self.other_vote_at = now;
         }
         let request = LeaseRequest {
             coordinator: self.coordinator,
@@ -157,9 +159,9 @@
         Some((self.grantor, request))
     }
 
-    fn note_silence(&mut self, now: Timestamp) {
-        let silent = |asked_at: Timestamp| now.since(asked_at) >= ANSWER_TIME;
-        if !self.unanswered.is_some_and(silent) {
+    fn note_timeout(&mut self, now: Timestamp) {
+        let timed_out = |asked_at: Timestamp| now.since(asked_at) >= ANSWER_TIMEOUT;
+        if !self.unanswered.is_some_and(timed_out) {
             return;
         }
         self.unanswered = None;
@@ -170,11 +172,11 @@
                 Grantor::Coordinator => 0,
                 Grantor::StandIn(place) => place + 1,
             };
-            self.turn_to(Grantor::StandIn(next), now);
+            self.switch_to(Grantor::StandIn(next), now);
         }
     }
 
-    /// Takes an answer. Says whether it is that to the newest request.
+    /// Applies an answer. Returns whether it answers the newest request.
     pub fn take(&mut self, answer: &LeaseAnswer, now: Timestamp) -> bool {
         if answer.asked_at.life != self.life {
             return false;
@@ -199,18 +201,18 @@
         true
     }
 
-    fn note_refusal(&mut self, good: bool, now: Timestamp) {
-        if good {
+    fn note_refusal(&mut self, accepted: bool, now: Timestamp) {
+        if accepted {
             self.refusals = 0;
             return;
         }
         self.refusals += 1;
-        if self.refusals >= REFUSALS_BEFORE_TURN {
+        if self.refusals >= REFUSALS_BEFORE_SWITCH {
             let other = match self.grantor {
                 Grantor::Coordinator => Grantor::StandIn(0),
                 Grantor::StandIn(_) => Grantor::Coordinator,
             };
-            self.turn_to(other, now);
+            self.switch_to(other, now);
         }
     }
 
@@ -225,31 +227,31 @@
         };
     }
 
-    /// Whether a lease was in force at a moment, as far as is known.
+    /// Returns whether a lease is known to have been in force at `moment`.
     pub fn covers(&self, moment: Timestamp) -> bool {
         self.covered
             .is_some_and(|(from, until)| from <= moment && moment < until)
     }
 
-    /// Since when no lease has been in force; nothing while one is, or before the first.
+    /// Returns since when no lease has been in force; `None` while one is, or before the first.
     pub fn lapsed_since(&self, now: Timestamp) -> Option<Timestamp> {
         let (_, until) = self.covered?;
         (until <= now).then_some(until)
     }
 
-    /// Whether an announcement of a coordinator may be acknowledged now: no vote for
-    /// anybody else may bind this node. From now on no earlier coordinator is listened to,
-    /// and the present one, who can be heard, is asked again instead of a stand-in.
+    /// Returns whether an announcement of `coordinator` may be acknowledged now, that is, whether
+    /// no vote for another node binds this node. From now on earlier coordinators are ignored, and
+    /// the current coordinator, which is reachable, is asked again instead of a stand-in.
     pub fn acknowledge(&mut self, coordinator: StoreRevision, now: Timestamp) -> bool {
         self.follow(coordinator, now);
         if coordinator == self.coordinator && self.grantor != Grantor::Coordinator {
-            self.turn_to(Grantor::Coordinator, now);
+            self.switch_to(Grantor::Coordinator, now);
         }
-        coordinator == self.coordinator && now.since(self.other_vote) >= VOTE_TIME
+        coordinator == self.coordinator && now.since(self.other_vote_at) >= VOTE_TIME
     }
 
-    /// Whether a lease may be in force that somebody else granted by this node's vote.
+    /// Returns whether a lease may be in force that another node granted based on this node's vote.
     pub fn voted_for_others(&self, now: Timestamp) -> bool {
-        now.since(self.other_vote) < VOTE_TIME + GRANT_TIME
+        now.since(self.other_vote_at) < VOTE_TIME + GRANT_TIME
     }
 }
--- a/crates/coordination/src/serving/probe_budget.rs
+++ b/crates/coordination/src/serving/probe_budget.rs
@@ -1,39 +1,38 @@
-//! What a node spends on probes.
+//! Rate limit of the probes that a node sends.
 //!
-//! Waiting requests ask for probes, and probes delay answers where links and processors are
-//! busy, which makes more requests wait. So their number is bounded for the node, whatever
-//! the number of its requests, of the nodes and of those that hold connections.
+//! Waiting requests trigger probes, and probes delay answers where links and processors are busy,
+//! which makes more requests wait. Their rate is therefore bounded per node, regardless of the
+//! number of requests, nodes and connection holders.
 
 use std::time::Duration;
 
 use hookpoint_state::Timestamp;
 
-/// Probes a second that a node sends in the long run. With their answers these are about
-/// 12 kB a second, a twentieth of the narrowest link of the known deployments, and a hundredth of
-/// a core.
+/// Sustained rate of probes. Including their answers, this is about 12 kB per second, a twentieth
+/// of the narrowest link of the known deployments, and a hundredth of a core.
 pub const PROBES_A_SECOND: u32 = 100;
 
-/// Probes that it sends at once: enough to find out about all holders of a few databases when
-/// a third of the fleet is cut off.
+/// Maximum burst: enough to check all holders of a few databases when a third of the fleet is
+/// partitioned.
 pub const PROBES_AT_ONCE: u32 = 64;
 
-/// Of those, what is left for peers that a request waits for: a peer that may be needed next
-/// is probed only while there is more.
-const KEPT_FOR_WAITING: u32 = 16;
+/// Part of the burst that is reserved for peers that a request waits for. A peer that may be needed
+/// next is probed only while more than this is left.
+const RESERVED_FOR_WAITING: u32 = 16;
 
-/// What a probe is for.
+/// Why a peer is probed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Purpose {
+pub enum ProbePurpose {
     /// A request waits for the peer.
     Waiting,
     /// The peer may be needed next, or may be back.
     Ahead,
 }
 
-/// The probes that a node may still send.
+/// Token bucket of probes that a node may still send.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeBudget {
-    /// Thousandths of a probe.
+    /// Remaining budget in thousandths of a probe.
     level: u64,
     updated_at: Timestamp,
 }
@@ -51,14 +50,14 @@
 }
 
 impl ProbeBudget {
-    /// Takes one probe, if there is one left for this purpose.
-    pub fn take(&mut self, purpose: Purpose, now: Timestamp) -> bool {
+    /// Takes one probe if the budget has one left for this purpose. Returns whether it did.
+    pub fn take(&mut self, purpose: ProbePurpose, now: Timestamp) -> bool {
         self.refill(now);
-        let kept = match purpose {
-            Purpose::Waiting => 0,
-            Purpose::Ahead => u64::from(KEPT_FOR_WAITING) * MILLI,
+        let reserved = match purpose {
+            ProbePurpose::Waiting => 0,
+            ProbePurpose::Ahead => u64::from(RESERVED_FOR_WAITING) * MILLI,
         };
-        let enough = self.level >= kept + MILLI;
+        let enough = self.level >= reserved + MILLI;
         if enough {
             self.level -= MILLI;
         }
@@ -76,18 +75,19 @@
     }
 }
 
-/// First pause between probes of a peer that counts as silent: how late a short absence is
-/// noticed to be over.
-const SILENT_PAUSE: Duration = Duration::from_millis(200);
-/// Probes after which the pause doubles: one or two of them may be lost.
-const PROBES_OF_ONE_PAUSE: u32 = 3;
-/// Doublings at the most: 800 ms, so that a peer that is back is soon used again.
-const MOST_DOUBLINGS: u32 = 2;
+/// Initial interval between probes of a silent peer: the delay with which the end of a short
+/// absence is noticed.
+const FIRST_SILENT_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of probes after which the interval doubles; one or two of them may be lost.
+const PROBES_PER_INTERVAL: u32 = 3;
+/// Maximum number of doublings. It limits the interval to 800 ms, so that a peer that is back is
+/// used again soon.
+const MAX_DOUBLINGS: u32 = 2;
 
-/// Pause between probes of a peer that counts as silent, after `probed` of them. It grows, as
-/// all nodes that used the peer probe it, and one that is merely overloaded gets on with its
-/// work only if that becomes less.
-pub fn silent_pause(probed: u32) -> Duration {
-    let doublings = (probed / PROBES_OF_ONE_PAUSE).min(MOST_DOUBLINGS);
-    SILENT_PAUSE * (1 << doublings)
+/// Returns the interval between probes of a silent peer after `probed` of them. It grows because
+/// all nodes that used the peer probe it, and a peer that is merely overloaded can catch up only if
+/// the number of probes decreases.
+pub fn silent_probe_interval(probed: u32) -> Duration {
+    let doublings = (probed / PROBES_PER_INTERVAL).min(MAX_DOUBLINGS);
+    FIRST_SILENT_INTERVAL * (1 << doublings)
 }
--- a/crates/coordination/src/serving/question_budget.rs
+++ b/crates/coordination/src/serving/question_budget.rs
@@ -1,20 +1,25 @@
-//! How many questions about primaries a node has on their way through other nodes.
+//! Limits the status queries to primaries that a node has in flight through other nodes.
 //!
-//! While no primary is known a node asks the databases of a group; those that it holds no
-//! connections to it asks through nodes that do. At the start of a fleet no node knows any
-//! primary, and the product of nodes and databases would be asked at once, each time on a link
-//! and a connection of its own. So a node has a bounded number of them on their way; the
-//! groups that requests ask for come first.
+//! While no primary is known, a node queries the databases of a group. It queries those to which it
+//! holds no connections through nodes that do. When a fleet starts, no node knows any primary, and
+//! every node would query every database at the same time, each on a link and a connection of its
+//! own. The number of such queries in flight per node is therefore bounded, and the groups that
+//! requests ask for come first.
 
-/// Questions through other nodes on their way at the most: with 100 ms for each these are
-/// 80 a second, so that a node knows the primaries of the groups in use within moments.
-pub const MOST_AFAR: usize = 8;
+/// Maximum number of queries in flight through other nodes. At 100 ms each, these are 80 per
+/// second, so that a node soon knows the primaries of the groups in use.
+pub const MAX_REMOTE_QUERIES: usize = 8;
 
-/// Of those, questions for groups that no request asks for.
-pub const MOST_AFAR_UNUSED: usize = 2;
+/// Maximum number of these that may be for groups that no request asks for.
+pub const MAX_REMOTE_QUERIES_UNUSED: usize = 2;
 
-/// Whether one more question may be sent through another node, while `on_their_way` are.
-pub fn may_ask_afar(on_their_way: usize, in_use: bool) -> bool {
-    let most = if in_use { MOST_AFAR } else { MOST_AFAR_UNUSED };
-    on_their_way < most
+/// Returns whether another query may be sent through another node while `in_flight` are in
+/// flight.
+pub fn may_ask_afar(in_flight: usize, in_use: bool) -> bool {
+    let limit = if in_use {
+        MAX_REMOTE_QUERIES
+    } else {
+        MAX_REMOTE_QUERIES_UNUSED
+    };
+    in_flight < limit
 }
