--- a/crates/coordination/src/serving/quota.rs
+++ b/crates/coordination/src/serving/quota.rs
@@ -1,15 +1,15 @@
-//! How much each tenant may ask for, counted over the whole fleet.
+//! Fleet-wide operation limits of tenants.
 //!
-//! A tenant's limit is divided evenly among a few nodes, its *token holders*. Each holds a
-//! token bucket with its part of the rate and of the burst. The node that serves a caller asks
-//! the nearest holder for a token for each operation, and the others in turn if that one is
-//! dry or does not answer. A token is used within [`TOKEN_LIFE`] or not at all.
+//! A tenant's limit is divided evenly among a few nodes, its *token holders*. Each has a token
+//! bucket with its share of the rate and of the burst. For each operation, the node that serves the
+//! caller requests a token from the nearest holder, and from the others in turn if that one has
+//! none or does not answer. A token is used within [`TOKEN_LIFE`] or not at all.
 //!
-//! The bound holds without agreement: a holder never grants more than its part, whoever else
-//! is alive, cut off or frozen; one that starts begins with no more than came back while its
-//! process was away, as the process before it may have granted all it had; a token that is lost
-//! on its way is never used.
-//! What a tenant loses by a holder that is away is that holder's part.
+//! The bound holds without agreement between the holders. A holder never grants more than its
+//! share, whichever other nodes are alive, partitioned or suspended. A holder that starts begins
+//! with no more than was refilled while its process was down, as the process before it may have
+//! granted everything it had. A token that is lost in transit is never used. If a holder is down,
+//! the tenant loses that holder's share.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,100 +17,107 @@
 use hookpoint_state::{TenantName, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// How long after it was asked for a token may be used. The shorter, the more of the allowed
-/// overshoot is left for bursts; it has to cover a question that is sent twice and answered late
-/// (130 ms), and a node whose share of the processor is used up for a tenth of a second.
+/// Validity of a token, counted from when it was requested. The shorter it is, the more of the
+/// allowed overshoot is left for bursts. It has to cover a request that is sent twice and answered
+/// late (130 ms), and a node that is suspended for a tenth of a second because its share of the
+/// processor is used up.
 pub const TOKEN_LIFE: Duration = Duration::from_millis(400);
 
-/// Part of what is allowed in a window that is never granted, for operations that a database
-/// runs twice, as the first answer was lost: one in fifty.
+/// One part in this many of what is allowed in a window is never granted. It covers operations that
+/// a database runs twice because the first answer was lost: one in fifty.
 const HEADROOM_DIVISOR: u64 = 50;
 
-/// Part of an operation's latency objective that it may wait for a token that is on its way.
-/// Unlike a queue that wait is known beforehand: who would wait for longer is refused at once.
-const PATIENCE_DIVISOR: u32 = 3;
+/// An operation may wait for a token for this fraction (one part in this many) of its latency
+/// objective. Unlike that of a queue, this wait is known beforehand, so an operation that would
+/// wait for longer is rejected at once.
+const TOKEN_WAIT_DIVISOR: u32 = 3;
 
-/// How long an operation may wait for a token that has passed `elapsed` of its objective.
+/// Returns how long an operation may wait for a token after `elapsed` of its latency objective has
+/// passed.
 pub fn token_patience(target_latency: Duration, elapsed: Duration) -> Duration {
-    (target_latency / PATIENCE_DIVISOR).saturating_sub(elapsed)
+    (target_latency / TOKEN_WAIT_DIVISOR).saturating_sub(elapsed)
 }
 
-/// A new holder grants no more than its bucket begins with for this long: until the nodes that still ask the one before
-/// it have heard of the change, which takes a follower of the store well under a second.
+/// For this long, a new holder grants no more than its bucket's initial level: until the nodes that
+/// still ask the previous holder have received the change, which takes a follower of the store well
+/// under a second.
 pub const TAKEOVER_PAUSE: Duration = Duration::from_millis(1_500);
 
-/// Least burst of one holder, in operations: a small tenant's operations come so unevenly that
-/// a holder with less is dry while others are not.
-const LEAST_BURST_OF_HOLDER: u64 = 4;
+/// Minimum burst of one holder, in operations. The operations of a small tenant are so uneven that
+/// a holder with less would run out of tokens while others have some left.
+const MIN_HOLDER_BURST: u64 = 4;
 
-/// Least time from the last token of a process that ended to the first one of the process that
-/// replaces it: the platform starts it after half a second, and it has to read who the others
-/// are. A bucket begins with what would have come back meanwhile, so that callers who return
-/// after a loss of all power need not wait for it.
+/// Minimum time between the last token of a process that ended and the first token of its
+/// replacement: the platform starts it after half a second, and it has to read the membership. A
+/// bucket starts with what would have been refilled in this time, so that callers that return after
+/// a loss of all power need not wait for it.
 pub const LEAST_RESTART: Duration = Duration::from_millis(300);
 
-/// Buckets are kept in millionths of an operation: a rate in operations a second adds itself
-/// each microsecond.
+/// Buckets count millionths of an operation, so that a rate in operations per second adds that many
+/// units per microsecond.
 pub(super) const MICROS: u64 = 1_000_000;
 
 /// A tenant's limit as configured.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperationLimit {
-    /// Sustained operations, in thousandths of an operation a second.
+    /// Sustained rate, in thousandths of an operation per second.
     pub rate_milli: u64,
-    /// Operations at once beyond that.
+    /// Number of operations allowed at once in addition to the sustained rate.
     pub burst: u64,
 }
 
-/// How exactly limits have to be kept.
+/// Tolerances within which limits have to be enforced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaBounds {
     /// Length of the sliding window in which operations are counted.
     pub window: Duration,
-    /// By how much a count may exceed the limit, in thousandths of it.
+    /// By how much a count may exceed the limit, in thousandths of the limit.
     pub overshoot_milli: u64,
-    /// By how many operations it may do so besides.
+    /// Number of operations by which it may exceed the limit in addition.
     pub slack: u64,
 }
 
-/// What all token holders of a tenant together may grant.
+/// Rate and burst that all token holders of a tenant together, or one of them, may grant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GrantLimit {
-    /// Millionths of an operation that come back in a second.
+    /// Refill rate, in millionths of an operation per second.
     pub rate: u64,
-    /// Millionths of an operation that a full bucket holds.
+    /// Capacity of the bucket, in millionths of an operation.
     pub burst: u64,
 }
 
-fn product(left: u64, right: u64) -> u64 {
+/// Returns `left` x `right` / [`MICROS`], saturated.
+fn mul_micros(left: u64, right: u64) -> u64 {
     u64::try_from(u128::from(left) * u128::from(right) / u128::from(MICROS)).unwrap_or(u64::MAX)
 }
 
-fn micros(time: Duration) -> u64 {
+fn saturating_micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
 impl QuotaBounds {
-    /// Millionths of an operation that may run in any window.
+    /// Returns how many millionths of an operation may run in any window.
     fn allowed(&self, limit: OperationLimit) -> u64 {
         let rate = limit.rate_milli.saturating_mul(1_000);
-        let owed = product(rate, micros(self.window)).saturating_add(limit.burst * MICROS);
+        let owed =
+            mul_micros(rate, saturating_micros(self.window)).saturating_add(limit.burst * MICROS);
         let over = u128::from(owed) * u128::from(self.overshoot_milli) / 1_000;
         owed.saturating_add(u64::try_from(over).unwrap_or(u64::MAX))
             .saturating_add(self.slack * MICROS)
     }
 
-    /// What may be granted so that no window holds more than is allowed.
+    /// Returns what may be granted so that no window exceeds what is allowed.
     ///
-    /// Tokens used in one window were granted in a span that is longer by [`TOKEN_LIFE`], and
-    /// buckets may have been full at its start: rate x (window + life) + burst stays within
-    /// what is allowed. The rate is the configured one if anything is left for a burst then.
+    /// Tokens used within one window were granted within a span that is longer by [`TOKEN_LIFE`],
+    /// and buckets may have been full at its start. So rate x (window + token life) + burst has to
+    /// stay within what is allowed. The rate is the configured one if that leaves anything for a
+    /// burst.
     pub fn grant_limit(&self, limit: OperationLimit) -> GrantLimit {
         let allowed = self.allowed(limit);
         let grantable = allowed - allowed / HEADROOM_DIVISOR;
-        let span = micros(self.window + TOKEN_LIFE);
+        let span = saturating_micros(self.window + TOKEN_LIFE);
         let rate = limit.rate_milli.saturating_mul(1_000);
-        let sustained = product(rate, span);
+        let sustained = mul_micros(rate, span);
         if grantable >= sustained + MICROS {
             let burst = grantable - sustained;
             return GrantLimit { rate, burst };
@@ -125,15 +132,16 @@
 }
 
 impl GrantLimit {
-    /// Holders that the limit can be divided among, `wanted` at the most: each needs a burst.
+    /// Returns the number of holders among which the limit can be divided, at most `wanted`: each
+    /// needs a minimum burst.
     pub fn holders(&self, wanted: usize) -> usize {
-        let most = self.burst / (LEAST_BURST_OF_HOLDER * MICROS);
+        let most = self.burst / (MIN_HOLDER_BURST * MICROS);
         usize::try_from(most)
             .unwrap_or(usize::MAX)
             .clamp(1, wanted.max(1))
     }
 
-    /// The part of one of `holders`.
+    /// Returns the share of one of `holders` holders.
     pub fn part(self, holders: usize) -> Self {
         let holders = u64::try_from(holders.max(1)).unwrap_or(u64::MAX);
         Self {
@@ -143,45 +151,45 @@
     }
 }
 
-/// The answer to who asks for a token.
+/// The answer to a token request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TokenAnswer {
-    /// It may be used after this time, and for [`TOKEN_LIFE`] from then on.
+    /// The token may be used after this time, and for [`TOKEN_LIFE`] from then on.
     Granted {
-        /// In microseconds.
+        /// Delay in microseconds.
         after_us: u64,
     },
-    /// The tenant is over its limit; a token would come back after this time.
+    /// The tenant is over its limit; a token would be available after this time.
     Dry {
-        /// In microseconds.
+        /// Delay in microseconds.
         retry_after_us: u64,
     },
-    /// The asked node does not hold tokens of this tenant.
+    /// The node does not hold tokens of this tenant.
     NotHeld,
 }
 
-/// One holder's tokens of one tenant. A token that comes back soon may be given ahead of
-/// time, to be used when it has come back: then the level is below zero.
+/// One holder's token bucket of one tenant. A token that will be available soon may be granted
+/// ahead of time, to be used once it is available; the level is then negative.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     limit: GrantLimit,
-    /// Millionths of an operation.
+    /// Tokens left, in millionths of an operation.
     level: i128,
     updated_at: Timestamp,
 }
 
 impl TokenBucket {
-    /// A bucket of a process that started, or takes over, at `from`.
+    /// Creates the bucket of a process that started, or took over as a holder, at `from`.
     pub fn new(limit: GrantLimit, from: Timestamp) -> Self {
-        let returned = product(limit.rate, micros(LEAST_RESTART)).min(limit.burst);
+        let refilled = mul_micros(limit.rate, saturating_micros(LEAST_RESTART)).min(limit.burst);
         Self {
             limit,
-            level: i128::from(returned),
+            level: i128::from(refilled),
             updated_at: from,
         }
     }
 
-    /// A bucket that holds nothing yet.
+    /// Creates an empty bucket.
     pub fn empty(limit: GrantLimit, now: Timestamp) -> Self {
         Self {
             limit,
@@ -190,20 +198,20 @@
         }
     }
 
-    /// Takes tokens whether they are there or not; the level may fall below zero.
+    /// Takes tokens whether or not they are available; the level may become negative.
     pub fn charge(&mut self, now: Timestamp, tokens: u32) {
         self.refill(now);
         self.level -= i128::from(u64::from(tokens) * MICROS);
     }
 
-    /// Takes over the limit if it has changed.
-    pub fn keep_limit(&mut self, now: Timestamp, limit: GrantLimit) {
+    /// Applies `limit` if it differs from the current one.
+    pub fn update_limit(&mut self, now: Timestamp, limit: GrantLimit) {
         if self.limit != limit {
             self.set_limit(now, limit);
         }
     }
 
-    /// Takes over a changed limit; what is more than the new burst is lost.
+    /// Applies a changed limit; tokens in excess of the new burst are dropped.
     pub fn set_limit(&mut self, now: Timestamp, limit: GrantLimit) {
         self.refill(now);
         self.limit = limit;
@@ -215,7 +223,7 @@
         if elapsed.is_zero() {
             return;
         }
-        let gained = product(self.limit.rate, micros(elapsed));
+        let gained = mul_micros(self.limit.rate, saturating_micros(elapsed));
         let full = i128::from(self.limit.burst);
         if self.level < full {
             self.level = (self.level + i128::from(gained)).min(full);
@@ -223,7 +231,7 @@
         self.updated_at = now;
     }
 
-    /// Takes one token if it is there within `patience`.
+    /// Takes one token if it is available within `patience`.
     pub fn take(&mut self, now: Timestamp, patience: Duration) -> TokenAnswer {
         self.refill(now);
         let missing = i128::from(MICROS) - self.level;
@@ -232,7 +240,7 @@
                 retry_after_us: u64::MAX,
             };
         };
-        let until_filled = micros(self.updated_at.since(now));
+        let until_filled = saturating_micros(self.updated_at.since(now));
         let wait = match missing {
             0 => 0,
             _ if self.limit.rate == 0 => u64::MAX,
@@ -243,7 +251,7 @@
                     .saturating_add(until_filled + 1)
             }
         };
-        if wait > micros(patience) {
+        if wait > saturating_micros(patience) {
             return TokenAnswer::Dry {
                 retry_after_us: wait,
             };
@@ -253,16 +261,16 @@
     }
 }
 
-/// The buckets of one holder.
+/// The token buckets of one holder, by tenant.
 #[derive(Debug, Default)]
 pub struct TokenHolder {
     buckets: BTreeMap<TenantName, TokenBucket>,
 }
 
 impl TokenHolder {
-    /// Takes one token of `tenant`, of which this holder's part is `limit`.
+    /// Takes one token of `tenant`; `limit` is this holder's share.
     ///
-    /// A bucket that is new fills from `from` on.
+    /// A new bucket is refilled from `from` on.
     pub fn take(
         &mut self,
         tenant: &TenantName,
@@ -275,11 +283,11 @@
             .buckets
             .entry(tenant.clone())
             .or_insert_with(|| TokenBucket::new(limit, from));
-        bucket.keep_limit(now, limit);
+        bucket.update_limit(now, limit);
         bucket.take(now, patience)
     }
 
-    /// Forgets a tenant: its tokens are held elsewhere now.
+    /// Drops the bucket of a tenant whose tokens are now held by another node.
     pub fn forget(&mut self, tenant: &TenantName) {
         self.buckets.remove(tenant);
     }
--- a/crates/coordination/src/serving/reliability.rs
+++ b/crates/coordination/src/serving/reliability.rs
@@ -1,21 +1,21 @@
-//! How often a database failed lately, as one node saw it.
+//! Recent failure rate of a database, as observed by one node.
 //!
-//! A database may answer questions about its health and yet fail, cut off or leave
-//! unanswered a part of the statements. The share of those decides how much dearer it is
-//! than another one. Without statements the share fades, so that it is tried again.
+//! A database may answer health checks and yet fail, abort or leave unanswered some of the
+//! statements. The share of those increases the cost at which the database is ranked. Without
+//! statements the share decays, so that the database is tried again.
 
 use std::time::Duration;
 
 use hookpoint_state::Timestamp;
 
-/// Weight of the newest outcome, as one part in this many.
+/// The newest outcome has a weight of one part in this many.
 const NEWEST_WEIGHT: u32 = 8;
 /// Time in which the share halves without statements.
 const HALF_LIFE: Duration = Duration::from_secs(2);
-/// The whole, in the unit of shares.
+/// The unit of shares: a share of this value means that every statement failed.
 pub const WHOLE: u32 = 1_000;
 
-/// Share of the statements that failed, the newest counting most.
+/// Share of the statements that failed, as an exponentially weighted average.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Reliability {
     failing: u32,
@@ -23,7 +23,7 @@
 }
 
 impl Reliability {
-    /// Takes the outcome of one statement.
+    /// Records the outcome of one statement.
     pub fn note(&mut self, now: Timestamp, failed: bool) {
         let newest = if failed { WHOLE } else { 0 };
         let before = self.failing(now);
@@ -31,7 +31,7 @@
         self.noted_at = now;
     }
 
-    /// Share of failing statements, of [`WHOLE`].
+    /// Returns the share of failing statements, in parts of [`WHOLE`].
     pub fn failing(&self, now: Timestamp) -> u32 {
         let halvings = now.since(self.noted_at).as_millis() / HALF_LIFE.as_millis();
         let halvings = u32::try_from(halvings).unwrap_or(u32::MAX);
--- a/crates/coordination/src/serving/selection.rs
+++ b/crates/coordination/src/serving/selection.rs
@@ -1,4 +1,5 @@
-//! Which database serves a read that any sufficiently fresh one may serve.
+//! Selection of the database that serves a read for which any sufficiently fresh database is
+//! eligible.
 
 use std::time::Duration;
 
@@ -6,7 +7,7 @@
 
 use super::reliability::WHOLE;
 
-/// How far a database is from this node.
+/// Network distance of a database from this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// In the same zone.
@@ -18,7 +19,8 @@
 }
 
 impl Distance {
-    /// Cost of the distance: its round trip and the price of the bytes, as a time.
+    /// Returns the cost of the distance, as a time: its round trip plus the price of the
+    /// transferred bytes.
     fn cost(self) -> Duration {
         match self {
             Distance::SameZone => Duration::ZERO,
@@ -28,52 +30,53 @@
     }
 }
 
-/// One candidate for a read.
+/// A candidate for a read.
 #[derive(Clone, Debug)]
 pub struct Candidate {
-    /// The database.
+    /// Name of the database.
     pub name: DatabaseName,
-    /// How far it is.
+    /// Network distance from this node.
     pub distance: Distance,
-    /// Statements of this node that it is working on or that wait for it here.
+    /// Number of this node's statements that the database executes or that wait for it on this
+    /// node.
     pub in_flight: usize,
-    /// Statements that it works on at once.
+    /// Number of statements that it executes concurrently.
     pub slots: usize,
-    /// Time that a connection to it is lately waited for.
+    /// Recent waiting time for a connection to it.
     pub wait: Duration,
-    /// Mean time of one statement there, as measured by this node.
+    /// Mean duration of a statement on it, as measured by this node.
     pub service_time: Duration,
-    /// Share of its statements that failed lately, of [`reliability::WHOLE`].
+    /// Share of its statements that failed recently, in parts of [`reliability::WHOLE`].
     ///
     /// [`reliability::WHOLE`]: super::reliability::WHOLE
     pub failing: u32,
-    /// Whether it announces its end.
+    /// Whether it has announced its departure.
     pub draining: bool,
-    /// Whether its zone is to get nothing that another database can run: it is being evacuated,
-    /// or was until lately.
+    /// Whether another database is to be preferred because this one's zone is being evacuated, or
+    /// was until recently.
     pub zone_avoided: bool,
-    /// Whether it failed to answer lately.
+    /// Whether it recently failed to answer.
     pub suspect: bool,
-    /// Whether it lately lacked a position that was asked for.
+    /// Whether it recently lacked a requested position.
     pub lagging: bool,
-    /// Whether it has just started and bears little load.
+    /// Whether it has just started and can take little load.
     pub cold: bool,
-    /// Whether it leads its group; its slots are spared for writes.
+    /// Whether it leads its group; its slots are preferably left to writes.
     pub leader: bool,
 }
 
 /// Added for a database that should only be used if no other is left.
-const AVOIDED: Duration = Duration::from_millis(2_000);
-/// Added for a database that fails every statement; in proportion for one that fails some.
+const AVOIDED_COST: Duration = Duration::from_millis(2_000);
+/// Added for a database that fails every statement; scaled down if it fails only some.
 const FAILING_COST: Duration = Duration::from_millis(400);
-/// Added for a database that is cold: more than any distance, less than one that does not
-/// answer or leaves.
+/// Added for a cold database: more than any distance, less than for a database that does not answer
+/// or is leaving.
 const COLD_COST: Duration = Duration::from_millis(1_000);
 /// Added for the primary.
 const LEADER_COST: Duration = Duration::from_millis(4);
 
 impl Candidate {
-    /// Expected cost of serving a read there, as a time.
+    /// Returns the expected cost of serving a read on this database, as a time.
     fn cost(&self) -> Duration {
         let waiting = u32::try_from(self.in_flight).unwrap_or(u32::MAX);
         let slots = u32::try_from(self.slots.max(1)).unwrap_or(u32::MAX);
@@ -87,22 +90,22 @@
             cost += COLD_COST;
         }
         if self.lagging {
-            cost += AVOIDED / 4;
+            cost += AVOIDED_COST / 4;
         }
         if self.draining {
-            cost += AVOIDED;
+            cost += AVOIDED_COST;
         }
         if self.zone_avoided {
-            cost += AVOIDED;
+            cost += AVOIDED_COST;
         }
         if self.suspect {
-            cost += AVOIDED * 2;
+            cost += AVOIDED_COST * 2;
         }
         cost
     }
 }
 
-/// The candidates from the cheapest to the dearest; ties go by name.
+/// Returns the candidates in order of ascending cost; ties are broken by name.
 pub fn rank(mut candidates: Vec<Candidate>) -> Vec<DatabaseName> {
     candidates.sort_by(|left, right| {
         left.cost()
--- a/crates/coordination/src/serving/session.rs
+++ b/crates/coordination/src/serving/session.rs
@@ -1,32 +1,32 @@
-//! What a caller's session holds between statements: values, prepared names and the
-//! state of its transaction.
+//! State of a caller's session between statements: session values, prepared statements and the
+//! phase of its transaction.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a prepared shape reads or writes.
+/// Whether a prepared statement reads or writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Access {
-    /// It reads.
+    /// It only reads.
     Read,
     /// It writes.
     Write,
 }
 
-/// A prepared statement, without the name that the caller gave it.
+/// A prepared statement without the name that the caller gave it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PreparedShape {
     /// Whether it reads or writes.
     pub access: Access,
-    /// Its shape.
+    /// Shape of the statement.
     pub shape: String,
 }
 
 /// Session values by name.
 pub type SessionValues = BTreeMap<String, String>;
 
-/// Where a session stands.
+/// Transaction phase of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
     /// No transaction is open.
@@ -34,17 +34,17 @@
     Idle,
     /// A transaction is open.
     InTransaction,
-    /// A transaction has failed and only its end is accepted.
+    /// A transaction has failed, and only its end is accepted.
     Failed,
 }
 
-/// The state that a session keeps on its node and takes to any connection.
+/// The session state that the node keeps and applies to any connection that the session uses.
 #[derive(Clone, Debug, Default)]
 pub struct SessionState {
-    /// Session values that the caller was told are set.
+    /// Session values whose setting was confirmed to the caller.
     pub values: SessionValues,
-    /// Prepared statements by the caller's name.
+    /// Prepared statements, by the name that the caller gave them.
     pub prepared: BTreeMap<String, PreparedShape>,
-    /// Where the session stands.
+    /// Transaction phase of the session.
     pub phase: Phase,
 }
--- a/crates/coordination/src/serving/tenancy.rs
+++ b/crates/coordination/src/serving/tenancy.rs
@@ -1,8 +1,8 @@
-//! Who a caller is: its access key, the tenant that holds the key, and what a route asks.
+//! Identification of callers: the access key, the tenant that holds it, and what a route requires.
 //!
-//! A key is only ever kept as a digest. Which tenant a session belongs to is worked out anew
-//! for each statement from the newest configuration, so a key that was withdrawn or that
-//! moved to another tenant binds open sessions as well.
+//! Only the digest of a key is ever kept. The tenant of a session is determined anew for each
+//! statement from the newest configuration, so a key that was revoked or assigned to another tenant
+//! takes effect on open sessions as well.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -15,16 +15,17 @@
 use super::quota::OperationLimit;
 use super::topology::Route;
 
-/// Bytes of a key's digest: a chance collision of two keys is out of reach with 128 bits.
+/// Length of a key's digest in bytes. With 128 bits, an accidental collision of two keys is out of
+/// reach.
 const DIGEST_BYTES: usize = 16;
 
-/// What an access key is recognised by. The key cannot be had back from it; `Debug` shows
-/// nothing of it either.
+/// Digest by which an access key is recognised. The key cannot be recovered from it, and `Debug`
+/// does not print it.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
 impl KeyDigest {
-    /// The digest of a key as a caller or the operator wrote it.
+    /// Returns the digest of a key as written by a caller or the operator.
     pub fn of(key: &[u8]) -> Self {
         let whole = Sha256::digest(key);
         let mut digest = [0; DIGEST_BYTES];
@@ -42,26 +43,26 @@
 /// The tenants of a configuration.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenants {
-    /// How much each tenant may ask for; none for a tenant without a limit.
+    /// Operation limit of each tenant; `None` for a tenant without a limit.
     pub limits: BTreeMap<TenantName, Option<OperationLimit>>,
-    /// Which tenant holds each key.
+    /// Tenant that holds each key.
     pub keys: BTreeMap<KeyDigest, TenantName>,
-    /// Regions that a tenant's statements may run in and pass through; a tenant without an
-    /// entry may use any.
+    /// Regions in which a tenant's statements may run and through which they may pass; a tenant
+    /// without an entry may use any.
     pub allowed_regions: BTreeMap<TenantName, BTreeSet<RegionName>>,
 }
 
 impl Tenants {
-    /// The limit of a tenant, if it has one.
+    /// Returns the limit of a tenant, if it has one.
     pub fn limit(&self, tenant: &TenantName) -> Option<OperationLimit> {
         self.limits.get(tenant).copied().flatten()
     }
 }
 
-/// On whose behalf a statement runs, as databases are told.
+/// On whose behalf a statement runs, as reported to databases.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Principal {
-    /// Nobody in particular: a caller of an open route, or this node itself.
+    /// No tenant: a caller of an open route, or this node itself.
     #[default]
     Anonymous,
     /// A tenant.
@@ -69,7 +70,7 @@
 }
 
 impl Principal {
-    /// The tenant, if it is one.
+    /// Returns the tenant, or `None` for an anonymous principal.
     pub fn tenant(&self) -> Option<&TenantName> {
         match self {
             Principal::Anonymous => None,
@@ -81,38 +82,38 @@
 /// Why a caller may not use a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// No tenant holds its key.
+    /// No tenant holds the caller's key.
     UnknownKey,
-    /// The key may have been withdrawn: this node has heard nothing of the store, directly or
-    /// from others, for too long.
+    /// The key may have been revoked: this node has received no update of the store, directly or
+    /// through other nodes, for too long.
     Partitioned,
 }
 
-/// Whether keys still pass on a node that is cut off from the store's news.
+/// Whether keys are accepted on a node that receives no updates of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RevocationPolicy {
-    /// After this time without news no key passes; none if keys pass however long it lasts.
+    /// Time without updates after which all keys are rejected; `None` if keys are always accepted.
     pub refuse_after: Option<Duration>,
 }
 
 impl RevocationPolicy {
-    /// Whether keys pass on a node whose newest news of the store is `age` old.
+    /// Returns whether keys are accepted on a node whose knowledge of the store has this `age`.
     pub fn accepts(self, age: Duration) -> bool {
         self.refuse_after.is_none_or(|limit| age < limit)
     }
 }
 
-/// Works out on whose behalf a caller with `key` uses `route`.
+/// Determines the principal on whose behalf a caller with `key` uses `route`.
 ///
-/// `keys_pass` tells whether what is known of keys is young enough to act on.
+/// `keys_accepted` states whether the known keys are recent enough to be accepted.
 pub fn identify(
     tenants: &Tenants,
     route: &Route,
     key: &KeyDigest,
-    keys_pass: bool,
+    keys_accepted: bool,
 ) -> Result<Principal, Denial> {
     match tenants.keys.get(key) {
-        Some(tenant) if keys_pass => Ok(Principal::Tenant(tenant.clone())),
+        Some(tenant) if keys_accepted => Ok(Principal::Tenant(tenant.clone())),
         _ if route.open => Ok(Principal::Anonymous),
         Some(_) => Err(Denial::Partitioned),
         None => Err(Denial::UnknownKey),
--- a/crates/coordination/src/serving/token_holders.rs
+++ b/crates/coordination/src/serving/token_holders.rs
@@ -1,8 +1,9 @@
-//! Which nodes hold a tenant's tokens.
+//! Selection of the nodes that hold a tenant's tokens.
 //!
-//! They stand in different regions, then in different zones, so that one is near to each caller.
-//! Within a place any node may be one: a cut then leaves about as much of the limit on each
-//! side as there are nodes, and so callers.
+//! The holders are spread over different regions, then over different zones, so that one is near to
+//! each caller. Within a region or zone any node may be chosen, so that a partition leaves each
+//! side with a part of the limit that is roughly proportional to its number of nodes, and thus of
+//! callers.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -11,10 +12,11 @@
 
 use super::homes::{HomeCandidate, rendezvous_score};
 
-/// Holders of one tenant at the most: one for each zone of the known deployments.
+/// Maximum number of holders of one tenant: one for each zone of the known deployments.
 pub const MOST_HOLDERS: usize = 6;
 
-/// The `count` nodes that hold the tokens of `tenant`; `region` tells where a zone is.
+/// Returns the `count` nodes that hold the tokens of `tenant`; `region` returns the region of a
+/// zone.
 pub fn choose_token_holders<'a>(
     tenant: &TenantName,
     nodes: &'a [HomeCandidate],
@@ -30,19 +32,19 @@
     let mut regions = BTreeSet::new();
     let mut zones = BTreeSet::new();
     ranked.retain(|candidate| {
-        let fresh = chosen.len() < count && regions.insert(region(&candidate.zone));
-        if fresh {
+        let is_new = chosen.len() < count && regions.insert(region(&candidate.zone));
+        if is_new {
             zones.insert(candidate.zone.clone());
             chosen.push(candidate);
         }
-        !fresh
+        !is_new
     });
     ranked.retain(|candidate| {
-        let fresh = chosen.len() < count && zones.insert(candidate.zone.clone());
-        if fresh {
+        let is_new = chosen.len() < count && zones.insert(candidate.zone.clone());
+        if is_new {
             chosen.push(candidate);
         }
-        !fresh
+        !is_new
     });
     chosen.extend(ranked.into_iter().take(count.saturating_sub(chosen.len())));
     chosen
--- a/crates/coordination/src/serving/topology.rs
+++ b/crates/coordination/src/serving/topology.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, groups and limits under one version.
+//! The configuration in force: versioned routes, groups and limits.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -10,70 +10,71 @@
 use super::cold_start::ColdStart;
 use super::tenancy::Tenants;
 
-/// What a route promises about the age of what is read.
+/// Guarantee of a route about the freshness of reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Consistency {
-    /// Every commit acknowledged before the read.
+    /// A read sees every commit acknowledged before it.
     Primary,
-    /// Every commit acknowledged longer ago than the bound.
+    /// A read sees every commit acknowledged longer ago than the bound.
     BoundedStaleness(Duration),
-    /// As bounded staleness, and every commit of the same session.
+    /// As bounded staleness, and a read also sees every commit of the same session.
     ReadYourWrites(Duration),
 }
 
-/// One route: a database name that callers use, and how it is served.
+/// A database name that callers use, and how it is served.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     /// Group that serves the route.
     pub group: GroupName,
-    /// Promise about reads.
+    /// Guarantee about reads.
     pub consistency: Consistency,
-    /// Longest time for one statement.
+    /// Maximum duration of one statement.
     pub statement_timeout: Duration,
     /// Latency objective of a whole operation.
     pub target_latency: Duration,
-    /// 0 is served first.
+    /// Priority; 0 is served first.
     pub priority: u8,
-    /// Whether callers without a tenant's key may use it.
+    /// Whether callers without a tenant's key may use the route.
     pub open: bool,
-    /// Regions that its statements may run in and pass through; empty if any may.
+    /// Regions in which its statements may run and through which they may pass; empty if any may be
+    /// used.
     pub allowed_regions: BTreeSet<RegionName>,
 }
 
-/// One replicated group as configured.
+/// A replicated group as configured.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Group {
-    /// Connections that one database accepts from all callers together.
+    /// Number of connections that one database accepts from all callers together.
     pub max_connections: usize,
-    /// Replicas that have to hold a commit before it is acknowledged.
+    /// Number of replicas that have to hold a commit before it is acknowledged.
     pub sync_replicas: u32,
-    /// How its databases warm up after a start; none if they are warm at once.
+    /// How its databases warm up after a start; `None` if they are warm at once.
     pub cold_start: Option<ColdStart>,
 }
 
-/// A whole configuration. Versions climb and never go back.
+/// A whole configuration. Versions only increase.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Version given by the operator.
+    /// Version assigned by the operator.
     pub version: u64,
     /// Routes by the database name that callers use.
     pub routes: BTreeMap<String, Rc<Route>>,
     /// Groups by name.
     pub groups: BTreeMap<GroupName, Group>,
-    /// Who may use routes that are not open, and how much.
+    /// Tenants that may use routes that are not open, and their limits.
     pub tenants: Tenants,
-    /// How long an open transaction may rest before it may be ended.
+    /// How long an open transaction may be idle before it may be ended.
     pub transaction_idle: Option<Duration>,
 }
 
-/// Holds the configuration in force and refuses older ones.
+/// Holds the configuration in force and rejects older ones.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationHolder {
     current: Option<Rc<Configuration>>,
 }
 
 impl ConfigurationHolder {
-    /// Takes `offered` if it is newer than the one in force; says whether it did.
+    /// Replaces the configuration in force by `offered` if that is newer. Returns whether it did.
     pub fn offer(&mut self, offered: Configuration) -> bool {
         if self.version() >= Some(offered.version) {
             return false;
@@ -82,12 +83,12 @@
         true
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force, if there is one.
     pub fn current(&self) -> Option<&Rc<Configuration>> {
         self.current.as_ref()
     }
 
-    /// The version in force.
+    /// Returns the version in force, if there is one.
     pub fn version(&self) -> Option<u64> {
         self.current
             .as_ref()
--- a/crates/coordination/tests/serving_cold_start.rs
+++ b/crates/coordination/tests/serving_cold_start.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::cold_start::{
-    COLD_HOLDERS, Circumstances, ColdReason, ColdStart, ColdStartBounds, Heard, Warmth,
+    COLD_HOLDERS, Circumstances, ColdReason, ColdStart, ColdStartBounds, Heard, WarmUpState,
 };
 use hookpoint_coordination::serving::failover::{ReplicaState, choose_candidate};
 use hookpoint_coordination::serving::handover::Drawbacks;
@@ -39,8 +39,8 @@
 
 #[test]
 fn a_database_is_cold_for_as_long_as_it_registers_and_no_entry_makes_that_longer() {
-    let mut warmth = Warmth::default();
-    let reason = |warmth: &Warmth, now| warmth.cold_reason(START, known(now, true), at(now));
+    let mut warmth = WarmUpState::default();
+    let reason = |warmth: &WarmUpState, now| warmth.cold_reason(START, known(now, true), at(now));
     warmth.hear(Heard::First, ms(0), at(100));
     assert_eq!(reason(&warmth, 100), None, "warm by its first entry");
     warmth.hear(Heard::NewLife, ms(6_000), at(1_000));
@@ -55,7 +55,7 @@
 
 #[test]
 fn a_database_that_may_have_restarted_is_cold_until_the_store_would_have_told() {
-    let mut warmth = Warmth::default();
+    let mut warmth = WarmUpState::default();
     warmth.hear(Heard::First, ms(0), at(0));
     warmth.doubt(at(10_000));
     let open = Some(ColdReason::MayHaveRestarted);
@@ -89,8 +89,8 @@
 
 #[test]
 fn an_entry_that_returns_in_the_same_life_says_how_cold_its_database_is() {
-    let mut warmth = Warmth::default();
-    let reason = |warmth: &Warmth, now| warmth.cold_reason(START, known(now, true), at(now));
+    let mut warmth = WarmUpState::default();
+    let reason = |warmth: &WarmUpState, now| warmth.cold_reason(START, known(now, true), at(now));
     warmth.hear(Heard::First, ms(0), at(0));
     warmth.hear(Heard::Returned, ms(0), at(5_000));
     assert_eq!(reason(&warmth, 5_000), None);
@@ -100,7 +100,7 @@
 
 #[test]
 fn an_entry_that_returns_without_telling_a_start_leaves_doubt() {
-    let mut warmth = Warmth::default();
+    let mut warmth = WarmUpState::default();
     warmth.hear(Heard::First, ms(0), at(0));
     warmth.hear(Heard::ReturnedUntold, ms(0), at(5_000));
     let reason = |now| warmth.cold_reason(START, known(now, false), at(now));
@@ -135,7 +135,7 @@
 #[test]
 fn a_holder_begins_with_nothing_and_debt_is_paid_first() {
     let part = START.part(BOUNDS);
-    let mut warmth = Warmth::default();
+    let mut warmth = WarmUpState::default();
     let wait = warmth.admit(part, at(0)).unwrap_err();
     assert!(warmth.admit(part, at(0) + wait).is_ok());
     warmth.charge(part, 3, at(1_000));
@@ -148,7 +148,7 @@
 #[test]
 fn questions_are_rare_and_the_next_token_is_kept_for_one() {
     let part = START.part(BOUNDS);
-    let mut warmth = Warmth::default();
+    let mut warmth = WarmUpState::default();
     let wait = warmth.admit_question(part, at(5_000)).unwrap_err();
     let then = at(5_000) + wait;
     assert!(warmth.admit(part, then).is_err(), "callers wait for it");
@@ -159,7 +159,7 @@
     );
     assert!(warmth.admit(part, then + ms(999)).is_ok());
     assert!(warmth.admit_question(part, then + ms(1_400)).is_ok());
-    let mut unasked = Warmth::default();
+    let mut unasked = WarmUpState::default();
     assert!(unasked.admit_question(part, at(5_000)).is_err());
     assert!(unasked.admit(part, at(5_600)).is_ok(), "not kept for long");
 }
@@ -230,7 +230,7 @@
 struct World {
     fault: Fault,
     now: Timestamp,
-    holders: Vec<Warmth>,
+    holders: Vec<WarmUpState>,
     /// Of frozen holders, how many admitted requests they had not sent.
     frozen: Vec<Option<usize>>,
     sent: Vec<Timestamp>,
@@ -243,7 +243,7 @@
         Self {
             fault,
             now: at(1_000),
-            holders: vec![Warmth::default(); holders],
+            holders: vec![WarmUpState::default(); holders],
             frozen: vec![None; holders],
             sent: Vec::new(),
         }
--- a/crates/coordination/tests/serving_departure.rs
+++ b/crates/coordination/tests/serving_departure.rs
@@ -6,9 +6,11 @@
 
 use hookpoint_coordination::serving::database_life::DatabaseStart;
 use hookpoint_coordination::serving::departure::{
-    ABSENCE_PROVES, Coverage, Departure, Hearing, Sign, WRITTEN_AGAIN,
+    ABSENCE_CONFIRMED_AFTER, Coverage, Departure, Hearing, Sign, WRITTEN_AGAIN,
+};
+use hookpoint_coordination::serving::directory::{
+    Database, Directory, RESTORED_ENTRY_EXPIRY, StatedRole,
 };
-use hookpoint_coordination::serving::directory::{COPY_LAPSES, Database, Directory, StatedRole};
 use hookpoint_state::{DatabaseName, GroupName, StoreEra, StoreRevision, Timestamp, ZoneName};
 use quickcheck::quickcheck;
 use store::revision;
@@ -87,7 +89,7 @@
         let departure = Departure::heard(sign, hearing);
         assert_eq!(departure.work_ends(LIMIT), at(ends), "{case}");
     }
-    assert!(ABSENCE_PROVES < LIMIT);
+    assert!(ABSENCE_CONFIRMED_AFTER < LIMIT);
 }
 
 #[test]
@@ -182,12 +184,12 @@
     directory.put(database(1, false), revision(5), at_once(0));
     directory.remove(&name(), revision(9), at_once(100));
     directory.put(database(1, false), restored(5), at_once(5_000));
-    directory.note_lasting(at(5_000) + COPY_LAPSES - Duration::from_millis(1));
+    directory.note_lasting(at(5_000) + RESTORED_ENTRY_EXPIRY - Duration::from_millis(1));
     assert!(directory.get(&name()).unwrap().missing);
     let mut lapsing = directory.clone();
     lapsing.remove(&name(), restored(8), at_once(9_000));
     for directory in [&mut directory, &mut lapsing] {
-        directory.note_lasting(at(5_000) + COPY_LAPSES);
+        directory.note_lasting(at(5_000) + RESTORED_ENTRY_EXPIRY);
     }
     let listed = directory.get(&name()).unwrap();
     assert!(!listed.missing);
--- a/crates/coordination/tests/serving_handover.rs
+++ b/crates/coordination/tests/serving_handover.rs
@@ -11,7 +11,7 @@
     NoCandidate, ReplicaState, choose_candidate, choose_target,
 };
 use hookpoint_coordination::serving::handover::{
-    CATCH_UP_TIME, Drawbacks, HandoverPace, LEAST_STAY, MoveReason, PLANNED_SHARE, Place,
+    Drawbacks, HandoverPace, MAX_CATCH_UP_WAIT, MIN_STAY, MoveReason, PLANNED_MOVE_SHARE, Place,
     PlannedMove, holds_enough, plan_move, reason_to_move,
 };
 use hookpoint_state::{
@@ -103,14 +103,14 @@
 
 #[test]
 fn only_what_cannot_wait_moves_a_primary_that_was_promoted_lately() {
-    let lately = Some(LEAST_STAY - Duration::from_millis(1));
+    let lately = Some(MIN_STAY - Duration::from_millis(1));
     for urgent in [EVACUATED, LEAVING] {
         assert!(planned(urgent, lately, NONE, NONE).is_some(), "{urgent:?}");
     }
     for patient in [OUTSIDE, COLD] {
         assert_eq!(planned(patient, lately, NONE, NONE), None, "{patient:?}");
         assert_eq!(reason_to_move(patient, lately), None);
-        assert!(planned(patient, Some(LEAST_STAY), NONE, NONE).is_some());
+        assert!(planned(patient, Some(MIN_STAY), NONE, NONE).is_some());
     }
 }
 
@@ -262,8 +262,8 @@
 #[test]
 fn a_candidate_that_lacks_commits_is_waited_for_but_an_empty_one_never_leads() {
     let held = Some(Position::new(3, 40));
-    let long = CATCH_UP_TIME;
-    let short = CATCH_UP_TIME - Duration::from_millis(1);
+    let long = MAX_CATCH_UP_WAIT;
+    let short = MAX_CATCH_UP_WAIT - Duration::from_millis(1);
     let rows = [
         (Position::new(3, 40), held, Duration::ZERO, true),
         (Position::new(3, 41), held, Duration::ZERO, true),
@@ -294,7 +294,7 @@
     let all: usize = started.iter().sum();
     assert!(started[0] <= 8, "a burst of {}", started[0]);
     assert!((35..=42).contains(&first_second), "{first_second}");
-    let expected = (10.0 * rate * PLANNED_SHARE) as usize;
+    let expected = (10.0 * rate * PLANNED_MOVE_SHARE) as usize;
     assert!((expected - 2..=expected + 8).contains(&all), "{all}");
 }
 
--- a/crates/coordination/tests/serving_probe_budget.rs
+++ b/crates/coordination/tests/serving_probe_budget.rs
@@ -5,9 +5,11 @@
 
 use hookpoint_coordination::serving::peer_contact::{Approach, PeerContacts, Waiting};
 use hookpoint_coordination::serving::probe_budget::{
-    PROBES_A_SECOND, PROBES_AT_ONCE, ProbeBudget, Purpose, silent_pause,
+    PROBES_A_SECOND, PROBES_AT_ONCE, ProbeBudget, ProbePurpose, silent_probe_interval,
+};
+use hookpoint_coordination::serving::question_budget::{
+    MAX_REMOTE_QUERIES, MAX_REMOTE_QUERIES_UNUSED, may_ask_afar,
 };
-use hookpoint_coordination::serving::question_budget::{MOST_AFAR, MOST_AFAR_UNUSED, may_ask_afar};
 use hookpoint_state::Timestamp;
 use quickcheck::quickcheck;
 
@@ -111,8 +113,8 @@
 #[test]
 fn a_peer_that_is_waited_for_is_probed_when_no_more_may_be_probed_ahead() {
     let mut budget = ProbeBudget::default();
-    while budget.take(Purpose::Ahead, at(0)) {}
-    assert!(budget.take(Purpose::Waiting, at(0)));
+    while budget.take(ProbePurpose::Ahead, at(0)) {}
+    assert!(budget.take(ProbePurpose::Waiting, at(0)));
 }
 
 /// A node that is busy itself takes no peer for silent; one that is not does so in time.
@@ -133,7 +135,7 @@
 #[test]
 fn a_silent_peer_is_probed_less_and_less_but_never_rarely() {
     let pauses: Vec<u64> = (0..20)
-        .map(|probed| u64::try_from(silent_pause(probed).as_millis()).unwrap())
+        .map(|probed| u64::try_from(silent_probe_interval(probed).as_millis()).unwrap())
         .collect();
     assert!(pauses.is_sorted());
     assert_eq!(pauses[0], 200);
@@ -143,9 +145,9 @@
 #[test]
 fn questions_through_other_nodes_are_bounded_and_groups_in_use_come_first() {
     let most = |in_use| (0..).find(|sent| !may_ask_afar(*sent, in_use)).unwrap();
-    assert_eq!(most(true), MOST_AFAR);
-    assert_eq!(most(false), MOST_AFAR_UNUSED);
-    assert!(may_ask_afar(MOST_AFAR_UNUSED, true));
+    assert_eq!(most(true), MAX_REMOTE_QUERIES);
+    assert_eq!(most(false), MAX_REMOTE_QUERIES_UNUSED);
+    assert!(may_ask_afar(MAX_REMOTE_QUERIES_UNUSED, true));
 }
 
 quickcheck! {
@@ -156,7 +158,7 @@
         let mut sent = 0;
         for pause in pauses {
             now += u64::from(pause);
-            for purpose in [Purpose::Ahead, Purpose::Waiting, Purpose::Waiting] {
+            for purpose in [ProbePurpose::Ahead, ProbePurpose::Waiting, ProbePurpose::Waiting] {
                 sent += usize::from(budget.take(purpose, at(now)));
             }
         }
@@ -168,11 +170,11 @@
 #[test]
 fn the_budget_comes_back() {
     let mut budget = ProbeBudget::default();
-    while budget.take(Purpose::Waiting, at(0)) {}
+    while budget.take(ProbePurpose::Waiting, at(0)) {}
     let mut sent = 0;
     for step in 1..=10_000_u64 {
         let now = at(0) + Duration::from_micros(100) * u32::try_from(step).unwrap();
-        sent += u32::from(budget.take(Purpose::Waiting, now));
+        sent += u32::from(budget.take(ProbePurpose::Waiting, now));
     }
     assert!(
         (PROBES_A_SECOND - 1..=PROBES_A_SECOND).contains(&sent),
--- a/crates/coordination/tests/serving_store_news.rs
+++ b/crates/coordination/tests/serving_store_news.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::store_news::{
-    NewsLimits, Reply, StoreNews, TryOrder, WatchAnswer, patience,
+    NewsLimits, Reply, StoreNews, StoreTryOrder, WatchAnswer, patience,
 };
 use hookpoint_state::Timestamp;
 
@@ -59,7 +59,7 @@
 }
 
 /// When the node tries a store that turns it away, in milliseconds, looking every 10 ms.
-fn tries(news: &mut StoreNews, order: TryOrder, begin: u64, until: u64) -> Vec<u64> {
+fn tries(news: &mut StoreNews, order: StoreTryOrder, begin: u64, until: u64) -> Vec<u64> {
     let mut tried = Vec::new();
     for now in (begin..until).step_by(10) {
         if news.try_is_due(order, at(now)) {
@@ -74,7 +74,7 @@
 fn a_node_tries_a_store_that_is_away_once_in_a_period() {
     for (nodes, most) in [(7, 9), (30, 4)] {
         for rank in 0..nodes {
-            let tried = tries(&mut searching(), TryOrder { rank, nodes }, 0, 10_000);
+            let tried = tries(&mut searching(), StoreTryOrder { rank, nodes }, 0, 10_000);
             assert!((most - 1..=most).contains(&tried.len()), "{tried:?}");
             assert!(tried[0] <= 910, "{rank} of {nodes}: {tried:?}");
         }
@@ -86,7 +86,7 @@
     for nodes in [30, 200] {
         let mut in_each_part = [0_u32; 3];
         for rank in 0..nodes {
-            let first = tries(&mut searching(), TryOrder { rank, nodes }, 0, 1_000)[0];
+            let first = tries(&mut searching(), StoreTryOrder { rank, nodes }, 0, 1_000)[0];
             in_each_part[usize::try_from(first.min(899) / 300).unwrap()] += 1;
         }
         for count in in_each_part {
@@ -98,7 +98,7 @@
 
 #[test]
 fn a_node_that_the_store_answers_goes_on_and_the_next_outage_begins_anew() {
-    let order = TryOrder { rank: 5, nodes: 20 };
+    let order = StoreTryOrder { rank: 5, nodes: 20 };
     let mut news = searching();
     let first = tries(&mut news, order, 0, 1_000)[0];
     assert!(!news.watches(at(first)));
@@ -148,7 +148,7 @@
     news.note_nothing_heard(at(4_000));
     news.note_heard(at(900));
     assert_eq!(news.told_at(), at(1_000));
-    let order = TryOrder { rank: 0, nodes: 5 };
+    let order = StoreTryOrder { rank: 0, nodes: 5 };
     assert!(news.try_is_due(order, at(4_000)), "it still searches");
     assert!(!news.is_fresh(at(4_000), NewsLimits::of(millis(6_000))));
 }
--- a/crates/coordination/tests/serving_tenancy.rs
+++ b/crates/coordination/tests/serving_tenancy.rs
@@ -6,7 +6,7 @@
     Denial, KeyDigest, Principal, RevocationPolicy, Tenants, identify,
 };
 use hookpoint_coordination::serving::topology::{Consistency, Route};
-use hookpoint_coordination::serving::turns::{TURN_AT_THE_LATEST, Waiting, next_turn};
+use hookpoint_coordination::serving::turns::{MAX_PRINCIPAL_WAIT, Waiting, next_turn};
 use hookpoint_state::{GroupName, TenantName};
 
 fn route(open: bool) -> Route {
@@ -82,7 +82,7 @@
 
 #[test]
 fn a_free_connection_goes_to_its_own_principal_unless_another_has_waited_for_long() {
-    let long = u64::try_from(TURN_AT_THE_LATEST.as_millis()).unwrap();
+    let long = u64::try_from(MAX_PRINCIPAL_WAIT.as_millis()).unwrap();
     let (one, two) = (tenant("one"), tenant("two"));
     // The queue, and the place of who is next for a connection of `one`.
     let cases: [(&[Queued], Option<usize>); 8] = [
