--- a/crates/coordination/tests/serving.rs
+++ b/crates/coordination/tests/serving.rs
@@ -1,4 +1,4 @@
-//! Decisions of the serving path, as tables of cases and as properties.
+//! Table-driven and property tests of the serving path's decision logic.
 
 mod store;
 
@@ -26,8 +26,8 @@
 use quickcheck::quickcheck;
 use store::revision;
 
-/// Heard as it happens.
-fn heard(millis: u64) -> Hearing {
+/// Returns the receipt of an event at the moment at which it happens.
+fn received_at(millis: u64) -> Hearing {
     Hearing {
         at: at(millis),
         not_before: at(millis),
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_position_of_an_earlier_reign_stands_for_the_first_sample_of_this_one() {
+fn a_position_of_an_earlier_reign_translates_to_the_first_sample_of_the_current_one() {
     let mut leadership = Leadership::default();
     leadership.confirm(&name("a"), proof(10, 20, Position::new(1, 100)));
     let held = ReignPosition {
@@ -93,8 +93,8 @@
     assert_eq!(leadership.leader(), Some(&name("b")));
 }
 
-/// A commit answered while its primary is being replaced, and what a read of the same
-/// session has to hold then.
+/// Guards against losing read-your-writes when a commit is answered while its primary is being
+/// replaced: a read of the same session must still require the right position.
 #[test]
 fn a_commit_answered_by_a_primary_that_is_being_replaced_keeps_its_position() {
     let mut leadership = Leadership::default();
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_position_behind_one_seen_before_begins_a_reign() {
+fn a_position_that_goes_backwards_begins_a_new_reign() {
     let mut leadership = Leadership::default();
     leadership.confirm(&name("a"), proof(10, 20, Position::new(1, 100)));
     let reign = leadership.reign();
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_primary_that_is_found_again_reigns_on() {
+fn a_primary_that_is_confirmed_again_keeps_its_reign() {
     let mut leadership = Leadership::default();
     leadership.confirm(&name("a"), proof(10, 20, Position::new(1, 100)));
     let reign = leadership.reign();
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn an_older_proof_does_not_bring_back_a_primary_that_was_refuted() {
+fn an_older_proof_does_not_restore_a_refuted_primary() {
     let mut leadership = Leadership::default();
     leadership.confirm(&name("a"), proof(10, 12, Position::new(1, 100)));
     assert!(leadership.refute(&name("a"), at(50)));
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_primary_is_lost_to_a_majority_of_those_who_answer() {
+fn a_primary_is_lost_if_most_answering_nodes_have_lost_it() {
     use Observation::{Reachable, Refused, Silent, Unknown};
     let silent = Silent(ms(800));
     let refused = Refused(ms(200));
@@ -182,7 +182,7 @@
     };
     let cases: [(&str, Vec<Observation>, bool); 9] = [
         (
-            "crowded out",
+            "no connection because of load",
             [vec![Reachable], vec![unhelped; 30]].concat(),
             false,
         ),
@@ -205,7 +205,7 @@
         ("no holder left, short", vec![unhelped; 36], false),
         ("no holder left, long", vec![Unhelped(ms(2_600)); 36], true),
         ("few, long", vec![Unhelped(ms(2_600)); 6], false),
-        ("nobody knows any", vec![leaderless; 30], true),
+        ("no node knows a primary", vec![leaderless; 30], true),
     ];
     for (what, observations, lost) in cases {
         assert_eq!(is_lost(&observations, witnesses), lost, "{what}");
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn the_share_of_failures_follows_the_newest_and_fades() {
+fn the_failure_share_follows_recent_outcomes_and_decays() {
     let mut reliability = Reliability::default();
     for _ in 0..30 {
         reliability.note(at(1_000), true);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_slow_answer_counts_until_it_is_old() {
+fn response_time_estimates_decay_with_age() {
     let mut time = ResponseTime::new(ms(20));
     for _ in 0..40 {
         time.note(at(1_000), ms(400));
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn connections_are_kept_for_the_need_of_the_last_seconds() {
+fn connections_are_kept_for_the_recent_peak() {
     let mut demand = Demand::default();
     demand.note(at(10_000), &Principal::Anonymous, 4);
     demand.note(at(10_500), &Principal::Anonymous, 2);
@@ -309,7 +309,7 @@
 }
 
 #[test]
-fn the_nearest_database_serves_unless_it_is_loaded_or_in_doubt() {
+fn the_nearest_database_serves_unless_it_is_loaded_or_suspect() {
     let near = candidate("near", Distance::SameZone);
     let far = candidate("far", Distance::OtherRegion);
     assert_eq!(rank(vec![far.clone(), near.clone()])[0], name("near"));
@@ -370,22 +370,22 @@
 }
 
 #[test]
-fn absence_proves_leaving_only_in_a_store_that_was_followed_all_the_while() {
+fn absence_proves_departure_only_if_the_store_was_followed_without_a_gap() {
     let mut directory = Directory::default();
-    directory.put(database("a", false), revision(1), heard(0));
-    directory.remove(&name("a"), revision(2), heard(1_000));
+    directory.put(database("a", false), revision(1), received_at(0));
+    directory.remove(&name("a"), revision(2), received_at(1_000));
     let listed = directory.get(&name("a")).unwrap();
     assert!(!listed.is_leaving(at(0), at(4_400)));
     assert!(listed.is_leaving(at(0), at(4_500)));
     assert!(!listed.is_leaving(at(3_000), at(4_500)));
-    directory.put(database("a", false), revision(3), heard(5_000));
+    directory.put(database("a", false), revision(3), received_at(5_000));
     assert!(
         !directory
             .get(&name("a"))
             .unwrap()
             .is_leaving(at(0), at(9_000))
     );
-    directory.put(database("a", true), revision(4), heard(5_000));
+    directory.put(database("a", true), revision(4), received_at(5_000));
     assert!(
         directory
             .get(&name("a"))
@@ -397,17 +397,17 @@
 #[test]
 fn an_older_registration_does_not_replace_a_newer_one() {
     let mut directory = Directory::default();
-    directory.put(database("a", true), revision(5), heard(0));
-    directory.put(database("a", false), revision(4), heard(1));
+    directory.put(database("a", true), revision(5), received_at(0));
+    directory.put(database("a", false), revision(4), received_at(1));
     assert!(directory.get(&name("a")).unwrap().database.draining);
-    directory.remove(&name("a"), revision(4), heard(2));
+    directory.remove(&name("a"), revision(4), received_at(2));
     assert!(!directory.get(&name("a")).unwrap().missing);
 }
 
 #[test]
-fn a_small_fleet_is_home_of_everything_and_a_large_one_is_not() {
+fn all_nodes_of_a_small_fleet_are_home_nodes_but_not_of_a_large_one() {
     assert_eq!(useful_connections(53, 3), 24, "what its slots can use");
-    assert_eq!(useful_connections(23, 3), 23, "no more than it takes");
+    assert_eq!(useful_connections(23, 3), 23, "no more than it accepts");
     assert_eq!(useful_connections(23, 0), 23, "slots not known");
     assert_eq!(home_count(36, 7, ConnectionSharing::Shared), 7);
     assert_eq!(home_count(36, 300, ConnectionSharing::Shared), 9);
@@ -417,7 +417,7 @@
 }
 
 quickcheck! {
-    fn the_configuration_in_force_never_goes_back(versions: Vec<u64>) -> bool {
+    fn the_configuration_version_never_decreases(versions: Vec<u64>) -> bool {
         let mut holder = ConfigurationHolder::default();
         let mut highest = None;
         versions.into_iter().all(|version| {
@@ -451,7 +451,7 @@
         }
     }
 
-    fn nodes_agree_on_homes_and_a_leaving_node_moves_only_its_own(count: u8, leaver: u8) -> bool {
+    fn nodes_agree_on_home_nodes_and_a_leaving_node_changes_only_its_own(count: u8, leaver: u8) -> bool {
         let nodes: Vec<HomeCandidate> = (0..=count)
             .map(|number| HomeCandidate { node: format!("n{number}"), zone: ZoneName::new("z"), bandwidth_mbps: 0 })
             .collect();
--- a/crates/coordination/tests/serving_admission.rs
+++ b/crates/coordination/tests/serving_admission.rs
@@ -1,4 +1,4 @@
-//! Which queues for connections a request joins.
+//! Tests of the admission to connection queues.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_queue_is_joined_if_it_can_be_left_in_time() {
+fn a_request_joins_a_queue_if_it_can_be_served_in_time() {
     // (ahead, connections, held ms, patience ms, joined)
     let table = [
         (0, 1, 20, 20, true),
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_transaction_joins_a_shorter_queue_unless_it_is_next() {
+fn a_transaction_needs_a_shorter_wait_unless_it_is_next() {
     // (ahead, patience ms, a statement joins, a transaction joins)
     let table = [
         (0, 20, true, true),
@@ -68,15 +68,16 @@
 }
 
 #[test]
-fn patience_is_a_part_of_the_objective_and_runs_out() {
+fn patience_is_a_fraction_of_the_objective_and_expires() {
     assert!(patience(millis(600), millis(0)) < millis(600));
     assert!(patience(millis(600), millis(0)) > millis(0));
     assert_eq!(patience(millis(600), millis(600)), millis(0));
 }
 
 quickcheck! {
-    /// A longer queue, fewer connections or a longer use never make a queue joinable.
-    fn worse_queues_are_joined_no_sooner(ahead: u8, connections: u8, held: u8, limit: u16, transaction: bool) -> bool {
+    /// A queue that is longer, has fewer connections or holds each connection for longer never
+    /// admits a request that the original queue rejects.
+    fn worse_queues_never_admit_more(ahead: u8, connections: u8, held: u8, limit: u16, transaction: bool) -> bool {
         let wanted = if transaction { ConnectionUse::Transaction } else { ConnectionUse::Statement };
         let limit = millis(u64::from(limit));
         let own = queue(ahead.into(), connections.into(), held.into());
--- a/crates/coordination/tests/serving_attempt_limit.rs
+++ b/crates/coordination/tests/serving_attempt_limit.rs
@@ -1,12 +1,12 @@
-//! How long one attempt at a read may take.
+//! Tests of the time limit of one attempt at a read.
 
 use std::time::Duration;
 
 use hookpoint_coordination::serving::attempt_limit::read_attempt_limit;
 
 #[test]
-fn an_attempt_is_given_part_of_the_objective_and_more_after_each_that_ran_out_of_time() {
-    // (mean service time ms, objective ms, attempts that ran out of time, limit ms)
+fn the_attempt_limit_is_part_of_the_objective_and_doubles_after_each_timeout() {
+    // (mean service time ms, objective ms, timed-out attempts, limit ms)
     let table = [
         (20, 400, 0, 300),
         (20, 1_000, 0, 500),
--- a/crates/coordination/tests/serving_cold_start.rs
+++ b/crates/coordination/tests/serving_cold_start.rs
@@ -1,4 +1,5 @@
-//! Databases that are cold: what a node knows of it, and how much all nodes send together.
+//! Tests of cold databases: how a node determines that a database is cold, and how much all nodes
+//! together send to it.
 
 use std::time::Duration;
 
@@ -19,7 +20,7 @@
     overshoot_milli: 500,
     slack: 5,
 };
-/// Requests that the bounds allow in a second: 8 x 1.5 + 5.
+/// Number of requests that the bounds allow in a second: 8 x 1.5 + 5.
 const ALLOWED: usize = 17;
 
 fn at(millis: u64) -> Timestamp {
@@ -38,78 +39,94 @@
 }
 
 #[test]
-fn a_database_is_cold_for_as_long_as_it_registers_and_no_entry_makes_that_longer() {
-    let mut warmth = WarmUpState::default();
-    let reason = |warmth: &WarmUpState, now| warmth.cold_reason(START, known(now, true), at(now));
-    warmth.hear(Heard::First, ms(0), at(100));
-    assert_eq!(reason(&warmth, 100), None, "warm by its first entry");
-    warmth.hear(Heard::NewLife, ms(6_000), at(1_000));
-    assert_eq!(reason(&warmth, 6_999), Some(ColdReason::Registered));
-    assert_eq!(reason(&warmth, 7_000), None);
-    warmth.hear(Heard::SameLife, ms(6_000), at(3_000));
-    assert_eq!(reason(&warmth, 7_000), None, "the same entry, read again");
-    warmth.hear(Heard::SameLife, ms(1_000), at(3_500));
-    assert_eq!(reason(&warmth, 4_499), Some(ColdReason::Registered));
-    assert_eq!(reason(&warmth, 4_500), None, "a later entry shortens it");
+fn a_database_is_cold_as_long_as_registered_and_later_entries_only_shorten_that() {
+    let mut state = WarmUpState::default();
+    let reason = |state: &WarmUpState, now| state.cold_reason(START, known(now, true), at(now));
+    state.hear(Heard::First, ms(0), at(100));
+    assert_eq!(reason(&state, 100), None, "warm by its first entry");
+    state.hear(Heard::NewLife, ms(6_000), at(1_000));
+    assert_eq!(reason(&state, 6_999), Some(ColdReason::Registered));
+    assert_eq!(reason(&state, 7_000), None);
+    state.hear(Heard::SameLife, ms(6_000), at(3_000));
+    assert_eq!(reason(&state, 7_000), None, "the same entry, read again");
+    state.hear(Heard::SameLife, ms(1_000), at(3_500));
+    assert_eq!(reason(&state, 4_499), Some(ColdReason::Registered));
+    assert_eq!(reason(&state, 4_500), None, "a later entry shortens it");
 }
 
 #[test]
-fn a_database_that_may_have_restarted_is_cold_until_the_store_would_have_told() {
-    let mut warmth = WarmUpState::default();
-    warmth.hear(Heard::First, ms(0), at(0));
-    warmth.doubt(at(10_000));
-    let open = Some(ColdReason::MayHaveRestarted);
+fn a_database_that_may_have_restarted_is_cold_until_the_store_would_show_it() {
+    let mut state = WarmUpState::default();
+    state.hear(Heard::First, ms(0), at(0));
+    state.doubt(at(10_000));
+    let suspected = Some(ColdReason::MayHaveRestarted);
     let cases = [
-        ("the store is followed", known(14_000, true), 14_000, open),
-        ("its entry stands since", known(14_500, true), 14_500, None),
-        ("the store is away", known(9_000, true), 15_999, open),
+        (
+            "the store is followed",
+            known(14_000, true),
+            14_000,
+            suspected,
+        ),
+        (
+            "its entry has not changed since",
+            known(14_500, true),
+            14_500,
+            None,
+        ),
+        (
+            "the store is unavailable",
+            known(9_000, true),
+            15_999,
+            suspected,
+        ),
         (
             "it has run for long enough",
             known(9_000, true),
             16_000,
             None,
         ),
-        ("its entry is missing", known(15_000, false), 15_000, open),
+        (
+            "its entry is missing",
+            known(15_000, false),
+            15_000,
+            suspected,
+        ),
     ];
     for (case, known, now, expected) in cases {
-        assert_eq!(
-            warmth.cold_reason(START, known, at(now)),
-            expected,
-            "{case}"
-        );
+        assert_eq!(state.cold_reason(START, known, at(now)), expected, "{case}");
     }
-    warmth.hear(Heard::NewLife, ms(2_000), at(15_000));
+    state.hear(Heard::NewLife, ms(2_000), at(15_000));
     let known = known(15_000, true);
     assert_eq!(
-        warmth.cold_reason(START, known, at(17_000)),
+        state.cold_reason(START, known, at(17_000)),
         None,
-        "its own word ends the doubt"
+        "its own registration settles it"
     );
 }
 
 #[test]
-fn an_entry_that_returns_in_the_same_life_says_how_cold_its_database_is() {
-    let mut warmth = WarmUpState::default();
-    let reason = |warmth: &WarmUpState, now| warmth.cold_reason(START, known(now, true), at(now));
-    warmth.hear(Heard::First, ms(0), at(0));
-    warmth.hear(Heard::Returned, ms(0), at(5_000));
-    assert_eq!(reason(&warmth, 5_000), None);
-    warmth.hear(Heard::Returned, ms(2_000), at(6_000));
-    assert_eq!(reason(&warmth, 7_999), Some(ColdReason::Registered));
+fn a_returning_entry_of_the_same_incarnation_states_how_long_its_database_is_cold() {
+    let mut state = WarmUpState::default();
+    let reason = |state: &WarmUpState, now| state.cold_reason(START, known(now, true), at(now));
+    state.hear(Heard::First, ms(0), at(0));
+    state.hear(Heard::Returned, ms(0), at(5_000));
+    assert_eq!(reason(&state, 5_000), None);
+    state.hear(Heard::Returned, ms(2_000), at(6_000));
+    assert_eq!(reason(&state, 7_999), Some(ColdReason::Registered));
 }
 
 #[test]
-fn an_entry_that_returns_without_telling_a_start_leaves_doubt() {
-    let mut warmth = WarmUpState::default();
-    warmth.hear(Heard::First, ms(0), at(0));
-    warmth.hear(Heard::ReturnedUntold, ms(0), at(5_000));
-    let reason = |now| warmth.cold_reason(START, known(now, false), at(now));
+fn a_returning_entry_without_a_start_time_leaves_a_restart_possible() {
+    let mut state = WarmUpState::default();
+    state.hear(Heard::First, ms(0), at(0));
+    state.hear(Heard::ReturnedUntold, ms(0), at(5_000));
+    let reason = |now| state.cold_reason(START, known(now, false), at(now));
     assert_eq!(reason(10_999), Some(ColdReason::MayHaveRestarted));
     assert_eq!(reason(11_000), None);
 }
 
 #[test]
-fn the_parts_of_two_views_fit_into_what_is_allowed() {
+fn the_shares_of_two_partition_sides_fit_into_what_is_allowed() {
     let second = 1_000_000;
     for rate_milli in [0, 500, 1_000, 8_000, 50_000, 1_000_000] {
         for slack in [0, 1, 5, 100] {
@@ -119,8 +136,8 @@
             };
             let bounds = ColdStartBounds { slack, ..BOUNDS };
             let part = start.part(bounds);
-            let views = u64::try_from(2 * COLD_HOLDERS).unwrap();
-            let together = views * (part.rate + part.burst);
+            let sides = u64::try_from(2 * COLD_HOLDERS).unwrap();
+            let together = sides * (part.rate + part.burst);
             assert!(together <= start.allowed(bounds), "{rate_milli} {slack}");
             assert!(part.rate <= rate_milli * 1_000);
         }
@@ -133,39 +150,42 @@
 }
 
 #[test]
-fn a_holder_begins_with_nothing_and_debt_is_paid_first() {
+fn a_holder_starts_with_an_empty_bucket_and_pays_off_debt_first() {
     let part = START.part(BOUNDS);
-    let mut warmth = WarmUpState::default();
-    let wait = warmth.admit(part, at(0)).unwrap_err();
-    assert!(warmth.admit(part, at(0) + wait).is_ok());
-    warmth.charge(part, 3, at(1_000));
-    let wait = warmth.admit(part, at(1_000)).unwrap_err();
+    let mut state = WarmUpState::default();
+    let wait = state.admit(part, at(0)).unwrap_err();
+    assert!(state.admit(part, at(0) + wait).is_ok());
+    state.charge(part, 3, at(1_000));
+    let wait = state.admit(part, at(1_000)).unwrap_err();
     assert!(wait >= ms(1_000), "{wait:?}");
-    warmth.empty_bucket();
-    assert!(warmth.admit(part, at(60_000)).is_err(), "it begins anew");
+    state.empty_bucket();
+    assert!(
+        state.admit(part, at(60_000)).is_err(),
+        "it starts with an empty bucket"
+    );
 }
 
 #[test]
-fn questions_are_rare_and_the_next_token_is_kept_for_one() {
+fn status_queries_are_rare_and_the_next_token_is_reserved_for_one() {
     let part = START.part(BOUNDS);
-    let mut warmth = WarmUpState::default();
-    let wait = warmth.admit_question(part, at(5_000)).unwrap_err();
+    let mut state = WarmUpState::default();
+    let wait = state.admit_question(part, at(5_000)).unwrap_err();
     let then = at(5_000) + wait;
-    assert!(warmth.admit(part, then).is_err(), "callers wait for it");
-    assert!(warmth.admit_question(part, then).is_ok());
+    assert!(state.admit(part, then).is_err(), "reserved for the query");
+    assert!(state.admit_question(part, then).is_ok());
     assert!(
-        warmth.admit_question(part, then + ms(999)).is_err(),
+        state.admit_question(part, then + ms(999)).is_err(),
         "too soon"
     );
-    assert!(warmth.admit(part, then + ms(999)).is_ok());
-    assert!(warmth.admit_question(part, then + ms(1_400)).is_ok());
-    let mut unasked = WarmUpState::default();
-    assert!(unasked.admit_question(part, at(5_000)).is_err());
-    assert!(unasked.admit(part, at(5_600)).is_ok(), "not kept for long");
+    assert!(state.admit(part, then + ms(999)).is_ok());
+    assert!(state.admit_question(part, then + ms(1_400)).is_ok());
+    let mut idle = WarmUpState::default();
+    assert!(idle.admit_question(part, at(5_000)).is_err());
+    assert!(idle.admit(part, at(5_600)).is_ok(), "not reserved for long");
 }
 
 #[test]
-fn a_warm_database_far_away_goes_before_a_cold_one_nearby() {
+fn a_distant_warm_database_is_preferred_to_a_nearby_cold_one() {
     let candidate = |text: &str, distance, cold| Candidate {
         name: DatabaseName::new(text),
         distance,
@@ -214,37 +234,38 @@
     );
 }
 
-/// One of the protections left out.
+/// The protection that is disabled in a simulation.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// Holders send whatever their buckets hold.
+    /// Holders send requests without taking tokens.
     NoBucket,
-    /// Each view uses the whole of what is allowed.
+    /// The holders of each partition side use the whole allowed budget.
     WholeBudget,
-    /// Who begins to hold does so with what a full second brings.
+    /// A new holder starts with the tokens of a full second.
     FullStart,
 }
 
-/// Holders of two views that know nothing of each other, some frozen, of one cold database.
-struct World {
+/// Simulation of one cold database and its holders on both sides of a partition, some of them
+/// suspended.
+struct Simulation {
     fault: Fault,
     now: Timestamp,
     holders: Vec<WarmUpState>,
-    /// Of frozen holders, how many admitted requests they had not sent.
-    frozen: Vec<Option<usize>>,
+    /// For each suspended holder, the number of admitted requests that it has not sent yet.
+    suspended: Vec<Option<usize>>,
     sent: Vec<Timestamp>,
 }
 
-impl World {
+impl Simulation {
     fn new(fault: Fault) -> Self {
-        let views = if fault == Fault::WholeBudget { 8 } else { 2 };
-        let holders = views * COLD_HOLDERS;
+        let sides = if fault == Fault::WholeBudget { 8 } else { 2 };
+        let holders = sides * COLD_HOLDERS;
         Self {
             fault,
             now: at(1_000),
             holders: vec![WarmUpState::default(); holders],
-            frozen: vec![None; holders],
+            suspended: vec![None; holders],
             sent: Vec::new(),
         }
     }
@@ -254,15 +275,15 @@
         match action % 8 {
             0 => self.now = self.now + ms(u64::from(argument)),
             1 => self.now = self.now + ms(u64::from(argument) * 20),
-            2 => self.freeze_or_thaw(index),
-            // The database restarts, or another node holds it now.
-            3 => self.begin_anew(index),
-            4 => self.ask(index),
+            2 => self.suspend_or_resume(index),
+            // The database restarts, or another node becomes its holder.
+            3 => self.start_anew(index),
+            4 => self.query(index),
             _ => self.send(index),
         }
     }
 
-    fn begin_anew(&mut self, index: usize) {
+    fn start_anew(&mut self, index: usize) {
         self.holders[index].empty_bucket();
         if self.fault == Fault::FullStart {
             self.send_now();
@@ -270,24 +291,25 @@
         }
     }
 
-    /// A node freezes between a token and the request for it, or wakes and sends it.
-    fn freeze_or_thaw(&mut self, index: usize) {
+    /// Suspends a node between taking a token and sending the request, or resumes it so that it
+    /// sends the request.
+    fn suspend_or_resume(&mut self, index: usize) {
         let part = START.part(BOUNDS);
-        match self.frozen[index].take() {
+        match self.suspended[index].take() {
             Some(unsent) => {
                 self.holders[index].empty_bucket();
                 (0..unsent).for_each(|_| self.send_now());
             }
             None => {
                 let admitted = self.holders[index].admit(part, self.now).is_ok();
-                self.frozen[index] = Some(usize::from(admitted));
+                self.suspended[index] = Some(usize::from(admitted));
             }
         }
     }
 
-    fn ask(&mut self, index: usize) {
+    fn query(&mut self, index: usize) {
         let part = START.part(BOUNDS);
-        if self.frozen[index].is_none()
+        if self.suspended[index].is_none()
             && self.holders[index].admit_question(part, self.now).is_ok()
         {
             self.send_now();
@@ -295,7 +317,7 @@
     }
 
     fn send(&mut self, index: usize) {
-        if self.frozen[index].is_some() {
+        if self.suspended[index].is_some() {
             return;
         }
         let part = START.part(BOUNDS);
@@ -309,8 +331,8 @@
         self.sent.push(self.now);
     }
 
-    /// Requests in the second that holds most.
-    fn most_in_a_second(&self) -> usize {
+    /// Returns the maximum number of requests in any one second.
+    fn max_in_a_second(&self) -> usize {
         let within = |from: &Timestamp| {
             let until = *from + Duration::from_secs(1);
             self.sent
@@ -322,41 +344,42 @@
     }
 }
 
-fn most_after(fault: Fault, steps: impl IntoIterator<Item = (u8, u8)>) -> usize {
-    let mut world = World::new(fault);
+fn max_rate_after(fault: Fault, steps: impl IntoIterator<Item = (u8, u8)>) -> usize {
+    let mut simulation = Simulation::new(fault);
     for (action, argument) in steps {
-        world.step(action, argument);
+        simulation.step(action, argument);
     }
-    world.most_in_a_second()
+    simulation.max_in_a_second()
 }
 
-/// All holders send whenever they may, and ask; after `rounds` of 20 ms one begins anew.
-fn storm(rounds: u8) -> impl Iterator<Item = (u8, u8)> {
+/// Returns steps in which all holders send requests and status queries whenever they may; every
+/// `rounds` rounds of 20 ms, one holder starts anew.
+fn maximum_load(rounds: u8) -> impl Iterator<Item = (u8, u8)> {
     (0..=255_u8).flat_map(move |round| {
         let sends = (0..32).map(|holder| (5, holder));
-        let asks = (0..32).map(|holder| (4, holder));
+        let queries = (0..32).map(|holder| (4, holder));
         let anew = (round % rounds == 0).then_some((3, round));
-        sends.chain(asks).chain(anew).chain([(0, 20)])
+        sends.chain(queries).chain(anew).chain([(0, 20)])
     })
 }
 
 quickcheck! {
     fn no_second_holds_more_than_is_allowed(steps: Vec<(u8, u8)>) -> bool {
-        most_after(Fault::None, steps) <= ALLOWED
+        max_rate_after(Fault::None, steps) <= ALLOWED
     }
 }
 
 #[test]
-fn a_storm_stays_within_the_bound_unless_a_protection_is_left_out() {
+fn maximum_load_stays_within_the_bound_unless_a_protection_is_disabled() {
     let cases = [
         (Fault::NoBucket, 16),
         (Fault::WholeBudget, 16),
         (Fault::FullStart, 5),
     ];
     for (fault, rounds) in cases {
-        let most = most_after(Fault::None, storm(rounds));
+        let most = max_rate_after(Fault::None, maximum_load(rounds));
         assert!((4..=ALLOWED).contains(&most), "{most}");
-        let most = most_after(fault, storm(rounds));
+        let most = max_rate_after(fault, maximum_load(rounds));
         assert!(most > ALLOWED, "{most}");
     }
 }
--- a/crates/coordination/tests/serving_coordinator.rs
+++ b/crates/coordination/tests/serving_coordinator.rs
@@ -1,4 +1,4 @@
-//! What a node knows of coordinators.
+//! Tests of a node's knowledge of coordinators and of the delay before a record is claimed.
 
 mod store;
 
@@ -18,10 +18,11 @@
     }
 }
 
-/// A record lapsed in an outage of the store, and one node alone heard of that. It asked
-/// stand-ins in vain, as the others went on voting for the coordinator.
+/// Guards against a node without leases after a store outage: the coordinator's record had expired,
+/// and only one node received that change. It asked stand-ins without success, because all other
+/// nodes still voted for the coordinator.
 #[test]
-fn a_coordinator_whose_record_is_gone_stays_the_one_to_ask() {
+fn a_coordinator_without_a_record_is_still_the_newest_known() {
     let mut view = CoordinatorView::default();
     view.take_record(revision(7), Some(record("first")));
     view.take_record(revision(9), None);
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn the_newest_coordinator_is_asked_however_it_was_heard_of() {
+fn the_newest_coordinator_is_known_from_records_and_announcements() {
     let mut view = CoordinatorView::default();
     assert_eq!(view.newest(), None);
     view.take_record(revision(7), Some(record("first")));
@@ -46,7 +47,7 @@
     assert_eq!(view.newest(), Some("third"));
 }
 
-/// A process that starts again finds its predecessor's record, which it may replace.
+/// A restarted process finds the record of its predecessor and may replace it.
 #[test]
 fn a_record_is_left_behind_by_an_earlier_process_of_the_same_node_only() {
     let mut view = CoordinatorView::default();
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn an_older_record_is_passed_over() {
+fn an_older_record_is_ignored() {
     let mut view = CoordinatorView::default();
     view.take_record(revision(9), Some(record("second")));
     view.take_record(revision(7), Some(record("first")));
@@ -69,12 +70,12 @@
 }
 
 #[test]
-fn a_node_leaves_a_free_record_alone_until_a_lost_coordinator_relies_on_it_no_more() {
+fn a_free_record_is_not_claimed_while_a_lost_coordinator_may_rely_on_it() {
     let first = StoreEra::new(1);
     let second = StoreEra::new(2);
     let at = Timestamp::from_millis;
     let mut delay = ClaimDelay::default();
-    assert!(!delay.is_over(at(9_000)), "nothing was heard yet");
+    assert!(!delay.is_over(at(9_000)), "no era is known yet");
     delay.note_era(first, false, at(10_000));
     assert!(delay.is_over(at(12_000)));
     delay.note_era(second, false, at(20_000));
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn the_coordinator_of_the_era_before_waits_for_nobody() {
+fn the_coordinator_of_the_previous_era_does_not_wait() {
     let mut delay = ClaimDelay::default();
     delay.note_era(StoreEra::new(1), false, Timestamp::from_millis(10_000));
     delay.note_era(StoreEra::new(2), true, Timestamp::from_millis(20_000));
@@ -94,12 +95,12 @@
 }
 
 #[test]
-fn a_node_that_starts_in_an_era_that_has_settled_claims_a_free_record_at_once() {
+fn a_node_that_starts_in_a_settled_era_claims_a_free_record_at_once() {
     let mut delay = ClaimDelay::default();
     delay.settle(StoreEra::new(2));
     assert!(
         !delay.is_over(Timestamp::from_millis(9_000)),
-        "no era was heard of"
+        "no era is known"
     );
     delay.note_era(StoreEra::new(2), false, Timestamp::from_millis(10_000));
     assert!(delay.is_over(Timestamp::from_millis(10_000)));
@@ -109,12 +110,12 @@
 
 const NODES: usize = 3;
 
-/// What one node of the model believes.
+/// State of one node of the model.
 #[derive(Clone, Copy, Default)]
 struct ModelNode {
-    heard: Option<StoreEra>,
+    known_era: Option<StoreEra>,
     delay: ClaimDelay,
-    /// The era of its record, and until when it relies on that.
+    /// The era of its record, and until when it relies on the record.
     tenure: Option<(StoreEra, Timestamp)>,
 }
 
@@ -123,19 +124,19 @@
         self.tenure.is_some_and(|(_, until)| now < until)
     }
 
-    fn hear(&mut self, era: StoreEra, now: Timestamp) {
+    fn observe_era(&mut self, era: StoreEra, now: Timestamp) {
         let coordinates = self.coordinates(now);
         self.delay.note_era(era, coordinates, now);
         self.tenure = self.tenure.filter(|(claimed_in, _)| *claimed_in == era);
-        self.heard = Some(era);
+        self.known_era = Some(era);
     }
 }
 
-/// The store's record: its holder, and until when its lease runs.
+/// The store's record: its holder, and when its lease expires.
 type ModelRecord = Option<(usize, Timestamp)>;
 
-/// Plays claims, renewals and returns of the store from a copy without the record. Says whether
-/// two nodes ever coordinated at once.
+/// Simulates claims, renewals and restores of the store from a copy that lacks the record. Returns
+/// whether two nodes were ever coordinators at the same time.
 fn two_coordinate(steps: &[(u8, u8)], delayed: bool) -> bool {
     let mut now = Timestamp::from_millis(60_000);
     let mut era = StoreEra::new(1);
@@ -151,10 +152,10 @@
                 record = None;
             }
             1 | 2 => now = now + Duration::from_millis(u64::from(*value) * 4),
-            3 | 4 => node.hear(era, now),
+            3 | 4 => node.observe_era(era, now),
             5 => {
                 let delay_over = !delayed || node.delay.is_over(now);
-                if record.is_none() && node.heard == Some(era) && delay_over {
+                if record.is_none() && node.known_era == Some(era) && delay_over {
                     record = Some((index, now + RECORD_TIME));
                     node.tenure = Some((era, relied_on_until(now)));
                 }
@@ -179,12 +180,12 @@
 
 #[test]
 fn at_most_one_node_coordinates_however_often_the_store_loses_the_record() {
-    fn one_at_most(steps: Vec<(u8, u8)>) -> TestResult {
+    fn at_most_one(steps: Vec<(u8, u8)>) -> TestResult {
         TestResult::from_bool(!two_coordinate(&steps, true))
     }
     QuickCheck::new()
         .tests(4_000)
-        .quickcheck(one_at_most as fn(Vec<(u8, u8)>) -> TestResult);
+        .quickcheck(at_most_one as fn(Vec<(u8, u8)>) -> TestResult);
 }
 
 #[test]
--- a/crates/coordination/tests/serving_database_life.rs
+++ b/crates/coordination/tests/serving_database_life.rs
@@ -1,4 +1,5 @@
-//! Databases that start again under their names: what a node still uses of the life before.
+//! Tests of databases that restart under the same name: which facts of the previous incarnation a
+//! node still uses.
 
 mod store;
 
@@ -21,8 +22,8 @@
     Timestamp::from_millis(millis)
 }
 
-/// Heard as it happens.
-fn heard(at: Timestamp) -> Hearing {
+/// Returns the receipt of an event at the moment at which it happens.
+fn received_at(at: Timestamp) -> Hearing {
     Hearing { at, not_before: at }
 }
 
@@ -53,93 +54,97 @@
 }
 
 #[test]
-fn another_start_is_another_life_and_an_old_revision_brings_none_back() {
+fn another_start_time_is_a_new_incarnation_and_an_old_revision_restores_none() {
     use Registration::{NewLife, Outdated, Taken};
     let cases = [
-        ("the first that is heard of", Some(1), 5, Taken),
+        ("the first registration", Some(1), 5, Taken),
         ("the same start", Some(1), 6, Taken),
         ("another start", Some(2), 7, NewLife),
-        ("an earlier start, told late", Some(1), 6, Outdated),
-        ("none told any more", None, 8, NewLife),
+        ("an earlier start, received late", Some(1), 6, Outdated),
+        ("no start time any more", None, 8, NewLife),
         ("still none", None, 9, Taken),
-        ("told again", Some(2), 10, NewLife),
+        ("a start time again", Some(2), 10, NewLife),
     ];
     let mut directory = Directory::default();
     for (now, (case, started, number, expected)) in (10..).zip(cases) {
-        let taken = directory.put(database("a", started), revision(number), heard(at(now)));
+        let taken = directory.put(
+            database("a", started),
+            revision(number),
+            received_at(at(now)),
+        );
         assert_eq!(taken, expected, "{case}");
     }
     let listed = directory.get(&name("a")).unwrap();
-    assert!(!listed.is_of_this_life(at(16)), "asked as it was learnt of");
+    assert!(
+        !listed.is_of_this_life(at(16)),
+        "asked when it became known"
+    );
     assert!(listed.is_of_this_life(at(17)));
 }
 
 #[test]
-fn what_was_asked_before_a_database_was_heard_of_may_be_of_an_earlier_life() {
+fn answers_to_queries_sent_before_a_database_was_known_may_be_of_an_earlier_incarnation() {
     let mut directory = Directory::default();
-    directory.put(database("a", Some(2)), revision(1), heard(at(50)));
+    directory.put(database("a", Some(2)), revision(1), received_at(at(50)));
     let listed = directory.get(&name("a")).unwrap();
     assert!(!listed.is_of_this_life(at(49)), "a peer may have asked");
     assert!(listed.is_of_this_life(at(51)));
 }
 
 #[test]
-fn an_announced_end_is_not_that_of_the_next_life() {
+fn an_announced_departure_does_not_carry_over_to_the_next_incarnation() {
     let mut directory = Directory::default();
     let draining = |started| Database {
         draining: true,
         ..database("a", Some(started))
     };
-    directory.put(draining(1), revision(1), heard(at(10)));
-    directory.put(draining(2), revision(2), heard(at(20)));
+    directory.put(draining(1), revision(1), received_at(at(10)));
+    directory.put(draining(2), revision(2), received_at(at(20)));
     let departure = directory.get(&name("a")).unwrap().departure.unwrap();
     assert_eq!(departure.counted_from(), at(20));
 }
 
 #[test]
-fn a_forgotten_database_is_not_brought_back_by_a_late_word_and_keeps_its_start() {
+fn a_removed_database_is_not_restored_by_a_late_message_and_keeps_its_start_time() {
     let mut directory = Directory::default();
-    directory.put(database("a", Some(1)), revision(1), heard(at(10)));
-    directory.remove(&name("a"), revision(2), heard(at(20)));
+    directory.put(database("a", Some(1)), revision(1), received_at(at(10)));
+    directory.remove(&name("a"), revision(2), received_at(at(20)));
     directory.forget_missing(at(30));
-    let late = directory.put(database("a", Some(1)), revision(1), heard(at(40)));
+    let late = directory.put(database("a", Some(1)), revision(1), received_at(at(40)));
     assert_eq!(late, Registration::Outdated);
     assert!(directory.get(&name("a")).is_none());
-    let back = directory.put(database("a", Some(2)), revision(3), heard(at(50)));
+    let back = directory.put(database("a", Some(2)), revision(3), received_at(at(50)));
     assert_eq!(back, Registration::NewLife);
 }
 
 #[test]
-fn an_ended_life_is_not_brought_back_by_a_store_that_returned_from_a_copy() {
+fn an_ended_incarnation_is_not_restored_with_a_copy_of_the_store() {
     use Registration::{NewLife, Outdated, Taken};
     let restored = |number| StoreRevision::new(StoreEra::new(2), number);
     let mut directory = Directory::default();
-    directory.put(database("a", Some(1)), revision(5), heard(at(10)));
-    directory.put(database("a", Some(2)), revision(9), heard(at(20)));
-    let copied = directory.put(database("a", Some(1)), restored(5), heard(at(30)));
+    directory.put(database("a", Some(1)), revision(5), received_at(at(10)));
+    directory.put(database("a", Some(2)), revision(9), received_at(at(20)));
+    let copied = directory.put(database("a", Some(1)), restored(5), received_at(at(30)));
     assert_eq!(copied, Outdated);
     let listed = directory.get(&name("a")).unwrap();
     assert_eq!(listed.database.started, Some(DatabaseStart(2)));
-    assert!(
-        listed.is_of_this_life(at(25)),
-        "nothing learnt is forgotten"
-    );
-    let again = directory.put(database("a", Some(2)), restored(7), heard(at(40)));
+    assert!(listed.is_of_this_life(at(25)), "no known fact is dropped");
+    let again = directory.put(database("a", Some(2)), restored(7), received_at(at(40)));
     assert_eq!(again, Taken);
-    let next = directory.put(database("a", Some(3)), restored(8), heard(at(50)));
+    let next = directory.put(database("a", Some(3)), restored(8), received_at(at(50)));
     assert_eq!(next, NewLife);
 }
 
 #[test]
-fn what_a_listing_lacks_is_missing_and_may_return_in_the_same_life() {
+fn a_database_absent_from_a_listing_is_missing_and_may_return_in_the_same_incarnation() {
     let mut directory = Directory::default();
-    directory.put(database("a", Some(1)), revision(1), heard(at(10)));
-    directory.put(database("b", Some(1)), revision(2), heard(at(10)));
+    directory.put(database("a", Some(1)), revision(1), received_at(at(10)));
+    directory.put(database("b", Some(1)), revision(2), received_at(at(10)));
     assert_eq!(directory.lacking(&BTreeSet::from([name("b")])), [name("a")]);
-    directory.remove(&name("a"), revision(6), heard(at(20)));
+    directory.remove(&name("a"), revision(6), received_at(at(20)));
     assert!(directory.get(&name("a")).unwrap().missing);
     assert!(!directory.get(&name("b")).unwrap().missing);
-    let back = directory.put(database("a", Some(1)), revision(7), heard(at(30)));
+    let back = directory.put(database("a", Some(1)), revision(7), received_at(at(30)));
     assert_eq!(back, Registration::Taken);
 }
 
@@ -149,11 +154,17 @@
     let mut leadership = Leadership::default();
     leadership.confirm(&a, proof(at(1), at(2), Position::new(1, 9)));
     assert!(!leadership.confirm(&a, proof(at(10), at(11), Position::new(1, 0))));
-    assert_eq!(leadership.leader(), None, "found out without the store");
+    assert_eq!(leadership.leader(), None, "detected without the store");
     assert_eq!(leadership.floor(at(0)), None);
     let lesser = |millis| proof(at(millis), at(millis + 1), Position::new(1, 2));
-    assert!(!leadership.confirm(&a, lesser(500)), "a write slipped in");
-    assert!(leadership.confirm(&a, lesser(3_100)), "nobody was promoted");
+    assert!(
+        !leadership.confirm(&a, lesser(500)),
+        "a write arrived in between"
+    );
+    assert!(
+        leadership.confirm(&a, lesser(3_100)),
+        "no replica was promoted"
+    );
     leadership.confirm(&a, proof(at(3_200), at(3_201), Position::new(1, 4)));
     leadership.end_life(&a, at(3_300));
     let other = name("b");
@@ -161,7 +172,7 @@
 }
 
 #[test]
-fn a_new_life_of_a_replica_leaves_the_samples_of_the_primary() {
+fn a_replica_restart_keeps_the_samples_of_the_primary() {
     let a = name("a");
     let mut leadership = Leadership::default();
     leadership.confirm(&a, proof(at(1), at(2), Position::new(1, 9)));
@@ -184,7 +195,7 @@
 }
 
 #[test]
-fn an_empty_replica_never_goes_before_one_that_holds_commits() {
+fn an_empty_replica_is_never_preferred_to_one_that_holds_commits() {
     let cases = [
         (
             "preferred",
@@ -214,12 +225,12 @@
     assert!(!both_empty[0].is_behind(&both_empty));
 }
 
-/// What protects a node in a played history.
+/// The protections that are enabled in a simulation.
 #[derive(Clone, Copy)]
 struct Protection {
-    /// Answers to questions of before the node learnt of a life are passed over.
+    /// Answers to queries sent before the node learned of the incarnation are ignored.
     late_answers: bool,
-    /// What was learnt is dropped with the life.
+    /// Facts about an incarnation are dropped when it ends.
     end_of_life: bool,
 }
 
@@ -228,11 +239,12 @@
     end_of_life: true,
 };
 
-/// Commits that a database takes in one life at the most; positions tell the life by it.
-const COMMITS_OF_LIFE: u64 = 1_000;
+/// Maximum number of commits in one incarnation; a position divided by this number gives the
+/// incarnation.
+const MAX_COMMITS_PER_INCARNATION: u64 = 1_000;
 const NAMES: [&str; 2] = ["a", "b"];
 
-/// An answer on its way: of a database, to a question, from a life.
+/// An answer in transit: the queried database, and its state at the time of the query.
 struct Answer {
     database: usize,
     asked_at: Timestamp,
@@ -240,21 +252,22 @@
     position: Position,
 }
 
-/// One node that follows the lives of two databases, with messages late and out of order.
-struct World {
+/// Simulation of one node that follows the incarnations of two databases while messages are delayed
+/// and reordered.
+struct Simulation {
     protection: Protection,
     now: Timestamp,
-    lives: [u64; 2],
+    incarnations: [u64; 2],
     commits: u64,
     primary: usize,
     written: Vec<(Database, u64)>,
-    on_their_way: Vec<Answer>,
+    in_transit: Vec<Answer>,
     directory: Directory,
     leadership: Leadership,
     sampled: Option<usize>,
 }
 
-impl World {
+impl Simulation {
     fn new(protection: Protection) -> Self {
         let written = NAMES
             .iter()
@@ -264,11 +277,11 @@
         Self {
             protection,
             now: at(1),
-            lives: [1; 2],
+            incarnations: [1; 2],
             commits: 1,
             primary: 0,
             written,
-            on_their_way: Vec::new(),
+            in_transit: Vec::new(),
             directory: Directory::default(),
             leadership: Leadership::default(),
             sampled: None,
@@ -280,40 +293,40 @@
         let index = usize::from(argument % 2);
         match action % 6 {
             0 => self.restart(index),
-            1 => self.hear(usize::from(argument) % self.written.len()),
-            2 => self.hear(self.written.len() - 1),
-            3 => self.ask(index),
-            4 if !self.on_their_way.is_empty() => {
-                let place = usize::from(argument) % self.on_their_way.len();
-                let answer = self.on_their_way.remove(place);
-                self.take(&answer);
+            1 => self.receive_registration(usize::from(argument) % self.written.len()),
+            2 => self.receive_registration(self.written.len() - 1),
+            3 => self.send_query(index),
+            4 if !self.in_transit.is_empty() => {
+                let answer_index = usize::from(argument) % self.in_transit.len();
+                let answer = self.in_transit.remove(answer_index);
+                self.receive_answer(&answer);
             }
             _ => self.primary = index,
         }
     }
 
     fn restart(&mut self, index: usize) {
-        self.lives[index] += 1;
+        self.incarnations[index] += 1;
         let revision = u64::try_from(self.written.len()).unwrap() + 1;
-        let registration = database(NAMES[index], Some(self.lives[index]));
+        let registration = database(NAMES[index], Some(self.incarnations[index]));
         self.written.push((registration, revision));
     }
 
-    fn hear(&mut self, place: usize) {
-        let (registration, number) = self.written[place].clone();
+    fn receive_registration(&mut self, entry_index: usize) {
+        let (registration, number) = self.written[entry_index].clone();
         let name = registration.name.clone();
         let taken = self
             .directory
-            .put(registration, revision(number), heard(self.now));
+            .put(registration, revision(number), received_at(self.now));
         if taken == Registration::NewLife && self.protection.end_of_life {
             self.leadership.end_life(&name, self.now);
         }
     }
 
-    fn ask(&mut self, index: usize) {
-        self.commits = (self.commits + 1) % COMMITS_OF_LIFE;
-        let number = self.lives[index] * COMMITS_OF_LIFE + self.commits;
-        self.on_their_way.push(Answer {
+    fn send_query(&mut self, index: usize) {
+        self.commits = (self.commits + 1) % MAX_COMMITS_PER_INCARNATION;
+        let number = self.incarnations[index] * MAX_COMMITS_PER_INCARNATION + self.commits;
+        self.in_transit.push(Answer {
             database: index,
             asked_at: self.now,
             leads: self.primary == index,
@@ -321,7 +334,7 @@
         });
     }
 
-    fn take(&mut self, answer: &Answer) {
+    fn receive_answer(&mut self, answer: &Answer) {
         let name = name(NAMES[answer.database]);
         let Some(listed) = self.directory.get(&name) else {
             return;
@@ -340,7 +353,7 @@
         }
     }
 
-    /// Whether what the node goes by is of no earlier life than it knows of.
+    /// Returns whether the node uses no fact of an incarnation earlier than the one that it knows.
     fn is_sound(&self) -> bool {
         let Some(sampled) = self.sampled else {
             return true;
@@ -356,45 +369,46 @@
         let used = [self.leadership.floor(at(0)), newest];
         used.into_iter()
             .flatten()
-            .all(|position| position.lsn.0 / COMMITS_OF_LIFE >= known)
+            .all(|position| position.lsn.0 / MAX_COMMITS_PER_INCARNATION >= known)
     }
 }
 
 fn stays_sound(protection: Protection, steps: &[(u8, u8)]) -> bool {
-    let mut world = World::new(protection);
+    let mut simulation = Simulation::new(protection);
     steps.iter().all(|(action, argument)| {
-        world.step(*action, *argument);
-        world.is_sound()
+        simulation.step(*action, *argument);
+        simulation.is_sound()
     })
 }
 
 quickcheck! {
-    fn no_fact_of_an_earlier_life_is_used_in_a_later_one(steps: Vec<(u8, u8)>) -> bool {
+    fn no_fact_of_an_earlier_incarnation_is_used_in_a_later_one(steps: Vec<(u8, u8)>) -> bool {
         stays_sound(FULL, &steps)
     }
 }
 
-/// Hears of `a`, asks it, has it restart, hears of that, and takes the answer.
+/// The node learns of `a` and queries it; `a` restarts, the node learns of that, and then the
+/// answer arrives.
 const ANSWER_COMES_LATE: [(u8, u8); 5] = [(1, 0), (3, 0), (0, 0), (2, 0), (4, 0)];
-/// The same with the answer before the restart.
+/// The same, but the answer arrives before the restart.
 const ANSWER_COMES_FIRST: [(u8, u8); 5] = [(1, 0), (3, 0), (4, 0), (0, 0), (2, 0)];
 
-/// A peer's question to a life that the node never heard of, answered after the restart.
-const ASKED_BEFORE_HEARD_OF: [(u8, u8); 4] = [(3, 0), (0, 0), (1, 2), (4, 0)];
+/// A peer's query to an incarnation that the node never knew, answered after the restart.
+const QUERIED_BEFORE_KNOWN: [(u8, u8); 4] = [(3, 0), (0, 0), (1, 2), (4, 0)];
 
 #[test]
-fn without_either_protection_a_fact_outlives_its_life() {
-    let no_clock = Protection {
+fn without_either_protection_a_fact_outlives_its_incarnation() {
+    let without_late_answers = Protection {
         late_answers: false,
         ..FULL
     };
-    let no_end = Protection {
+    let without_end_of_life = Protection {
         end_of_life: false,
         ..FULL
     };
     assert!(stays_sound(FULL, &ANSWER_COMES_LATE));
     assert!(stays_sound(FULL, &ANSWER_COMES_FIRST));
-    assert!(stays_sound(FULL, &ASKED_BEFORE_HEARD_OF));
-    assert!(!stays_sound(no_clock, &ANSWER_COMES_LATE));
-    assert!(!stays_sound(no_end, &ANSWER_COMES_FIRST));
+    assert!(stays_sound(FULL, &QUERIED_BEFORE_KNOWN));
+    assert!(!stays_sound(without_late_answers, &ANSWER_COMES_LATE));
+    assert!(!stays_sound(without_end_of_life, &ANSWER_COMES_FIRST));
 }
--- a/crates/coordination/tests/serving_departure.rs
+++ b/crates/coordination/tests/serving_departure.rs
@@ -1,4 +1,5 @@
-//! Databases that leave: no node counts from a time after the announcement, whatever it hears late.
+//! Tests of departing databases: no node starts the grace period later than the announcement,
+//! however late it receives it.
 
 mod store;
 
@@ -15,7 +16,7 @@
 use quickcheck::quickcheck;
 use store::revision;
 
-/// How long a database gets new work.
+/// How long a departing database receives new work.
 const LIMIT: Duration = Duration::from_secs(9);
 
 fn at(millis: u64) -> Timestamp {
@@ -41,18 +42,18 @@
 }
 
 #[test]
-fn new_work_ends_by_what_is_known_of_the_beginning() {
+fn new_work_ends_by_the_known_bound_of_the_departure() {
     use Sign::{Announced, Missing};
     let cases = [
         (
-            "announced, heard at once",
+            "announced, received at once",
             Announced,
             20_000,
             19_900,
             28_900,
         ),
         (
-            "announced, heard after a pause",
+            "announced, received after a pause",
             Announced,
             20_000,
             15_000,
@@ -65,9 +66,9 @@
             0,
             9_000,
         ),
-        ("missing, heard at once", Missing, 20_000, 19_900, 28_900),
+        ("missing, received at once", Missing, 20_000, 19_900, 28_900),
         (
-            "missing, heard after a pause",
+            "missing, received after a pause",
             Missing,
             20_000,
             15_000,
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn an_announcement_keeps_its_time_and_another_life_has_its_own() {
+fn an_announcement_keeps_its_time_and_a_new_incarnation_has_its_own() {
     let mut directory = Directory::default();
     let hearing = |millis| Hearing {
         at: at(millis),
@@ -107,32 +108,40 @@
     directory.put(database(1, true), revision(6), hearing(900));
     assert_eq!(counted_from(&directory), Some(at(100)), "still the same");
     directory.remove(&name(), revision(7), hearing(2_000));
-    assert_eq!(counted_from(&directory), Some(at(100)), "its entry goes");
+    assert_eq!(
+        counted_from(&directory),
+        Some(at(100)),
+        "its entry is removed"
+    );
     directory.put(database(1, false), revision(8), hearing(3_000));
-    assert_eq!(counted_from(&directory), None, "taken back");
+    assert_eq!(counted_from(&directory), None, "withdrawn");
     directory.remove(&name(), revision(9), hearing(4_000));
     directory.put(database(1, true), revision(10), hearing(7_000));
     assert_eq!(
         counted_from(&directory),
         Some(at(7_000)),
-        "it had only lapsed"
+        "it had only expired"
     );
     directory.put(database(2, true), revision(11), hearing(8_000));
-    assert_eq!(counted_from(&directory), Some(at(8_000)), "another life");
+    assert_eq!(
+        counted_from(&directory),
+        Some(at(8_000)),
+        "a new incarnation"
+    );
     directory.learn_departure(&name(), Some(DatabaseStart(1)), at(8_500));
     assert_eq!(
         counted_from(&directory),
         Some(at(8_000)),
-        "told of an earlier life"
+        "reported for an earlier incarnation"
     );
 }
 
-/// The state that a store called `number` after it had come back from a copy.
+/// Returns a revision of the store after it was restored from a copy.
 fn restored(number: u64) -> StoreRevision {
     StoreRevision::new(StoreEra::new(2), number)
 }
 
-fn at_once(millis: u64) -> Hearing {
+fn received_at(millis: u64) -> Hearing {
     Hearing {
         at: at(millis),
         not_before: at(millis),
@@ -140,65 +149,69 @@
 }
 
 #[test]
-fn an_announced_end_is_not_taken_back_by_a_store_that_lost_it() {
+fn an_announced_departure_is_not_withdrawn_by_a_store_that_lost_it() {
     let mut directory = Directory::default();
-    directory.put(database(1, false), revision(5), at_once(0));
-    directory.put(database(1, true), revision(9), at_once(100));
+    directory.put(database(1, false), revision(5), received_at(0));
+    directory.put(database(1, true), revision(9), received_at(100));
     let rounds = [
         ("the copy lists it as ready", false, 5),
         ("so does the database with another change", false, 8),
-        ("it announces its end again", true, 9),
+        ("it announces its departure again", true, 9),
     ];
     for (case, draining, number) in rounds {
-        directory.put(database(1, draining), restored(number), at_once(5_000));
+        directory.put(database(1, draining), restored(number), received_at(5_000));
         let listed = directory.get(&name()).unwrap();
         let counted_from = listed.departure.map(|departure| departure.counted_from());
         assert_eq!(counted_from, Some(at(100)), "{case}");
         assert!(listed.database.draining, "{case}");
     }
-    directory.put(database(2, false), restored(10), at_once(6_000));
+    directory.put(database(2, false), restored(10), received_at(6_000));
     let listed = directory.get(&name()).unwrap();
-    assert_eq!(listed.departure, None, "another life");
+    assert_eq!(listed.departure, None, "a new incarnation");
 }
 
 #[test]
 fn a_database_that_left_does_not_return_with_a_copy_that_holds_its_entry() {
     let mut directory = Directory::default();
-    directory.put(database(1, false), revision(5), at_once(0));
-    directory.remove(&name(), revision(9), at_once(100));
-    directory.put(database(1, false), restored(5), at_once(5_000));
+    directory.put(database(1, false), revision(5), received_at(0));
+    directory.remove(&name(), revision(9), received_at(100));
+    directory.put(database(1, false), restored(5), received_at(5_000));
     let listed = directory.get(&name()).unwrap();
     assert!(listed.missing);
     let counted_from = listed.departure.map(|departure| departure.counted_from());
     assert_eq!(counted_from, Some(at(100)));
-    directory.put(database(1, false), restored(7), at_once(5_500));
+    directory.put(database(1, false), restored(7), received_at(5_500));
     let listed = directory.get(&name()).unwrap();
-    assert!(!listed.missing, "it registered anew, so it had only lapsed");
+    assert!(
+        !listed.missing,
+        "it registered anew, so it had only expired"
+    );
     assert_eq!(listed.departure, None);
 }
 
-/// A living database whose entry had lapsed writes nothing new, as the copy holds it.
+/// Guards against treating a running database as gone: its entry had expired, but it writes no new
+/// one because the restored copy of the store still contains it.
 #[test]
-fn a_database_whose_copied_entry_does_not_lapse_again_lives() {
+fn a_database_whose_restored_entry_does_not_expire_is_running() {
     let mut directory = Directory::default();
-    directory.put(database(1, false), revision(5), at_once(0));
-    directory.remove(&name(), revision(9), at_once(100));
-    directory.put(database(1, false), restored(5), at_once(5_000));
+    directory.put(database(1, false), revision(5), received_at(0));
+    directory.remove(&name(), revision(9), received_at(100));
+    directory.put(database(1, false), restored(5), received_at(5_000));
     directory.note_lasting(at(5_000) + RESTORED_ENTRY_EXPIRY - Duration::from_millis(1));
     assert!(directory.get(&name()).unwrap().missing);
-    let mut lapsing = directory.clone();
-    lapsing.remove(&name(), restored(8), at_once(9_000));
-    for directory in [&mut directory, &mut lapsing] {
+    let mut expiring = directory.clone();
+    expiring.remove(&name(), restored(8), received_at(9_000));
+    for directory in [&mut directory, &mut expiring] {
         directory.note_lasting(at(5_000) + RESTORED_ENTRY_EXPIRY);
     }
     let listed = directory.get(&name()).unwrap();
     assert!(!listed.missing);
     assert_eq!(listed.departure, None);
-    assert!(lapsing.get(&name()).unwrap().missing);
+    assert!(expiring.get(&name()).unwrap().missing);
 }
 
 #[test]
-fn news_of_a_store_that_came_back_cover_nothing_until_lost_changes_are_written_again() {
+fn updates_of_a_restored_store_do_not_extend_coverage_until_lost_changes_are_rewritten() {
     let mut coverage = Coverage::default();
     coverage.extend(at(10_000));
     coverage.note_era(at(12_000));
@@ -213,7 +226,7 @@
 }
 
 #[test]
-fn a_peer_that_knows_more_gives_time_back_and_never_takes_any() {
+fn a_bound_known_to_a_peer_only_extends_the_grace_period() {
     let hearing = Hearing {
         at: at(60_000),
         not_before: at(0),
@@ -227,15 +240,15 @@
     assert_eq!(
         departure.work_ends(LIMIT),
         at(69_000),
-        "not after it was heard"
+        "not after it was received"
     );
 }
 
-/// Time between two events of the fleet.
+/// Time between two events of the simulation.
 const STEP: Duration = Duration::from_millis(250);
 const NODES: usize = 3;
 
-/// An answer of the store or of a peer on its way, and what it proves.
+/// An answer in transit from the store or a peer, and the facts that it proves.
 #[derive(Clone)]
 struct Answer {
     to: usize,
@@ -245,38 +258,38 @@
     departure: Option<Timestamp>,
 }
 
-/// A question on its way: whom it asks (the store, if nobody), and when it was sent.
+/// A query in transit; `peer` is `None` if it is sent to the store.
 #[derive(Clone)]
-struct Question {
+struct Query {
     from: usize,
     peer: Option<usize>,
     asked_at: Timestamp,
 }
 
 #[derive(Clone, Default)]
-struct Machine {
+struct Node {
     directory: Directory,
     coverage: Coverage,
     draining: bool,
     revision: u64,
-    /// Questions of an earlier process are not answered to this one.
+    /// Number of the current process; answers to an earlier process's queries are ignored.
     starts: u64,
 }
 
-/// What a node counts from.
+/// The time from which a node counts the grace period.
 #[derive(Clone, Copy, PartialEq)]
 enum Counting {
-    FromTheBound,
-    FromHearing,
+    FromLowerBound,
+    FromReceipt,
 }
 
-/// Nodes that ask the store and each other, with delays anywhere, and start anew.
+/// Simulation of nodes that query the store and each other, with arbitrary delays and restarts.
 struct Fleet {
     counting: Counting,
     now: Timestamp,
     announced_at: Option<Timestamp>,
-    machines: Vec<Machine>,
-    questions: Vec<(Question, u64)>,
+    nodes: Vec<Node>,
+    queries: Vec<(Query, u64)>,
     answers: Vec<(Answer, u64)>,
 }
 
@@ -286,8 +299,8 @@
             counting,
             now: at(60_000),
             announced_at: None,
-            machines: vec![Machine::default(); NODES],
-            questions: Vec::new(),
+            nodes: vec![Node::default(); NODES],
+            queries: Vec::new(),
             answers: Vec::new(),
         }
     }
@@ -295,62 +308,62 @@
     fn step(&mut self, action: u8, argument: u8) {
         self.now = self.now + STEP;
         let index = usize::from(argument) % NODES;
-        let place = usize::from(argument);
+        let choice = usize::from(argument);
         match action % 8 {
             0 if self.announced_at.is_none() => self.announced_at = Some(self.now),
-            1 => self.ask(index, None),
-            2 | 3 => self.ask(
+            1 => self.send_query(index, None),
+            2 | 3 => self.send_query(
                 index,
-                Some((index + 1 + place / NODES % (NODES - 1)) % NODES),
+                Some((index + 1 + choice / NODES % (NODES - 1)) % NODES),
             ),
-            4 | 5 if !self.questions.is_empty() => {
-                let question = self.questions.remove(place % self.questions.len());
-                self.respond(&question);
+            4 | 5 if !self.queries.is_empty() => {
+                let query = self.queries.remove(choice % self.queries.len());
+                self.respond(&query);
             }
             6 if !self.answers.is_empty() => {
-                let answer = self.answers.remove(place % self.answers.len());
-                self.take(&answer);
+                let answer = self.answers.remove(choice % self.answers.len());
+                self.receive(&answer);
             }
-            7 if place > 200 => {
-                let starts = self.machines[index].starts + 1;
-                self.machines[index] = Machine {
+            7 if choice > 200 => {
+                let starts = self.nodes[index].starts + 1;
+                self.nodes[index] = Node {
                     starts,
-                    ..Machine::default()
+                    ..Node::default()
                 };
             }
             _ => {}
         }
     }
 
-    fn ask(&mut self, from: usize, peer: Option<usize>) {
-        let question = Question {
+    fn send_query(&mut self, from: usize, peer: Option<usize>) {
+        let query = Query {
             from,
             peer,
             asked_at: self.now,
         };
-        self.questions.push((question, self.machines[from].starts));
+        self.queries.push((query, self.nodes[from].starts));
     }
 
-    fn respond(&mut self, (question, starts): &(Question, u64)) {
-        let answer = match question.peer {
+    fn respond(&mut self, (query, starts): &(Query, u64)) {
+        let answer = match query.peer {
             None => Answer {
-                to: question.from,
+                to: query.from,
                 draining: self.announced_at.is_some(),
                 revision: 1 + u64::from(self.announced_at.is_some()),
-                covered: question.asked_at,
+                covered: query.asked_at,
                 departure: None,
             },
             Some(peer) => {
-                let told = &self.machines[peer];
-                let listed = told.directory.get(&name());
-                // All ages are told as if the answer had been given at once.
-                let since_asked = self.now.since(question.asked_at);
+                let asked_node = &self.nodes[peer];
+                let listed = asked_node.directory.get(&name());
+                // All ages are computed as if the answer had been given at once.
+                let since_asked = self.now.since(query.asked_at);
                 let departure = listed.and_then(|listed| listed.departure);
                 Answer {
-                    to: question.from,
-                    draining: told.draining,
-                    revision: told.revision,
-                    covered: told.coverage.until() - since_asked,
+                    to: query.from,
+                    draining: asked_node.draining,
+                    revision: asked_node.revision,
+                    covered: asked_node.coverage.until() - since_asked,
                     departure: departure.map(|known| known.counted_from() - since_asked),
                 }
             }
@@ -360,42 +373,39 @@
         }
     }
 
-    fn take(&mut self, (answer, starts): &(Answer, u64)) {
+    fn receive(&mut self, (answer, starts): &(Answer, u64)) {
         let counting = self.counting;
-        let machine = &mut self.machines[answer.to];
-        if machine.starts != *starts || answer.revision < machine.revision {
+        let node = &mut self.nodes[answer.to];
+        if node.starts != *starts || answer.revision < node.revision {
             return;
         }
-        machine.coverage.extend(answer.covered);
-        machine.revision = answer.revision;
-        machine.draining = answer.draining;
+        node.coverage.extend(answer.covered);
+        node.revision = answer.revision;
+        node.draining = answer.draining;
         let not_before = match counting {
-            Counting::FromTheBound => machine.coverage.before_news(),
-            Counting::FromHearing => self.now,
+            Counting::FromLowerBound => node.coverage.before_news(),
+            Counting::FromReceipt => self.now,
         };
         let hearing = Hearing {
             at: self.now,
             not_before,
         };
         let registration = database(1, answer.draining);
-        machine
-            .directory
+        node.directory
             .put(registration, revision(answer.revision), hearing);
         if let Some(not_before) = answer.departure {
             let started = Some(DatabaseStart(1));
-            machine
-                .directory
-                .learn_departure(&name(), started, not_before);
+            node.directory.learn_departure(&name(), started, not_before);
         }
     }
 
-    /// Whether no node allows the database work for longer than since its announcement.
+    /// Returns whether every node ends new work by the limit counted from the announcement.
     fn is_sound(&self) -> bool {
         let Some(announced_at) = self.announced_at else {
             return true;
         };
-        let departures = self.machines.iter().filter_map(|machine| {
-            let listed = machine.directory.get(&name())?;
+        let departures = self.nodes.iter().filter_map(|node| {
+            let listed = node.directory.get(&name())?;
             listed.departure
         });
         departures
@@ -414,15 +424,16 @@
 
 quickcheck! {
     fn no_node_counts_from_after_the_announcement(steps: Vec<(u8, u8)>) -> bool {
-        stays_sound(Counting::FromTheBound, &steps)
+        stays_sound(Counting::FromLowerBound, &steps)
     }
 }
 
-/// The store is asked before the announcement and answers after it, and its answer comes later still.
-const HEARD_LATE: [(u8, u8); 4] = [(1, 0), (0, 0), (4, 0), (6, 0)];
+/// The store is queried before the announcement and answers after it; the answer arrives later
+/// still.
+const RECEIVED_LATE: [(u8, u8); 4] = [(1, 0), (0, 0), (4, 0), (6, 0)];
 
 #[test]
-fn counted_from_hearing_a_node_that_hears_late_sends_too_late() {
-    assert!(stays_sound(Counting::FromTheBound, &HEARD_LATE));
-    assert!(!stays_sound(Counting::FromHearing, &HEARD_LATE));
+fn counting_from_receipt_lets_a_late_node_send_for_too_long() {
+    assert!(stays_sound(Counting::FromLowerBound, &RECEIVED_LATE));
+    assert!(!stays_sound(Counting::FromReceipt, &RECEIVED_LATE));
 }
--- a/crates/coordination/tests/serving_directory.rs
+++ b/crates/coordination/tests/serving_directory.rs
@@ -1,4 +1,4 @@
-//! The directory's indexes, held to a look at every database.
+//! Property test that compares the directory's indexes with a scan of all databases.
 
 mod store;
 
@@ -25,8 +25,9 @@
     }
 }
 
-/// What a step does to a database: registers it, says that it is gone, or lets time pass.
-fn take(directory: &mut Directory, step: (u8, u8, u8), revision: u64) {
+/// Applies one step to the directory: registers a database, removes its entry, or forgets databases
+/// that have been missing for a while.
+fn apply_step(directory: &mut Directory, step: (u8, u8, u8), revision: u64) {
     let (number, group, kind) = step;
     let at = START + Duration::from_secs(revision);
     let revision = store::revision(revision);
@@ -50,10 +51,10 @@
 }
 
 quickcheck! {
-    fn indexes_hold_what_a_look_at_every_database_finds(steps: Vec<(u8, u8, u8)>) -> bool {
+    fn indexes_match_a_scan_of_all_databases(steps: Vec<(u8, u8, u8)>) -> bool {
         let mut directory = Directory::default();
         for (revision, step) in (1..).zip(steps) {
-            take(&mut directory, step, revision);
+            apply_step(&mut directory, step, revision);
         }
         let groups_agree = (0..4).all(|number| {
             let group = GroupName::new(format!("group-{number}"));
--- a/crates/coordination/tests/serving_feed.rs
+++ b/crates/coordination/tests/serving_feed.rs
@@ -1,4 +1,5 @@
-//! Who watches the state store, and the log of changes that watchers pass on.
+//! Tests of the choice of nodes that watch the state store, and of the change log that watchers
+//! forward.
 
 mod store;
 
@@ -20,7 +21,7 @@
         .collect()
 }
 
-/// Each node with those that it follows.
+/// Returns the upstreams of each node.
 fn upstreams_of<'a>(
     nodes: &'a [HomeCandidate],
     regions: &'a Regions,
@@ -54,7 +55,7 @@
     }
 }
 
-/// How many others a change passes on its way to a node.
+/// Returns the number of nodes through which a change passes before it reaches a node.
 fn distance(name: &str, upstreams: &BTreeMap<&str, Vec<&str>>) -> usize {
     let mut distance = 0;
     let mut at = name;
@@ -66,7 +67,7 @@
     distance
 }
 
-/// Three regions of a hundred nodes with this bandwidth.
+/// Returns three regions of a hundred nodes each, all with this bandwidth.
 fn large_fleet(bandwidth_mbps: u32) -> Vec<HomeCandidate> {
     let mut all = nodes("east", 100);
     all.extend(nodes("west", 100));
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn every_node_hears_of_changes_over_few_others() {
+fn every_node_receives_changes_through_few_others() {
     let regions = Regions::new();
     for (bandwidth_mbps, most) in [(200, 2), (20, 3), (2, 5), (0, 5)] {
         let all = large_fleet(bandwidth_mbps);
@@ -116,13 +117,13 @@
     let mut all = nodes("east", 20);
     all.extend(nodes("west", 30));
     let upstreams = upstreams_of(&all, &regions);
-    let afar = upstreams.iter().filter(|(name, followed)| {
+    let remote = upstreams.iter().filter(|(name, followed)| {
         let region = name.split('-').next().unwrap();
         followed
             .first()
             .is_some_and(|first| !first.starts_with(region))
     });
-    assert_eq!(afar.count(), 1, "the first node of the other region");
+    assert_eq!(remote.count(), 1, "the first node of the other region");
 }
 
 #[test]
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn nodes_with_the_most_bandwidth_pass_changes_on() {
+fn nodes_with_the_most_bandwidth_forward_changes() {
     let regions = Regions::new();
     let mut all = nodes("east", 20);
     all.extend(nodes("west", 20));
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn nodes_that_are_cut_off_together_follow_one_of_them() {
+fn nodes_partitioned_together_follow_one_of_them() {
     let mut all = nodes("east", 20);
     all.extend(nodes("west", 20));
     let regions = Regions::new();
@@ -199,7 +200,7 @@
 }
 
 #[test]
-fn a_watcher_that_the_store_turns_away_follows_another_node() {
+fn a_watcher_rejected_by_the_store_follows_another_node() {
     let mut all = nodes("east", 20);
     all.extend(nodes("west", 20));
     let regions = Regions::new();
@@ -210,17 +211,17 @@
 }
 
 #[test]
-fn nodes_that_the_store_turns_away_follow_others_wherever_they_are() {
+fn nodes_rejected_by_the_store_follow_others_in_any_region() {
     let mut all = nodes("east", 20);
     all.extend(nodes("west", 20));
     all.extend(nodes("north", 3));
     let regions = Regions::new();
     for lost in ["east", "west", "north"] {
-        let away = |name: &str| name.starts_with(lost);
-        for own in all.iter().filter(|own| away(&own.node)) {
-            let followed = store_upstreams(own, &all, &regions, |name| !away(name));
+        let rejected = |name: &str| name.starts_with(lost);
+        for own in all.iter().filter(|own| rejected(&own.node)) {
+            let followed = store_upstreams(own, &all, &regions, |name| !rejected(name));
             assert_eq!(followed.len(), 2, "{}: {followed:?}", own.node);
-            assert!(!followed.iter().any(|name| away(name)), "{followed:?}");
+            assert!(!followed.iter().any(|name| rejected(name)), "{followed:?}");
         }
     }
     let none = store_upstreams(&all[0], &all, &regions, |_| false);
@@ -239,7 +240,7 @@
 }
 
 #[test]
-fn a_log_that_lacks_changes_says_so() {
+fn a_log_that_lacks_changes_returns_none() {
     let mut log: ChangeLog<u8, u64> = ChangeLog::default();
     assert_eq!(log.since(revision(0)), None);
     log.restart(revision(10));
@@ -253,8 +254,8 @@
 }
 
 quickcheck! {
-    /// Whoever applies what the log tells ends with the newest change of each subject.
-    fn a_follower_ends_where_the_watcher_is(subjects: Vec<u8>, asked: u8) -> bool {
+    /// A follower that applies the changes in the log ends with the newest change of each subject.
+    fn a_follower_converges_to_the_watcher(subjects: Vec<u8>, asked: u8) -> bool {
         let mut log: ChangeLog<u8, (u8, u64)> = ChangeLog::default();
         log.restart(revision(0));
         let mut whole = BTreeMap::new();
@@ -274,7 +275,7 @@
 }
 
 #[test]
-fn a_log_that_began_with_a_listing_knows_everything_until_it_forgets() {
+fn a_log_that_began_with_a_listing_is_complete_until_it_drops_changes() {
     let mut log: ChangeLog<u32, &str> = ChangeLog::default();
     assert_eq!(log.everything(), None);
     log.record(revision(9), 1, "before any listing");
@@ -292,13 +293,13 @@
     assert_eq!(log.everything(), None);
 }
 
-/// What a change of the model store says of its subject: its newest content, or that it is gone.
+/// Content of a subject in the model store; `None` if it was removed.
 type Content = Option<u64>;
 
-/// A change of the model store: which subject, and what it then says.
+/// A change in the model store: the subject and its new content.
 type ModelChange = (u8, Content);
 
-/// Applies changes to what a node knows.
+/// Applies changes to a node's state.
 fn apply(known: &mut BTreeMap<u8, u64>, changes: impl IntoIterator<Item = ModelChange>) {
     for (subject, content) in changes {
         match content {
@@ -308,12 +309,12 @@
     }
 }
 
-/// Says that a subject is gone, unless its last change did.
+/// Returns the change that reports the removal of a subject, unless its last change already did.
 fn gone(subject: &u8, last: &ModelChange) -> Option<ModelChange> {
     last.1.map(|_| (*subject, None))
 }
 
-/// The store's items with their revisions.
+/// Returns the model store's entries with their revisions.
 fn listing(history: &[ModelChange]) -> Vec<(StoreRevision, u8, ModelChange)> {
     let mut newest = BTreeMap::new();
     for (number, change) in (1_u64..).zip(history) {
@@ -327,9 +328,9 @@
 }
 
 quickcheck! {
-    /// A watcher that missed changes, and read everything anew, brings a follower that knew what it
-    /// had known up to the store's state, by the changes alone.
-    fn a_follower_hears_what_its_watcher_missed(
+    /// A watcher missed changes and read a complete listing. The changes in its log alone bring a
+    /// follower, which knew an earlier state, up to the store's state.
+    fn a_follower_receives_what_its_watcher_missed(
         steps: Vec<(u8, bool)>,
         followed: u8,
         known: u8
@@ -349,8 +350,8 @@
         log.take_listing(revision(read_at), listing(&history), gone);
         let mut follower = BTreeMap::new();
         apply(&mut follower, history[..known].iter().copied());
-        let told = log.since(revision(u64::try_from(known).unwrap()));
-        apply(&mut follower, told.expect("the watcher knows everything"));
+        let changes = log.since(revision(u64::try_from(known).unwrap()));
+        apply(&mut follower, changes.expect("the watcher knows everything"));
         let mut store = BTreeMap::new();
         apply(&mut store, history);
         follower == store
@@ -358,7 +359,7 @@
 }
 
 #[test]
-fn a_listing_after_missed_changes_tells_just_those_however_much_it_lists() {
+fn a_listing_after_missed_changes_yields_only_those_changes() {
     for subjects in [1_000_u32, 2_000] {
         let first: Vec<(StoreRevision, u32, Option<u64>)> = (0..subjects)
             .map(|subject| (revision(5), subject, Some(5)))
@@ -370,8 +371,8 @@
         again[7] = (revision(15), 7, Some(15));
         again.remove(3);
         log.take_listing(revision(20), again, gone);
-        let told = log.since(revision(10)).expect("nothing is missing");
-        assert_eq!(told, [Some(15), None], "{subjects} subjects");
+        let changes = log.since(revision(10)).expect("nothing is missing");
+        assert_eq!(changes, [Some(15), None], "{subjects} subjects");
     }
 }
 
@@ -391,7 +392,7 @@
 }
 
 #[test]
-fn a_log_that_began_with_a_later_number_than_the_store_has_begins_anew() {
+fn a_log_that_began_with_a_higher_number_than_the_store_has_is_reset() {
     let [first, second] = [1, 2].map(StoreEra::new);
     let mut log: ChangeLog<&str, &str> = ChangeLog::default();
     let old = vec![(StoreRevision::new(first, 180), "database", "lost")];
@@ -405,7 +406,7 @@
 }
 
 #[test]
-fn a_log_tells_no_changes_to_who_follows_another_era() {
+fn a_log_returns_no_changes_for_another_era() {
     let mut log: ChangeLog<u8, u8> = ChangeLog::default();
     let second = StoreEra::new(2);
     log.take_listing(StoreRevision::new(second, 10), Vec::new(), |_, _| None);
@@ -417,10 +418,10 @@
     }
 }
 
-/// Items of a model store by subject: the number of the last change, and the content.
+/// Entries of a model store by subject: the number of the last change, and the content.
 type ModelItems = BTreeMap<u8, (u64, u64)>;
 
-/// A model store that may come back from a copy, and the states it had with their numbers.
+/// A model store that may be restored from a copy, with its earlier states and their numbers.
 struct ModelStore {
     era: u64,
     number: u64,
@@ -441,8 +442,8 @@
     }
 
     fn restore(&mut self, back: usize) {
-        let place = self.copies.len().saturating_sub(back);
-        self.copies.truncate(place + 1);
+        let index = self.copies.len().saturating_sub(back);
+        self.copies.truncate(index + 1);
         if let Some((number, items)) = self.copies.pop() {
             self.number = number;
             self.items = items;
@@ -455,14 +456,14 @@
         let items = self.items.iter();
         items
             .map(|(subject, (number, content))| {
-                let told = (*subject, Some(*content));
-                (StoreRevision::new(era, *number), *subject, told)
+                let change = (*subject, Some(*content));
+                (StoreRevision::new(era, *number), *subject, change)
             })
             .collect()
     }
 }
 
-/// What a follower knows, and up to where.
+/// A follower's state and the revision up to which it is known.
 #[derive(Clone, Default)]
 struct ModelFollower {
     position: StoreRevision,
@@ -471,19 +472,19 @@
 
 impl ModelFollower {
     fn follow(&mut self, log: &ChangeLog<u8, (u8, Option<u64>)>, position: StoreRevision) {
-        let told = log.since(self.position).unwrap_or_else(|| {
+        let changes = log.since(self.position).unwrap_or_else(|| {
             self.known.clear();
             log.everything().expect("the watcher listed the store")
         });
-        apply(&mut self.known, told);
+        apply(&mut self.known, changes);
         self.position = position;
     }
 }
 
 quickcheck! {
-    /// Followers that are told of changes now and then end where the store is, however often it
-    /// comes back from a copy meanwhile.
-    fn a_follower_ends_where_a_store_is_that_returns_from_copies(steps: Vec<(u8, u8)>) -> bool {
+    /// Followers that occasionally receive changes end with the store's state, however often the
+    /// store is restored from a copy in between.
+    fn a_follower_converges_to_a_store_that_is_restored_from_copies(steps: Vec<(u8, u8)>) -> bool {
         let mut store = ModelStore {
             era: 1,
             number: 0,
--- a/crates/coordination/tests/serving_fencing.rs
+++ b/crates/coordination/tests/serving_fencing.rs
@@ -1,4 +1,4 @@
-//! Fencing tokens follow the order of claims across eras of the store.
+//! Tests that fencing tokens follow the order of claims across eras of the store.
 
 use hookpoint_coordination::serving::fencing::FencingToken;
 use hookpoint_state::{StoreEra, StoreRevision};
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_token_that_would_equal_another_one_is_not_made() {
+fn a_token_that_would_not_be_unique_is_not_created() {
     assert!(token(1, 5, 4_095).is_some());
     assert_eq!(token(1, 5, 4_096), None);
     assert_eq!(token(1, 1 << 36, 1), None);
--- a/crates/coordination/tests/serving_fleet.rs
+++ b/crates/coordination/tests/serving_fleet.rs
@@ -1,4 +1,4 @@
-//! Homes chosen zone by zone, and what a node that comes or goes changes of them.
+//! Tests of the per-zone choice of home nodes, and of how it changes when a node joins or leaves.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use hookpoint_state::{DatabaseName, ZoneName};
 use quickcheck::quickcheck;
 
-/// Homes that a database has in these tests.
+/// Number of home nodes of a database in these tests.
 const HOMES: usize = 6;
 const ZONES: usize = 6;
 
@@ -41,8 +41,9 @@
 }
 
 quickcheck! {
-    /// The choice is that among all nodes, however few of them stand in the zone.
-    fn homes_are_those_of_the_whole_fleet(numbers: Vec<u8>, wanted: u8, count: u8) -> bool {
+    /// The choice equals the choice among all nodes, however few of them are in the database's
+    /// zone.
+    fn home_nodes_match_a_choice_among_the_whole_fleet(numbers: Vec<u8>, wanted: u8, count: u8) -> bool {
         let distinct: BTreeMap<u8, HomeCandidate> =
             numbers.iter().map(|number| (*number, node(usize::from(*number)))).collect();
         let nodes: Vec<HomeCandidate> = distinct.into_values().collect();
@@ -53,49 +54,50 @@
         fleet(&nodes).choose_homes(&name, &zone, count) == control
     }
 
-    /// A node wins a place just where it changes the homes.
-    fn a_node_that_comes_changes_just_the_homes_that_it_wins(present: Vec<u8>, comes: u8) -> bool {
-        let comes = node(usize::from(comes));
+    /// A joining node ranks high enough exactly for the databases whose home nodes change.
+    fn a_joining_node_changes_only_the_home_nodes_it_replaces(present: Vec<u8>, joining: u8) -> bool {
+        let joining = node(usize::from(joining));
         let mut nodes: Vec<HomeCandidate> =
             present.iter().map(|number| node(usize::from(*number))).collect();
-        nodes.retain(|present| *present != comes);
+        nodes.retain(|present| *present != joining);
         let before = fleet(&nodes);
         let mut after = before.clone();
-        after.join(comes.clone());
+        after.join(joining.clone());
         (0..20).all(|number| {
             let (name, zone) = database(number);
             let known = homes(&before, number);
             let has_room = known.len() < HOMES;
-            let wins = has_room || wins_place(&name, &zone, &known, &comes);
+            let wins = has_room || wins_place(&name, &zone, &known, &joining);
             wins == (homes(&after, number) != known)
         })
     }
 
-    /// What a node takes along, in a fleet that it leaves, is the homes that it was.
-    fn a_node_that_goes_changes_just_the_homes_that_it_was(present: Vec<u8>, goes: u8) -> bool {
-        let goes = node(usize::from(goes));
+    /// A leaving node changes the home nodes of exactly those databases that had it as a home node.
+    fn a_leaving_node_changes_only_databases_it_was_home_node_of(present: Vec<u8>, leaving: u8) -> bool {
+        let leaving = node(usize::from(leaving));
         let mut nodes: Vec<HomeCandidate> =
             present.iter().map(|number| node(usize::from(*number))).collect();
-        nodes.push(goes.clone());
+        nodes.push(leaving.clone());
         let before = fleet(&nodes);
         let mut after = before.clone();
-        after.leave(&goes.node);
+        after.leave(&leaving.node);
         (0..20).all(|number| {
             let known = homes(&before, number);
-            known.contains(&goes) == (homes(&after, number) != known)
+            known.contains(&leaving) == (homes(&after, number) != known)
         })
     }
 }
 
-/// Databases whose homes change as one node joins `nodes` others before `databases`.
+/// Returns how many of `databases` databases get other home nodes when one node joins `nodes`
+/// others.
 fn changed_by_a_join(nodes: usize, databases: usize) -> usize {
     let present: Vec<HomeCandidate> = (0..nodes).map(node).collect();
     let fleet = fleet(&present);
-    let comes = node(nodes);
+    let joining = node(nodes);
     (0..databases)
         .filter(|number| {
             let (name, zone) = database(*number);
-            wins_place(&name, &zone, &homes(&fleet, *number), &comes)
+            wins_place(&name, &zone, &homes(&fleet, *number), &joining)
         })
         .count()
 }
@@ -106,7 +108,7 @@
     let large = changed_by_a_join(480, 1_440);
     let fair_share = 720 * HOMES / 240;
     for changed in [small, large] {
-        assert!(changed > 0, "the node is home of nothing");
+        assert!(changed > 0, "the node is home node of no database");
         assert!(changed <= fair_share * 2, "{small} and {large} databases");
     }
 }
--- a/crates/coordination/tests/serving_handover.rs
+++ b/crates/coordination/tests/serving_handover.rs
@@ -1,4 +1,4 @@
-//! When a group's primary moves, and where to.
+//! Tests of when a group's primary moves, and to which database.
 
 mod store;
 
@@ -53,7 +53,8 @@
     Timestamp(60_000_000) + Duration::from_millis(millis)
 }
 
-/// The move of a primary among two other databases, `a` and `b`: why, and where to.
+/// Returns the planned move of a primary in a group with two other databases, `a` and `b`: its
+/// reason and its targets.
 fn planned(
     present: Drawbacks,
     stayed: Option<Duration>,
@@ -67,7 +68,7 @@
 }
 
 #[test]
-fn a_primary_moves_for_the_first_reason_that_a_better_place_relieves_it_of() {
+fn a_primary_moves_for_the_first_reason_that_a_target_resolves() {
     use MoveReason::{Cold, Evacuated, Leaving, OutsideRegions};
     let both = Drawbacks {
         leaving: true,
@@ -102,26 +103,33 @@
 }
 
 #[test]
-fn only_what_cannot_wait_moves_a_primary_that_was_promoted_lately() {
-    let lately = Some(MIN_STAY - Duration::from_millis(1));
+fn only_urgent_reasons_move_a_recently_promoted_primary() {
+    let recently = Some(MIN_STAY - Duration::from_millis(1));
     for urgent in [EVACUATED, LEAVING] {
-        assert!(planned(urgent, lately, NONE, NONE).is_some(), "{urgent:?}");
+        assert!(
+            planned(urgent, recently, NONE, NONE).is_some(),
+            "{urgent:?}"
+        );
     }
-    for patient in [OUTSIDE, COLD] {
-        assert_eq!(planned(patient, lately, NONE, NONE), None, "{patient:?}");
-        assert_eq!(reason_to_move(patient, lately), None);
-        assert!(planned(patient, Some(MIN_STAY), NONE, NONE).is_some());
+    for deferrable in [OUTSIDE, COLD] {
+        assert_eq!(
+            planned(deferrable, recently, NONE, NONE),
+            None,
+            "{deferrable:?}"
+        );
+        assert_eq!(reason_to_move(deferrable, recently), None);
+        assert!(planned(deferrable, Some(MIN_STAY), NONE, NONE).is_some());
     }
 }
 
 #[test]
-fn a_move_is_wanted_though_there_is_no_place_for_it() {
+fn a_reason_to_move_exists_even_without_a_target() {
     assert_eq!(reason_to_move(EVACUATED, None), Some(MoveReason::Evacuated));
     assert_eq!(planned(EVACUATED, None, EVACUATED, EVACUATED), None);
 }
 
 #[test]
-fn a_place_is_judged_by_its_zone_and_by_the_regions_allowed() {
+fn drawbacks_follow_from_the_zone_and_the_allowed_regions() {
     let place = |zone, region: Option<&str>| Place {
         leaving: false,
         zone,
@@ -146,7 +154,7 @@
     }
 }
 
-fn any(bits: u8) -> Drawbacks {
+fn drawbacks_from_bits(bits: u8) -> Drawbacks {
     Drawbacks {
         evacuated: bits & 1 != 0,
         leaving: bits & 2 != 0,
@@ -157,14 +165,14 @@
 }
 
 quickcheck! {
-    /// Whatever speaks against each database, a primary that always moves to any of the targets
-    /// comes to rest after as many moves as there are other databases at the most.
-    fn reasons_never_move_a_primary_to_and_fro(all: Vec<u8>, choices: Vec<usize>) -> bool {
+    /// Whatever the drawbacks of each database, a primary that always moves to any of the targets
+    /// stops moving after at most as many moves as there are other databases.
+    fn reasons_never_move_a_primary_back_and_forth(all: Vec<u8>, choices: Vec<usize>) -> bool {
         let places: Vec<(DatabaseName, Drawbacks)> = all
             .iter()
             .take(8)
             .enumerate()
-            .map(|(number, bits)| (name(&format!("d{number}")), any(*bits)))
+            .map(|(number, bits)| (name(&format!("d{number}")), drawbacks_from_bits(*bits)))
             .collect();
         let mut leader = 0;
         for moves in 0..=places.len() {
@@ -182,14 +190,14 @@
         false
     }
 
-    /// The replica that is chosen is always one of the targets, unless it holds nothing.
+    /// The chosen replica is always one of the targets, provided that it holds commits.
     fn the_chosen_replica_is_a_target(present: u8, a: (u8, u64), b: (u8, u64)) -> bool {
         let replicas: Vec<ReplicaState> = [("a", a), ("b", b)]
             .into_iter()
-            .map(|(text, (bits, received))| replica(text, 1 + received % 9, any(bits)))
+            .map(|(text, (bits, received))| replica(text, 1 + received % 9, drawbacks_from_bits(bits)))
             .collect();
         let others: Vec<_> = replicas.iter().map(|state| (state.name.clone(), state.drawbacks)).collect();
-        match plan_move(any(present), None, &others) {
+        match plan_move(drawbacks_from_bits(present), None, &others) {
             None => true,
             Some(planned) => {
                 let chosen = choose_target(&replicas, 2, 0, &planned.targets).unwrap();
@@ -199,10 +207,10 @@
     }
 }
 
-/// The control of the property above: judged by each reason alone, two databases hand the
-/// primary to each other for ever.
+/// Negative control of the property above: if each reason is considered alone, two databases hand
+/// the primary back and forth forever.
 #[test]
-fn without_an_order_of_reasons_a_primary_would_move_to_and_fro() {
+fn without_an_order_of_reasons_a_primary_would_move_back_and_forth() {
     let alone = |present: Drawbacks, other: Drawbacks| {
         let reasons = [MoveReason::OutsideRegions, MoveReason::Cold];
         reasons
@@ -224,7 +232,7 @@
 }
 
 #[test]
-fn the_candidate_is_in_the_best_place_and_never_an_empty_one_before_one_that_holds_commits() {
+fn the_candidate_has_the_fewest_drawbacks_and_is_never_empty_if_another_holds_commits() {
     let rows = [
         (replica("a", 9, EVACUATED), replica("b", 5, NONE), 0, "b"),
         (replica("a", 9, EVACUATED), replica("b", 5, NONE), 1, "a"),
@@ -246,7 +254,8 @@
     }
 }
 
-/// The replica that has received most may stand where the primary must not move.
+/// Guards against moving the primary to the replica that has received most if that replica is in a
+/// location to which the primary must not move.
 #[test]
 fn a_planned_move_chooses_among_its_targets_alone() {
     let replicas = [replica("a", 900, EVACUATED), replica("b", 5, NONE)];
@@ -260,7 +269,7 @@
 }
 
 #[test]
-fn a_candidate_that_lacks_commits_is_waited_for_but_an_empty_one_never_leads() {
+fn a_candidate_that_lacks_commits_is_waited_for_but_an_empty_one_is_never_promoted() {
     let held = Some(Position::new(3, 40));
     let long = MAX_CATCH_UP_WAIT;
     let short = MAX_CATCH_UP_WAIT - Duration::from_millis(1);
@@ -283,7 +292,7 @@
 }
 
 #[test]
-fn planned_moves_leave_the_promotion_service_room() {
+fn planned_moves_leave_capacity_of_the_promotion_service() {
     let rate = 50.0;
     let mut pace = HandoverPace::default();
     let started = (0..100)
@@ -299,7 +308,7 @@
 }
 
 #[test]
-fn a_service_that_tells_no_rate_sets_no_pace() {
+fn a_service_that_reports_no_rate_sets_no_limit() {
     let mut pace = HandoverPace::default();
     assert!((0..100).all(|_| pace.take(0.0, at(0))));
 }
@@ -308,7 +317,7 @@
 const RETURN: Duration = Duration::from_millis(4_000);
 
 #[test]
-fn a_zone_is_emptied_shut_and_given_back() {
+fn a_zone_is_evacuated_closed_and_reopened() {
     let zone = ZoneName::new("z");
     let mut known = Evacuations::default();
     assert!(known.is_empty());
@@ -319,7 +328,7 @@
     assert_eq!(standing(&known, at(2_500)), ZoneStanding::Evacuated);
     assert!(
         !known.take(&zone, false, revision(4), at(2_600)),
-        "an older word"
+        "an older message"
     );
     assert!(known.take(&zone, false, revision(6), at(3_000)));
     assert_eq!(known.age(&zone, at(3_000)), None);
@@ -328,7 +337,7 @@
 }
 
 #[test]
-fn a_request_that_is_repeated_keeps_its_age_and_one_made_anew_begins_anew() {
+fn a_repeated_request_keeps_its_age_and_a_new_one_starts_over() {
     let zone = ZoneName::new("z");
     let mut known = Evacuations::default();
     known.take(&zone, true, revision(5), at(0));
@@ -346,15 +355,15 @@
 }
 
 #[test]
-fn a_listing_ends_what_it_lacks_and_an_end_is_passed_on() {
+fn a_listing_ends_absent_requests_and_ends_are_forwarded() {
     let [first, second] = ["a", "b"].map(ZoneName::new);
     let mut known = Evacuations::default();
     known.take(&first, true, revision(5), at(0));
     let changed = known.replace(&[(second.clone(), revision(6))], revision(8), at(100));
     assert_eq!(changed, [second.clone(), first.clone()]);
-    let told: Vec<_> = known.known().collect();
+    let entries: Vec<_> = known.known().collect();
     assert_eq!(
-        told,
+        entries,
         [(&first, false, revision(8)), (&second, true, revision(6))]
     );
     let mut behind = Evacuations::default();
@@ -369,12 +378,12 @@
 }
 
 #[test]
-fn a_request_holds_on_while_a_store_that_lost_it_may_have_it_written_again() {
-    let [lost, taken_back] = ["a", "b"].map(ZoneName::new);
+fn a_lost_request_stays_in_force_while_it_may_be_rewritten() {
+    let [lost, withdrawn] = ["a", "b"].map(ZoneName::new);
     let restored = |number| StoreRevision::new(StoreEra::new(2), number);
     let mut known = Evacuations::default();
     known.take(&lost, true, revision(8), at(0));
-    known.take(&taken_back, true, revision(9), at(0));
+    known.take(&withdrawn, true, revision(9), at(0));
     assert!(known.replace(&[], restored(5), at(10_000)).is_empty());
     assert!(known.replace(&[], restored(6), at(11_000)).is_empty());
     assert!(!known.take(&lost, true, restored(7), at(12_000)));
@@ -382,12 +391,12 @@
     let before = over - Duration::from_millis(1);
     assert!(known.end_unlisted(restored(9), before).is_empty());
     let ended = known.end_unlisted(restored(9), over);
-    assert_eq!(ended, std::slice::from_ref(&taken_back));
+    assert_eq!(ended, std::slice::from_ref(&withdrawn));
     assert_eq!(
         known.age(&lost, over),
         Some(over.since(at(0))),
         "still the same"
     );
-    assert_eq!(known.age(&taken_back, over), None);
+    assert_eq!(known.age(&withdrawn, over), None);
     assert!(known.end_unlisted(restored(9), over).is_empty());
 }
--- a/crates/coordination/tests/serving_homes.rs
+++ b/crates/coordination/tests/serving_homes.rs
@@ -1,4 +1,4 @@
-//! When a node that starts may take the members that it knows for the fleet.
+//! Tests of when a starting node may take the members that it knows for the whole fleet.
 
 use std::time::Duration;
 
--- a/crates/coordination/tests/serving_interest.rs
+++ b/crates/coordination/tests/serving_interest.rs
@@ -1,4 +1,4 @@
-//! How closely a group's primary is watched, by how much the group is used.
+//! Tests of how often a group's primary is queried, depending on how much the group is used.
 
 use std::time::Duration;
 
@@ -7,25 +7,25 @@
 use quickcheck::quickcheck;
 
 const START: Timestamp = Timestamp(60_000_000);
-/// Pause between two looks of a node at the primaries that it watches.
-const LOOK: Duration = Duration::from_millis(250);
+/// Interval at which a node checks the primaries that it tracks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 fn at(millis: u64) -> Timestamp {
     START + Duration::from_millis(millis)
 }
 
-/// Questions taken in `looks` looks by one with the `interest`.
-fn questions_in(interest: &mut Interest, looks: usize) -> usize {
-    (0..looks).filter(|_| interest.take_question()).count()
+/// Returns the number of status queries that `interest` allows in `checks` checks.
+fn queries_in(interest: &mut Interest, checks: usize) -> usize {
+    (0..checks).filter(|_| interest.take_question()).count()
 }
 
 #[test]
-fn what_nobody_uses_is_not_watched() {
+fn an_unused_group_is_not_queried() {
     let mut interest = Interest::default();
     assert!(interest.is_over(START));
     assert!(!interest.is_in_use(START));
     assert!(!interest.expects_use(START));
-    assert_eq!(questions_in(&mut interest, 1_000), 0);
+    assert_eq!(queries_in(&mut interest, 1_000), 0);
 }
 
 #[test]
@@ -34,7 +34,7 @@
     interest.note_use(START);
     assert!(interest.is_in_use(at(2_000)));
     assert!(!interest.expects_use(at(100)));
-    assert_eq!(questions_in(&mut interest, 1_000), 2);
+    assert_eq!(queries_in(&mut interest, 1_000), 2);
     assert!(interest.is_over(at(3_000)));
 }
 
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_request_that_waits_for_word_of_the_primary_has_it_asked_for() {
+fn a_request_that_waits_for_the_primary_triggers_sampling() {
     let mut interest = Interest::default();
     interest.note_use(START);
     assert!(!interest.wants_samples(at(10)));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_group_in_steady_use_is_kept_known() {
+fn a_group_in_steady_use_is_kept_up_to_date() {
     let mut interest = Interest::default();
     for millis in (0..2_000).step_by(10) {
         interest.note_use(at(millis));
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_group_that_is_used_again_and_again_is_kept_known() {
+fn a_repeatedly_used_group_is_kept_up_to_date() {
     let cases = [
         ("every second", 1_000, 2_900, true),
         ("every ten seconds", 10_000, 19_000, true),
@@ -83,23 +83,24 @@
 }
 
 #[test]
-fn a_primary_in_steady_use_is_asked_at_each_look() {
+fn a_primary_in_steady_use_is_queried_at_each_check() {
     let mut interest = Interest::default();
-    let mut asked = 0;
-    for look in 0..100 {
-        let now = START + LOOK * look;
+    let mut queries_sent = 0;
+    for check in 0..100 {
+        let now = START + CHECK_INTERVAL * check;
         interest.note_use(now);
-        interest.note_use(now + LOOK / 2);
-        asked += questions_in(&mut interest, 1);
+        interest.note_use(now + CHECK_INTERVAL / 2);
+        queries_sent += queries_in(&mut interest, 1);
     }
-    assert_eq!(asked, 100);
+    assert_eq!(queries_sent, 100);
 }
 
 quickcheck! {
-    /// A node's questions are bounded by its work, whenever that comes.
-    fn questions_are_bounded_by_uses(uses: Vec<(u16, bool)>) -> bool {
+    /// The number of a node's status queries is bounded by the number of uses, whenever they
+    /// happen.
+    fn queries_are_bounded_by_uses(uses: Vec<(u16, bool)>) -> bool {
         let mut interest = Interest::default();
-        let mut asked = 0;
+        let mut queries_sent = 0;
         let mut now = START;
         for (pause, own) in &uses {
             now = now + Duration::from_millis(u64::from(*pause));
@@ -108,8 +109,8 @@
             } else {
                 interest.note_relied_on(now);
             }
-            asked += questions_in(&mut interest, usize::from(*pause) / 250);
+            queries_sent += queries_in(&mut interest, usize::from(*pause) / 250);
         }
-        asked + questions_in(&mut interest, 1_000) <= uses.len() * 2
+        queries_sent + queries_in(&mut interest, 1_000) <= uses.len() * 2
     }
 }
--- a/crates/coordination/tests/serving_isolation.rs
+++ b/crates/coordination/tests/serving_isolation.rs
@@ -1,12 +1,12 @@
-//! When a node takes itself for cut off from the fleet.
+//! Tests of when a node considers itself partitioned from the fleet.
 
 use std::time::Duration;
 
 use hookpoint_coordination::serving::isolation::{Isolation, IsolationChange, Surroundings};
 use hookpoint_state::Timestamp;
 
-/// Pause between two looks.
-const LOOK: Duration = Duration::from_millis(50);
+/// Interval between two observations.
+const OBSERVATION_INTERVAL: Duration = Duration::from_millis(50);
 
 fn seen(
     groups: usize,
@@ -22,7 +22,7 @@
     }
 }
 
-/// Shows `surroundings` for a time; what changed.
+/// Applies `surroundings` for `time` and returns the resulting changes.
 fn watch(
     isolation: &mut Isolation,
     now: &mut Timestamp,
@@ -33,7 +33,7 @@
     let mut changes = Vec::new();
     while *now < until {
         changes.extend(isolation.note(surroundings, *now));
-        *now = *now + LOOK;
+        *now = *now + OBSERVATION_INTERVAL;
     }
     changes
 }
@@ -41,7 +41,7 @@
 #[test]
 fn only_the_loss_of_most_primaries_and_most_peers_is_isolation() {
     let cases = [
-        ("all well", seen(8, 0, 0, 0), false),
+        ("no faults", seen(8, 0, 0, 0), false),
         (
             "most primaries died, peers answer",
             seen(8, 8, 10, 0),
@@ -53,13 +53,13 @@
             false,
         ),
         (
-            "a few primaries behind a cut that spares others",
+            "half of the primaries behind a partition, others reachable",
             seen(8, 4, 10, 10),
             false,
         ),
-        ("behind a cut", seen(8, 5, 10, 10), true),
-        ("behind a cut, one peer reached", seen(8, 8, 10, 9), true),
-        ("nobody asks for anything", seen(0, 0, 10, 10), false),
+        ("partitioned", seen(8, 5, 10, 10), true),
+        ("partitioned, one peer reachable", seen(8, 8, 10, 9), true),
+        ("no group in use", seen(0, 0, 10, 10), false),
         ("no peer is known", seen(8, 8, 0, 0), false),
     ];
     for (case, surroundings, isolated) in cases {
@@ -75,20 +75,26 @@
     }
 }
 
-/// A node that is cut off has its callers go elsewhere, so no group is in use any more.
+/// The callers of an isolated node go to other nodes, so no group is in use on it any more. It must
+/// not rejoin for that reason alone.
 #[test]
-fn a_node_whose_callers_went_away_stays_cut_off_until_peers_are_heard() {
+fn an_isolated_node_without_callers_stays_isolated_until_peers_answer() {
     let mut isolation = Isolation::default();
     let mut now = Timestamp(1_000_000);
-    let cut = seen(8, 8, 10, 10);
-    watch(&mut isolation, &mut now, cut, Duration::from_secs(2));
+    let partitioned = seen(8, 8, 10, 10);
+    watch(
+        &mut isolation,
+        &mut now,
+        partitioned,
+        Duration::from_secs(2),
+    );
     let unused = seen(0, 0, 10, 10);
     assert!(watch(&mut isolation, &mut now, unused, Duration::from_secs(20)).is_empty());
-    let peers_heard = seen(0, 0, 10, 2);
+    let peers_answer = seen(0, 0, 10, 2);
     let changes = watch(
         &mut isolation,
         &mut now,
-        peers_heard,
+        peers_answer,
         Duration::from_secs(1),
     );
     assert!(matches!(changes[..], [IsolationChange::Rejoined(_)]));
@@ -96,19 +102,48 @@
 
 #[test]
 fn a_short_loss_changes_nothing_and_a_short_contact_does_not_end_it() {
-    let cut = seen(8, 8, 10, 10);
-    let well = seen(8, 0, 0, 0);
+    let partitioned = seen(8, 8, 10, 10);
+    let healthy = seen(8, 0, 0, 0);
     let mut isolation = Isolation::default();
     let mut now = Timestamp(1_000_000);
     for _ in 0..5 {
-        assert!(watch(&mut isolation, &mut now, cut, Duration::from_millis(600)).is_empty());
-        assert!(watch(&mut isolation, &mut now, well, LOOK).is_empty());
+        assert!(
+            watch(
+                &mut isolation,
+                &mut now,
+                partitioned,
+                Duration::from_millis(600)
+            )
+            .is_empty()
+        );
+        assert!(watch(&mut isolation, &mut now, healthy, OBSERVATION_INTERVAL).is_empty());
     }
-    let changes = watch(&mut isolation, &mut now, cut, Duration::from_secs(2));
+    let changes = watch(
+        &mut isolation,
+        &mut now,
+        partitioned,
+        Duration::from_secs(2),
+    );
     assert_eq!(changes, [IsolationChange::Isolated]);
-    assert!(watch(&mut isolation, &mut now, well, Duration::from_millis(400)).is_empty());
-    assert!(watch(&mut isolation, &mut now, cut, Duration::from_secs(1)).is_empty());
-    let changes = watch(&mut isolation, &mut now, well, Duration::from_secs(1));
+    assert!(
+        watch(
+            &mut isolation,
+            &mut now,
+            healthy,
+            Duration::from_millis(400)
+        )
+        .is_empty()
+    );
+    assert!(
+        watch(
+            &mut isolation,
+            &mut now,
+            partitioned,
+            Duration::from_secs(1)
+        )
+        .is_empty()
+    );
+    let changes = watch(&mut isolation, &mut now, healthy, Duration::from_secs(1));
     assert!(matches!(changes[..], [IsolationChange::Rejoined(_)]));
     assert!(isolation.since().is_none());
 }
--- a/crates/coordination/tests/serving_placement.rs
+++ b/crates/coordination/tests/serving_placement.rs
@@ -1,5 +1,5 @@
-//! Where statements may run and pass through: routes' and tenants' regions, and what changes
-//! while a statement waits.
+//! Tests of where statements may run and pass through: the regions of routes and tenants, and
+//! changes while a statement waits.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
 
 const ROUTE: &str = "main";
 const GROUP: &str = "orders";
-/// Regions of the tests: a zone `NAME-0` and a zone `NAME-1` are in each.
+/// Regions of the tests; each contains the zones `NAME-0` and `NAME-1`.
 const REGIONS: [&str; 4] = ["north", "east", "south", "west"];
 
 fn set(names: &[&str]) -> BTreeSet<RegionName> {
@@ -72,7 +72,7 @@
     }
 }
 
-/// A database called as its region, in the region's first zone.
+/// Returns a database named after its region, in the region's first zone.
 fn database(region: &str) -> Database {
     Database {
         name: DatabaseName::new(region),
@@ -87,8 +87,8 @@
     }
 }
 
-/// The regions of [`REGIONS`] whose databases a placement permits; fails if it treats
-/// carriers another way.
+/// Returns the regions of [`REGIONS`] whose databases a placement permits; fails if forwarding
+/// nodes are treated differently.
 fn permitted(placement: &Rc<Placement>) -> BTreeSet<RegionName> {
     let known = regions();
     let mut found = BTreeSet::new();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn the_regions_of_route_and_tenant_both_bind() {
+fn the_regions_of_route_and_tenant_both_apply() {
     let rows: [(&[&str], &[&str], &[&str]); 7] = [
         (&[], &[], &REGIONS),
         (&["east"], &[], &["east"]),
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_tenants_regions_bind_nobody_else() {
+fn a_tenants_regions_apply_to_no_other_principal() {
     let known = configuration(&[(ROUTE, &[])], &["east"]);
     let admitted = &known.routes[ROUTE];
     let anonymous = Principal::Anonymous;
@@ -135,18 +135,18 @@
 #[test]
 fn a_zone_of_unknown_region_is_in_no_allowed_one() {
     let unknown = ZoneName::new("unknown");
-    let confined = Placement::of(&set(&["north"]), None);
-    assert!(!confined.may_run(&unknown, &regions()));
-    assert!(!confined.may_carry(&unknown, &regions()));
+    let restricted = Placement::of(&set(&["north"]), None);
+    assert!(!restricted.may_run(&unknown, &regions()));
+    assert!(!restricted.may_carry(&unknown, &regions()));
     assert!(Placement::unrestricted().may_run(&unknown, &regions()));
 }
 
 #[test]
-fn the_newest_configuration_places_a_statement_that_waits() {
+fn the_newest_configuration_applies_to_a_waiting_statement() {
     let before = configuration(&[(ROUTE, &["north", "east"])], &[]);
     let admitted = &before.routes[ROUTE];
     let chosen_by = Placement::of(&admitted.allowed_regions, None);
-    // Regions now, which databases they permit, and whether a choice made before stands.
+    // The new regions, the databases they permit, and whether an earlier choice is covered.
     let rows: [(&[&str], &[&str], bool); 6] = [
         (&["north", "east"], &["north", "east"], true),
         (
@@ -159,22 +159,22 @@
         (&["south"], &["south"], false),
         (&["east", "south"], &["east", "south"], false),
     ];
-    for (now, expected, stands) in rows {
+    for (now, expected, covered) in rows {
         let after = configuration(&[(ROUTE, now)], &[]);
         let placement = Placement::in_force(Some(&after), ROUTE, admitted, &tenant());
-        assert_eq!(placement.covers(&chosen_by), stands, "{now:?}");
+        assert_eq!(placement.covers(&chosen_by), covered, "{now:?}");
         assert_eq!(permitted(&Rc::new(placement)), set(expected), "{now:?}");
     }
     let removed = configuration(&[("other", &[])], &[]);
     let placement = Placement::in_force(Some(&removed), ROUTE, admitted, &tenant());
-    assert_eq!(placement, chosen_by, "the route has gone");
-    let confined = configuration(&[(ROUTE, &["north", "east"])], &["east"]);
-    let placement = Placement::in_force(Some(&confined), ROUTE, admitted, &tenant());
-    assert!(!placement.covers(&chosen_by), "the tenant was confined");
+    assert_eq!(placement, chosen_by, "the route was removed");
+    let restricted = configuration(&[(ROUTE, &["north", "east"])], &["east"]);
+    let placement = Placement::in_force(Some(&restricted), ROUTE, admitted, &tenant());
+    assert!(!placement.covers(&chosen_by), "the tenant was restricted");
 }
 
 #[test]
-fn what_no_permitted_database_can_run_is_known_at_once() {
+fn a_statement_that_no_permitted_database_can_run_is_detected_at_once() {
     use Need::{AnyDatabase, Primary};
     use Obstacle::{NoCommonRegion, NoDatabase, PrimaryOutside};
     struct Row {
@@ -203,7 +203,7 @@
             None,
             Some(PrimaryOutside),
         ),
-        // It is being replaced: by one inside, by one outside, by the one that leads.
+        // The primary is being replaced by a database inside, by one outside, and by itself.
         row(&["east"], Primary, Some("north"), Some("east"), None),
         row(
             &["east"],
@@ -219,7 +219,7 @@
             Some("north"),
             Some(PrimaryOutside),
         ),
-        // Nobody is known to lead, or one that is no longer used.
+        // No leader is known, or the leader is no longer in use.
         row(&["east"], Primary, None, None, None),
         row(&["east"], Primary, Some("gone"), None, None),
         // The west has no database.
@@ -252,7 +252,7 @@
 }
 
 #[test]
-fn a_primary_is_wanted_where_all_confined_routes_agree() {
+fn primary_regions_are_those_common_to_all_restricted_routes() {
     type Routes<'a> = &'a [(&'a str, &'a [&'a str])];
     let rows: [(Routes<'_>, Option<&[&str]>); 5] = [
         (&[("a", &[]), ("b", &[])], None),
@@ -268,7 +268,7 @@
         ),
     ];
     for (routes, expected) in rows {
-        // What a tenant is confined to moves no primary.
+        // A tenant's regions never move a primary.
         let known = configuration(routes, &["south"]);
         let found = primary_regions(&known);
         let group = GroupName::new(GROUP);
@@ -277,45 +277,46 @@
     }
 }
 
-/// The regions whose bits are set in `bits`.
+/// Returns the regions whose bits are set in `bits`.
 fn chosen(bits: u8) -> BTreeSet<RegionName> {
     let names = REGIONS.iter().enumerate();
     let chosen = names.filter(|(index, _)| bits & (1 << index) != 0);
     chosen.map(|(_, name)| RegionName::new(name)).collect()
 }
 
-/// Whether nothing is permitted, or carried, outside the regions of the route or the tenant.
-fn keeps_inside(
+/// Returns whether nothing is permitted, to run or to be forwarded, outside the regions of the
+/// route or the tenant.
+fn stays_inside(
     placement: Placement,
     route: &BTreeSet<RegionName>,
     tenant: &BTreeSet<RegionName>,
 ) -> bool {
-    let binds_outside = |regions: &BTreeSet<RegionName>, region: &RegionName| {
+    let is_violated = |regions: &BTreeSet<RegionName>, region: &RegionName| {
         !regions.is_empty() && !regions.contains(region)
     };
     let permitted = permitted(&Rc::new(placement));
-    let misplaced = permitted
+    let violation = permitted
         .iter()
-        .any(|region| binds_outside(route, region) || binds_outside(tenant, region));
-    !misplaced
+        .any(|region| is_violated(route, region) || is_violated(tenant, region));
+    !violation
 }
 
 quickcheck! {
     fn nothing_is_permitted_outside_either_set(route: u8, tenant: u8) -> bool {
         let (route, tenant) = (chosen(route), chosen(tenant));
-        keeps_inside(Placement::of(&route, Some(&tenant)), &route, &tenant)
+        stays_inside(Placement::of(&route, Some(&tenant)), &route, &tenant)
     }
 
-    fn a_choice_that_stands_is_still_permitted(before: u8, after: u8) -> bool {
+    fn a_covered_choice_is_still_permitted(before: u8, after: u8) -> bool {
         let before = Rc::new(Placement::of(&chosen(before), None));
         let after = Rc::new(Placement::of(&chosen(after), None));
         let (was, is) = (permitted(&before), permitted(&after));
-        // A zone of unknown region may be in none that is named, so no set stands for any.
+        // A zone of unknown region is in no named region, so no set covers all zones.
         let lost_unknown = after.is_restricted() && !before.is_restricted();
         after.covers(&before) == (was.is_subset(&is) && !lost_unknown)
     }
 
-    fn a_wanted_primary_suits_every_confined_route(first: u8, second: u8, third: u8) -> bool {
+    fn primary_regions_suit_every_restricted_route(first: u8, second: u8, third: u8) -> bool {
         let sets = [first, second, third].map(chosen);
         let mut known = configuration(&[], &[]);
         for (index, allowed) in sets.iter().enumerate() {
@@ -334,23 +335,23 @@
     }
 }
 
-/// The control: a placement that heeds only one of the two sets is found out.
+/// Negative control: the property detects a placement that applies only one of the two sets.
 #[test]
-fn a_placement_that_heeds_only_one_set_is_found_out() {
+fn a_placement_that_applies_only_one_set_is_detected() {
     fn route_alone(route: u8, tenant: u8) -> bool {
         let (route, tenant) = (chosen(route), chosen(tenant));
-        keeps_inside(Placement::of(&route, None), &route, &tenant)
+        stays_inside(Placement::of(&route, None), &route, &tenant)
     }
     fn tenant_alone(route: u8, tenant: u8) -> bool {
         let (route, tenant) = (chosen(route), chosen(tenant));
-        keeps_inside(
+        stays_inside(
             Placement::of(&BTreeSet::new(), Some(&tenant)),
             &route,
             &tenant,
         )
     }
-    for careless in [route_alone, tenant_alone] {
-        let outcome = QuickCheck::new().quicktest(careless as fn(u8, u8) -> bool);
-        assert!(outcome.is_err(), "nothing was found");
+    for incomplete in [route_alone, tenant_alone] {
+        let outcome = QuickCheck::new().quicktest(incomplete as fn(u8, u8) -> bool);
+        assert!(outcome.is_err(), "the property found no violation");
     }
 }
--- a/crates/coordination/tests/serving_primary_lease.rs
+++ b/crates/coordination/tests/serving_primary_lease.rs
@@ -1,4 +1,4 @@
-//! Leases on primaries: who may use one, and when it may be replaced.
+//! Tests of primary leases: which node may use a primary, and when the primary may be replaced.
 
 mod store;
 
@@ -13,9 +13,9 @@
 use hookpoint_state::{StoreRevision, Timestamp};
 use store::revision;
 
-const LIFE: u64 = 7;
+const PROCESS: u64 = 7;
 const COORDINATOR: StoreRevision = revision(100);
-const MOMENT: Duration = Duration::from_millis(1);
+const ONE_MILLISECOND: Duration = Duration::from_millis(1);
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(60_000 + millis)
@@ -39,17 +39,20 @@
             life: 1,
             time: at(0),
         },
-        told: told.map(|time| ProcessTime { life: LIFE, time }),
+        told: told.map(|time| ProcessTime {
+            life: PROCESS,
+            time,
+        }),
     }
 }
 
 fn coordinator(claimed_at: Timestamp) -> LeaseGrantor {
-    let mut grantor = LeaseGrantor::new(LIFE);
+    let mut grantor = LeaseGrantor::new(PROCESS);
     grantor.begin_coordinating(COORDINATOR, claimed_at, Predecessors::Listed);
     grantor
 }
 
-/// Grants `node` a lease at `now`, on the strength of the store.
+/// Grants `node` a lease at `now` with the store's authority.
 fn grant(grantor: &mut LeaseGrantor, node: &str, now: Timestamp) {
     grantor.note_renewed(now);
     let request = request(COORDINATOR, None);
@@ -58,7 +61,7 @@
 }
 
 #[test]
-fn a_lease_counts_from_when_it_was_asked_for() {
+fn a_lease_counts_from_when_it_was_requested() {
     let mut lease = PrimaryLease::new(1, at(0));
     lease.follow(COORDINATOR, at(0));
     let (grantor, request) = lease.request(at(10)).expect("a request is due");
@@ -68,7 +71,7 @@
     assert!(lease.take(&answer, at(200)), "a slow answer counts as well");
     assert!(!lease.covers(at(9)));
     assert!(lease.covers(at(10)));
-    assert!(lease.covers(at(10) + GRANT_TIME - MOMENT));
+    assert!(lease.covers(at(10) + GRANT_TIME - ONE_MILLISECOND));
     assert!(!lease.covers(at(10) + GRANT_TIME));
     assert_eq!(
         lease.lapsed_since(at(10) + GRANT_TIME),
@@ -93,7 +96,7 @@
 }
 
 #[test]
-fn a_coordinator_that_does_not_answer_is_passed_over_for_a_stand_in() {
+fn a_stand_in_is_asked_if_the_coordinator_does_not_answer() {
     let mut lease = PrimaryLease::new(1, at(0));
     lease.follow(COORDINATOR, at(0));
     let mut asked = Vec::new();
@@ -107,13 +110,13 @@
     assert!(asked.contains(&Grantor::StandIn(1)));
 }
 
-/// A coordinator that has lost the store asks itself in vain while the others vote for a
-/// stand-in.
+/// A coordinator that has lost the store requests leases from itself without success, while the
+/// other nodes vote for a stand-in.
 #[test]
-fn a_node_that_is_refused_asks_who_the_others_may_vote_for() {
+fn a_refused_node_asks_the_stand_in_that_others_may_vote_for() {
     let mut lease = PrimaryLease::new(1, at(0));
     lease.follow(COORDINATOR, at(0));
-    let mut alone = LeaseGrantor::new(LIFE);
+    let mut alone = LeaseGrantor::new(PROCESS);
     let mut asked = Vec::new();
     for step in 0..60 {
         let now = at(20_000 + step * 50);
@@ -124,33 +127,33 @@
         }
     }
     assert!(asked.contains(&Grantor::StandIn(0)), "{asked:?}");
-    let turned = asked
+    let switched = asked
         .iter()
         .position(|grantor| *grantor != Grantor::Coordinator);
     assert!(
-        asked[turned.unwrap()..].contains(&Grantor::Coordinator),
-        "and comes back"
+        asked[switched.unwrap()..].contains(&Grantor::Coordinator),
+        "and returns to the coordinator"
     );
 }
 
-/// Votes that reach a grantor without the store, and whether they are enough.
+/// Votes for a grantor without the store: only a majority of recent votes is sufficient.
 #[test]
 fn without_the_store_only_a_majority_of_fresh_votes_grants() {
     let told = at(20_000);
-    let just = told + VOTE_TIME - MOMENT;
+    let in_time = told + VOTE_TIME - ONE_MILLISECOND;
     let late = told + VOTE_TIME;
     // (voters, votes, when asked, granted)
     let table = [
-        (3, 1, just, false),
-        (3, 2, just, true),
+        (3, 1, in_time, false),
+        (3, 2, in_time, true),
         (3, 2, late, false),
-        (4, 2, just, false),
-        (4, 3, just, true),
-        (9, 4, just, false),
-        (9, 5, just, true),
+        (4, 2, in_time, false),
+        (4, 3, in_time, true),
+        (9, 4, in_time, false),
+        (9, 5, in_time, true),
     ];
     for (voters, votes, now, granted) in table {
-        let mut grantor = LeaseGrantor::new(LIFE);
+        let mut grantor = LeaseGrantor::new(PROCESS);
         let mut last = false;
         for vote in 0..votes {
             let request = request(COORDINATOR, Some(told));
@@ -165,36 +168,38 @@
 }
 
 #[test]
-fn a_request_that_tells_no_time_back_is_no_vote_however_late_it_comes() {
+fn a_request_without_an_echoed_timestamp_is_no_vote() {
     let now = at(20_000);
-    let mut grantor = LeaseGrantor::new(LIFE);
+    let mut grantor = LeaseGrantor::new(PROCESS);
     for node in ["a", "b", "c"] {
         let first = request(COORDINATOR, None);
         let answer = grantor.answer(node, &first, COORDINATOR, electorate(3, now), now);
         assert!(!answer.granted);
     }
-    let mut other_life = request(COORDINATOR, Some(now));
-    other_life.told = other_life.told.map(|told| ProcessTime { life: 8, ..told });
+    let mut other_process = request(COORDINATOR, Some(now));
+    other_process.told = other_process
+        .told
+        .map(|told| ProcessTime { life: 8, ..told });
     for node in ["a", "b", "c"] {
-        let answer = grantor.answer(node, &other_life, COORDINATOR, electorate(3, now), now);
+        let answer = grantor.answer(node, &other_process, COORDINATOR, electorate(3, now), now);
         assert!(!answer.granted);
     }
 }
 
 #[test]
-fn a_grantor_without_the_store_stops_after_its_time() {
+fn a_grantor_without_the_store_stops_after_the_outage_limit() {
     let heard = at(0);
     let now = heard + OUTAGE_AUTHORITY;
-    let mut grantor = LeaseGrantor::new(LIFE);
+    let mut grantor = LeaseGrantor::new(PROCESS);
     for node in ["a", "b", "c"] {
-        let vote = request(COORDINATOR, Some(now - MOMENT));
+        let vote = request(COORDINATOR, Some(now - ONE_MILLISECOND));
         let answer = grantor.answer(node, &vote, COORDINATOR, electorate(3, heard), now);
         assert!(!answer.granted);
     }
 }
 
 #[test]
-fn a_vote_for_another_binds_the_voter() {
+fn a_vote_for_another_node_binds_the_voter() {
     let mut lease = PrimaryLease::new(1, at(0));
     lease.follow(COORDINATOR, at(10_000));
     let mut now = at(10_000);
@@ -208,20 +213,20 @@
         !lease.acknowledge(COORDINATOR, now),
         "just voted for a stand-in"
     );
-    assert!(!lease.acknowledge(COORDINATOR, now + VOTE_TIME - MOMENT));
+    assert!(!lease.acknowledge(COORDINATOR, now + VOTE_TIME - ONE_MILLISECOND));
     assert!(lease.acknowledge(COORDINATOR, now + VOTE_TIME));
     assert!(
         !lease.acknowledge(revision(99), now + VOTE_TIME),
-        "an earlier one"
+        "an earlier coordinator"
     );
     assert!(lease.voted_for_others(now + VOTE_TIME));
     assert!(!lease.voted_for_others(now + VOTE_TIME + GRANT_TIME));
 }
 
 #[test]
-fn a_process_that_starts_acknowledges_nothing_for_the_time_of_a_vote() {
+fn a_starting_process_acknowledges_nothing_for_the_duration_of_a_vote() {
     let mut lease = PrimaryLease::new(1, at(0));
-    assert!(!lease.acknowledge(COORDINATOR, at(0) + VOTE_TIME - MOMENT));
+    assert!(!lease.acknowledge(COORDINATOR, at(0) + VOTE_TIME - ONE_MILLISECOND));
     assert!(lease.acknowledge(COORDINATOR, at(0) + VOTE_TIME));
 }
 
@@ -246,22 +251,22 @@
 }
 
 #[test]
-fn the_lease_of_a_node_that_does_not_answer_is_waited_out() {
+fn the_lease_of_a_node_that_does_not_answer_must_expire_first() {
     let voters = names(&["a", "b", "c"]);
-    let long_in_office = at(60_000);
+    let long_after_claim = at(60_000);
     let mut grantor = coordinator(at(0));
     for voter in &voters {
-        grant(&mut grantor, voter, long_in_office);
+        grant(&mut grantor, voter, long_after_claim);
     }
     let mut withdrawal = withdrawal(&grantor);
     withdrawal.acknowledge("a", false);
     withdrawal.acknowledge("b", false);
-    assert!(!withdrawal.is_complete(&voters, long_in_office + GRANT_TIME - MOMENT));
-    assert!(withdrawal.is_complete(&voters, long_in_office + GRANT_TIME));
+    assert!(!withdrawal.is_complete(&voters, long_after_claim + GRANT_TIME - ONE_MILLISECOND));
+    assert!(withdrawal.is_complete(&voters, long_after_claim + GRANT_TIME));
 }
 
 #[test]
-fn without_a_majority_nothing_is_replaced() {
+fn without_a_majority_no_primary_is_replaced() {
     let voters = names(&["a", "b", "c", "d"]);
     let grantor = coordinator(at(0));
     let mut withdrawal = withdrawal(&grantor);
@@ -272,7 +277,7 @@
 }
 
 #[test]
-fn leases_that_others_granted_run_out_before_a_primary_is_replaced() {
+fn leases_that_others_granted_expire_before_a_primary_is_replaced() {
     let voters = names(&["a", "b", "c"]);
     let now = at(60_000);
     let grantor = coordinator(at(0));
@@ -281,26 +286,26 @@
     withdrawal.acknowledge("b", true);
     assert!(
         !withdrawal.is_complete(&voters, now),
-        "b voted for another lately"
+        "b recently voted for another node"
     );
-    assert!(!withdrawal.is_complete(&voters, now + GRANT_TIME - MOMENT));
+    assert!(!withdrawal.is_complete(&voters, now + GRANT_TIME - ONE_MILLISECOND));
     assert!(withdrawal.is_complete(&voters, now + GRANT_TIME));
 }
 
 #[test]
-fn a_new_coordinator_waits_out_what_its_predecessor_granted() {
+fn a_new_coordinator_waits_until_its_predecessors_leases_expire() {
     let voters = names(&["a", "b", "c"]);
     let grantor = coordinator(at(0));
     let mut withdrawal = withdrawal(&grantor);
     withdrawal.acknowledge("a", false);
     withdrawal.acknowledge("b", false);
     let ended = at(0) + STORE_AUTHORITY + GRANT_TIME;
-    assert!(!withdrawal.is_complete(&voters, ended - MOMENT));
+    assert!(!withdrawal.is_complete(&voters, ended - ONE_MILLISECOND));
     assert!(withdrawal.is_complete(&voters, ended));
 }
 
 #[test]
-fn who_left_office_withdraws_nothing() {
+fn a_former_coordinator_withdraws_nothing() {
     let mut grantor = coordinator(at(0));
     grantor.end_coordinating();
     assert!(grantor.withdraw().is_none());
@@ -308,19 +313,19 @@
 }
 
 #[test]
-fn a_coordinator_that_may_lack_announcements_grants_nothing_before_a_majority_has_told_what_it_knows()
+fn a_coordinator_that_may_lack_announcements_grants_nothing_before_a_majority_has_reported_what_it_knows()
  {
     let now = at(50);
-    let mut grantor = LeaseGrantor::new(LIFE);
+    let mut grantor = LeaseGrantor::new(PROCESS);
     grantor.begin_coordinating(COORDINATOR, at(0), Predecessors::MaybeLost);
-    let told = |grantor: &mut LeaseGrantor, voter: &str| {
+    let echo_and_request = |grantor: &mut LeaseGrantor, voter: &str| {
         let first = request(COORDINATOR, None);
         let answer = grantor.answer(voter, &first, COORDINATOR, electorate(3, now), now);
         let second = request(COORDINATOR, Some(answer.told.time));
         let answer = grantor.answer(voter, &second, COORDINATOR, electorate(3, now), now);
         answer.granted
     };
-    assert!(!told(&mut grantor, "a"));
-    assert!(told(&mut grantor, "b"));
-    assert!(told(&mut grantor, "a"));
+    assert!(!echo_and_request(&mut grantor, "a"));
+    assert!(echo_and_request(&mut grantor, "b"));
+    assert!(echo_and_request(&mut grantor, "a"));
 }
--- a/crates/coordination/tests/serving_probe_budget.rs
+++ b/crates/coordination/tests/serving_probe_budget.rs
@@ -1,4 +1,4 @@
-//! What a busy fleet spends on finding out whether it is silent.
+//! Tests of the number of probes that a busy fleet sends.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -21,12 +21,12 @@
     (0..count).map(|number| format!("front-{number}")).collect()
 }
 
-fn most_in(millis: u64) -> usize {
+fn max_probes_in(millis: u64) -> usize {
     PROBES_AT_ONCE as usize + (u64::from(PROBES_A_SECOND) * millis / 1_000) as usize + 1
 }
 
-/// Probes that one node sends in a second in which it waits for each of its peers all the time
-/// and none answers; each of them is an alternative to the others.
+/// Returns the number of probes that a node sends in one second in which it constantly waits for
+/// all of its peers and none answers; each peer is an alternative to the others.
 fn probes_of_a_second(peers: usize) -> usize {
     let peers = names(peers);
     let mut contacts = PeerContacts::default();
@@ -48,7 +48,7 @@
 #[test]
 fn probes_of_a_node_do_not_grow_with_its_peers() {
     let at_sizes = [30, 100, 300, 1_500].map(probes_of_a_second);
-    let most = most_in(1_000);
+    let most = max_probes_in(1_000);
     assert!(
         at_sizes.iter().all(|probes| *probes <= most),
         "{at_sizes:?}"
@@ -87,10 +87,10 @@
     );
 }
 
-/// Where nearly all holders are cut off, the one that is not is found out while the first is
-/// waited for.
+/// If nearly all holders are partitioned, the reachable one is found while the request still waits
+/// for the first.
 #[test]
-fn further_alternatives_are_probed_while_the_first_say_nothing() {
+fn further_alternatives_are_probed_while_the_first_do_not_answer() {
     let names = names(9);
     let mut contacts = PeerContacts::default();
     let mut probed = BTreeSet::new();
@@ -117,13 +117,14 @@
     assert!(budget.take(ProbePurpose::Waiting, at(0)));
 }
 
-/// A node that is busy itself takes no peer for silent; one that is not does so in time.
+/// A stalled node does not take a peer for silent; a node that is not stalled detects the silence
+/// in time.
 #[test]
-fn a_node_that_rests_does_not_give_up_on_its_peers() {
-    let give_up = |rests: bool| {
+fn a_stalled_node_does_not_give_up_on_its_peers() {
+    let give_up = |stalled: bool| {
         let mut contacts = PeerContacts::default();
         assert_eq!(contacts.waiting("peer", at(0), at(40)), Waiting::Probe);
-        if rests {
+        if stalled {
             contacts.note_timer(at(80), at(180));
         }
         contacts.waiting("peer", at(0), at(180)) == Waiting::GiveUp
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn a_silent_peer_is_probed_less_and_less_but_never_rarely() {
+fn a_silent_peer_is_probed_at_growing_but_bounded_intervals() {
     let pauses: Vec<u64> = (0..20)
         .map(|probed| u64::try_from(silent_probe_interval(probed).as_millis()).unwrap())
         .collect();
@@ -143,7 +144,7 @@
 }
 
 #[test]
-fn questions_through_other_nodes_are_bounded_and_groups_in_use_come_first() {
+fn remote_queries_are_bounded_and_groups_in_use_come_first() {
     let most = |in_use| (0..).find(|sent| !may_ask_afar(*sent, in_use)).unwrap();
     assert_eq!(most(true), MAX_REMOTE_QUERIES);
     assert_eq!(most(false), MAX_REMOTE_QUERIES_UNUSED);
@@ -151,7 +152,7 @@
 }
 
 quickcheck! {
-    /// In no span more probes are sent than one burst and the rate allow.
+    /// No time span contains more probes than one burst plus the sustained rate allow.
     fn no_span_holds_more_than_the_budget(pauses: Vec<u8>) -> bool {
         let mut budget = ProbeBudget::default();
         let mut now = 0;
@@ -162,13 +163,13 @@
                 sent += usize::from(budget.take(purpose, at(now)));
             }
         }
-        sent <= most_in(now)
+        sent <= max_probes_in(now)
     }
 }
 
-/// The budget comes back however small the steps are in which it is asked for.
+/// The budget is refilled even if it is used in very small time steps.
 #[test]
-fn the_budget_comes_back() {
+fn the_budget_is_refilled() {
     let mut budget = ProbeBudget::default();
     while budget.take(ProbePurpose::Waiting, at(0)) {}
     let mut sent = 0;
--- a/crates/coordination/tests/serving_quota.rs
+++ b/crates/coordination/tests/serving_quota.rs
@@ -1,5 +1,6 @@
-//! The bound on a tenant's operations, under any interleaving of grants, late use, restarts and
-//! changes of the limit; and that what is within the limit is granted.
+//! Tests that a tenant's operations stay within the bound under any interleaving of grants, late
+//! use of tokens, restarts and changes of the limit, and that operations within the limit are
+//! granted.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -30,15 +31,15 @@
     Timestamp::from_millis(millis)
 }
 
-/// Operations that may run in any window.
+/// Returns the number of operations that may run in any window.
 fn allowed(bounds: QuotaBounds, limit: OperationLimit) -> u64 {
     let seconds = bounds.window.as_secs();
-    let owed = limit.rate_milli * seconds / 1_000 + limit.burst;
-    owed * (1_000 + bounds.overshoot_milli) / 1_000 + bounds.slack
+    let base = limit.rate_milli * seconds / 1_000 + limit.burst;
+    base * (1_000 + bounds.overshoot_milli) / 1_000 + bounds.slack
 }
 
-/// The most of `times` within one window.
-fn most_in_window(times: &mut [u64], window: Duration) -> usize {
+/// Returns the maximum number of `times` within one window.
+fn max_in_window(times: &mut [u64], window: Duration) -> usize {
     times.sort_unstable();
     let length = u64::try_from(window.as_micros()).unwrap();
     let mut first = 0;
@@ -52,10 +53,10 @@
     most
 }
 
-/// What may happen to the holders of one tenant's tokens.
+/// An event that affects the holders of one tenant's tokens.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Somebody asks a holder, as often as told, and uses each token this late.
+    /// A holder is asked for tokens `times` times, and each token is used this late.
     Ask {
         holder: usize,
         times: u8,
@@ -64,8 +65,8 @@
     },
     /// Time passes.
     Pass { millis: u16 },
-    /// The process of a holder ends, and another one takes its place as soon as may be; no other
-    /// holder is asked meanwhile.
+    /// The process of a holder ends and is replaced as soon as possible; no other holder is asked
+    /// in the meantime.
     Restart { holder: usize },
 }
 
@@ -87,8 +88,9 @@
     }
 }
 
-/// Plays the steps; returns when operations ran. A token is used up to `life` after it came.
-fn play(steps: &[Step], limit: GrantLimit, life: Duration) -> Vec<u64> {
+/// Applies the steps and returns the times at which operations ran. A token is used at most `life`
+/// after it was granted.
+fn run_steps(steps: &[Step], limit: GrantLimit, life: Duration) -> Vec<u64> {
     let tenant = TenantName::new("clinic");
     let holders = limit.holders(MOST_HOLDERS);
     let part = limit.part(holders);
@@ -129,8 +131,8 @@
 quickcheck! {
     fn no_window_holds_more_than_is_allowed(steps: Vec<Step>, rate: u8, burst: u8) -> bool {
         let configured = limit(u64::from(rate), u64::from(burst));
-        let mut ran = play(&steps, BOUNDS.grant_limit(configured), TOKEN_LIFE);
-        let most = most_in_window(&mut ran, BOUNDS.window);
+        let mut ran = run_steps(&steps, BOUNDS.grant_limit(configured), TOKEN_LIFE);
+        let most = max_in_window(&mut ran, BOUNDS.window);
         u64::try_from(most).unwrap() <= allowed(BOUNDS, configured)
     }
 
@@ -143,14 +145,14 @@
             slack: u64::from(slack),
         };
         let configured = limit(u64::from(rate), u64::from(burst));
-        let mut ran = play(&steps, bounds.grant_limit(configured), TOKEN_LIFE);
-        let most = most_in_window(&mut ran, bounds.window);
+        let mut ran = run_steps(&steps, bounds.grant_limit(configured), TOKEN_LIFE);
+        let most = max_in_window(&mut ran, bounds.window);
         u64::try_from(most).unwrap() <= allowed(bounds, configured)
     }
 }
 
-/// Full buckets are asked without a pause for a window and the life of a token; what is granted
-/// at first is used as late as may be, all at once.
+/// Tokens are requested from full buckets without a pause for a window plus the validity of a
+/// token. The tokens granted first are used as late as possible, all at the same time.
 fn worst_case(grant_limit: GrantLimit, life: Duration) -> usize {
     const PAUSE_MS: u16 = 10;
     let mut steps = vec![Step::Pass { millis: 60_000 }];
@@ -166,8 +168,8 @@
         steps.push(Step::Pass { millis: PAUSE_MS });
         passed += Duration::from_millis(u64::from(PAUSE_MS));
     }
-    let mut ran = play(&steps, grant_limit, life);
-    most_in_window(&mut ran, BOUNDS.window)
+    let mut ran = run_steps(&steps, grant_limit, life);
+    max_in_window(&mut ran, BOUNDS.window)
 }
 
 #[test]
@@ -182,15 +184,15 @@
     }
 }
 
-/// The control: tokens that live for longer than the limit was worked out for.
+/// Negative control: tokens that are valid for longer than the limit was calculated for.
 #[test]
-fn tokens_that_live_longer_break_the_bound() {
+fn tokens_with_longer_validity_break_the_bound() {
     let configured = limit(187, 187);
     let most = worst_case(BOUNDS.grant_limit(configured), TOKEN_LIFE * 4);
     assert!(u64::try_from(most).unwrap() > allowed(BOUNDS, configured));
 }
 
-/// The control: holders that each grant the whole limit.
+/// Negative control: holders that each grant the whole limit.
 #[test]
 fn holders_that_do_not_divide_the_limit_break_the_bound() {
     let configured = limit(187, 187);
@@ -220,7 +222,7 @@
 }
 
 #[test]
-fn who_is_over_the_limit_is_told_when_a_token_comes_back() {
+fn over_the_limit_the_answer_states_when_a_token_is_available() {
     let grant_limit = GrantLimit {
         rate: 10_000_000,
         burst: 2_000_000,
@@ -250,7 +252,7 @@
 }
 
 #[test]
-fn a_lowered_limit_takes_tokens_away_and_a_raised_one_gives_none() {
+fn a_lowered_limit_drops_tokens_and_a_raised_one_adds_none() {
     let large = BOUNDS.grant_limit(limit(100, 100));
     let small = BOUNDS.grant_limit(limit(1, 1));
     let mut bucket = TokenBucket::new(large, at(0));
@@ -302,7 +304,7 @@
 }
 
 #[test]
-fn holders_stand_in_different_places_and_change_only_with_their_own_nodes() {
+fn holders_are_spread_over_zones_and_change_only_with_their_own_nodes() {
     let fleet = fleet();
     let without_last = &fleet[..59];
     let mut moved = 0;
--- a/crates/coordination/tests/serving_store_news.rs
+++ b/crates/coordination/tests/serving_store_news.rs
@@ -1,4 +1,4 @@
-//! The age of knowledge of the state store, and the search for newer.
+//! Tests of the age of a node's knowledge of the state store, and of the search for newer updates.
 
 use std::time::Duration;
 
@@ -16,21 +16,21 @@
 }
 
 #[test]
-fn a_node_turns_elsewhere_well_before_its_configuration_is_too_old() {
+fn a_node_switches_sources_well_before_its_configuration_is_too_old() {
     for limit_ms in [3_000, 4_000, 5_000, 6_000, 8_000] {
         let limit = millis(limit_ms);
         let limits = NewsLimits::of(limit);
         assert!(limits.watch <= millis(2_000), "{limits:?}");
         assert!(limits.oldest <= limit * 3 / 4, "{limits:?}");
-        // A watcher finds a silent store before its followers turn from it.
+        // A watcher detects a silent store before its followers switch to other sources.
         assert!(limits.oldest >= patience(limits.watch), "{limits:?}");
     }
 }
 
 #[test]
-fn a_follower_is_told_what_is_newer_and_nothing_else() {
+fn a_follower_is_sent_only_newer_knowledge() {
     let until = at(3_000);
-    // When the store told here, and the follower; what changed; now; the reply.
+    // Time of the knowledge here and of the follower's; whether it changed; now; the reply.
     let cases = [
         (1_000, 0, false, 1_000, Reply::News),
         (1_000, 1_000, false, 1_000, Reply::Wait),
@@ -46,11 +46,11 @@
         assert_eq!(reply, expected, "{told} {known} {changed} {now}");
         news.note_turned_away(at(now));
         let reply = news.reply(at(known), changed, until, at(now));
-        assert_eq!(reply, Reply::StoreLost, "turned away");
+        assert_eq!(reply, Reply::StoreLost, "rejected");
     }
 }
 
-/// A node of a region with some number of others that looks for news since 0.
+/// Returns the state of a node that has received no newer update since time 0 and searches for one.
 fn searching() -> StoreNews {
     let mut news = StoreNews::default();
     news.note_told(at(0));
@@ -58,7 +58,8 @@
     news
 }
 
-/// When the node tries a store that turns it away, in milliseconds, looking every 10 ms.
+/// Returns the times, in milliseconds, at which the node tries a store that rejects its calls, with
+/// a check every 10 ms.
 fn tries(news: &mut StoreNews, order: StoreTryOrder, begin: u64, until: u64) -> Vec<u64> {
     let mut tried = Vec::new();
     for now in (begin..until).step_by(10) {
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn a_node_tries_a_store_that_is_away_once_in_a_period() {
+fn a_node_tries_an_unavailable_store_once_per_period() {
     for (nodes, most) in [(7, 9), (30, 4)] {
         for rank in 0..nodes {
             let tried = tries(&mut searching(), StoreTryOrder { rank, nodes }, 0, 10_000);
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn the_nodes_of_a_region_do_not_try_together() {
+fn the_nodes_of_a_region_do_not_try_at_the_same_time() {
     for nodes in [30, 200] {
         let mut in_each_part = [0_u32; 3];
         for rank in 0..nodes {
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn a_node_that_the_store_answers_goes_on_and_the_next_outage_begins_anew() {
+fn an_answer_of_the_store_resets_the_search() {
     let order = StoreTryOrder { rank: 5, nodes: 20 };
     let mut news = searching();
     let first = tries(&mut news, order, 0, 1_000)[0];
@@ -112,15 +113,15 @@
 }
 
 #[test]
-fn a_watcher_that_was_turned_away_leaves_watching_to_others_and_tries_again() {
+fn a_rejected_watcher_leaves_watching_to_others_and_retries() {
     let mut news = StoreNews::default();
     news.note_told(at(0));
     news.note_turned_away(at(1_000));
     news.note_nothing_heard(at(1_000));
     assert!(!news.watches(at(1_500)), "it asks others first");
     news.note_heard(at(1_500));
-    assert!(!news.watches(at(2_900)), "it hears from others");
-    assert!(news.watches(at(3_000)), "a try now and then");
+    assert!(!news.watches(at(2_900)), "it receives updates from others");
+    assert!(news.watches(at(3_000)), "an occasional try");
     assert!(news.is_turned_away(at(3_400)), "until the try is answered");
     assert!(news.watch_wait(millis(2_000), at(3_000)) < millis(100));
     news.note_told(at(3_010));
@@ -129,7 +130,7 @@
 }
 
 #[test]
-fn a_peer_that_the_store_turned_away_is_left_out_for_a_while() {
+fn a_peer_rejected_by_the_store_is_left_out_for_a_while() {
     let mut news = StoreNews::default();
     assert!(news.helps("east-1", at(0)));
     news.leave_out("east-1", at(0));
@@ -142,7 +143,7 @@
 }
 
 #[test]
-fn what_a_peer_heard_earlier_makes_nothing_younger_and_ends_no_search() {
+fn older_knowledge_of_a_peer_neither_refreshes_nor_ends_the_search() {
     let mut news = StoreNews::default();
     news.note_told(at(1_000));
     news.note_nothing_heard(at(4_000));
@@ -154,11 +155,14 @@
 }
 
 #[test]
-fn an_upstream_may_answer_until_what_the_follower_knows_is_too_old() {
+fn an_upstream_may_answer_until_the_followers_knowledge_is_too_old() {
     let limits = NewsLimits::of(millis(6_000));
     let mut news = StoreNews::default();
     let starting = news.hold(at(0), limits);
-    assert!(starting >= millis(500), "the upstream may start as well");
+    assert!(
+        starting >= millis(500),
+        "the upstream may be starting as well"
+    );
     news.note_told(at(0));
     for age in [0, 500, 2_000, 2_700] {
         assert_eq!(news.hold(at(age), limits), limits.oldest - millis(age));
@@ -166,11 +170,11 @@
     let least = news.hold(at(20_000), limits);
     assert!((millis(100)..millis(300)).contains(&least), "{least:?}");
     news.note_nothing_heard(at(500));
-    assert_eq!(news.hold(at(500), limits), least, "it asks around");
+    assert_eq!(news.hold(at(500), limits), least, "it is searching");
 }
 
 #[test]
-fn a_node_that_starts_learns_at_once_where_the_store_stands() {
+fn a_starting_node_begins_with_a_short_watch() {
     let mut news = StoreNews::default();
     let started = at(60_000);
     assert!(news.watch_wait(millis(2_000), started) < millis(100));
@@ -179,8 +183,8 @@
 }
 
 #[test]
-fn an_answer_is_no_younger_for_being_read_late() {
-    // Asked at 1 s for 2 s: told of changes, read at, told at, covers every change up to.
+fn reading_an_answer_late_does_not_make_it_newer() {
+    // Requested at 1 s with a wait of 2 s: has changes, read at, `told_at`, `covered`.
     let cases = [
         (false, 3_010, 3_000, 3_000),
         (false, 8_000, 3_000, 3_000),
@@ -200,7 +204,7 @@
 }
 
 #[test]
-fn a_node_that_the_store_answers_again_passes_on_what_it_hears() {
+fn a_node_answered_by_the_store_again_forwards_updates() {
     let mut news = StoreNews::default();
     news.note_turned_away(at(0));
     news.note_answered();
--- a/crates/coordination/tests/serving_store_news_fleet.rs
+++ b/crates/coordination/tests/serving_store_news_fleet.rs
@@ -1,5 +1,6 @@
-//! A small fleet of pure machines that pass news of the store on while it turns some away:
-//! nobody takes old knowledge for new, and whoever can hear of the store does so in time.
+//! Simulation of a small fleet of nodes that forward store updates while the store rejects some of
+//! them: no node takes old knowledge for newer than it is, and every node that can obtain updates
+//! receives them in time.
 
 use std::time::Duration;
 
@@ -9,39 +10,39 @@
 use hookpoint_state::{Timestamp, ZoneName};
 use quickcheck::{Gen, QuickCheck, TestResult};
 
-/// One way between nodes, and to the store.
-const WAY: Duration = Duration::from_millis(20);
+/// One-way delay between nodes, and to the store.
+const DELAY: Duration = Duration::from_millis(20);
 const TICK: Duration = Duration::from_millis(10);
-/// How late the answer to a long watch may be before it counts as refused.
-const LATE: Duration = Duration::from_millis(400);
-/// Upstreams that a node asks before it looks whether to try the store itself.
+/// How late the answer to a long watch may be before the call counts as rejected.
+const ANSWER_SLACK: Duration = Duration::from_millis(400);
+/// Number of upstreams that a node asks before it checks whether to try the store itself.
 const ASKED_IN_A_ROUND: usize = 5;
-/// A configuration has to be in force within this time.
+/// Time within which a configuration has to be in force.
 const LIMIT: Duration = Duration::from_millis(6_000);
-/// How old knowledge may get: some time is left to pass a configuration on and use it.
+/// Maximum age of knowledge, which leaves time to forward a configuration and to apply it.
 const OLDEST: Duration = Duration::from_millis(4_000);
-/// When the store begins to turn nodes away, and when a play ends.
+/// When the store begins to reject nodes, and when a simulation ends.
 const LOST_AT: u64 = 10_000;
 const END_AT: u64 = 24_000;
 
-/// How the store turns nodes away.
+/// How the store rejects calls: with an error, or by not answering.
 #[derive(Clone, Copy, PartialEq)]
 enum Refusal {
-    Loud,
-    Silent,
+    WithError,
+    NoAnswer,
 }
 
-/// Which protection is off.
+/// The protection that is disabled.
 #[derive(Clone, Copy, PartialEq)]
 enum Control {
     None,
-    /// Nodes that the store turned away pass on what others tell them, and any answer counts.
-    PassAnythingOn,
-    /// The way of an answer does not count as age.
-    WayIsFree,
+    /// Nodes that the store rejects forward what other nodes report, and any answer counts.
+    ForwardAnything,
+    /// The time in transit of an answer does not count as age.
+    IgnoreTransitTime,
 }
 
-enum Doing {
+enum Activity {
     Next,
     Watch {
         ends_at: Timestamp,
@@ -52,12 +53,12 @@
         asked: Vec<usize>,
         asked_at: Timestamp,
     },
-    Rest {
+    Pause {
         until: Timestamp,
     },
 }
 
-struct Question {
+struct Query {
     from: usize,
     known_at: Timestamp,
     until: Timestamp,
@@ -65,7 +66,7 @@
 }
 
 enum Message {
-    Question {
+    Query {
         from: usize,
         age: Duration,
         hold: Duration,
@@ -74,16 +75,16 @@
         reply: Reply,
         age: Duration,
         held: Duration,
-        truth: Timestamp,
+        actual_as_of: Timestamp,
     },
 }
 
 struct Machine {
     news: StoreNews,
-    /// When the store really told of what is known here.
-    truth: Timestamp,
-    doing: Doing,
-    held: Vec<Question>,
+    /// Time of the store's actual state that is known here.
+    actual_as_of: Timestamp,
+    activity: Activity,
+    held: Vec<Query>,
 }
 
 struct Fleet {
@@ -91,7 +92,7 @@
     regions: Regions,
     machines: Vec<Machine>,
     wire: Vec<(Timestamp, usize, Message)>,
-    /// Nodes that the store turns away.
+    /// Nodes whose calls the store rejects.
     refused: Vec<bool>,
     refusal: Refusal,
     control: Control,
@@ -114,8 +115,8 @@
         }
         let machines = nodes.iter().map(|_| Machine {
             news: StoreNews::default(),
-            truth: Timestamp::default(),
-            doing: Doing::Next,
+            actual_as_of: Timestamp::default(),
+            activity: Activity::Next,
             held: Vec::new(),
         });
         Self {
@@ -130,12 +131,12 @@
         }
     }
 
-    fn upstreams(&self, own: usize, own_helps: bool, marks: bool) -> Vec<usize> {
+    fn upstreams(&self, own: usize, own_helps: bool, use_exclusions: bool) -> Vec<usize> {
         let helps = |name: &str| {
             if name == self.nodes[own].node {
                 own_helps
             } else {
-                !marks || self.machines[own].news.helps(name, self.now)
+                !use_exclusions || self.machines[own].news.helps(name, self.now)
             }
         };
         store_upstreams(&self.nodes[own], &self.nodes, &self.regions, helps)
@@ -168,7 +169,7 @@
     fn deliver(&mut self, to: usize, message: Message) {
         let now = self.now;
         match message {
-            Message::Question { from, age, hold } => self.machines[to].held.push(Question {
+            Message::Query { from, age, hold } => self.machines[to].held.push(Query {
                 from,
                 known_at: now - age,
                 until: now + hold,
@@ -178,9 +179,9 @@
                 reply,
                 age,
                 held,
-                truth,
+                actual_as_of,
             } => {
-                self.take_answer(to, reply, age, held, truth);
+                self.take_answer(to, reply, age, held, actual_as_of);
             }
         }
     }
@@ -191,45 +192,45 @@
         reply: Reply,
         age: Duration,
         held: Duration,
-        truth: Timestamp,
+        actual_as_of: Timestamp,
     ) {
         let now = self.now;
         let control = self.control;
         let machine = &mut self.machines[to];
-        let Doing::Ask { asked, asked_at } = &mut machine.doing else {
+        let Activity::Ask { asked, asked_at } = &mut machine.activity else {
             return;
         };
         let upstream = asked[asked.len() - 1];
-        let way = match control {
-            Control::WayIsFree => Duration::ZERO,
+        let transit_time = match control {
+            Control::IgnoreTransitTime => Duration::ZERO,
             _ => now.since(*asked_at).saturating_sub(held),
         };
         match reply {
             Reply::News => {
-                machine.news.note_heard(now - age - way);
-                machine.truth = machine.truth.max(truth);
-                machine.doing = Doing::Next;
+                machine.news.note_heard(now - age - transit_time);
+                machine.actual_as_of = machine.actual_as_of.max(actual_as_of);
+                machine.activity = Activity::Next;
             }
             Reply::StoreLost => {
                 let name = &self.nodes[upstream].node;
                 machine.news.leave_out(name, now);
-                self.go_on(to);
+                self.continue_search(to);
             }
-            _ => self.go_on(to),
+            _ => self.continue_search(to),
         }
     }
 
-    /// After an upstream that was of no help: tries the store if it is the machine's turn, and
-    /// asks the next one otherwise.
-    fn go_on(&mut self, index: usize) {
+    /// Continues after an upstream that did not help: tries the store if it is this node's turn,
+    /// and asks the next upstream otherwise.
+    fn continue_search(&mut self, index: usize) {
         self.machines[index].news.note_nothing_heard(self.now);
-        if self.turn_is_due(index) {
+        if self.own_try_is_due(index) {
             return self.watch(index);
         }
         self.ask_next(index);
     }
 
-    fn turn_is_due(&self, index: usize) -> bool {
+    fn own_try_is_due(&self, index: usize) -> bool {
         let order = try_order(&self.nodes[index], &self.nodes, &self.regions);
         self.machines[index].news.try_is_due(order, self.now)
     }
@@ -238,34 +239,32 @@
         let now = self.now;
         let machine = &mut self.machines[index];
         let mut waiting = Vec::new();
-        for question in std::mem::take(&mut machine.held) {
-            let mut reply = machine
-                .news
-                .reply(question.known_at, false, question.until, now);
-            if self.control == Control::PassAnythingOn && reply != Reply::Wait {
+        for query in std::mem::take(&mut machine.held) {
+            let mut reply = machine.news.reply(query.known_at, false, query.until, now);
+            if self.control == Control::ForwardAnything && reply != Reply::Wait {
                 reply = Reply::News;
             }
             if reply == Reply::Wait {
-                waiting.push(question);
+                waiting.push(query);
                 continue;
             }
             let answer = Message::Answer {
                 reply,
                 age: machine.news.age(now),
-                held: now.since(question.asked_at),
-                truth: machine.truth,
+                held: now.since(query.asked_at),
+                actual_as_of: machine.actual_as_of,
             };
-            self.wire.push((now + WAY, question.from, answer));
+            self.wire.push((now + DELAY, query.from, answer));
         }
         machine.held = waiting;
     }
 
     fn advance(&mut self, index: usize) {
         let now = self.now;
-        match self.machines[index].doing {
-            Doing::Next => self.begin(index),
-            Doing::Rest { until } if now >= until => self.begin(index),
-            Doing::Watch {
+        match self.machines[index].activity {
+            Activity::Next => self.begin(index),
+            Activity::Pause { until } if now >= until => self.begin(index),
+            Activity::Watch {
                 ends_at,
                 due_at,
                 answered,
@@ -273,14 +272,14 @@
                 let machine = &mut self.machines[index];
                 if answered {
                     machine.news.note_told(due_at.min(now));
-                    machine.truth = ends_at - WAY;
-                    machine.doing = Doing::Rest {
+                    machine.actual_as_of = ends_at - DELAY;
+                    machine.activity = Activity::Pause {
                         until: now + Duration::from_millis(40),
                     };
                 } else {
                     machine.news.note_turned_away(now);
                     let until = now + machine.news.search_pause(now);
-                    machine.doing = Doing::Rest { until };
+                    machine.activity = Activity::Pause { until };
                 }
             }
             _ => {}
@@ -293,14 +292,14 @@
         if watches && self.upstreams(index, true, true).is_empty() {
             return self.watch(index);
         }
-        self.machines[index].doing = Doing::Ask {
+        self.machines[index].activity = Activity::Ask {
             asked: Vec::new(),
             asked_at: now,
         };
         self.ask_next(index);
     }
 
-    /// The next upstream to ask in a round.
+    /// Returns the next upstream to ask in a round.
     fn next_upstream(&self, index: usize, asked: &[usize]) -> Option<usize> {
         if asked.len() == ASKED_IN_A_ROUND {
             return None;
@@ -312,26 +311,26 @@
             .find(|upstream| !asked.contains(upstream))
     }
 
-    /// Asks the next upstream, or does what follows on the last.
+    /// Asks the next upstream, or ends the round if there is none.
     fn ask_next(&mut self, index: usize) {
         let now = self.now;
-        let Doing::Ask { asked, .. } = &self.machines[index].doing else {
+        let Activity::Ask { asked, .. } = &self.machines[index].activity else {
             return;
         };
         let next = self.next_upstream(index, asked);
         let machine = &mut self.machines[index];
-        let Doing::Ask { asked, asked_at } = &mut machine.doing else {
+        let Activity::Ask { asked, asked_at } = &mut machine.activity else {
             return;
         };
         if let Some(upstream) = next {
             *asked_at = now;
             asked.push(upstream);
-            let question = Message::Question {
+            let query = Message::Query {
                 from: index,
                 age: machine.news.age(now),
                 hold: machine.news.hold(now, NewsLimits::of(LIMIT)),
             };
-            self.wire.push((now + WAY, upstream, question));
+            self.wire.push((now + DELAY, upstream, query));
             return;
         }
         if asked.is_empty() {
@@ -339,12 +338,12 @@
         }
         machine.news.note_nothing_heard(now);
         let is_first = self.upstreams(index, true, false).is_empty();
-        if is_first || self.turn_is_due(index) {
+        if is_first || self.own_try_is_due(index) {
             return self.watch(index);
         }
         let machine = &mut self.machines[index];
         let until = now + machine.news.search_pause(now);
-        machine.doing = Doing::Rest { until };
+        machine.activity = Activity::Pause { until };
     }
 
     fn watch(&mut self, index: usize) {
@@ -352,108 +351,116 @@
         let longest = NewsLimits::of(LIMIT).watch;
         let wait = self.machines[index].news.watch_wait(longest, now);
         let answered = !self.refused[index];
-        let takes = match (answered, self.refusal) {
-            (true, _) => wait + WAY * 2,
-            (false, Refusal::Loud) => WAY * 2,
-            (false, Refusal::Silent) => patience(wait),
+        let watch_time = match (answered, self.refusal) {
+            (true, _) => wait + DELAY * 2,
+            (false, Refusal::WithError) => DELAY * 2,
+            (false, Refusal::NoAnswer) => patience(wait),
         };
-        self.machines[index].doing = Doing::Watch {
-            ends_at: now + takes,
+        self.machines[index].activity = Activity::Watch {
+            ends_at: now + watch_time,
             due_at: now + wait,
             answered,
         };
     }
 
-    /// A watch that is open when the store turns its node away.
+    /// Starts to reject the nodes in `refused`, including those whose watch is open.
     fn refuse(&mut self, refused: &[bool]) {
         self.refused = refused.to_vec();
         for (machine, refused) in self.machines.iter_mut().zip(refused) {
-            if let Doing::Watch {
+            if let Activity::Watch {
                 ends_at,
                 due_at,
                 answered,
-            } = &mut machine.doing
+            } = &mut machine.activity
                 && *refused
             {
                 *answered = false;
                 *ends_at = match self.refusal {
-                    Refusal::Loud => self.now,
-                    Refusal::Silent => *due_at + LATE,
+                    Refusal::WithError => self.now,
+                    Refusal::NoAnswer => *due_at + ANSWER_SLACK,
                 };
             }
         }
     }
 }
 
-/// What a play showed.
+/// Results of a simulation.
 #[derive(Debug, Default)]
-struct Seen {
-    /// Somebody took older knowledge for younger than it was.
-    too_young: bool,
-    /// The oldest knowledge of a node, once the fleet had started.
+struct Outcome {
+    /// Whether a node took its knowledge for newer than it was.
+    too_new: bool,
+    /// Maximum age of a node's knowledge after the fleet had started.
     oldest: Duration,
 }
 
-fn play(sizes: &[usize], refused: &[bool], refusal: Refusal, control: Control) -> Seen {
+fn simulate(sizes: &[usize], refused: &[bool], refusal: Refusal, control: Control) -> Outcome {
     let mut fleet = Fleet::new(sizes, refusal, control);
-    let mut seen = Seen::default();
+    let mut outcome = Outcome::default();
     while fleet.now < at(END_AT) {
         if fleet.now == at(LOST_AT) {
             fleet.refuse(refused);
         }
         fleet.tick();
         for machine in &fleet.machines {
-            seen.too_young |= machine.news.told_at() > machine.truth;
+            outcome.too_new |= machine.news.told_at() > machine.actual_as_of;
             if fleet.now >= at(LOST_AT) {
-                seen.oldest = seen.oldest.max(fleet.now.since(machine.truth));
+                outcome.oldest = outcome.oldest.max(fleet.now.since(machine.actual_as_of));
             }
         }
     }
-    seen
+    outcome
 }
 
-/// Every set of nodes but all of them, as the bits of a number.
+/// Returns every subset of the nodes except the whole set.
 fn sets(nodes: usize) -> impl Iterator<Item = Vec<bool>> {
     (0..(1_u32 << nodes) - 1)
         .map(move |bits| (0..nodes).map(|node| bits >> node & 1 == 1).collect())
 }
 
 #[test]
-fn whoever_is_turned_away_the_others_have_news_in_time() {
-    for refusal in [Refusal::Loud, Refusal::Silent] {
+fn whichever_nodes_are_rejected_all_have_updates_in_time() {
+    for refusal in [Refusal::WithError, Refusal::NoAnswer] {
         for refused in sets(6) {
-            let seen = play(&[6], &refused, refusal, Control::None);
-            assert!(!seen.too_young, "{refused:?}");
-            assert!(seen.oldest <= OLDEST, "{refused:?}: {:?}", seen.oldest);
+            let outcome = simulate(&[6], &refused, refusal, Control::None);
+            assert!(!outcome.too_new, "{refused:?}");
+            assert!(
+                outcome.oldest <= OLDEST,
+                "{refused:?}: {:?}",
+                outcome.oldest
+            );
         }
     }
 }
 
-/// Nodes of a small region and two large ones, and which of them the store turned away in plays
-/// in which a node asked others for too long before it tried the store itself.
+/// Guards against nodes that ask other nodes for too long before they try the store themselves.
+/// These are the sets of rejected nodes, in a fleet of one small and two large regions, for which
+/// that happened.
 #[test]
 fn nodes_try_the_store_before_they_have_asked_many_others() {
     for bits in [63_096_u16, 7_282, 9_976, 30_456, 30_335] {
         let refused: Vec<bool> = (0..14).map(|node| bits >> node & 1 == 1).collect();
-        let seen = play(&[6, 5, 3], &refused, Refusal::Silent, Control::None);
-        assert!(!seen.too_young && seen.oldest <= OLDEST, "{bits}: {seen:?}");
+        let outcome = simulate(&[6, 5, 3], &refused, Refusal::NoAnswer, Control::None);
+        assert!(
+            !outcome.too_new && outcome.oldest <= OLDEST,
+            "{bits}: {outcome:?}"
+        );
     }
 }
 
 #[test]
-fn nodes_of_several_regions_have_news_in_time() {
+fn nodes_of_several_regions_have_updates_in_time() {
     fn holds(bits: u16, silent: bool) -> TestResult {
         let refused: Vec<bool> = (0..14).map(|node| bits >> node & 1 == 1).collect();
         if refused.iter().all(|refused| *refused) {
             return TestResult::discard();
         }
         let refusal = if silent {
-            Refusal::Silent
+            Refusal::NoAnswer
         } else {
-            Refusal::Loud
+            Refusal::WithError
         };
-        let seen = play(&[6, 5, 3], &refused, refusal, Control::None);
-        TestResult::from_bool(!seen.too_young && seen.oldest <= OLDEST)
+        let outcome = simulate(&[6, 5, 3], &refused, refusal, Control::None);
+        TestResult::from_bool(!outcome.too_new && outcome.oldest <= OLDEST)
     }
     QuickCheck::new()
         .tests(60)
@@ -461,19 +468,24 @@
         .quickcheck(holds as fn(u16, bool) -> TestResult);
 }
 
-/// The control: with the protection off some set breaks the bound.
+/// Negative control: with the protection disabled, some set of rejected nodes breaks the bound.
 #[test]
-fn nodes_that_pass_anything_on_follow_each_other_until_it_is_too_old() {
+fn forwarding_anything_lets_nodes_follow_each_other_until_knowledge_is_too_old() {
     let breaks = sets(6).any(|refused| {
-        let seen = play(&[6], &refused, Refusal::Loud, Control::PassAnythingOn);
-        seen.oldest > OLDEST
+        let outcome = simulate(&[6], &refused, Refusal::WithError, Control::ForwardAnything);
+        outcome.oldest > OLDEST
     });
     assert!(breaks);
 }
 
 #[test]
-fn knowledge_gets_younger_on_its_way_if_that_does_not_count() {
+fn knowledge_looks_newer_if_transit_time_is_ignored() {
     let refused = [false; 6];
-    let seen = play(&[6], &refused, Refusal::Loud, Control::WayIsFree);
-    assert!(seen.too_young);
+    let outcome = simulate(
+        &[6],
+        &refused,
+        Refusal::WithError,
+        Control::IgnoreTransitTime,
+    );
+    assert!(outcome.too_new);
 }
--- a/crates/coordination/tests/serving_tenancy.rs
+++ b/crates/coordination/tests/serving_tenancy.rs
@@ -1,4 +1,5 @@
-//! Tables of who a caller is, and of who is next to use a connection.
+//! Table-driven tests of the identification of callers, and of the choice of the next request for a
+//! free connection.
 
 use std::time::Duration;
 
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn a_caller_is_who_holds_its_key_now() {
+fn a_caller_is_identified_by_the_current_holder_of_its_key() {
     let cases = [
         (false, "known", true, Ok(tenant("clinic"))),
         (false, "known", false, Err(Denial::Partitioned)),
@@ -45,22 +46,22 @@
         (true, "other", true, Ok(Principal::Anonymous)),
         (true, "other", false, Ok(Principal::Anonymous)),
     ];
-    for (open, key, keys_pass, expected) in cases {
+    for (open, key, keys_accepted, expected) in cases {
         let digest = KeyDigest::of(key.as_bytes());
-        let identified = identify(&tenants(), &route(open), &digest, keys_pass);
-        assert_eq!(identified, expected, "{open} {key} {keys_pass}");
+        let identified = identify(&tenants(), &route(open), &digest, keys_accepted);
+        assert_eq!(identified, expected, "{open} {key} {keys_accepted}");
     }
 }
 
 #[test]
-fn a_digest_tells_nothing_of_its_key() {
+fn a_digest_does_not_reveal_its_key() {
     let digest = KeyDigest::of(b"known");
     assert_eq!(format!("{digest:?}"), "KeyDigest(..)");
     assert_ne!(digest, KeyDigest::of(b"Known"));
 }
 
 #[test]
-fn keys_pass_without_news_as_long_as_the_policy_says() {
+fn keys_are_accepted_without_updates_as_long_as_the_policy_allows() {
     let strict = RevocationPolicy {
         refuse_after: Some(Duration::from_secs(5)),
     };
@@ -77,14 +78,14 @@
     }
 }
 
-/// Priority, principal and milliseconds waited of one in the queue.
+/// Priority, principal and waiting time in milliseconds of a queued request.
 type Queued<'a> = (u8, Option<&'a Principal>, u64);
 
 #[test]
 fn a_free_connection_goes_to_its_own_principal_unless_another_has_waited_for_long() {
     let long = u64::try_from(MAX_PRINCIPAL_WAIT.as_millis()).unwrap();
     let (one, two) = (tenant("one"), tenant("two"));
-    // The queue, and the place of who is next for a connection of `one`.
+    // The queue, and the index of the next request for a connection of `one`.
     let cases: [(&[Queued], Option<usize>); 8] = [
         (&[], None),
         (&[(1, Some(&two), 1)], Some(0)),
--- a/crates/coordination/tests/store/mod.rs
+++ b/crates/coordination/tests/store/mod.rs
@@ -1,11 +1,10 @@
-//! States of a store that keeps all it has acknowledged.
+//! Revisions of a store that was never restored from a copy, so that all of them are of one era.
 
 use hookpoint_state::{StoreEra, StoreRevision};
 
-/// Its era.
 const ERA: StoreEra = StoreEra::new(1);
 
-/// The state that it calls `number`.
+/// Returns the store's revision with the given number.
 pub const fn revision(number: u64) -> StoreRevision {
     StoreRevision::new(ERA, number)
 }
