--- a/crates/coordination/src/serving/evacuation.rs
+++ b/crates/coordination/src/serving/evacuation.rs
@@ -14,8 +14,8 @@
     Open,
     /// Any request, but only if no other database can serve it: an evacuation has just ended.
     Returning,
-    /// Only open transactions and connections, status queries, and statements that only a primary
-    /// can run, while that primary is being moved to another zone.
+    /// Only work that is already open, status queries, and statements that only a primary can run,
+    /// while that primary is being moved to another zone.
     Evacuating,
     /// No requests at all.
     Evacuated,
--- a/crates/coordination/src/serving/leadership.rs
+++ b/crates/coordination/src/serving/leadership.rs
@@ -1,4 +1,4 @@
-//! The believed primary of a group, and since when the belief has been confirmed.
+//! The primary of a group as known to this node, and when it was last confirmed.
 //!
 //! A reign is a leadership term: the period for which this node considers one database the primary.
 //! Positions of different reigns are never compared: a promotion rolls back what the new primary
@@ -67,9 +67,9 @@
 }
 
 impl Leadership {
-    /// Applies a proof that `database` was the primary. Returns whether the believed primary or its
-    /// term changed. A proof that the leader has lost all of its commits clears the belief: the
-    /// leader restarted empty.
+    /// Applies a proof that `database` was the primary. Returns whether the known leader or its
+    /// reign changed. A proof that the leader has lost all of its commits clears the known leader,
+    /// because the leader restarted empty.
     pub fn confirm(&mut self, database: &DatabaseName, proof: Confirmation) -> bool {
         let same = self.leader.as_ref() == Some(database);
         if !same && (proof.asked_at < self.confirmed_at || self.is_refuted(database, &proof)) {
@@ -134,7 +134,7 @@
     }
 
     /// Discards everything known about the previous incarnation of `database`, which has restarted
-    /// by `now`: samples, positions and refutations. Returns whether it was believed to lead.
+    /// by `now`: samples, positions and refutations. Returns whether it was the known leader.
     ///
     /// Samples from the reign of another database are kept, as they are that database's positions.
     pub fn end_life(&mut self, database: &DatabaseName, now: Timestamp) -> bool {
@@ -176,7 +176,7 @@
     }
 
     /// Applies a proof, requested at `asked_at`, that `database` does not lead. Returns whether it
-    /// was believed to lead.
+    /// was the known leader.
     pub fn refute(&mut self, database: &DatabaseName, asked_at: Timestamp) -> bool {
         self.refuted = Some((database.clone(), asked_at));
         if self.leader.as_ref() == Some(database) {
@@ -195,12 +195,12 @@
             && self.lost_commits.is_none()
     }
 
-    /// Returns the database that is believed to lead, if any.
+    /// Returns the known leader, or `None` if no database is known to lead.
     pub fn leader(&self) -> Option<&DatabaseName> {
         self.leader.as_ref()
     }
 
-    /// Returns when the last query that confirmed the belief was sent.
+    /// Returns when the last query that confirmed the leader was sent.
     pub fn confirmed_at(&self) -> Timestamp {
         self.confirmed_at
     }
--- a/crates/coordination/src/serving/lease_grantor.rs
+++ b/crates/coordination/src/serving/lease_grantor.rs
@@ -201,7 +201,7 @@
     /// Until when the lease that this process granted to each node may be in force.
     outstanding: BTreeMap<String, Timestamp>,
     acknowledged: BTreeSet<String>,
-    /// Nodes among them that have not voted for another node recently.
+    /// Nodes that have acknowledged and have not voted for another node recently.
     exclusive_voters: BTreeSet<String>,
     majority_at: Option<Timestamp>,
 }
--- a/crates/coordination/src/serving/own_lateness.rs
+++ b/crates/coordination/src/serving/own_lateness.rs
@@ -15,7 +15,7 @@
 /// is longer.
 const MAX_TIMER_DELAY: Duration = Duration::from_millis(15);
 
-/// After a period without receiving, the messages that arrived meanwhile must be read before a peer
+/// After a period without receiving, the messages that arrived during it must be read before a peer
 /// can be declared silent. Reading some hundred datagrams takes about this long.
 const BACKLOG_READ_TIME: Duration = Duration::from_millis(10);
 
--- a/crates/coordination/src/serving/placement.rs
+++ b/crates/coordination/src/serving/placement.rs
@@ -55,7 +55,7 @@
 pub struct GroupView<'a> {
     /// Databases to which work may be sent, whether or not they are reachable.
     pub databases: &'a [&'a Database],
-    /// The database believed to lead; `None` while it does not answer and may be replaced.
+    /// The known leader; `None` while it does not answer and may be replaced.
     pub leader: Option<&'a DatabaseName>,
     /// The database that is to lead next, if a promotion is in progress.
     pub successor: Option<&'a DatabaseName>,
--- a/crates/coordination/src/serving/primary_lease.rs
+++ b/crates/coordination/src/serving/primary_lease.rs
@@ -49,7 +49,7 @@
     pub coordinator: StoreRevision,
     /// When the lease is requested, by the requesting node's clock.
     pub asked_at: ProcessTime,
-    /// The timestamp in the last answer, echoed back; `None` if there was no answer.
+    /// The timestamp in the last answer, echoed back; `None` if there is no answer yet.
     pub told: Option<ProcessTime>,
 }
 
--- a/crates/coordination/src/serving/store_news.rs
+++ b/crates/coordination/src/serving/store_news.rs
@@ -41,9 +41,10 @@
 /// The same for a node that has received no update since it started. Its upstream may be starting
 /// as well, and has its first update once it has read a listing and registered.
 const STARTING_HOLD: Duration = Duration::from_millis(800);
-/// Minimum and maximum interval between rounds of such a search. An outage that affects all nodes
-/// costs few messages, and one that does not ends after a few rounds.
+/// Minimum interval between rounds of such a search. An outage that affects all nodes costs few
+/// messages, and one that does not ends after a few rounds.
 const MIN_SEARCH_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum interval between rounds of such a search.
 const MAX_SEARCH_PAUSE: Duration = Duration::from_millis(500);
 /// The next interval is this fraction (one part in this many) of the duration of the search so far.
 const SEARCH_PAUSE_DIVISOR: u32 = 4;
@@ -56,14 +57,16 @@
 /// Time after which the first node retries the store, among nodes that follow others only because
 /// the store rejected their calls.
 const RETRY_AFTER: Duration = Duration::from_millis(2_000);
-/// Time between the first tries of two nodes of a region in an outage, and the time for all of
-/// them: the last node still has its update in time if the store rejected all others.
+/// Maximum time between the first tries of two nodes of a region in an outage.
 const FIRST_TRY_SPACING: Duration = Duration::from_millis(30);
+/// Time within which all nodes of a region make their first try: the last node still has its update
+/// in time if the store rejected all others.
 const FIRST_TRY_TIME: Duration = Duration::from_millis(900);
 /// Time between further tries of two nodes of a region; rejected calls cost as much as others.
 const TRY_SPACING: Duration = Duration::from_millis(200);
-/// Bounds of the time between two tries of one node.
+/// Minimum time between two tries of one node.
 const MIN_TRY_PERIOD: Duration = Duration::from_millis(1_200);
+/// Maximum time between two tries of one node.
 const MAX_TRY_PERIOD: Duration = Duration::from_millis(3_000);
 
 /// Returns how long a node waits for the answer to a watch before it asks other nodes as well.
--- a/crates/coordination/tests/serving_fleet.rs
+++ b/crates/coordination/tests/serving_fleet.rs
@@ -55,7 +55,7 @@
     }
 
     /// A joining node ranks high enough exactly for the databases whose home nodes change.
-    fn a_joining_node_changes_only_the_home_nodes_it_replaces(present: Vec<u8>, joining: u8) -> bool {
+    fn a_joining_node_changes_exactly_the_home_sets_that_it_enters(present: Vec<u8>, joining: u8) -> bool {
         let joining = node(usize::from(joining));
         let mut nodes: Vec<HomeCandidate> =
             present.iter().map(|number| node(usize::from(*number))).collect();
@@ -73,7 +73,7 @@
     }
 
     /// A leaving node changes the home nodes of exactly those databases that had it as a home node.
-    fn a_leaving_node_changes_only_databases_it_was_home_node_of(present: Vec<u8>, leaving: u8) -> bool {
+    fn a_leaving_node_changes_exactly_the_home_sets_that_it_leaves(present: Vec<u8>, leaving: u8) -> bool {
         let leaving = node(usize::from(leaving));
         let mut nodes: Vec<HomeCandidate> =
             present.iter().map(|number| node(usize::from(*number))).collect();
