--- a/crates/coordination/src/explain.rs
+++ b/crates/coordination/src/explain.rs
@@ -1,5 +1,6 @@
-//! The bounded record of decisions: why a request was routed, held or refused, and who
-//! led a group when. Read by `hookpoint explain` and by the simulator's reports.
+//! The bounded log of decisions: why a request was routed, held or refused, and which
+//! database led a group at which time. Read by `hookpoint explain` and by the
+//! simulator's reports.
 
 use std::collections::VecDeque;
 
@@ -8,69 +9,69 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What was decided.
+/// A decision that is recorded for later inspection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Decision {
-    /// A request goes to a database.
+    /// A request was routed to a database.
     Routed {
-        /// The database.
+        /// Database that was chosen.
         database: DatabaseName,
-        /// Why this one.
+        /// Why the database was chosen.
         reason: RouteReason,
-        /// What its reads must see.
+        /// Position that the request's reads must see, if any.
         required: Option<Position>,
     },
-    /// A replica's check failed and the read goes elsewhere.
+    /// The check of a replica's position failed, and the read is routed elsewhere.
     CheckFailed {
         /// The database that was behind.
         database: DatabaseName,
-        /// Where it was.
+        /// Term and position that the database reported.
         place: Position,
     },
-    /// A request is held.
+    /// A request was held.
     Held {
-        /// What it waits for.
+        /// Condition that the request waits for.
         waiting_for: HoldReason,
     },
-    /// A request is sent again because it provably did not run.
+    /// A request was sent again because it provably did not run.
     Retried {
-        /// Attempts so far.
+        /// Attempts made before this one.
         attempt: u32,
     },
     /// A commit was acknowledged.
     Acknowledged {
-        /// Its position.
+        /// Position of the commit.
         position: Position,
-        /// How many databases hold it.
+        /// Databases known to have flushed the commit.
         holders: u32,
     },
-    /// A request ended without its answer.
+    /// A request ended without an answer from the database.
     Failed {
-        /// Whether it ran.
+        /// Whether the request ran.
         outcome: Outcome,
-        /// SQLSTATE told to the caller.
+        /// SQLSTATE reported to the caller.
         sqlstate: String,
     },
     /// A group has a new term or primary.
     Leadership {
-        /// The group.
+        /// Group concerned.
         group: GroupName,
-        /// Its term.
+        /// Highest known term of the group.
         term: Term,
-        /// Its primary, once seen.
+        /// Primary of that term; `None` until it has been observed.
         primary: Option<DatabaseName>,
     },
     /// A bundle came into force.
     BundleInForce {
-        /// Its version.
+        /// Version of the bundle.
         version: BundleVersion,
     },
     /// A node's state in the membership changed.
     Member {
-        /// The node.
+        /// Node concerned.
         node: NodeId,
-        /// Its new state.
+        /// New state, as returned by `MemberState::as_str`.
         state: String,
     },
 }
@@ -79,11 +80,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteReason {
-    /// A write needs the primary.
+    /// Writes are routed to the primary.
     Write,
-    /// The bundle sends the group's reads to the primary.
+    /// The bundle routes the group's reads to the primary.
     Preference,
-    /// A fresh replica of the nearest kind.
+    /// The nearest replica that is expected to be fresh enough.
     FreshReplica,
     /// No replica is known to be fresh enough.
     NoFreshReplica,
@@ -93,26 +94,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HoldReason {
-    /// A primary.
+    /// A reachable primary.
     Primary,
-    /// A verified term.
+    /// Verification of the group's term by a majority.
     Verification,
     /// Any reachable database.
     Database,
 }
 
-/// One entry of the record.
+/// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When, in the node's own time.
+    /// When the decision was made, by the node's own clock.
     pub at: Timestamp,
-    /// Session concerned, if any.
+    /// Session concerned; `None` for decisions that concern the whole node.
     pub session: Option<SessionId>,
-    /// The decision.
+    /// Decision that was made.
     pub decision: Decision,
 }
 
-/// A ring of the latest entries.
+/// A ring buffer of the latest entries.
 #[derive(Clone, Debug)]
 pub struct ExplainRing {
     entries: VecDeque<Entry>,
@@ -120,7 +121,7 @@
 }
 
 impl ExplainRing {
-    /// A ring of at most `capacity` entries.
+    /// Creates an empty ring of at most `capacity` entries, but at least one.
     pub fn new(capacity: usize) -> Self {
         Self {
             entries: VecDeque::new(),
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Adds an entry; the oldest one makes room.
+    /// Adds an entry, evicting the oldest one when the ring is full.
     pub fn record(&mut self, at: Timestamp, session: Option<SessionId>, decision: Decision) {
         if self.entries.len() == self.capacity {
             self.entries.pop_front();
@@ -140,7 +141,8 @@
         });
     }
 
-    /// Entries from the oldest to the newest, of one session or of all.
+    /// Returns the entries from the oldest to the newest, either of one session or, with
+    /// `None`, of all.
     pub fn entries(&self, session: Option<SessionId>) -> impl Iterator<Item = &Entry> {
         self.entries
             .iter()
--- a/crates/coordination/src/home/candidates.rs
+++ b/crates/coordination/src/home/candidates.rs
@@ -1,25 +1,25 @@
-//! Members that may be home, by zone and region.
+//! Members eligible as home nodes, by zone and region.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use hookpoint_state::{NodeId, RegionName, ZoneName};
 
-/// Which members a database's home is chosen from.
+/// Set of members from which a database's home is chosen.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
-    /// Those of its zone.
+    /// Members of the database's zone.
     Zone(ZoneName),
-    /// Those of its region, as its zone has none.
+    /// Members of the database's region, when its zone has no candidates.
     Region(RegionName),
-    /// All, as its region has none.
+    /// All members, when the database's region has no candidates.
     Fleet,
 }
 
-/// Candidates in each scope, with a count of the changes in it.
+/// Candidates in each scope, with a change counter per scope.
 #[derive(Clone, Debug, Default)]
 pub struct Candidates {
     scopes: BTreeMap<Scope, ScopeMembers>,
-    places: BTreeMap<NodeId, (ZoneName, RegionName)>,
+    locations: BTreeMap<NodeId, (ZoneName, RegionName)>,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -28,7 +28,7 @@
     generation: u64,
 }
 
-/// The scopes that a node of `zone` in `region` stands in.
+/// Returns the scopes that contain a node of `zone` in `region`.
 fn scopes_of(zone: &ZoneName, region: &RegionName) -> [Scope; 3] {
     [
         Scope::Zone(zone.clone()),
@@ -38,10 +38,10 @@
 }
 
 impl Candidates {
-    /// Adds a node. Returns false if it was there.
+    /// Adds a node. Returns false if it was already present.
     pub fn insert(&mut self, node: NodeId, zone: &ZoneName, region: &RegionName) -> bool {
-        let place = (zone.clone(), region.clone());
-        if self.places.insert(node, place).is_some() {
+        let location = (zone.clone(), region.clone());
+        if self.locations.insert(node, location).is_some() {
             return false;
         }
         for scope in scopes_of(zone, region) {
@@ -52,18 +52,19 @@
         true
     }
 
-    /// Removes a node. Returns where it was, if it was there.
+    /// Removes a node. Returns its zone and region, or `None` if it was not present.
     pub fn remove(&mut self, node: NodeId) -> Option<(ZoneName, RegionName)> {
-        let place = self.places.remove(&node)?;
-        for scope in scopes_of(&place.0, &place.1) {
+        let location = self.locations.remove(&node)?;
+        for scope in scopes_of(&location.0, &location.1) {
             let members = self.scopes.entry(scope).or_default();
             members.nodes.remove(&node);
             members.generation += 1;
         }
-        Some(place)
+        Some(location)
     }
 
-    /// The scope from which the home of a database in `zone` and `region` is chosen.
+    /// Returns the scope from which the home of a database in `zone` and `region` is
+    /// chosen.
     pub fn scope(&self, zone: &ZoneName, region: Option<&RegionName>) -> Scope {
         let zone = Scope::Zone(zone.clone());
         if !self.is_empty(&zone) {
@@ -78,14 +79,14 @@
         Scope::Fleet
     }
 
-    /// Whether a scope has no candidates.
+    /// Returns whether a scope has no candidates.
     pub fn is_empty(&self, scope: &Scope) -> bool {
         self.scopes
             .get(scope)
             .is_none_or(|members| members.nodes.is_empty())
     }
 
-    /// Candidates in a scope.
+    /// Returns the candidates in a scope, in the order of their identifiers.
     pub fn nodes(&self, scope: &Scope) -> impl Iterator<Item = NodeId> + '_ {
         self.scopes
             .get(scope)
@@ -93,8 +94,8 @@
             .flat_map(|members| members.nodes.iter().copied())
     }
 
-    /// How many candidates of a zone come before `node` in the order of their
-    /// identifiers, counted up to `limit`.
+    /// Counts the candidates of a zone whose identifiers are lower than that of `node`,
+    /// up to `limit`.
     pub fn rank(&self, zone: &ZoneName, node: NodeId, limit: usize) -> usize {
         let scope = Scope::Zone(zone.clone());
         let Some(members) = self.scopes.get(&scope) else {
@@ -103,14 +104,14 @@
         members.nodes.range(..node).take(limit).count()
     }
 
-    /// Changes so far in a scope.
+    /// Returns the number of changes made to a scope so far.
     pub fn generation(&self, scope: &Scope) -> u64 {
         self.scopes
             .get(scope)
             .map_or(0, |members| members.generation)
     }
 
-    /// Whether `node` stands in a scope.
+    /// Returns whether `node` is a candidate in a scope.
     pub fn contains(&self, scope: &Scope, node: NodeId) -> bool {
         self.scopes
             .get(scope)
--- a/crates/coordination/src/home/table.rs
+++ b/crates/coordination/src/home/table.rs
@@ -1,4 +1,4 @@
-//! Homes of all databases as seen by one node.
+//! Homes of all databases according to one node's view of the membership.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,12 +7,12 @@
 use super::candidates::{Candidates, Scope};
 use super::score::{DatabaseKey, score};
 
-/// A duty that this node takes on or gives up.
+/// A database that this node became, or ceased to be, the home of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HomeChange {
-    /// The database.
+    /// Database concerned.
     pub database: DatabaseName,
-    /// Whether this node is its home now.
+    /// Whether this node is now the home of the database.
     pub is_home: bool,
 }
 
@@ -22,42 +22,44 @@
     zone: ZoneName,
     region: Option<RegionName>,
     scope: Scope,
-    /// Home and the generation of the scope at which it was found; read and written
-    /// through [`HomeTable::home_of`].
+    /// Home, and the generation of the scope for which it was computed. May be stale:
+    /// read it through [`HomeTable::home_of`].
     home: Option<NodeId>,
     generation: u64,
 }
 
-/// Homes by database. Homes that this node might have are kept up to date; others are
-/// found when they are asked for and kept until their scope changes.
+/// Homes by database. Homes that may be this node are kept up to date. Other homes are
+/// computed on demand and cached until their scope changes.
 #[derive(Clone, Debug)]
 pub struct HomeTable {
     own: NodeId,
     candidates: Candidates,
     databases: BTreeMap<DatabaseName, Entry>,
     by_zone: BTreeMap<ZoneName, BTreeSet<DatabaseName>>,
-    held: BTreeSet<DatabaseName>,
+    /// Databases that this node is the home of.
+    own_databases: BTreeSet<DatabaseName>,
 }
 
-fn best(candidates: &Candidates, scope: &Scope, key: DatabaseKey) -> Option<NodeId> {
+fn highest_scoring(candidates: &Candidates, scope: &Scope, key: DatabaseKey) -> Option<NodeId> {
     candidates
         .nodes(scope)
         .max_by_key(|node| (score(key, *node), *node))
 }
 
 impl HomeTable {
-    /// A table without databases or candidates, of node `own`.
+    /// Creates a table for node `own`, without databases or candidates.
     pub fn new(own: NodeId) -> Self {
         Self {
             own,
             candidates: Candidates::default(),
             databases: BTreeMap::new(),
             by_zone: BTreeMap::new(),
-            held: BTreeSet::new(),
+            own_databases: BTreeSet::new(),
         }
     }
 
-    /// Replaces the databases. Returns the duties that changed.
+    /// Replaces the databases. Returns the databases whose home this node became or
+    /// ceased to be.
     pub fn configure<'a>(
         &mut self,
         databases: impl IntoIterator<Item = (&'a DatabaseName, &'a ZoneName, Option<&'a RegionName>)>,
@@ -77,13 +79,18 @@
             let names = self.by_zone.entry(zone.clone()).or_default();
             names.insert(name.clone());
         }
-        let before = std::mem::take(&mut self.held);
+        let before = std::mem::take(&mut self.own_databases);
         let zones: Vec<ZoneName> = self.by_zone.keys().cloned().collect();
         for zone in zones {
             self.recompute_zone(&zone, &mut Vec::new());
         }
-        let gained = self.held.difference(&before).map(|name| (name, true));
-        let lost = before.difference(&self.held).map(|name| (name, false));
+        let gained = self
+            .own_databases
+            .difference(&before)
+            .map(|name| (name, true));
+        let lost = before
+            .difference(&self.own_databases)
+            .map(|name| (name, false));
         let change = |(name, is_home): (&DatabaseName, bool)| HomeChange {
             database: name.clone(),
             is_home,
@@ -91,7 +98,8 @@
         lost.chain(gained).map(change).collect()
     }
 
-    /// Adds a member that takes work. Returns the duties that changed.
+    /// Adds a member that accepts new work. Returns the databases whose home this node
+    /// became or ceased to be.
     pub fn add(&mut self, node: NodeId, zone: &ZoneName, region: &RegionName) -> Vec<HomeChange> {
         let zone_was_empty = self.candidates.is_empty(&Scope::Zone(zone.clone()));
         if !self.candidates.insert(node, zone, region) {
@@ -102,11 +110,11 @@
             self.recompute_zone(zone, &mut changes);
         }
         self.update_zones(zone, &mut changes, |candidates, entry| {
-            // The newcomer wins or nothing changes.
+            // The home changes only if the new node has a higher score.
             match entry.home {
                 Some(home) if candidates.contains(&entry.scope, home) => {
-                    let standing = (score(entry.key, home), home);
-                    standing.max((score(entry.key, node), node)).1
+                    let current = (score(entry.key, home), home);
+                    current.max((score(entry.key, node), node)).1
                 }
                 _ => node,
             }
@@ -115,7 +123,8 @@
         changes
     }
 
-    /// Removes a member that takes no more work. Returns the duties that changed.
+    /// Removes a member that no longer accepts new work. Returns the databases whose
+    /// home this node became or ceased to be.
     pub fn remove(&mut self, node: NodeId) -> Vec<HomeChange> {
         let Some((zone, _)) = self.candidates.remove(node) else {
             return Vec::new();
@@ -126,7 +135,7 @@
         }
         self.update_zones(&zone, &mut changes, |candidates, entry| {
             if entry.home == Some(node) {
-                best(candidates, &entry.scope, entry.key)
+                highest_scoring(candidates, &entry.scope, entry.key)
             } else {
                 entry.home
             }
@@ -134,8 +143,8 @@
         changes
     }
 
-    /// Updates homes that a change in `zone` touches and that this node might have:
-    /// those of the zone itself if it is the own one, and those of zones without
+    /// Updates the homes that are affected by a change in `zone` and that may be this
+    /// node: those of databases in `zone`, and those of databases in zones without
     /// candidates.
     fn update_zones(
         &mut self,
@@ -169,7 +178,7 @@
         let first = names.first().and_then(|name| self.databases.get(name));
         let region = first.and_then(|entry| entry.region.clone());
         let scope = self.candidates.scope(zone, region.as_ref());
-        if !self.candidates.contains(&scope, self.own) && !self.holds_in(zone) {
+        if !self.candidates.contains(&scope, self.own) && !self.is_home_in_zone(zone) {
             return;
         }
         let generation = self.candidates.generation(&scope);
@@ -178,18 +187,18 @@
                 continue;
             };
             if entry.scope != scope || entry.generation + 1 < generation {
-                entry.home = best(&self.candidates, &scope, entry.key);
+                entry.home = highest_scoring(&self.candidates, &scope, entry.key);
             } else if entry.generation + 1 == generation {
                 entry.home = update(&self.candidates, entry);
             }
             entry.scope.clone_from(&scope);
             entry.generation = generation;
-            note_change(&mut self.held, self.own, name, entry.home, changes);
+            record_change(&mut self.own_databases, self.own, name, entry.home, changes);
         }
     }
 
-    fn holds_in(&self, zone: &ZoneName) -> bool {
-        self.held
+    fn is_home_in_zone(&self, zone: &ZoneName) -> bool {
+        self.own_databases
             .iter()
             .filter_map(|name| self.databases.get(name))
             .any(|entry| entry.zone == *zone)
@@ -205,25 +214,27 @@
             };
             entry.scope = self.candidates.scope(&entry.zone, entry.region.as_ref());
             entry.generation = self.candidates.generation(&entry.scope);
-            entry.home = best(&self.candidates, &entry.scope, entry.key);
-            note_change(&mut self.held, self.own, name, entry.home, changes);
+            entry.home = highest_scoring(&self.candidates, &entry.scope, entry.key);
+            record_change(&mut self.own_databases, self.own, name, entry.home, changes);
         }
     }
 
-    /// The home of `database`; none if it is not configured or nobody takes work.
+    /// Returns the home of `database`; `None` if the database is not configured or no
+    /// member accepts new work.
     pub fn home_of(&mut self, database: &DatabaseName) -> Option<NodeId> {
         let entry = self.databases.get_mut(database)?;
         let scope = self.candidates.scope(&entry.zone, entry.region.as_ref());
         let generation = self.candidates.generation(&scope);
         if entry.scope != scope || entry.generation != generation {
-            entry.home = best(&self.candidates, &scope, entry.key);
+            entry.home = highest_scoring(&self.candidates, &scope, entry.key);
             entry.scope = scope;
             entry.generation = generation;
         }
         entry.home
     }
 
-    /// The candidates for `database` in the order of preference, at most `count`.
+    /// Returns the candidates for `database` in descending order of score, at most
+    /// `count`.
     pub fn choices(&self, database: &DatabaseName, count: usize) -> Vec<NodeId> {
         let Some(entry) = self.databases.get(database) else {
             return Vec::new();
@@ -239,19 +250,19 @@
         scored.into_iter().map(|(_, node)| node).collect()
     }
 
-    /// Whether this node is home of `database`.
+    /// Returns whether this node is the home of `database`.
     pub fn is_home(&self, database: &DatabaseName) -> bool {
-        self.held.contains(database)
+        self.own_databases.contains(database)
     }
 
-    /// Databases that this node is home of.
-    pub fn held(&self) -> impl Iterator<Item = &DatabaseName> {
-        self.held.iter()
+    /// Returns the databases that this node is the home of.
+    pub fn own_databases(&self) -> impl Iterator<Item = &DatabaseName> {
+        self.own_databases.iter()
     }
 
-    /// How many members that take work come before this node in `zone`, in the order
-    /// of their identifiers; `limit` if there are as many or more, or if this node
-    /// takes no work itself.
+    /// Counts the members of `zone` that accept new work and whose identifiers are lower
+    /// than this node's. Returns `limit` if there are that many or more, or if this node
+    /// is not such a member itself.
     pub fn rank_in(&self, zone: &ZoneName, limit: usize) -> usize {
         if !self
             .candidates
@@ -262,14 +273,14 @@
         self.candidates.rank(zone, self.own, limit)
     }
 
-    /// Whether `database` is configured.
-    pub fn knows(&self, database: &DatabaseName) -> bool {
+    /// Returns whether `database` is configured.
+    pub fn is_configured(&self, database: &DatabaseName) -> bool {
         self.databases.contains_key(database)
     }
 }
 
-fn note_change(
-    held: &mut BTreeSet<DatabaseName>,
+fn record_change(
+    own_databases: &mut BTreeSet<DatabaseName>,
     own: NodeId,
     name: &DatabaseName,
     home: Option<NodeId>,
@@ -277,9 +288,9 @@
 ) {
     let is_home = home == Some(own);
     let changed = if is_home {
-        held.insert(name.clone())
+        own_databases.insert(name.clone())
     } else {
-        held.remove(name)
+        own_databases.remove(name)
     };
     if changed {
         let database = name.clone();
--- a/crates/coordination/src/limits/tests.rs
+++ b/crates/coordination/src/limits/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the admission to a queue.
+//! Tests of queue admission.
 
 use hookpoint_state::Refusal;
 use quickcheck::{Arbitrary, Gen};
@@ -15,13 +15,13 @@
 };
 
 #[test]
-fn a_full_queue_its_tenants_limit_and_its_share_refuse() {
+fn admission_checks_capacity_tenant_limit_and_fair_share() {
     let full = Err(Refusal::QueueFull);
-    let over = Err(Refusal::TenantLimit);
+    let over_limit = Err(Refusal::TenantLimit);
     let cases = [
         ("empty", STATE, Ok(())),
         (
-            "one place left",
+            "room for one more",
             QueueState {
                 length: 99,
                 ..STATE
@@ -62,7 +62,7 @@
                 tenant_capacity: Some(5),
                 ..STATE
             },
-            over.clone(),
+            over_limit.clone(),
         ),
         (
             "over its share without overload",
@@ -82,7 +82,7 @@
                 total_weight: 4,
                 ..STATE
             },
-            over,
+            over_limit,
         ),
         (
             "below its share under overload",
@@ -106,7 +106,7 @@
             Ok(()),
         ),
         (
-            "the lightest of many has one place",
+            "the lightest of many tenants may queue one request",
             QueueState {
                 length: 80,
                 total_weight: 1_000,
@@ -120,10 +120,10 @@
     }
 }
 
-/// However a tenant floods the queue, another one with nothing in it finds a place
-/// unless tenants within their shares fill it.
+/// A tenant that floods the queue can't exclude another tenant with no waiting requests.
+/// (Only tenants within their shares may fill the queue.)
 #[test]
-fn a_flood_leaves_room_for_others() {
+fn a_flooding_tenant_leaves_room_for_others() {
     for seed in 0..300 {
         let mut random = Gen::from_size_and_seed(50, seed);
         let capacity = 2 + usize::arbitrary(&mut random) % 500;
--- a/crates/coordination/src/node/event.rs
+++ b/crates/coordination/src/node/event.rs
@@ -1,4 +1,4 @@
-//! What a node machine is told and what it asks for.
+//! Input events and output actions of a node machine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,32 +10,32 @@
 use crate::membership::{Datagram, MemberInfo, MemberState};
 use crate::rollout::RolloutMessage;
 
-/// A machine in the platform's list, which lags.
+/// A machine in the platform's list. The list may be out of date.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformMachine {
     /// Peer address of the proxy on it.
     pub address: SocketAddr,
-    /// Whether it is about to leave.
+    /// Whether the platform is about to remove the machine.
     pub leaving: bool,
 }
 
-/// What happens to a node.
+/// Input event of a node machine.
 #[derive(Clone, Debug)]
 pub enum NodeEvent {
-    /// Addresses at which nodes may be found at any time.
+    /// Configured addresses at which nodes may be found.
     Seeds(Vec<SocketAddr>),
-    /// A datagram that was proved to come from the fleet.
+    /// A datagram that was authenticated as coming from the fleet.
     Datagram(Box<Datagram>),
     /// A message from another node over a link.
     PeerMessage {
-        /// The sender, as proved by the link.
+        /// Sender, as authenticated by the link.
         from: NodeId,
-        /// The message.
+        /// Message to send or received.
         message: PeerMessage,
     },
-    /// A link to a node broke or could not be made.
+    /// A link to a node broke or could not be established.
     PeerLost(NodeId),
-    /// The time of [`super::NodeMachine::next_wake`] has come.
+    /// The time returned by [`super::NodeMachine::next_wake`] has been reached.
     Timer,
     /// The platform's list of machines.
     PlatformMachines(Vec<PlatformMachine>),
@@ -45,57 +45,59 @@
     LeadershipObserved(LeadershipNews),
     /// A session of this node used a group.
     GroupUsed(GroupName),
-    /// An operator wants to know who does not have this version in force.
+    /// An operator asks which nodes do not have this version in force.
     VersionsRequested(BundleVersion),
-    /// This node is to stop: it takes no new duties and hands over those it has.
+    /// This node is to stop: it becomes home of no further databases and hands over
+    /// those it has.
     StopRequested,
 }
 
-/// What a node machine asks for. Those marked as being for the rollout machine, and
-/// deaths and leavings of members, are to be passed on to
-/// [`crate::rollout::RolloutMachine`], which is driven beside this one.
+/// Output action of a node machine. Actions marked as being for the rollout machine, and
+/// members that die or leave, must be passed on to [`crate::rollout::RolloutMachine`],
+/// which is driven beside this one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeAction {
     /// Send a datagram.
     SendDatagram {
-        /// Where to.
+        /// Destination address.
         to: SocketAddr,
         /// The datagram.
         datagram: Box<Datagram>,
     },
-    /// Send a message over the link to a node; make the link if there is none.
+    /// Send a message over the link to a node; establish the link if there is none.
     SendPeer {
-        /// The receiver.
+        /// Node to send to.
         to: NodeId,
-        /// The message.
+        /// Message to send or received.
         message: PeerMessage,
     },
-    /// This node has become the home of a database or is no longer.
+    /// This node became, or ceased to be, the home of a database.
     HomeChanged(HomeChange),
-    /// Another node knows more of a group's leadership than this one did.
+    /// Another node reported newer leadership of a group than this node knew.
     LeadershipLearned(LeadershipNews),
     /// A member was added or its state changed.
     MemberChanged {
-        /// The member.
+        /// Member concerned.
         info: Arc<MemberInfo>,
-        /// Its state now.
+        /// New state of the member.
         state: MemberState,
     },
-    /// Place of this node among the members of its zone that take work, counted up to
-    /// [`crate::rollout::WATCHERS_PER_ZONE`]. For the rollout machine.
+    /// Number of members of this node's zone that accept new work and have lower
+    /// identifiers, counted up to [`crate::rollout::WATCHERS_PER_ZONE`]. For the rollout
+    /// machine.
     ZoneRankChanged(usize),
     /// A message for the rollout machine.
     RolloutReceived {
-        /// The sender.
+        /// Node that sent the message.
         from: NodeId,
-        /// The message.
+        /// Message for the rollout machine.
         message: RolloutMessage,
     },
-    /// A member was heard to have a bundle in force. For the rollout machine.
+    /// A member reported the version of its bundle in force. For the rollout machine.
     PeerVersionSeen {
-        /// The member.
+        /// Member concerned.
         node: NodeId,
-        /// The version.
+        /// Version of its bundle.
         version: BundleVersion,
     },
 }
--- a/crates/coordination/src/node/machine.rs
+++ b/crates/coordination/src/node/machine.rs
@@ -1,4 +1,4 @@
-//! The node machine.
+//! The node state machine.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -9,36 +9,36 @@
 
 use super::event::{NodeAction, NodeEvent, PlatformMachine};
 use super::message::{LeadershipNews, PeerMessage};
-use super::spread::Spread;
+use super::spread::LeadershipSubscriptions;
 use crate::home::HomeTable;
 use crate::membership::{
     MemberInfo, MemberState, Membership, MembershipAction, MembershipEvent, MembershipSettings,
 };
 use crate::rollout::WATCHERS_PER_ZONE;
 
-/// Groups accepted in one subscription.
+/// Maximum number of groups accepted in one subscription message.
 const MAXIMUM_SUBSCRIBED_GROUPS: usize = 256;
 
-/// Where a request for a connection goes.
+/// Node to which a request for a connection is routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
-    /// This node is the home.
+    /// This node serves the request.
     Here,
-    /// Another node is.
+    /// Another node serves the request.
     Peer {
-        /// The node.
+        /// Node that serves the request.
         node: NodeId,
-        /// Where its links are.
+        /// Address for links to the node.
         address: SocketAddr,
     },
 }
 
-/// Membership, homes and spread of one node.
+/// Membership, home nodes and leadership subscriptions of one node.
 #[derive(Clone, Debug)]
 pub struct NodeMachine {
     membership: Membership,
     homes: HomeTable,
-    spread: Spread,
+    subscriptions: LeadershipSubscriptions,
     groups: BTreeMap<GroupName, Vec<DatabaseName>>,
     leaving_machines: BTreeSet<SocketAddr>,
     scratch: Vec<MembershipAction>,
@@ -46,7 +46,7 @@
 }
 
 impl NodeMachine {
-    /// A node alone and without a bundle.
+    /// Creates a node that knows no other members and has no bundle.
     pub fn new(
         now: Timestamp,
         settings: MembershipSettings,
@@ -58,7 +58,7 @@
         Self {
             homes,
             membership: Membership::new(now, settings, own, random),
-            spread: Spread::default(),
+            subscriptions: LeadershipSubscriptions::default(),
             groups: BTreeMap::new(),
             leaving_machines: BTreeSet::new(),
             scratch: Vec::new(),
@@ -66,26 +66,32 @@
         }
     }
 
-    /// Takes an event and appends the actions it causes to `actions`.
+    /// Processes an event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Timestamp, event: NodeEvent, actions: &mut Vec<NodeAction>) {
         match event {
-            NodeEvent::Seeds(seeds) => self.tell(now, MembershipEvent::Seeds(seeds), actions),
+            NodeEvent::Seeds(seeds) => {
+                self.update_membership(now, MembershipEvent::Seeds(seeds), actions)
+            }
             NodeEvent::Datagram(datagram) => {
-                self.tell(now, MembershipEvent::Datagram(datagram), actions);
+                self.update_membership(now, MembershipEvent::Datagram(datagram), actions);
             }
             NodeEvent::PeerMessage { from, message } => {
-                self.take_message(now, from, message, actions);
+                self.handle_message(now, from, message, actions);
+            }
+            NodeEvent::PeerLost(node) => {
+                self.update_membership(now, MembershipEvent::ProbeNow(node), actions)
             }
-            NodeEvent::PeerLost(node) => self.tell(now, MembershipEvent::ProbeNow(node), actions),
             NodeEvent::Timer => self.run_timers(now, actions),
             NodeEvent::PlatformMachines(machines) => {
-                self.take_machines(now, machines, actions);
+                self.set_machines(now, machines, actions);
             }
             NodeEvent::BundleInstalled(bundle) => self.configure(now, &bundle, actions),
-            NodeEvent::LeadershipObserved(news) => self.push_news(now, None, &news, actions),
+            NodeEvent::LeadershipObserved(update) => {
+                self.propagate_leadership(now, None, &update, actions)
+            }
             NodeEvent::GroupUsed(group) => self.note_use(now, &group, None, actions),
             NodeEvent::VersionsRequested(version) => {
-                self.tell(now, MembershipEvent::RefreshVersions(version), actions);
+                self.update_membership(now, MembershipEvent::RefreshVersions(version), actions);
             }
             NodeEvent::StopRequested => self.stop(now, actions),
         }
@@ -100,37 +106,38 @@
         }
     }
 
-    /// Place of this node among the members of its zone that take work, counted up to
-    /// [`WATCHERS_PER_ZONE`].
+    /// Returns the number of members of this node's zone that accept new work and have
+    /// lower identifiers, counted up to [`WATCHERS_PER_ZONE`].
     pub fn zone_rank(&self) -> usize {
         let zone = &self.membership.own().zone;
         self.homes.rank_in(zone, WATCHERS_PER_ZONE)
     }
 
-    /// When [`NodeEvent::Timer`] is due.
+    /// Returns when [`NodeEvent::Timer`] is due.
     pub fn next_wake(&self) -> Timestamp {
-        let renewal = self.spread.next_deadline();
+        let renewal = self.subscriptions.next_deadline();
         renewal
             .into_iter()
             .fold(self.membership.next_wake(), Timestamp::min)
     }
 
-    /// The membership.
+    /// Returns this node's view of the membership.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Whether this node is home of `database`.
+    /// Returns whether this node is the home of `database`.
     pub fn is_home(&self, database: &DatabaseName) -> bool {
         self.homes.is_home(database)
     }
 
-    /// Databases that this node is home of.
+    /// Returns the databases that this node is the home of.
     pub fn held(&self) -> impl Iterator<Item = &DatabaseName> {
-        self.homes.held()
+        self.homes.own_databases()
     }
 
-    /// Where a session's request for a connection to `database` goes first. Notes that
+    /// Returns where a session's request for a connection to `database` goes first;
+    /// `None` if the database has no home or the home's address is unknown. Records that
     /// the group is used.
     pub fn route(
         &mut self,
@@ -144,10 +151,11 @@
         self.route_to(home?)
     }
 
-    /// Where the request goes when `failed` could not take it: the next choice of the
-    /// rendezvous, at last this node itself.
+    /// Returns where the request goes when the nodes in `failed` could not serve it: the
+    /// next candidate in the order of rendezvous scores, finally this node itself.
+    /// `None` if the database is not configured.
     pub fn route_after(&self, database: &DatabaseName, failed: &[NodeId]) -> Option<Route> {
-        if !self.homes.knows(database) {
+        if !self.homes.is_configured(database) {
             return None;
         }
         let choices = self.homes.choices(database, failed.len() + 1);
@@ -164,14 +172,19 @@
         Some(Route::Peer { node, address })
     }
 
-    /// Address of a member.
+    /// Returns the address of a member.
     pub fn address_of(&self, node: NodeId) -> Option<SocketAddr> {
         self.membership
             .member(node)
             .map(|member| member.info.address)
     }
 
-    fn tell(&mut self, now: Timestamp, event: MembershipEvent, actions: &mut Vec<NodeAction>) {
+    fn update_membership(
+        &mut self,
+        now: Timestamp,
+        event: MembershipEvent,
+        actions: &mut Vec<NodeAction>,
+    ) {
         let mut caused = std::mem::take(&mut self.scratch);
         self.membership.handle(now, event, &mut caused);
         for action in caused.drain(..) {
@@ -199,7 +212,7 @@
     ) {
         self.update_candidate(&info, state, actions);
         if !state.takes_work() {
-            for group in self.spread.subscribed_to(info.node) {
+            for group in self.subscriptions.subscribed_to(info.node) {
                 self.renew(now, &group, actions);
             }
         }
@@ -221,7 +234,7 @@
         actions.extend(changes.into_iter().map(NodeAction::HomeChanged));
     }
 
-    fn take_machines(
+    fn set_machines(
         &mut self,
         now: Timestamp,
         machines: Vec<PlatformMachine>,
@@ -231,7 +244,7 @@
         self.leaving_machines = leaving.map(|machine| machine.address).collect();
         let staying = machines.iter().filter(|machine| !machine.leaving);
         let addresses = staying.map(|machine| machine.address).collect();
-        self.tell(now, MembershipEvent::Hints(addresses), actions);
+        self.update_membership(now, MembershipEvent::Hints(addresses), actions);
         self.update_candidates(actions);
     }
 
@@ -258,30 +271,31 @@
             members.push(name.clone());
         }
         let groups = &self.groups;
-        self.spread.retain(|group| groups.contains_key(group));
+        self.subscriptions
+            .retain(|group| groups.contains_key(group));
         let databases = bundle
             .databases
             .iter()
             .map(|(name, database)| (name, &database.zone, bundle.region_of(&database.zone)));
         let changes = self.homes.configure(databases);
         actions.extend(changes.into_iter().map(NodeAction::HomeChanged));
-        self.tell(now, MembershipEvent::BundleInForce(bundle.version), actions);
+        self.update_membership(now, MembershipEvent::BundleInForce(bundle.version), actions);
     }
 
     fn run_timers(&mut self, now: Timestamp, actions: &mut Vec<NodeAction>) {
-        self.tell(now, MembershipEvent::Timer, actions);
-        while let Some(group) = self.spread.due(now) {
+        self.update_membership(now, MembershipEvent::Timer, actions);
+        while let Some(group) = self.subscriptions.due(now) {
             self.renew(now, &group, actions);
         }
     }
 
     fn stop(&mut self, now: Timestamp, actions: &mut Vec<NodeAction>) {
-        self.tell(now, MembershipEvent::Leave, actions);
+        self.update_membership(now, MembershipEvent::Leave, actions);
         let own = self.membership.own().clone();
         self.update_candidate(&own, MemberState::Leaving, actions);
     }
 
-    /// Whether this node is home of any of the group's databases.
+    /// Returns whether this node is the home of any of the group's databases.
     fn is_home_in(&self, group: &GroupName) -> bool {
         let databases = self.groups.get(group).map_or(&[][..], Vec::as_slice);
         databases
@@ -310,21 +324,21 @@
         }
         let own = self.membership.own().node;
         let home = home.filter(|home| *home != own);
-        if self.spread.note_use(now, group, home) {
+        if self.subscriptions.record_use(now, group, home) {
             self.renew(now, group, actions);
         }
     }
 
     fn renew(&mut self, now: Timestamp, group: &GroupName, actions: &mut Vec<NodeAction>) {
         let homes = self.homes_of_group(group);
-        let known = self.spread.renew(now, group, homes.clone());
+        let known = self.subscriptions.renew(now, group, homes.clone());
         for to in homes {
             let message = PeerMessage::Subscribe(vec![known.clone()]);
             actions.push(NodeAction::SendPeer { to, message });
         }
     }
 
-    fn take_message(
+    fn handle_message(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -332,73 +346,73 @@
         actions: &mut Vec<NodeAction>,
     ) {
         match message {
-            PeerMessage::LeadershipChange(news) => {
-                self.take_news(now, from, &news, actions);
+            PeerMessage::LeadershipChange(update) => {
+                self.handle_leadership(now, from, &update, actions);
             }
             PeerMessage::Rollout(message) => {
                 actions.push(NodeAction::RolloutReceived { from, message });
             }
             PeerMessage::Subscribe(groups) => {
-                for news in groups.iter().take(MAXIMUM_SUBSCRIBED_GROUPS) {
-                    self.take_subscription(now, from, news, actions);
+                for update in groups.iter().take(MAXIMUM_SUBSCRIBED_GROUPS) {
+                    self.handle_subscription(now, from, update, actions);
                 }
             }
         }
     }
 
-    fn take_subscription(
+    fn handle_subscription(
         &mut self,
         now: Timestamp,
         from: NodeId,
-        news: &LeadershipNews,
+        update: &LeadershipNews,
         actions: &mut Vec<NodeAction>,
     ) {
-        if !self.groups.contains_key(&news.group) {
+        if !self.groups.contains_key(&update.group) {
             return;
         }
-        self.spread.subscribe(now, &news.group, from);
-        self.take_news(now, from, news, actions);
-        let known = self.spread.known(&news.group);
-        if known.is_newer_than(news) {
+        self.subscriptions.subscribe(now, &update.group, from);
+        self.handle_leadership(now, from, update, actions);
+        let known = self.subscriptions.known(&update.group);
+        if known.is_newer_than(update) {
             let message = PeerMessage::LeadershipChange(known);
             actions.push(NodeAction::SendPeer { to: from, message });
         }
     }
 
-    fn take_news(
+    fn handle_leadership(
         &mut self,
         now: Timestamp,
         from: NodeId,
-        news: &LeadershipNews,
+        update: &LeadershipNews,
         actions: &mut Vec<NodeAction>,
     ) {
-        let known = self.spread.known(&news.group);
-        if !self.groups.contains_key(&news.group) || !news.is_newer_than(&known) {
+        let known = self.subscriptions.known(&update.group);
+        if !self.groups.contains_key(&update.group) || !update.is_newer_than(&known) {
             return;
         }
-        actions.push(NodeAction::LeadershipLearned(news.clone()));
-        self.push_news(now, Some(from), news, actions);
+        actions.push(NodeAction::LeadershipLearned(update.clone()));
+        self.propagate_leadership(now, Some(from), update, actions);
     }
 
-    /// Passes news on to the homes of the group's databases and, on a home, to those
-    /// who asked for them.
-    fn push_news(
+    /// Propagates a leadership update to the homes of the group's databases and, on a
+    /// home, to the subscribers.
+    fn propagate_leadership(
         &mut self,
         now: Timestamp,
         from: Option<NodeId>,
-        news: &LeadershipNews,
+        update: &LeadershipNews,
         actions: &mut Vec<NodeAction>,
     ) {
-        if !self.groups.contains_key(&news.group) || !self.spread.learn(news) {
+        if !self.groups.contains_key(&update.group) || !self.subscriptions.record(update) {
             return;
         }
         let mut receivers = BTreeSet::new();
-        if from.is_none() || self.is_home_in(&news.group) {
-            receivers = self.homes_of_group(&news.group);
+        if from.is_none() || self.is_home_in(&update.group) {
+            receivers = self.homes_of_group(&update.group);
         }
-        receivers.extend(self.spread.subscribers(now, &news.group));
+        receivers.extend(self.subscriptions.subscribers(now, &update.group));
         for to in receivers.into_iter().filter(|to| Some(*to) != from) {
-            let message = PeerMessage::LeadershipChange(news.clone());
+            let message = PeerMessage::LeadershipChange(update.clone());
             actions.push(NodeAction::SendPeer { to, message });
         }
     }
--- a/crates/coordination/src/node/message.rs
+++ b/crates/coordination/src/node/message.rs
@@ -5,21 +5,21 @@
 
 use crate::rollout::RolloutMessage;
 
-/// Who leads a group, as far as the sender knows.
+/// Leadership of a group as known to the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeadershipNews {
-    /// The group.
+    /// Group concerned.
     pub group: GroupName,
-    /// Its highest known term.
+    /// Highest known term of the group.
     pub term: Term,
-    /// The primary of that term, once seen.
+    /// Primary of that term; `None` until it has been observed.
     pub primary: Option<DatabaseName>,
-    /// A place that the primary was seen at.
+    /// Term and position at which the primary was observed.
     pub place: Position,
 }
 
 impl LeadershipNews {
-    /// Nothing known of `group`.
+    /// Returns a value that stands for unknown leadership of `group`.
     pub fn none(group: GroupName) -> Self {
         Self {
             group,
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Whether this says more than `other`: a later term, or the primary of the same
-    /// term where the other knows none.
+    /// Returns whether this is newer than `other`: it has a later term, or it names the
+    /// primary of the same term while `other` names none.
     pub fn is_newer_than(&self, other: &LeadershipNews) -> bool {
         let names_primary = self.primary.is_some() && other.primary.is_none();
         self.term > other.term || (self.term == other.term && names_primary)
@@ -42,8 +42,9 @@
 pub enum PeerMessage {
     /// A group's leadership changed.
     LeadershipChange(LeadershipNews),
-    /// Tell the sender of changes in these groups for a while. Each entry says what the
-    /// sender knows, so that whoever knows more can tell the other.
+    /// Subscribes the sender to leadership changes of these groups for a limited time.
+    /// Each entry holds what the sender knows, so that the receiver can update itself or
+    /// reply with newer leadership.
     Subscribe(Vec<LeadershipNews>),
     /// A message between the rollout machines of two nodes.
     Rollout(RolloutMessage),
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -1,9 +1,9 @@
-//! One node of the fleet: membership, home nodes and the spread of term changes, as one
-//! machine that the proxy and the simulator both drive.
+//! One node of the fleet: membership, home nodes and the propagation of term changes, in
+//! one state machine that is driven by the proxy and by the simulator.
 //!
-//! [`NodeMachine`] receives [`NodeEvent`]s and answers with [`NodeAction`]s, to be
-//! carried out in order. After each event its driver looks at
-//! [`NodeMachine::next_wake`] and sends [`NodeEvent::Timer`] when that time has come.
+//! [`NodeMachine`] receives [`NodeEvent`]s and returns [`NodeAction`]s, to be carried
+//! out in order. After each event the driver must call [`NodeMachine::next_wake`] and
+//! send [`NodeEvent::Timer`] at the returned time.
 
 mod event;
 mod machine;
--- a/crates/coordination/src/node/spread.rs
+++ b/crates/coordination/src/node/spread.rs
@@ -1,6 +1,6 @@
-//! Who is told of a group's leadership changes: the nodes that use it, through the home
-//! nodes of its databases. Nothing is broadcast. `docs/design/spread-of-terms.md` weighs
-//! the ways.
+//! Subscriptions to leadership changes. Changes of a group are sent to the nodes that
+//! use it, through the home nodes of its databases; nothing is broadcast.
+//! `docs/design/spread-of-terms.md` compares the alternatives.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,17 +9,17 @@
 
 use super::message::LeadershipNews;
 
-/// How long after its last use a group counts as used.
-const USE_MEMORY: Duration = Duration::from_secs(180);
+/// How long after its last use a group still counts as used.
+const USE_RETENTION: Duration = Duration::from_secs(180);
 /// Time between two renewals of a subscription.
 const RENEWAL_PERIOD: Duration = Duration::from_secs(15);
-/// How long a home remembers a subscriber that does not renew.
-const SUBSCRIPTION_TIME: Duration = Duration::from_secs(50);
-/// Subscribers remembered for one group.
+/// How long a home keeps a subscriber that does not renew.
+const SUBSCRIPTION_LIFETIME: Duration = Duration::from_secs(50);
+/// Maximum number of subscribers kept per group.
 const MAXIMUM_SUBSCRIBERS: usize = 4_096;
 
 #[derive(Clone, Debug)]
-struct GroupSpread {
+struct GroupSubscriptions {
     known: LeadershipNews,
     used_until: Timestamp,
     renew_at: Option<Timestamp>,
@@ -27,18 +27,18 @@
     subscribers: BTreeMap<NodeId, Timestamp>,
 }
 
-/// Subscriptions of this node and to this node.
+/// Subscriptions of this node at other nodes, and of other nodes at this node.
 #[derive(Clone, Debug, Default)]
-pub struct Spread {
-    groups: BTreeMap<GroupName, GroupSpread>,
+pub struct LeadershipSubscriptions {
+    groups: BTreeMap<GroupName, GroupSubscriptions>,
     renewals: BTreeSet<(Timestamp, GroupName)>,
 }
 
-impl Spread {
-    fn entry(&mut self, group: &GroupName) -> &mut GroupSpread {
+impl LeadershipSubscriptions {
+    fn entry(&mut self, group: &GroupName) -> &mut GroupSubscriptions {
         self.groups
             .entry(group.clone())
-            .or_insert_with(|| GroupSpread {
+            .or_insert_with(|| GroupSubscriptions {
                 known: LeadershipNews::none(group.clone()),
                 used_until: Timestamp::default(),
                 renew_at: None,
@@ -47,38 +47,38 @@
             })
     }
 
-    /// Drops groups that are not in `wanted`.
+    /// Drops the groups for which `wanted` returns false.
     pub fn retain(&mut self, wanted: impl Fn(&GroupName) -> bool) {
         self.groups.retain(|group, _| wanted(group));
         self.renewals.retain(|(_, group)| wanted(group));
     }
 
-    /// Takes news of a group. Returns whether they are new here.
-    pub fn learn(&mut self, news: &LeadershipNews) -> bool {
-        let entry = self.entry(&news.group);
-        let newer = news.is_newer_than(&entry.known);
+    /// Records a group's leadership. Returns whether it is newer than what was known.
+    pub fn record(&mut self, update: &LeadershipNews) -> bool {
+        let entry = self.entry(&update.group);
+        let newer = update.is_newer_than(&entry.known);
         if newer {
-            entry.known = news.clone();
+            entry.known = update.clone();
         }
         newer
     }
 
-    /// What is known of a group's leadership.
+    /// Returns the known leadership of a group.
     pub fn known(&mut self, group: &GroupName) -> LeadershipNews {
         self.entry(group).known.clone()
     }
 
-    /// Notes that a session used a group and that `home` served it. Returns whether
+    /// Records that a session used a group and that `home` served it. Returns whether
     /// subscriptions should be renewed now.
-    pub fn note_use(&mut self, now: Timestamp, group: &GroupName, home: Option<NodeId>) -> bool {
+    pub fn record_use(&mut self, now: Timestamp, group: &GroupName, home: Option<NodeId>) -> bool {
         let entry = self.entry(group);
-        entry.used_until = now + USE_MEMORY;
-        let stranger = home.is_some_and(|home| !entry.subscribed_to.contains(&home));
-        entry.renew_at.is_none() || stranger
+        entry.used_until = now + USE_RETENTION;
+        let unsubscribed_home = home.is_some_and(|home| !entry.subscribed_to.contains(&home));
+        entry.renew_at.is_none() || unsubscribed_home
     }
 
-    /// Notes that subscriptions to a group's `homes` are renewed now. Returns what is
-    /// known of the group.
+    /// Records that subscriptions at a group's `homes` are renewed now. Returns the
+    /// known leadership of the group.
     pub fn renew(
         &mut self,
         now: Timestamp,
@@ -96,7 +96,8 @@
         known
     }
 
-    /// A group whose subscriptions are to be renewed. Those no longer used end here.
+    /// Returns a group whose subscriptions are due for renewal. Subscriptions of groups
+    /// that are no longer used are dropped.
     pub fn due(&mut self, now: Timestamp) -> Option<GroupName> {
         loop {
             let (at, group) = self.renewals.first()?.clone();
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Groups subscribed to at `node`.
+    /// Returns the groups for which this node has subscribed at `node`.
     pub fn subscribed_to(&self, node: NodeId) -> Vec<GroupName> {
         self.groups
             .iter()
@@ -125,23 +126,23 @@
             .collect()
     }
 
-    /// When [`Spread::due`] has something to return.
+    /// Returns when [`LeadershipSubscriptions::due`] next has a group to return.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.renewals.first().map(|(at, _)| *at)
     }
 
-    /// Remembers a subscriber.
+    /// Adds or renews a subscriber, within the maximum number per group.
     pub fn subscribe(&mut self, now: Timestamp, group: &GroupName, node: NodeId) {
         let entry = self.entry(group);
         if entry.subscribers.len() >= MAXIMUM_SUBSCRIBERS {
             entry.subscribers.retain(|_, expires| *expires > now);
         }
         if entry.subscribers.len() < MAXIMUM_SUBSCRIBERS || entry.subscribers.contains_key(&node) {
-            entry.subscribers.insert(node, now + SUBSCRIPTION_TIME);
+            entry.subscribers.insert(node, now + SUBSCRIPTION_LIFETIME);
         }
     }
 
-    /// Nodes that asked to be told of a group.
+    /// Returns the nodes that subscribe to a group at this node.
     pub fn subscribers(&self, now: Timestamp, group: &GroupName) -> BTreeSet<NodeId> {
         let Some(entry) = self.groups.get(group) else {
             return BTreeSet::new();
--- a/crates/coordination/src/observer/mod.rs
+++ b/crates/coordination/src/observer/mod.rs
@@ -1,8 +1,8 @@
-//! When a database is probed for its status, and when a group's term counts as verified.
+//! Scheduling of status probes, and verification of a group's term.
 //!
-//! [`ProbeSchedule`] decides which of the databases this node observes is due for a
-//! status query. [`Rounds`] decides when a round of status queries starts and which
-//! callers it answers. [`Verification`] judges the answers of one round.
+//! [`ProbeSchedule`] decides which of the observed databases is due for a status query.
+//! [`Rounds`] decides when a round of status queries starts and which callers receive
+//! its result. [`Verification`] evaluates the answers of one round.
 
 mod rounds;
 mod schedule;
--- a/crates/coordination/src/observer/rounds.rs
+++ b/crates/coordination/src/observer/rounds.rs
@@ -1,44 +1,44 @@
-//! Sharing of rounds of queries between concurrent callers.
+//! Sharing of query rounds between concurrent callers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use hookpoint_state::Timestamp;
 
-/// How many rounds run at the same time.
+/// Limits on concurrent rounds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoundPolicy {
-    /// A round under way for longer than this does not hold the next one back.
+    /// The next round may start once the latest one has been running for this long.
     pub patience: Duration,
-    /// Rounds under way at the same time.
+    /// Maximum number of concurrent rounds.
     pub maximum: usize,
 }
 
-/// A round, numbered by the rounds' table.
+/// Number of a round, assigned by [`Rounds`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RoundNumber(pub u64);
 
-/// A caller that waits for a result, numbered by the driver.
+/// Number of a caller that waits for a result, assigned by the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WaiterNumber(pub u64);
 
-/// What the driver tells.
+/// Input of [`Rounds`], sent by the driver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoundEvent {
-    /// A caller wants the result of a round that starts from now on.
+    /// A caller requests the result of a round that starts at or after this time.
     Called(WaiterNumber),
-    /// A round is over.
+    /// A round has finished.
     Finished(RoundNumber),
-    /// The time of [`Rounds::next_timer`] has come.
+    /// The time returned by [`Rounds::next_timer`] has been reached.
     Timer,
 }
 
-/// What the driver is asked to do.
+/// Output of [`Rounds`], to be carried out by the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoundAction {
     /// Start a round now.
     Start(RoundNumber),
-    /// Tell these callers the result of the round that has just finished.
+    /// Deliver the result of the round that has just finished to these callers.
     Answer(Vec<WaiterNumber>),
 }
 
@@ -48,31 +48,31 @@
     waiters: Vec<WaiterNumber>,
 }
 
-/// Rounds of the same queries. A caller is answered only by a round that started after
-/// its call; callers that come while a round is under way share the next.
+/// Rounds of the same queries. A caller receives only the result of a round that started
+/// after its call; callers that arrive while a round is running share the next one.
 #[derive(Clone, Debug)]
 pub struct Rounds {
     policy: RoundPolicy,
     rounds: BTreeMap<RoundNumber, Round>,
-    gathered: Vec<WaiterNumber>,
+    pending: Vec<WaiterNumber>,
     next: u64,
 }
 
 impl Rounds {
-    /// No round is under way.
+    /// Creates a table without running rounds.
     pub fn new(policy: RoundPolicy) -> Self {
         Self {
             policy,
             rounds: BTreeMap::new(),
-            gathered: Vec::new(),
+            pending: Vec::new(),
             next: 0,
         }
     }
 
-    /// Takes an event and appends the actions it causes to `actions`.
+    /// Processes an event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Timestamp, event: RoundEvent, actions: &mut Vec<RoundAction>) {
         match event {
-            RoundEvent::Called(waiter) => self.gathered.push(waiter),
+            RoundEvent::Called(waiter) => self.pending.push(waiter),
             RoundEvent::Finished(number) => {
                 if let Some(round) = self.rounds.remove(&number) {
                     actions.push(RoundAction::Answer(round.waiters));
@@ -80,22 +80,22 @@
             }
             RoundEvent::Timer => {}
         }
-        if !self.gathered.is_empty() && self.may_start(now) {
+        if !self.pending.is_empty() && self.may_start(now) {
             actions.push(RoundAction::Start(self.start(now)));
         }
     }
 
-    /// When [`RoundEvent::Timer`] is due, if ever.
+    /// Returns when [`RoundEvent::Timer`] is due; `None` if no timer is needed.
     pub fn next_timer(&self) -> Option<Timestamp> {
-        if self.gathered.is_empty() || self.rounds.len() >= self.policy.maximum {
+        if self.pending.is_empty() || self.rounds.len() >= self.policy.maximum {
             return None;
         }
         Some(self.latest_start()? + self.policy.patience)
     }
 
-    /// Whether nobody waits.
+    /// Returns whether no round is running and no caller waits.
     pub fn is_idle(&self) -> bool {
-        self.rounds.is_empty() && self.gathered.is_empty()
+        self.rounds.is_empty() && self.pending.is_empty()
     }
 
     fn latest_start(&self) -> Option<Timestamp> {
@@ -103,16 +103,16 @@
     }
 
     fn may_start(&self, now: Timestamp) -> bool {
-        let patient = self
+        let latest_is_recent = self
             .latest_start()
             .is_some_and(|start| now < start + self.policy.patience);
-        !patient && self.rounds.len() < self.policy.maximum
+        !latest_is_recent && self.rounds.len() < self.policy.maximum
     }
 
     fn start(&mut self, now: Timestamp) -> RoundNumber {
         let number = RoundNumber(self.next);
         self.next += 1;
-        let waiters = std::mem::take(&mut self.gathered);
+        let waiters = std::mem::take(&mut self.pending);
         let round = Round {
             started: now,
             waiters,
--- a/crates/coordination/src/observer/schedule.rs
+++ b/crates/coordination/src/observer/schedule.rs
@@ -1,4 +1,4 @@
-//! Which database is due for a status query.
+//! Schedule of status queries to databases.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,26 +9,29 @@
 
 use crate::terms::{DatabaseView, GroupView};
 
-/// Jitter of every pause, in percent to either side.
+/// Jitter of every pause, in percent in either direction.
 const JITTER_PERCENT: u64 = 25;
 
-/// Pauses between two status queries to one database.
+/// Intervals between two status queries to one database, and the conditions for the fast
+/// interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbePace {
-    /// To a replica in quiet times.
+    /// Interval for a replica of a group in normal operation.
     pub replica: Duration,
-    /// To the primary in quiet times.
+    /// Interval for the primary of a group in normal operation.
     pub primary: Duration,
-    /// To every database of a group whose primary is not known or not reachable, or
-    /// that a connection was lost to a moment ago.
-    pub hurried: Duration,
-    /// The same, once that has lasted for longer than [`ProbePace::hurry`].
-    pub weary: Duration,
-    /// How long a lost connection keeps its group in a hurry.
-    pub alarm: Duration,
-    /// How long a group is probed at the hurried pace.
-    pub hurry: Duration,
-    /// A primary that has not answered for this long counts as unreachable here.
+    /// Interval for every database of a group whose primary is unknown or unreachable,
+    /// or that lost a connection recently.
+    pub fast: Duration,
+    /// Interval that replaces [`ProbePace::fast`] once fast probing has lasted for
+    /// longer than [`ProbePace::fast_limit`].
+    pub slowed: Duration,
+    /// How long a lost connection causes fast probing of its group.
+    pub after_lost_connection: Duration,
+    /// How long a group is probed at the fast interval before the interval is
+    /// lengthened.
+    pub fast_limit: Duration,
+    /// A primary that has not answered a probe for this long counts as unreachable here.
     pub patience: Duration,
 }
 
@@ -37,10 +40,10 @@
         Self {
             replica: Duration::from_secs(1),
             primary: Duration::from_millis(300),
-            hurried: Duration::from_millis(50),
-            weary: Duration::from_millis(250),
-            alarm: Duration::from_secs(2),
-            hurry: Duration::from_secs(15),
+            fast: Duration::from_millis(50),
+            slowed: Duration::from_millis(250),
+            after_lost_connection: Duration::from_secs(2),
+            fast_limit: Duration::from_secs(15),
             patience: Duration::from_millis(150),
         }
     }
@@ -49,22 +52,24 @@
 /// A database to observe.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedDatabase {
-    /// Its group.
+    /// Group of the database.
     pub group: GroupName,
-    /// The database.
+    /// Name of the database.
     pub database: DatabaseName,
-    /// Whether this node is its home. Others are probed, through their homes, only
-    /// while their group is in a hurry, which their homes may not know of, or while this
-    /// node takes them for unreachable, which nobody else could correct.
+    /// Whether this node is the home of the database. Databases of other homes are
+    /// probed, through their homes, only while their group is probed fast, which the
+    /// homes may not know of, or while this node considers them unreachable, which only
+    /// its own probe can correct.
     pub home: bool,
 }
 
-/// What the driver tells the schedule.
+/// Input of the schedule, sent by the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ObserverEvent {
-    /// The databases to observe. What was known of others is forgotten.
+    /// The databases to observe. Replaces the previous set; the state of databases that
+    /// are no longer in it is dropped.
     Configured(Vec<ObservedDatabase>),
-    /// A status query was answered or given up.
+    /// A status query was answered or abandoned.
     Probed(DatabaseName),
     /// A connection to the database was lost.
     ConnectionLost(DatabaseName),
@@ -72,17 +77,17 @@
     Timer,
 }
 
-/// What the driver is asked to do.
+/// Output of the schedule, to be carried out by the driver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ObserverAction {
-    /// Send a status query to this database and report with
+    /// Send a status query to this database and report its end with
     /// [`ObserverEvent::Probed`].
     Probe {
-        /// Its group.
+        /// Group of the database.
         group: GroupName,
-        /// The database.
+        /// Database to query.
         database: DatabaseName,
-        /// Whether this node is its home.
+        /// Whether this node is the home of the database.
         home: bool,
     },
 }
@@ -97,34 +102,34 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Mood {
-    alarm_until: Timestamp,
-    hurried_since: Option<Timestamp>,
+struct Urgency {
+    fast_until: Timestamp,
+    fast_since: Option<Timestamp>,
 }
 
-/// Decides which database is probed when. At most one status query a database is in
+/// Decides when each database is probed. At most one status query per database is in
 /// flight.
 #[derive(Clone, Debug)]
 pub struct ProbeSchedule {
     pace: ProbePace,
     databases: BTreeMap<DatabaseName, Observed>,
-    moods: BTreeMap<GroupName, Mood>,
+    urgencies: BTreeMap<GroupName, Urgency>,
     generator: ChaCha8Rng,
 }
 
 impl ProbeSchedule {
-    /// A schedule of nothing; jitter is drawn from `seed`.
+    /// Creates a schedule without databases, whose jitter is drawn from `seed`.
     pub fn new(pace: ProbePace, seed: u64) -> Self {
         Self {
             pace,
             databases: BTreeMap::new(),
-            moods: BTreeMap::new(),
+            urgencies: BTreeMap::new(),
             generator: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Takes an event and appends the probes that are due to `actions`. `view` gives
-    /// what is known of a group. Returns when the next timer event is due.
+    /// Processes an event and appends the probes that are due to `actions`. `view`
+    /// returns the observed state of a group. Returns when the next timer event is due.
     pub fn handle(
         &mut self,
         now: Timestamp,
@@ -139,10 +144,10 @@
                     observed.in_flight = false;
                 }
             }
-            ObserverEvent::ConnectionLost(database) => self.alarm(now, &database),
+            ObserverEvent::ConnectionLost(database) => self.connection_lost(now, &database),
             ObserverEvent::Timer => {}
         }
-        let groups: Vec<GroupName> = self.moods.keys().cloned().collect();
+        let groups: Vec<GroupName> = self.urgencies.keys().cloned().collect();
         groups
             .iter()
             .filter_map(|group| self.probe_group(now, group, view(group).as_ref(), actions))
@@ -151,15 +156,15 @@
 
     fn configure(&mut self, databases: Vec<ObservedDatabase>) {
         let mut known = std::mem::take(&mut self.databases);
-        let mut moods = std::mem::take(&mut self.moods);
+        let mut urgencies = std::mem::take(&mut self.urgencies);
         for ObservedDatabase {
             group,
             database,
             home,
         } in databases
         {
-            let mood = moods.remove(&group).unwrap_or_default();
-            self.moods.entry(group.clone()).or_insert(mood);
+            let urgency = urgencies.remove(&group).unwrap_or_default();
+            self.urgencies.entry(group.clone()).or_insert(urgency);
             let mut observed = known.remove(&database).unwrap_or(Observed {
                 group,
                 home,
@@ -172,14 +177,16 @@
         }
     }
 
-    fn alarm(&mut self, now: Timestamp, database: &DatabaseName) {
+    fn connection_lost(&mut self, now: Timestamp, database: &DatabaseName) {
         let observed = self.databases.get(database);
-        if let Some(mood) = observed.and_then(|observed| self.moods.get_mut(&observed.group)) {
-            mood.alarm_until = now + self.pace.alarm;
+        if let Some(urgency) = observed.and_then(|observed| self.urgencies.get_mut(&observed.group))
+        {
+            urgency.fast_until = now + self.pace.after_lost_connection;
         }
     }
 
-    /// Probes what is due in one group and returns when the next one is.
+    /// Probes the databases that are due in one group and returns when the next one is
+    /// due.
     fn probe_group(
         &mut self,
         now: Timestamp,
@@ -188,17 +195,17 @@
         actions: &mut Vec<ObserverAction>,
     ) -> Option<Timestamp> {
         let primary = view.and_then(GroupView::primary);
-        let suspicion = self.suspicion(primary);
-        let hurried = self.update_mood(now, group, primary, suspicion);
-        let mut next = suspicion.filter(|at| *at > now);
+        let unresponsive_at = self.unresponsive_at(primary);
+        let fast = self.update_urgency(now, group, primary, unresponsive_at);
+        let mut next = unresponsive_at.filter(|at| *at > now);
         for (name, observed) in &mut self.databases {
             let known = view.and_then(|view| view.databases.iter().find(|d| &d.name == name));
-            let doubted = known.is_some_and(|known| !known.reachable);
-            let asked = observed.home || doubted || hurried.is_some();
-            if &observed.group != group || observed.in_flight || !asked {
+            let unreachable = known.is_some_and(|known| !known.reachable);
+            let eligible = observed.home || unreachable || fast.is_some();
+            if &observed.group != group || observed.in_flight || !eligible {
                 continue;
             }
-            let interval = match hurried {
+            let interval = match fast {
                 Some(interval) => interval,
                 None if primary.is_some_and(|primary| &primary.name == name) => self.pace.primary,
                 None => self.pace.replica,
@@ -222,41 +229,43 @@
         next
     }
 
-    /// From when on a silent primary counts as unreachable, if it is being asked.
-    fn suspicion(&self, primary: Option<&DatabaseView>) -> Option<Timestamp> {
+    /// Returns when the primary counts as unreachable unless it answers the probe in
+    /// flight; `None` if no probe is in flight.
+    fn unresponsive_at(&self, primary: Option<&DatabaseView>) -> Option<Timestamp> {
         let observed = self.databases.get(&primary?.name)?;
-        let asked = observed.probed_at.filter(|_| observed.in_flight)?;
-        Some(asked + self.pace.patience)
+        let probed_at = observed.probed_at.filter(|_| observed.in_flight)?;
+        Some(probed_at + self.pace.patience)
     }
 
-    /// The pace of a group in a hurry; none in quiet times.
-    fn update_mood(
+    /// Updates whether the group is probed fast. Returns the interval for fast probing;
+    /// `None` in normal operation.
+    fn update_urgency(
         &mut self,
         now: Timestamp,
         group: &GroupName,
         primary: Option<&DatabaseView>,
-        suspicion: Option<Timestamp>,
+        unresponsive_at: Option<Timestamp>,
     ) -> Option<Duration> {
-        let mood = self.moods.get_mut(group)?;
-        let leaderless = !primary.is_some_and(|primary| primary.reachable);
-        let silent = suspicion.is_some_and(|at| at <= now);
-        if !(leaderless || silent || now < mood.alarm_until) {
-            mood.hurried_since = None;
+        let urgency = self.urgencies.get_mut(group)?;
+        let no_reachable_primary = !primary.is_some_and(|primary| primary.reachable);
+        let unresponsive = unresponsive_at.is_some_and(|at| at <= now);
+        if !(no_reachable_primary || unresponsive || now < urgency.fast_until) {
+            urgency.fast_since = None;
             return None;
         }
-        let since = *mood.hurried_since.get_or_insert(now);
-        let weary = now.since(since) > self.pace.hurry;
-        Some(if weary {
-            self.pace.weary
+        let since = *urgency.fast_since.get_or_insert(now);
+        let limit_passed = now.since(since) > self.pace.fast_limit;
+        Some(if limit_passed {
+            self.pace.slowed
         } else {
-            self.pace.hurried
+            self.pace.fast
         })
     }
 }
 
 impl Observed {
-    /// When the next probe is due: an interval after the last probe or the last status
-    /// that traffic has given, whichever is later.
+    /// Returns when the next probe is due: one interval after the last probe or the last
+    /// status obtained from traffic, whichever is later.
     fn due(&self, known: Option<&DatabaseView>, interval: Duration) -> Timestamp {
         let Some(probed_at) = self.probed_at else {
             return Timestamp::default();
--- a/crates/coordination/src/observer/tests.rs
+++ b/crates/coordination/src/observer/tests.rs
@@ -22,17 +22,17 @@
 
 const NAMES: [&str; 3] = ["books-0", "books-1", "books-2"];
 
-/// A clock, a schedule over one group and what is known of the group.
-struct Scene {
+/// A clock, a schedule over one group and the observed state of the group.
+struct Fixture {
     now: Timestamp,
     schedule: ProbeSchedule,
     terms: TermTable,
     group: GroupName,
-    /// Probes asked for and not looked at yet.
-    asked: Vec<DatabaseName>,
+    /// Probes requested by the schedule and not yet returned by `tick`.
+    requested: Vec<DatabaseName>,
 }
 
-impl Scene {
+impl Fixture {
     fn new(seed: u64, homes: &[&str]) -> Self {
         let group = GroupName::from("books");
         let mut terms = TermTable::new();
@@ -42,12 +42,12 @@
             draining: false,
         });
         terms.configure(&group, ReadPreference::Replica, members);
-        let mut scene = Self {
+        let mut fixture = Self {
             now: Timestamp::from_millis(1_000),
             schedule: ProbeSchedule::new(ProbePace::default(), seed),
             terms,
             group: group.clone(),
-            asked: Vec::new(),
+            requested: Vec::new(),
         };
         let observed = NAMES.map(|name| ObservedDatabase {
             group: group.clone(),
@@ -55,14 +55,15 @@
             home: homes.contains(&name),
         });
         let observed = observed.to_vec();
-        scene.event(ObserverEvent::Configured(observed));
-        scene
+        fixture.event(ObserverEvent::Configured(observed));
+        fixture
     }
 
-    /// Probes asked for since the last timer, and the next due time.
+    /// Fires the timer. Returns the probes requested since the last call, and the next
+    /// due time.
     fn tick(&mut self) -> (Vec<DatabaseName>, Option<Timestamp>) {
         let due = self.event(ObserverEvent::Timer);
-        (std::mem::take(&mut self.asked), due)
+        (std::mem::take(&mut self.requested), due)
     }
 
     fn event(&mut self, event: ObserverEvent) -> Option<Timestamp> {
@@ -73,7 +74,7 @@
         let probes = actions
             .into_iter()
             .map(|ObserverAction::Probe { database, .. }| database);
-        self.asked.extend(probes);
+        self.requested.extend(probes);
         due
     }
 
@@ -88,7 +89,8 @@
         self.event(ObserverEvent::Probed(name));
     }
 
-    /// Lets `time` pass; `answer` answers each probe at once. Returns the probes by name.
+    /// Advances the clock by `time`; `answer` answers each probe immediately. Returns
+    /// the number of probes by database.
     fn run(
         &mut self,
         time: Duration,
@@ -108,10 +110,10 @@
     }
 }
 
-/// What a database answers.
-type Script = fn(&str) -> Option<BackendStatus>;
+/// Answer of each database to a probe; `None` when it does not answer.
+type Responder = fn(&str) -> Option<BackendStatus>;
 
-/// Least and most probes of each database.
+/// Minimum and maximum number of probes of each database.
 type Bounds = [(usize, usize); 3];
 
 fn healthy(name: &str) -> Option<BackendStatus> {
@@ -123,15 +125,15 @@
     Some(status(role, 1))
 }
 
-fn settled(seed: u64) -> Scene {
-    let mut scene = Scene::new(seed, &NAMES);
-    scene.run(Duration::from_secs(3), healthy);
-    scene
+fn settled_fixture(seed: u64) -> Fixture {
+    let mut fixture = Fixture::new(seed, &NAMES);
+    fixture.run(Duration::from_secs(3), healthy);
+    fixture
 }
 
 #[test]
-fn probes_are_slow_in_quiet_times_and_fast_without_a_primary() {
-    let answers: [(&str, Script, Bounds); 4] = [
+fn probes_are_slow_normally_and_fast_without_a_primary() {
+    let answers: [(&str, Responder, Bounds); 4] = [
         ("quiet", healthy, [(25, 45), (8, 13), (8, 13)]),
         (
             "no primary",
@@ -150,9 +152,9 @@
         ),
     ];
     for (name, answer, bounds) in answers {
-        let mut scene = settled(3);
-        scene.run(Duration::from_millis(400), answer);
-        let counts = scene.run(Duration::from_secs(10), answer);
+        let mut fixture = settled_fixture(3);
+        fixture.run(Duration::from_millis(400), answer);
+        let counts = fixture.run(Duration::from_secs(10), answer);
         for (database, (least, most)) in NAMES.iter().zip(bounds) {
             let count = counts.get(*database).copied().unwrap_or_default();
             assert!(
@@ -165,75 +167,75 @@
 
 #[test]
 fn a_long_search_for_a_primary_slows_down() {
-    let mut scene = settled(4);
-    scene.run(Duration::from_secs(16), |_| Some(status(Role::Replica, 1)));
-    let counts = scene.run(Duration::from_secs(10), |_| Some(status(Role::Replica, 1)));
+    let mut fixture = settled_fixture(4);
+    fixture.run(Duration::from_secs(16), |_| Some(status(Role::Replica, 1)));
+    let counts = fixture.run(Duration::from_secs(10), |_| Some(status(Role::Replica, 1)));
     assert!(counts["books-1"] <= 55, "{counts:?}");
 }
 
 #[test]
-fn a_lost_connection_hurries_the_probes_for_a_while() {
-    let mut scene = settled(5);
-    scene.event(ObserverEvent::ConnectionLost("books-2".into()));
-    let alarmed = scene.run(Duration::from_secs(2), healthy);
-    assert!(alarmed["books-1"] >= 30, "{alarmed:?}");
-    scene.run(Duration::from_secs(1), healthy);
-    let calm = scene.run(Duration::from_secs(2), healthy);
-    assert!(calm["books-1"] <= 3, "{calm:?}");
+fn a_lost_connection_speeds_up_probes_temporarily() {
+    let mut fixture = settled_fixture(5);
+    fixture.event(ObserverEvent::ConnectionLost("books-2".into()));
+    let fast = fixture.run(Duration::from_secs(2), healthy);
+    assert!(fast["books-1"] >= 30, "{fast:?}");
+    fixture.run(Duration::from_secs(1), healthy);
+    let normal_again = fixture.run(Duration::from_secs(2), healthy);
+    assert!(normal_again["books-1"] <= 3, "{normal_again:?}");
 }
 
 #[test]
-fn databases_of_other_homes_are_probed_only_in_a_hurry_or_in_doubt() {
-    let mut scene = Scene::new(8, &["books-0"]);
-    scene.run(Duration::from_secs(3), healthy);
-    let quiet = scene.run(Duration::from_secs(5), healthy);
-    assert_eq!(quiet.keys().collect::<Vec<_>>(), ["books-0"]);
-    let doubted = DatabaseName::from("books-2");
-    scene.terms.unreachable(&scene.group, &doubted);
-    let doubt = scene.run(Duration::from_secs(5), healthy);
-    assert_eq!(doubt.get("books-2"), Some(&1), "it answered");
-    assert_eq!(doubt.get("books-1"), None);
-    scene.event(ObserverEvent::ConnectionLost("books-0".into()));
-    let hurry = scene.run(Duration::from_secs(1), healthy);
+fn databases_of_other_homes_are_probed_only_when_fast_or_unreachable() {
+    let mut fixture = Fixture::new(8, &["books-0"]);
+    fixture.run(Duration::from_secs(3), healthy);
+    let normal = fixture.run(Duration::from_secs(5), healthy);
+    assert_eq!(normal.keys().collect::<Vec<_>>(), ["books-0"]);
+    let unreachable = DatabaseName::from("books-2");
+    fixture.terms.unreachable(&fixture.group, &unreachable);
+    let probes = fixture.run(Duration::from_secs(5), healthy);
+    assert_eq!(probes.get("books-2"), Some(&1), "it answered");
+    assert_eq!(probes.get("books-1"), None);
+    fixture.event(ObserverEvent::ConnectionLost("books-0".into()));
+    let fast_probes = fixture.run(Duration::from_secs(1), healthy);
     assert!(
-        hurry["books-1"] >= 10 && hurry["books-2"] >= 10,
-        "{hurry:?}"
+        fast_probes["books-1"] >= 10 && fast_probes["books-2"] >= 10,
+        "{fast_probes:?}"
     );
 }
 
 #[test]
-fn a_silent_primary_hurries_the_probes_of_its_replicas() {
-    let mut scene = settled(6);
-    // The probe of the primary is asked for and never ends.
+fn an_unresponsive_primary_speeds_up_probes_of_its_replicas() {
+    let mut fixture = settled_fixture(6);
+    // The probe of the primary is requested and never answered.
     loop {
-        let (probes, _) = scene.tick();
-        let asked = probes.iter().any(|probe| probe.as_str() == "books-0");
+        let (probes, _) = fixture.tick();
+        let requested = probes.iter().any(|probe| probe.as_str() == "books-0");
         for probe in probes.iter().filter(|probe| probe.as_str() != "books-0") {
-            scene.answer(probe.as_str(), healthy(probe.as_str()));
+            fixture.answer(probe.as_str(), healthy(probe.as_str()));
         }
-        if asked {
+        if requested {
             break;
         }
-        scene.now = scene.now + Duration::from_millis(1);
+        fixture.now = fixture.now + Duration::from_millis(1);
     }
-    let counts = scene.run(Duration::from_secs(2), healthy);
+    let counts = fixture.run(Duration::from_secs(2), healthy);
     assert!(counts["books-1"] >= 25, "{counts:?}");
     assert!(!counts.contains_key("books-0"), "one probe at a time");
 }
 
 #[test]
-fn a_status_from_traffic_takes_the_place_of_a_probe() {
-    let mut scene = settled(7);
+fn a_status_from_traffic_replaces_a_probe() {
+    let mut fixture = settled_fixture(7);
     let mut probes = 0;
     for _ in 0..100 {
         for name in NAMES {
             let status = healthy(name).unwrap();
-            scene
+            fixture
                 .terms
-                .observe(scene.now, &scene.group, &name.into(), &status);
+                .observe(fixture.now, &fixture.group, &name.into(), &status);
         }
-        probes += scene.tick().0.len();
-        scene.now = scene.now + Duration::from_millis(100);
+        probes += fixture.tick().0.len();
+        fixture.now = fixture.now + Duration::from_millis(100);
     }
     assert_eq!(probes, 0);
 }
@@ -242,21 +244,21 @@
 fn the_due_time_is_never_missed_nor_in_the_past() {
     for seed in 0..50 {
         let mut random = Gen::from_size_and_seed(20, seed);
-        let mut scene = settled(seed);
+        let mut fixture = settled_fixture(seed);
         for _ in 0..200 {
-            let (probes, due) = scene.tick();
-            assert!(due.is_none_or(|due| due > scene.now), "seed {seed}");
+            let (probes, due) = fixture.tick();
+            assert!(due.is_none_or(|due| due > fixture.now), "seed {seed}");
             for probe in probes {
                 let answered = bool::arbitrary(&mut random);
                 let answer = healthy(probe.as_str()).filter(|_| answered);
-                scene.answer(probe.as_str(), answer);
+                fixture.answer(probe.as_str(), answer);
             }
-            let (_, due) = scene.tick();
+            let (_, due) = fixture.tick();
             let Some(due) = due else { continue };
             // Nothing is due before the due time.
-            scene.now = Timestamp(due.0 - 1);
-            assert_eq!(scene.tick().0, Vec::new(), "seed {seed}");
-            scene.now = due;
+            fixture.now = Timestamp(due.0 - 1);
+            assert_eq!(fixture.tick().0, Vec::new(), "seed {seed}");
+            fixture.now = due;
         }
     }
 }
@@ -273,7 +275,7 @@
     };
     use VerificationState::{Failed, Open};
     let cases = [
-        ("nobody", vec![], Open),
+        ("no answers", vec![], Open),
         ("the primary alone", vec![primary(1)], Open),
         ("primary and replica", vec![primary(1), replica(1)], at(1)),
         ("replicas alone", vec![replica(1), replica(1)], Open),
@@ -283,12 +285,12 @@
             Failed,
         ),
         (
-            "a deposed primary first",
+            "a deposed primary and a replica of the new term",
             vec![primary(1), replica(2)],
             Open,
         ),
         (
-            "then the new one",
+            "the new primary answers as well",
             vec![primary(1), replica(2), primary(2)],
             at(2),
         ),
@@ -366,7 +368,7 @@
             let waits = !called.is_empty();
             assert!(
                 !waits || !running.is_empty(),
-                "seed {seed}: nobody runs for the callers"
+                "seed {seed}: callers wait and no round runs"
             );
             now = now + Duration::from_millis(u64::arbitrary(&mut random) % 40);
         }
--- a/crates/coordination/src/observer/verification.rs
+++ b/crates/coordination/src/observer/verification.rs
@@ -1,4 +1,4 @@
-//! The judgement of one round of status queries.
+//! Evaluation of one round of status queries.
 
 use std::collections::BTreeMap;
 
@@ -6,23 +6,23 @@
 
 use crate::status::{BackendStatus, Role};
 
-/// What a round has come to.
+/// State of a verification round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VerificationState {
-    /// Answers are missing.
+    /// Further answers may still decide the round.
     Open,
     /// A majority answered after the round had started, and the primary of the highest
-    /// term among the answers said so itself. It was at this position.
+    /// term among the answers was one of them. Holds the position it reported.
     Verified(Position),
-    /// No further answer can bring that about.
+    /// All databases were asked and the term could not be verified.
     Failed,
 }
 
 /// One round of status queries to all databases of a group.
 ///
-/// A primary of a higher term than any answer shows would have been made by a majority
-/// before the round started; that majority shares a database with the one that answered,
-/// which would have shown the higher term.
+/// This is sound because a primary of a higher term than any answer shows must have been
+/// elected by a majority before the round started. That majority shares a database with
+/// the majority that answered, and that database would have reported the higher term.
 #[derive(Clone, Debug)]
 pub struct Verification {
     answers: BTreeMap<DatabaseName, Option<BackendStatus>>,
@@ -30,7 +30,7 @@
 }
 
 impl Verification {
-    /// A round that asks `members` databases: all of the group.
+    /// Creates a round that queries `members` databases, which must be all of the group.
     pub fn new(members: usize) -> Self {
         Self {
             answers: BTreeMap::new(),
@@ -38,12 +38,12 @@
         }
     }
 
-    /// Takes the answer of `database`, or none if it gave none.
+    /// Records the answer of `database`, or `None` if it did not answer.
     pub fn answered(&mut self, database: DatabaseName, status: Option<BackendStatus>) {
         self.answers.insert(database, status);
     }
 
-    /// What the round has come to.
+    /// Returns the state of the round.
     pub fn state(&self) -> VerificationState {
         let statuses = || self.answers.values().flatten();
         let term = statuses().map(|status| status.term).max();
--- a/crates/coordination/src/request/acknowledge.rs
+++ b/crates/coordination/src/request/acknowledge.rs
@@ -1,11 +1,11 @@
-//! When a commit may be acknowledged.
+//! Decides when a commit may be acknowledged.
 //!
 //! Invariant: a commit is acknowledged only after a majority of its group has flushed
-//! the log up to a position at or beyond it, on the term in which it ran. It holds
-//! across changes of primary because a group elects by majority the database with the
-//! furthest log, and any two majorities share a member: that member has the commit, so
-//! the elected one has it too. A primary that is cut off cannot gather a majority, as
-//! replicas that have voted for a later term no longer confirm to it.
+//! the log at least up to the commit's position, on the term in which it ran. The commit
+//! then survives changes of primary, because a group elects by majority the database
+//! with the furthest log, and any two majorities share a member. That member has the
+//! commit, so the elected database has it too. A partitioned primary cannot gather a
+//! majority, as replicas that have voted for a later term no longer confirm to it.
 
 use std::time::Duration;
 
@@ -16,80 +16,86 @@
 
 /// Pause before the first repeated probe.
 const FIRST_PROBE_PAUSE: Duration = Duration::from_micros(500);
-/// Longest pause between two probes.
-const LONGEST_PROBE_PAUSE: Duration = Duration::from_millis(5);
+/// Maximum pause between two probes.
+const MAXIMUM_PROBE_PAUSE: Duration = Duration::from_millis(5);
 
-/// Wait for a majority after which the primary is in doubt. Writes sent to a primary
-/// that is cut off end with an unknown outcome; held ones run on its successor.
-const DOUBT_AFTER: Duration = Duration::from_millis(100);
+/// How long a commit waits for a majority before its primary is marked unconfirmed.
+/// Writes already sent to a partitioned primary end with an unknown outcome, while held
+/// writes run on its successor.
+const OVERDUE_AFTER: Duration = Duration::from_millis(100);
 
-/// The search for evidence of one commit.
+/// Collects evidence that a majority has flushed one commit.
 #[derive(Clone, Debug)]
 pub struct Evidence {
-    /// Term the transaction began in, as far as it is known.
-    began: Option<Term>,
+    /// Term in which the transaction began, if known.
+    begin_term: Option<Term>,
     target: Option<Position>,
     started: Timestamp,
     deadline: Timestamp,
     pause: Duration,
-    doubted: bool,
+    overdue_reported: bool,
 }
 
-/// What to do after a probe's answer.
+/// Decision after a probe's answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// The commit is held by that many databases; acknowledge it.
+    /// Enough databases have flushed the commit; acknowledge it.
     Held {
-        /// Position the session's later reads must see.
+        /// Position that the session's later reads must see.
         position: Position,
-        /// Databases known to hold it.
+        /// Number of databases known to have flushed the commit.
         holders: usize,
     },
-    /// Ask again after the pause.
-    AskAgain {
-        /// The pause.
+    /// Probe again after a pause.
+    ProbeAgain {
+        /// Pause before the next probe.
         after: Duration,
     },
-    /// Give up.
-    Doubtful(UnknownCause),
+    /// Stop probing; the outcome of the commit is unknown.
+    OutcomeUnknown(UnknownCause),
 }
 
 impl Evidence {
-    /// Starts the search; it ends after `limit`.
-    pub fn new(began: Option<Term>, now: Timestamp, limit: Duration) -> Self {
+    /// Creates an empty record of evidence whose deadline is `limit` from now.
+    pub fn new(begin_term: Option<Term>, now: Timestamp, limit: Duration) -> Self {
         Self {
-            began,
+            begin_term,
             target: None,
             started: now,
             deadline: now + limit,
             pause: FIRST_PROBE_PAUSE,
-            doubted: false,
+            overdue_reported: false,
         }
     }
 
-    /// The position that has waited so long for a majority that its primary is in
-    /// doubt; told once.
-    pub fn doubtful(&mut self, now: Timestamp) -> Option<Position> {
-        let late = now.since(self.started) >= DOUBT_AFTER;
-        if !late || std::mem::replace(&mut self.doubted, true) {
+    /// Returns the commit's position once it has waited long enough for a majority to
+    /// mark its primary unconfirmed; `None` before, and after it has been returned once.
+    pub fn take_overdue(&mut self, now: Timestamp) -> Option<Position> {
+        let late = now.since(self.started) >= OVERDUE_AFTER;
+        if !late || std::mem::replace(&mut self.overdue_reported, true) {
             return None;
         }
         self.target
     }
 
-    /// Whether the time for the search is over.
-    pub fn is_over(&self, now: Timestamp) -> bool {
+    /// Returns whether the deadline has passed.
+    pub fn is_expired(&self, now: Timestamp) -> bool {
         now >= self.deadline
     }
 
-    /// Weighs a probe's answer.
-    pub fn weigh(&mut self, now: Timestamp, view: &GroupView, status: &BackendStatus) -> Verdict {
-        let moved_on = status.role != Role::Primary
-            || self.began.is_some_and(|term| term != status.term)
+    /// Evaluates a probe's answer.
+    pub fn evaluate(
+        &mut self,
+        now: Timestamp,
+        view: &GroupView,
+        status: &BackendStatus,
+    ) -> Verdict {
+        let term_changed = status.role != Role::Primary
+            || self.begin_term.is_some_and(|term| term != status.term)
             || self.target.is_some_and(|target| target.term != status.term)
             || view.highest_term > status.term;
-        if moved_on {
-            return Verdict::Doubtful(UnknownCause::TermChanged);
+        if term_changed {
+            return Verdict::OutcomeUnknown(UnknownCause::TermChanged);
         }
         let target = *self.target.get_or_insert(status.place());
         let holders = view.holders(status, target.lsn);
@@ -99,11 +105,11 @@
                 holders,
             };
         }
-        if self.is_over(now) {
-            return Verdict::Doubtful(UnknownCause::NoMajority);
+        if self.is_expired(now) {
+            return Verdict::OutcomeUnknown(UnknownCause::NoMajority);
         }
         let after = self.pause;
-        self.pause = (self.pause * 2).min(LONGEST_PROBE_PAUSE);
-        Verdict::AskAgain { after }
+        self.pause = (self.pause * 2).min(MAXIMUM_PROBE_PAUSE);
+        Verdict::ProbeAgain { after }
     }
 }
--- a/crates/coordination/src/request/action.rs
+++ b/crates/coordination/src/request/action.rs
@@ -1,4 +1,4 @@
-//! What a request machine asks its session to do.
+//! Actions that a request machine requests from its session.
 
 use std::time::Duration;
 
@@ -9,81 +9,83 @@
 /// An action, to be carried out in the order given.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestAction {
-    /// Ask a majority of the group for its term, from now on.
+    /// Verify the group's term by a majority of its databases, with queries sent from
+    /// now on.
     VerifyTerm,
     /// Ask for a connection to `database`; the answer is a lease event.
     Acquire {
-        /// Database to reach.
+        /// Database to connect to.
         database: DatabaseName,
-        /// When to give up.
+        /// When to stop waiting for the connection.
         deadline: Timestamp,
     },
     /// Send the current unit on the held connection.
     Send {
-        /// Put the status query ahead of it, in the same flight.
+        /// Whether to send the status query ahead of the unit, in the same flight.
         check: bool,
-        /// Put the status query behind it, in the same flight, and hold back the end of
-        /// the answer until [`RequestAction::Acknowledge`].
+        /// Whether to send the status query behind the unit, in the same flight, and to
+        /// hold back the end of the answer until [`RequestAction::Acknowledge`].
         probe: bool,
     },
-    /// Let the unit's answer flow to the caller. Until then it is held back; the
+    /// Forward the unit's answer to the caller. Until then the answer is held back; the
     /// session stops reading the connection when its buffer is full.
     Deliver,
-    /// Throw the unit's answer away. The connection is released next.
+    /// Discard the unit's answer. The connection is released next.
     Discard,
     /// Send the status query alone on the held connection after a pause.
     Probe {
-        /// The pause.
+        /// Pause before the query is sent.
         after: Duration,
     },
-    /// Ask `database` for its status after a pause, on any connection of the fleet. The
+    /// Query the status of `database` after a pause, on any connection of the fleet. The
     /// answer is a probe event.
     AskStatus {
-        /// The database.
+        /// Database concerned.
         database: DatabaseName,
-        /// The pause.
+        /// Pause before the query is sent.
         after: Duration,
     },
-    /// A commit at `position` of `database` has waited long for its majority: no more
-    /// writes are to go there until one has it.
+    /// A commit at `position` of `database` has waited too long for its majority: route
+    /// no more writes there until a majority has flushed it.
     Doubt {
-        /// The database.
+        /// Database concerned.
         database: DatabaseName,
         /// Position of the commit.
         position: Position,
     },
     /// Deliver the end of the answer that was held back.
     Acknowledge {
-        /// What the session's later reads must see, if that has moved.
+        /// Position that the session's later reads must see; `None` if it is unchanged.
         position: Option<Position>,
     },
-    /// The session's later reads must see this.
+    /// Require the session's later reads to see a position.
     Require {
-        /// The position, joined to what was required before.
+        /// The position, merged with the one that was required before.
         position: Position,
     },
-    /// Give the connection back.
+    /// Release the connection.
     Release {
-        /// False when its state is not known and it has to be closed.
+        /// Whether the connection may be reused; false when its state is unknown and it
+        /// must be closed.
         reusable: bool,
     },
-    /// Hold the request until the view changes or the time has come.
+    /// Hold the request until the group's view changes or a time is reached.
     Wait {
-        /// When to fire the timer.
+        /// When to send [`super::RequestEvent::TimerFired`].
         until: Timestamp,
     },
     /// Answer that the request did not run. Final.
     Refuse {
-        /// Why.
+        /// Reason reported to the caller.
         refusal: Refusal,
     },
     /// Answer that the outcome is unknown. Final.
     Unknown {
-        /// Why.
+        /// Reason reported to the caller.
         cause: UnknownCause,
     },
-    /// Put a decision on the explain record.
+    /// Add a decision to the explain log.
     Record(Decision),
-    /// The transaction is over; the session may take the next request. Final.
+    /// The transaction has ended; the session may start the next request. Final.
     Finished,
 }
--- a/crates/coordination/src/request/checks.rs
+++ b/crates/coordination/src/request/checks.rs
@@ -1,16 +1,17 @@
-//! Switches for negative controls.
+//! Switches that disable safety checks for negative controls.
 
-/// Which safety checks a machine makes. All are on in the product; the lab switches
-/// one off to show that its checker notices. Nothing in the product constructs
-/// anything but the default.
+/// Safety checks that a machine makes. All are enabled in production; the lab disables
+/// one to show that its checker detects the violation. Production code constructs only
+/// the default.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SafetyChecks {
-    /// A read's database must hold what the session requires.
+    /// Whether a read's database must have replayed the position that the session
+    /// requires.
     pub position: bool,
-    /// A commit needs the evidence of a majority on its term.
+    /// Whether a commit needs evidence that a majority has flushed it on its term.
     pub evidence: bool,
-    /// A request that is not repeatable is entered into the ledger of its group. The
-    /// machine itself makes no use of this; its session does.
+    /// Whether a request that is not repeatable is entered into its group's ledger. The
+    /// session uses this switch; the machine does not.
     pub guard: bool,
 }
 
--- a/crates/coordination/src/request/event.rs
+++ b/crates/coordination/src/request/event.rs
@@ -1,4 +1,4 @@
-//! What a session tells its request machine.
+//! Events that a session sends to its request machine.
 
 use hookpoint_state::{DatabaseName, Position, Refusal};
 
@@ -8,73 +8,73 @@
 /// How a unit's answer ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UnitResult {
-    /// Without an error.
+    /// The unit ended without an error.
     Succeeded,
-    /// With an error of this SQLSTATE.
+    /// The unit ended with an error.
     Failed {
         /// SQLSTATE of the first error in the unit.
         sqlstate: String,
     },
 }
 
-/// An event in the life of a request.
+/// Event in the course of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestEvent {
     /// The request has arrived. Always the first event.
     Begin,
-    /// A majority of the group was asked after the request arrived, and this is the
-    /// verified primary's position. Answers [`super::RequestAction::VerifyTerm`].
+    /// The group's term was verified: a majority of the group answered queries sent
+    /// after the request arrived. Answers [`super::RequestAction::VerifyTerm`].
     TermVerified {
         /// Term and position of the verified primary.
         position: Position,
     },
-    /// No majority answered the verification.
+    /// The group's term could not be verified.
     VerifyFailed,
     /// A connection was granted. Answers [`super::RequestAction::Acquire`].
     LeaseGranted {
-        /// Database the connection leads to.
+        /// Database that the connection is open to.
         database: DatabaseName,
     },
-    /// No connection was granted; nothing ran. It may come after
-    /// [`RequestEvent::LeaseGranted`] and before any answer, when the lease is held by
-    /// another node and the unit was sent along with the request for it.
+    /// No connection was granted; nothing ran. The event may come after
+    /// [`RequestEvent::LeaseGranted`] and before any answer, when another node holds the
+    /// lease and the unit was sent along with the request for the lease.
     LeaseRefused {
-        /// Database that was asked for.
+        /// Database that was requested.
         database: DatabaseName,
-        /// Why.
+        /// Reason for the refusal.
         refusal: Refusal,
     },
-    /// Answer to the status query sent ahead of the unit.
+    /// The status query sent ahead of the unit was answered.
     CheckAnswered {
-        /// What it says.
+        /// Reported status.
         status: BackendStatus,
     },
     /// The current unit's answer has ended (`ReadyForQuery`).
     UnitFinished {
-        /// How.
+        /// How the answer ended.
         result: UnitResult,
-        /// Whether a transaction block is open now.
+        /// Whether a transaction block is open after the unit.
         in_transaction: bool,
     },
     /// The caller sent another unit of the same transaction.
     NextUnit {
-        /// The unit.
+        /// The next unit.
         unit: Unit,
     },
-    /// Answer to the status query sent behind a unit that may commit, or to a later
-    /// probe.
+    /// The status query sent behind a unit that may commit, or a later probe, was
+    /// answered.
     ProbeAnswered {
-        /// What it says.
+        /// Reported status.
         status: BackendStatus,
     },
-    /// No answer to [`super::RequestAction::AskStatus`].
+    /// [`super::RequestAction::AskStatus`] got no answer.
     ProbeFailed,
-    /// The connection is gone.
+    /// The connection was lost.
     ConnectionLost,
-    /// The view of the group has changed.
+    /// The observed state of the group has changed.
     ViewChanged,
-    /// The time of an earlier [`super::RequestAction::Wait`] has come.
+    /// The time of an earlier [`super::RequestAction::Wait`] has been reached.
     TimerFired,
-    /// The caller has gone away.
+    /// The caller has disconnected.
     CallerGone,
 }
--- a/crates/coordination/src/request/machine.rs
+++ b/crates/coordination/src/request/machine.rs
@@ -1,4 +1,4 @@
-//! The request machine: one transaction from its arrival to its end.
+//! The request machine: handles one transaction from its arrival to its end.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,36 +16,38 @@
 
 /// SQLSTATE of a write refused by a database in recovery (`read_only_sql_transaction`).
 const READ_ONLY_TRANSACTION: &str = "25006";
-/// Pause after a failed attempt, unless the view changes before.
+/// Pause after a failed attempt, cut short when the observed state of the group changes.
 const RETRY_PAUSE: Duration = Duration::from_millis(25);
 
-/// Where the transaction stands.
+/// Stage of the transaction.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Waiting for a majority to tell the term.
+    /// Waiting for a majority to verify the term.
     Verifying,
-    /// Waiting for a change of view or the timer.
+    /// Waiting for a change of the group's view or for the timer.
     Holding,
     /// Waiting for a connection.
     Acquiring,
-    /// The first unit was sent; its check has not been answered.
+    /// The first unit was sent; the status query ahead of it has not been answered.
     Checking,
-    /// The database turned out to be a replica; the write's refusal is awaited.
+    /// The database turned out to be a replica, which is expected to refuse the write.
     AwaitingRefusal,
-    /// A unit's answer flows to the caller.
+    /// A unit's answer is being forwarded to the caller.
     Running,
-    /// A unit that may commit has ended; evidence is gathered.
-    Proving,
+    /// A unit that may commit has ended; waiting for evidence that a majority has
+    /// flushed the commit.
+    AwaitingEvidence,
     /// Between two units of a transaction block.
     Idle,
-    /// Over.
+    /// The transaction has ended.
     Finished,
 }
 
-/// Status queries for evidence that may stay without an answer.
+/// Number of unanswered status queries for evidence after which the outcome counts as
+/// unknown.
 const PROBE_FAILURE_LIMIT: u32 = 3;
 
-/// One transaction's state.
+/// State machine of one transaction.
 #[derive(Clone, Debug)]
 pub struct RequestMachine {
     profile: RequestProfile,
@@ -58,8 +60,8 @@
     database: Option<DatabaseName>,
     term: Option<Term>,
     evidence: Option<Evidence>,
-    /// Database whose commit is to be proved, once its connection was given back.
-    proving_on: Option<DatabaseName>,
+    /// Database whose commit awaits evidence after its connection was released.
+    evidence_from: Option<DatabaseName>,
     failed_probes: u32,
     in_transaction: bool,
     first_unit: bool,
@@ -68,14 +70,14 @@
 }
 
 impl RequestMachine {
-    /// A machine for a request that has just arrived. Evidence of a commit is sought
-    /// for at most `acknowledge_within`.
+    /// Creates a machine for a request that has just arrived. Evidence of a commit is
+    /// collected for at most `acknowledge_within`.
     pub fn new(profile: RequestProfile, acknowledge_within: Duration) -> Self {
         Self::with_checks(profile, acknowledge_within, SafetyChecks::default())
     }
 
-    /// Like [`RequestMachine::new`] with some checks switched off, for negative
-    /// controls of the lab.
+    /// Like [`RequestMachine::new`], with some checks disabled for the lab's negative
+    /// controls.
     pub fn with_checks(
         profile: RequestProfile,
         acknowledge_within: Duration,
@@ -91,7 +93,7 @@
             database: None,
             term: None,
             evidence: None,
-            proving_on: None,
+            evidence_from: None,
             failed_probes: 0,
             in_transaction: false,
             first_unit: true,
@@ -101,18 +103,18 @@
         }
     }
 
-    /// Whether the machine has ended.
+    /// Returns whether the transaction has ended.
     pub fn is_finished(&self) -> bool {
         self.stage == Stage::Finished
     }
 
-    /// Database of the held connection, if one is held.
+    /// Returns the database of the held connection, if there is one.
     pub fn database(&self) -> Option<&DatabaseName> {
         self.database.as_ref()
     }
 
-    /// Takes an event and appends the actions it causes to `actions`. Events that do
-    /// not fit the stage are late and change nothing.
+    /// Processes an event and appends the resulting actions to `actions`. Events that do
+    /// not fit the current stage are late and are ignored.
     pub fn handle(
         &mut self,
         now: Timestamp,
@@ -126,7 +128,7 @@
             (_, Event::CallerGone) => self.caller_gone(actions),
             (_, Event::Begin) => self.begin(now, view, actions),
             (Stage::Verifying, Event::TermVerified { position }) => {
-                self.verified(now, view, position, actions);
+                self.term_verified(now, view, position, actions);
             }
             (Stage::Verifying, Event::VerifyFailed) => {
                 self.hold(now, HoldReason::Verification, actions);
@@ -136,17 +138,17 @@
                 self.begin(now, view, actions);
             }
             (Stage::Acquiring, Event::LeaseGranted { database }) => {
-                self.granted(database, actions);
+                self.lease_granted(database, actions);
             }
             (Stage::Acquiring, Event::LeaseRefused { database, refusal }) => {
                 self.lease_refused(now, view, database, refusal, actions);
             }
             (Stage::Checking, Event::LeaseRefused { database, refusal }) => {
-                self.forget_lease(actions);
+                self.drop_lease(actions);
                 self.lease_refused(now, view, database, refusal, actions);
             }
             (Stage::Checking, Event::CheckAnswered { status }) => {
-                self.checked(now, view, &status, actions);
+                self.check_answered(now, view, &status, actions);
             }
             (
                 Stage::AwaitingRefusal,
@@ -155,7 +157,7 @@
                     in_transaction,
                 },
             ) => {
-                self.refused_by_replica(now, view, result, in_transaction, actions);
+                self.write_refused_by_replica(now, view, result, in_transaction, actions);
             }
             (
                 Stage::Running,
@@ -166,10 +168,10 @@
             ) => {
                 self.unit_finished(now, &result, in_transaction, actions);
             }
-            (Stage::Proving, Event::ProbeAnswered { status }) => {
-                self.proved(now, view, &status, actions);
+            (Stage::AwaitingEvidence, Event::ProbeAnswered { status }) => {
+                self.evidence_answered(now, view, &status, actions);
             }
-            (Stage::Proving, Event::ProbeFailed) => self.probe_failed(now, view, actions),
+            (Stage::AwaitingEvidence, Event::ProbeFailed) => self.probe_failed(now, view, actions),
             (Stage::Idle, Event::NextUnit { unit }) => self.next_unit(unit, actions),
             (_, Event::ConnectionLost) => self.connection_lost(now, view, actions),
             _ => {}
@@ -188,14 +190,15 @@
         self.route(now, view, actions);
     }
 
-    /// A session without a known history must not read before a term is verified. A
-    /// lone write need not wait: its acknowledgement proves the term.
+    /// A session without a known history must not read before the group's term is
+    /// verified. A single-statement write need not wait, as its acknowledgement proves
+    /// the term.
     fn needs_verification(&self) -> bool {
-        let lone_write = self.unit.access == Access::Write && self.unit.may_commit;
-        self.required.is_none() && !lone_write
+        let single_statement_write = self.unit.access == Access::Write && self.unit.may_commit;
+        self.required.is_none() && !single_statement_write
     }
 
-    fn verified(
+    fn term_verified(
         &mut self,
         now: Timestamp,
         view: &GroupView,
@@ -237,8 +240,8 @@
         });
     }
 
-    /// Holds the request until the view changes or the pause is over; past its
-    /// deadline it is refused at once.
+    /// Holds the request until the group's view changes or the pause has elapsed. A
+    /// request past its deadline is refused immediately.
     fn hold(&mut self, now: Timestamp, reason: HoldReason, actions: &mut Vec<RequestAction>) {
         if now >= self.profile.deadline {
             let refusal = match reason {
@@ -256,7 +259,7 @@
         });
     }
 
-    fn granted(&mut self, database: DatabaseName, actions: &mut Vec<RequestAction>) {
+    fn lease_granted(&mut self, database: DatabaseName, actions: &mut Vec<RequestAction>) {
         self.database = Some(database);
         self.stage = Stage::Checking;
         actions.push(RequestAction::Send {
@@ -286,14 +289,15 @@
         }
     }
 
-    /// A lease on which the unit was sent early was refused; nothing of it ran.
-    fn forget_lease(&mut self, actions: &mut Vec<RequestAction>) {
+    /// Drops a refused lease on which the unit was already sent; nothing of the unit
+    /// ran.
+    fn drop_lease(&mut self, actions: &mut Vec<RequestAction>) {
         actions.push(RequestAction::Discard);
         self.release(false, actions);
         self.database = None;
     }
 
-    fn checked(
+    fn check_answered(
         &mut self,
         now: Timestamp,
         view: &GroupView,
@@ -318,7 +322,7 @@
             return self.give_up(UnknownCause::TermChanged, actions);
         }
         self.replica_failed = true;
-        self.start_over(now, view, actions);
+        self.try_another_database(now, view, actions);
     }
 
     fn covers(&self, status: &BackendStatus) -> bool {
@@ -329,27 +333,32 @@
             .is_none_or(|required| status.place().covers(required))
     }
 
-    /// Drops the connection and what it answered, and tries another database. Only
-    /// called while nothing sent can have taken effect.
-    fn start_over(&mut self, now: Timestamp, view: &GroupView, actions: &mut Vec<RequestAction>) {
+    /// Drops the connection and its answer and tries another database. Only called while
+    /// nothing that was sent can have taken effect.
+    fn try_another_database(
+        &mut self,
+        now: Timestamp,
+        view: &GroupView,
+        actions: &mut Vec<RequestAction>,
+    ) {
         actions.push(RequestAction::Discard);
         self.release(
             self.unit.access == Access::Read && !self.in_transaction,
             actions,
         );
         if let Some(database) = self.database.take() {
-            let only_choice = view
+            let was_primary = view
                 .primary()
                 .is_some_and(|primary| primary.name == database);
             self.excluded.insert(database);
-            if only_choice {
+            if was_primary {
                 return self.hold(now, HoldReason::Primary, actions);
             }
         }
         self.route(now, view, actions);
     }
 
-    fn refused_by_replica(
+    fn write_refused_by_replica(
         &mut self,
         now: Timestamp,
         view: &GroupView,
@@ -361,14 +370,14 @@
             matches!(&result, UnitResult::Failed { sqlstate } if sqlstate == READ_ONLY_TRANSACTION);
         if refused || in_transaction {
             self.in_transaction = in_transaction;
-            return self.start_over(now, view, actions);
+            return self.try_another_database(now, view, actions);
         }
         actions.push(RequestAction::Deliver);
         self.unit_finished(now, &result, in_transaction, actions);
     }
 
     /// A failed transaction block commits nothing and answers no status query, so no
-    /// evidence is sought for it.
+    /// evidence is collected for it.
     fn unit_finished(
         &mut self,
         now: Timestamp,
@@ -380,7 +389,7 @@
         self.first_unit = false;
         let block_failed = in_transaction && matches!(result, UnitResult::Failed { .. });
         if self.needs_evidence() && !block_failed {
-            self.stage = Stage::Proving;
+            self.stage = Stage::AwaitingEvidence;
             self.evidence = Some(Evidence::new(self.term, now, self.acknowledge_within));
             return;
         }
@@ -396,7 +405,7 @@
         self.finish(actions);
     }
 
-    fn proved(
+    fn evidence_answered(
         &mut self,
         now: Timestamp,
         view: &GroupView,
@@ -407,7 +416,7 @@
             return;
         };
         let verdict = if self.checks.evidence {
-            evidence.weigh(now, view, status)
+            evidence.evaluate(now, view, status)
         } else {
             Verdict::Held {
                 position: status.place(),
@@ -426,25 +435,28 @@
                 });
                 self.unit_over(actions);
             }
-            Verdict::AskAgain { after } => self.ask_again(now, after, actions),
-            Verdict::Doubtful(cause) => self.give_up(cause, actions),
+            Verdict::ProbeAgain { after } => self.probe_again(now, after, actions),
+            Verdict::OutcomeUnknown(cause) => self.give_up(cause, actions),
         }
     }
 
-    /// Waits for the majority without holding the connection, so that others may use
-    /// it: what a majority has flushed can be learned on any connection.
-    fn ask_again(&mut self, now: Timestamp, after: Duration, actions: &mut Vec<RequestAction>) {
+    /// Waits for the majority without holding the connection, so that other requests may
+    /// use it: what a majority has flushed can be queried on any connection.
+    fn probe_again(&mut self, now: Timestamp, after: Duration, actions: &mut Vec<RequestAction>) {
         if self.in_transaction {
             actions.push(RequestAction::Probe { after });
             return;
         }
         self.release(true, actions);
         if let Some(database) = self.database.take() {
-            self.proving_on = Some(database);
+            self.evidence_from = Some(database);
         }
-        if let Some(database) = self.proving_on.clone() {
-            let doubtful = self.evidence.as_mut().and_then(|it| it.doubtful(now));
-            if let Some(position) = doubtful {
+        if let Some(database) = self.evidence_from.clone() {
+            let overdue = self
+                .evidence
+                .as_mut()
+                .and_then(|evidence| evidence.take_overdue(now));
+            if let Some(position) = overdue {
                 let database = database.clone();
                 actions.push(RequestAction::Doubt { database, position });
             }
@@ -457,14 +469,14 @@
         if self.term.is_some_and(|term| view.highest_term > term) {
             return self.give_up(UnknownCause::TermChanged, actions);
         }
-        let over = self
+        let expired = self
             .evidence
             .as_ref()
-            .is_none_or(|evidence| evidence.is_over(now));
-        if over || self.failed_probes >= PROBE_FAILURE_LIMIT {
+            .is_none_or(|evidence| evidence.is_expired(now));
+        if expired || self.failed_probes >= PROBE_FAILURE_LIMIT {
             return self.give_up(UnknownCause::NoMajority, actions);
         }
-        self.ask_again(now, RETRY_PAUSE, actions);
+        self.probe_again(now, RETRY_PAUSE, actions);
     }
 
     fn next_unit(&mut self, unit: Unit, actions: &mut Vec<RequestAction>) {
@@ -485,13 +497,13 @@
     ) {
         match self.stage {
             Stage::Checking | Stage::AwaitingRefusal if !self.needs_evidence() => {
-                self.start_over(now, view, actions);
+                self.try_another_database(now, view, actions);
             }
-            Stage::Proving if self.proving_on.is_some() => {}
-            Stage::Checking | Stage::AwaitingRefusal | Stage::Proving => {
+            Stage::AwaitingEvidence if self.evidence_from.is_some() => {}
+            Stage::Checking | Stage::AwaitingRefusal | Stage::AwaitingEvidence => {
                 self.give_up(UnknownCause::ConnectionLost, actions);
             }
-            Stage::Running if self.unit.may_commit || self.lone_read() => {
+            Stage::Running if self.unit.may_commit || self.is_single_read() => {
                 self.give_up(UnknownCause::ConnectionLost, actions);
             }
             Stage::Running | Stage::Idle => {
@@ -502,8 +514,9 @@
         }
     }
 
-    /// A read whose answer has begun to flow cannot be said not to have run.
-    fn lone_read(&self) -> bool {
+    /// A single-statement read whose answer is already being forwarded can't be reported
+    /// as not run.
+    fn is_single_read(&self) -> bool {
         self.profile.unit.access == Access::Read && self.first_unit
     }
 
--- a/crates/coordination/src/request/mod.rs
+++ b/crates/coordination/src/request/mod.rs
@@ -1,8 +1,8 @@
-//! The life of one transaction on its way through a proxy: where it goes, what is
-//! checked, when it is acknowledged, held, retried or refused.
+//! Handling of one transaction in a proxy: where it is routed, what is checked, and when
+//! it is acknowledged, held, retried or refused.
 //!
-//! [`RequestMachine`] receives [`RequestEvent`]s from the session that owns the caller
-//! and answers with [`RequestAction`]s, which the session carries out in order.
+//! [`RequestMachine`] receives [`RequestEvent`]s from the session that serves the caller
+//! and returns [`RequestAction`]s, which the session carries out in order.
 
 mod acknowledge;
 mod action;
--- a/crates/coordination/src/request/profile.rs
+++ b/crates/coordination/src/request/profile.rs
@@ -1,44 +1,44 @@
-//! What is known of a request before it runs.
+//! Properties of a request that are known before it runs.
 
 use hookpoint_state::{GroupName, Position, SessionId, TenantName, Timestamp, ZoneName};
 
-/// What the classifier has proved of a unit.
+/// Access of a unit, as proved by the classifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Access {
-    /// Proved to be a read without side effects; it may run twice, and on a replica.
+    /// A read without side effects; it may be repeated, and may run on a replica.
     Read,
-    /// Anything else.
+    /// Anything that was not proved to be such a read.
     Write,
 }
 
-/// One unit of a caller's messages: a simple query, or extended-protocol messages up
-/// to and including `Sync`.
+/// One unit of a caller's messages: a simple query, or extended-protocol messages up to
+/// and including `Sync`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unit {
-    /// What it may touch.
+    /// Access that the unit needs.
     pub access: Access,
-    /// Whether its end may commit something: a write outside a transaction block, or a
-    /// unit that holds `COMMIT`.
+    /// Whether the end of the unit may commit a transaction: it is a write outside a
+    /// transaction block, or contains `COMMIT`.
     pub may_commit: bool,
 }
 
-/// A request, as the session presents it to the machine.
+/// A request, as passed by the session to the machine.
 #[derive(Clone, Debug)]
 pub struct RequestProfile {
-    /// Session it belongs to, for the explain record.
+    /// Session that the request belongs to, for the explain log.
     pub session: SessionId,
     /// Tenant of the session.
     pub tenant: TenantName,
-    /// Group the session works on.
+    /// Group that the session uses.
     pub group: GroupName,
     /// Zone of this proxy.
     pub zone: ZoneName,
-    /// First unit; a read here means that the whole transaction is a read, as in
-    /// `BEGIN READ ONLY`.
+    /// First unit. A read means that the whole transaction is a read, as in `BEGIN READ
+    /// ONLY`.
     pub unit: Unit,
-    /// Position that reads must see. `None` when the session's history is not known:
-    /// its token is missing, old or forged.
+    /// Position that reads must see. `None` when the session's history is not known
+    /// because its token is missing, old or forged.
     pub required: Option<Position>,
-    /// When waiting for a connection or a primary ends.
+    /// When to stop waiting for a connection or a primary.
     pub deadline: Timestamp,
 }
--- a/crates/coordination/src/request/route.rs
+++ b/crates/coordination/src/request/route.rs
@@ -1,4 +1,4 @@
-//! Which database a request goes to.
+//! Routing of requests to databases.
 
 use std::collections::BTreeSet;
 
@@ -10,37 +10,37 @@
 use crate::status::Role;
 use crate::terms::{DatabaseView, GroupView};
 
-/// What the choice depends on.
+/// Input of a routing decision.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteQuery<'a> {
-    /// The time.
+    /// Current time.
     pub now: Timestamp,
-    /// What the request may touch.
+    /// Access that the request needs.
     pub access: Access,
-    /// What its reads must see.
+    /// Position that the request's reads must see.
     pub required: Option<Position>,
-    /// Databases that have already failed this request.
+    /// Databases on which this request has already failed.
     pub excluded: &'a BTreeSet<DatabaseName>,
-    /// Whether a replica has already turned out to be behind; the primary comes first
-    /// then, so that one failed check is all that a read pays for.
+    /// Whether a replica has already turned out to be behind. If so, the primary is
+    /// preferred, so that a read fails at most one check.
     pub replica_failed: bool,
-    /// The session, to spread equal choices.
+    /// Session, used to spread sessions over equally good databases.
     pub session: SessionId,
 }
 
-/// A choice and its reason.
+/// A routing decision and its reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// The database.
+    /// Database chosen.
     pub database: DatabaseName,
-    /// Why.
+    /// Why it was chosen.
     pub reason: RouteReason,
 }
 
-/// Chooses a database; none when the request has to wait.
+/// Chooses a database; returns `None` when the request has to wait.
 ///
 /// Writes go to the primary. Reads go to the nearest, least loaded replica that is
-/// expected to hold `required`, and to the primary when there is none.
+/// expected to have replayed `required`, and to the primary when there is none.
 pub fn choose(view: &GroupView, query: RouteQuery<'_>) -> Option<Route> {
     if query.access == Access::Write {
         return primary(view, query, RouteReason::Write);
@@ -68,7 +68,7 @@
         .required
         .is_none_or(|required| primary.place.term >= required.term);
     let confirmed = query.access == Access::Read || primary.unconfirmed.is_none();
-    (usable(primary, query) && known_term && confirmed).then(|| Route {
+    (is_usable(primary, query) && known_term && confirmed).then(|| Route {
         database: primary.name.clone(),
         reason,
     })
@@ -78,23 +78,23 @@
     let required = query.required?;
     view.databases
         .iter()
-        .filter(|database| database.role == Some(Role::Replica) && usable(database, query))
+        .filter(|database| database.role == Some(Role::Replica) && is_usable(database, query))
         .filter(|database| view.expects_fresh(query.now, database, required))
         .min_by_key(|database| {
             (
                 database.proximity,
                 database.load,
-                spread(query.session, &database.name),
+                tie_breaker(query.session, &database.name),
             )
         })
 }
 
-fn usable(database: &DatabaseView, query: RouteQuery<'_>) -> bool {
+fn is_usable(database: &DatabaseView, query: RouteQuery<'_>) -> bool {
     database.reachable && !database.draining && !query.excluded.contains(&database.name)
 }
 
-/// A fixed but scattered order of databases for each session.
-fn spread(session: SessionId, database: &DatabaseName) -> u64 {
+/// Returns a hash that gives each session its own fixed order of databases.
+fn tie_breaker(session: SessionId, database: &DatabaseName) -> u64 {
     let mut hash = session.0 ^ 0xcbf2_9ce4_8422_2325;
     for byte in database.as_str().bytes() {
         hash = (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
--- a/crates/coordination/src/request/tests/mod.rs
+++ b/crates/coordination/src/request/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the request machine: tables of lives.
+//! Tests of the request machine with fixed sequences of events.
 
 mod random_lives;
 
@@ -29,7 +29,7 @@
     may_commit: false,
 };
 
-/// Longest search for evidence.
+/// Time limit for collecting evidence.
 const ACKNOWLEDGE_WITHIN: Duration = Duration::from_millis(500);
 
 fn group() -> GroupName {
@@ -51,7 +51,8 @@
     }
 }
 
-/// `a` leads on term 1 at 100; `b` in this zone is at 100 and `c` at 40.
+/// `a` is the primary on term 1 at position 100; replica `b` in this zone is at 100 and
+/// replica `c` at 40.
 fn table() -> TermTable {
     let mut table = TermTable::new();
     let member = |name: &str, proximity| Member {
@@ -91,13 +92,13 @@
     }
 }
 
-struct Life {
+struct Harness {
     machine: RequestMachine,
     table: TermTable,
     now: Timestamp,
 }
 
-impl Life {
+impl Harness {
     fn new(unit: Unit, required: Option<Position>) -> Self {
         Self {
             machine: RequestMachine::new(profile(unit, required), ACKNOWLEDGE_WITHIN),
@@ -110,7 +111,7 @@
         self.table.view(&group()).cloned().unwrap_or_default()
     }
 
-    /// Feeds an event; records are left out of what is returned.
+    /// Handles an event. Returns the actions without the explain records.
     fn feed(&mut self, event: RequestEvent) -> Vec<RequestAction> {
         let mut actions = Vec::new();
         self.machine
@@ -127,7 +128,7 @@
                 RequestAction::Acquire { database, .. } => Some(database.as_str().to_owned()),
                 _ => None,
             })
-            .unwrap_or_else(|| panic!("no connection is asked for in {actions:?}"))
+            .unwrap_or_else(|| panic!("no connection is requested in {actions:?}"))
     }
 
     fn grant(&mut self, name: &str) -> Vec<RequestAction> {
@@ -136,12 +137,16 @@
         })
     }
 
-    /// Brings a write to the point where its evidence is awaited.
+    /// Runs a write up to the point where its evidence is awaited.
     fn commit(&mut self) {
         self.acquire(RequestEvent::Begin);
         self.grant("a");
         self.check(status(Role::Primary, 1, 120, &[]));
-        assert_eq!(self.finish_unit(false), [], "its end is held back");
+        assert_eq!(
+            self.finish_unit(false),
+            [],
+            "the end of the answer is held back"
+        );
     }
 
     fn finish_unit(&mut self, in_transaction: bool) -> Vec<RequestAction> {
@@ -170,68 +175,76 @@
 }
 
 #[test]
-fn requests_go_where_they_must() {
+fn requests_are_routed_by_access_and_required_position() {
     let cases = [
         ("fresh replica in the zone", READ, at(1, 100), "b"),
-        ("replica that once was past it", READ, at(1, 40), "b"),
-        ("nothing is known to be fresh", READ, at(1, 500), "a"),
+        (
+            "replica observed past the required position",
+            READ,
+            at(1, 40),
+            "b",
+        ),
+        ("no replica is expected to be fresh", READ, at(1, 500), "a"),
         ("write", WRITE, at(1, 10), "a"),
         ("transaction", BEGIN, at(1, 10), "a"),
-        ("lone write without a history", WRITE, None, "a"),
+        ("single-statement write without a history", WRITE, None, "a"),
     ];
     for (case, unit, required, expected) in cases {
-        let mut life = Life::new(unit, required);
-        assert_eq!(life.acquire(RequestEvent::Begin), expected, "{case}");
+        let mut harness = Harness::new(unit, required);
+        assert_eq!(harness.acquire(RequestEvent::Begin), expected, "{case}");
     }
 }
 
 #[test]
 fn a_session_without_history_is_verified_before_it_reads() {
     for unit in [READ, BEGIN] {
-        let mut life = Life::new(unit, None);
-        assert_eq!(life.feed(RequestEvent::Begin), [RequestAction::VerifyTerm]);
-        let actions = life.feed(RequestEvent::VerifyFailed);
+        let mut harness = Harness::new(unit, None);
+        assert_eq!(
+            harness.feed(RequestEvent::Begin),
+            [RequestAction::VerifyTerm]
+        );
+        let actions = harness.feed(RequestEvent::VerifyFailed);
         assert!(matches!(actions[..], [RequestAction::Wait { .. }]));
         assert_eq!(
-            life.feed(RequestEvent::TimerFired),
+            harness.feed(RequestEvent::TimerFired),
             [RequestAction::VerifyTerm]
         );
         let position = Position::new(1, 100);
-        let actions = life.feed(RequestEvent::TermVerified { position });
+        let actions = harness.feed(RequestEvent::TermVerified { position });
         assert_eq!(actions[0], RequestAction::Require { position });
         assert!(matches!(actions[1], RequestAction::Acquire { .. }));
     }
 }
 
 #[test]
-fn a_stale_answer_is_thrown_away_and_read_again_on_the_primary() {
+fn a_stale_answer_is_discarded_and_the_read_repeated_on_the_primary() {
     let behind = [
         status(Role::Replica, 1, 99, &[]),
         status(Role::Replica, 0, 5_000, &[]),
     ];
     for answer in behind {
-        let mut life = Life::new(READ, at(1, 100));
-        assert_eq!(life.acquire(RequestEvent::Begin), "b");
+        let mut harness = Harness::new(READ, at(1, 100));
+        assert_eq!(harness.acquire(RequestEvent::Begin), "b");
         assert_eq!(
-            life.grant("b"),
+            harness.grant("b"),
             [RequestAction::Send {
                 check: true,
                 probe: false
             }]
         );
-        let actions = life.check(answer);
+        let actions = harness.check(answer);
         assert_eq!(actions[0], RequestAction::Discard);
         assert_eq!(actions[1], RequestAction::Release { reusable: true });
         assert!(
             matches!(&actions[2], RequestAction::Acquire { database, .. } if database.as_str() == "a")
         );
-        life.grant("a");
+        harness.grant("a");
         assert_eq!(
-            life.check(status(Role::Primary, 1, 120, &[])),
+            harness.check(status(Role::Primary, 1, 120, &[])),
             [RequestAction::Deliver]
         );
         assert_eq!(
-            finished(life.finish_unit(false)),
+            finished(harness.finish_unit(false)),
             [RequestAction::Release { reusable: true }]
         );
     }
@@ -249,7 +262,7 @@
             status(Role::Primary, 1, 130, &[("b", 130)]),
             Some(held),
         ),
-        ("nobody else", status(Role::Primary, 1, 130, &[]), None),
+        ("primary alone", status(Role::Primary, 1, 130, &[]), None),
         (
             "replica behind",
             status(Role::Primary, 1, 130, &[("b", 129)]),
@@ -272,19 +285,23 @@
         ),
     ];
     for (case, answer, expected) in cases {
-        let mut life = Life::new(WRITE, at(1, 10));
-        life.acquire(RequestEvent::Begin);
+        let mut harness = Harness::new(WRITE, at(1, 10));
+        harness.acquire(RequestEvent::Begin);
         assert_eq!(
-            life.grant("a"),
+            harness.grant("a"),
             [RequestAction::Send {
                 check: true,
                 probe: true
             }],
             "{case}"
         );
-        life.check(status(Role::Primary, 1, 120, &[]));
-        assert_eq!(life.finish_unit(false), [], "{case}: held back");
-        let actions = life.probe(answer);
+        harness.check(status(Role::Primary, 1, 120, &[]));
+        assert_eq!(
+            harness.finish_unit(false),
+            [],
+            "{case}: the end of the answer is held back"
+        );
+        let actions = harness.probe(answer);
         match expected {
             Some(expected) => assert!(finished(actions).contains(&expected), "{case}"),
             None => assert!(
@@ -303,10 +320,10 @@
 
 #[test]
 fn a_commit_is_not_acknowledged_once_a_higher_term_is_known() {
-    let mut life = Life::new(WRITE, at(1, 10));
-    life.commit();
-    life.table.learn_term(&group(), Term(2));
-    let actions = finished(life.probe(status(Role::Primary, 1, 130, &[("b", 130), ("c", 130)])));
+    let mut harness = Harness::new(WRITE, at(1, 10));
+    harness.commit();
+    harness.table.learn_term(&group(), Term(2));
+    let actions = finished(harness.probe(status(Role::Primary, 1, 130, &[("b", 130), ("c", 130)])));
     assert_eq!(
         actions,
         [
@@ -320,18 +337,18 @@
 
 #[test]
 fn a_failed_block_needs_no_evidence_and_can_be_ended() {
-    let mut life = Life::new(BEGIN, at(1, 10));
-    life.acquire(RequestEvent::Begin);
-    life.grant("a");
-    life.check(status(Role::Primary, 1, 100, &[]));
-    assert_eq!(life.finish_unit(true), []);
+    let mut harness = Harness::new(BEGIN, at(1, 10));
+    harness.acquire(RequestEvent::Begin);
+    harness.grant("a");
+    harness.check(status(Role::Primary, 1, 100, &[]));
+    assert_eq!(harness.finish_unit(true), []);
     let end = RequestEvent::NextUnit { unit: WRITE };
     let sent = RequestAction::Send {
         check: false,
         probe: true,
     };
     assert_eq!(
-        life.feed(end.clone()),
+        harness.feed(end.clone()),
         [sent.clone(), RequestAction::Deliver]
     );
     let failed = RequestEvent::UnitFinished {
@@ -340,13 +357,13 @@
         },
         in_transaction: true,
     };
-    assert_eq!(life.feed(failed), []);
-    assert_eq!(life.feed(end), [sent, RequestAction::Deliver]);
+    assert_eq!(harness.feed(failed), []);
+    assert_eq!(harness.feed(end), [sent, RequestAction::Deliver]);
 }
 
 #[test]
-fn a_commit_is_proved_after_its_connection_was_given_back() {
-    // (case, answers to the repeated questions, expected end)
+fn a_commit_is_confirmed_after_its_connection_was_released() {
+    // (case, answers to the repeated probes, expected end)
     let unknown = |cause| RequestAction::Unknown { cause };
     let held = RequestAction::Acknowledge {
         position: at(1, 130),
@@ -356,7 +373,7 @@
     let cases = [
         ("flushed later", vec![behind.clone(), None, later], held),
         (
-            "silent",
+            "unanswered",
             vec![None, None, None],
             unknown(UnknownCause::NoMajority),
         ),
@@ -367,14 +384,14 @@
         ),
     ];
     for (case, answers, expected) in cases {
-        let mut life = Life::new(WRITE, at(1, 10));
-        life.commit();
-        life.probe(status(Role::Primary, 1, 130, &[]));
-        assert_eq!(life.feed(RequestEvent::ConnectionLost), [], "{case}");
+        let mut harness = Harness::new(WRITE, at(1, 10));
+        harness.commit();
+        harness.probe(status(Role::Primary, 1, 130, &[]));
+        assert_eq!(harness.feed(RequestEvent::ConnectionLost), [], "{case}");
         let mut end = Vec::new();
         for answer in answers {
-            assert!(!life.machine.is_finished(), "{case}");
-            end = life.feed(match answer {
+            assert!(!harness.machine.is_finished(), "{case}");
+            end = harness.feed(match answer {
                 Some(status) => RequestEvent::ProbeAnswered { status },
                 None => RequestEvent::ProbeFailed,
             });
@@ -384,26 +401,26 @@
 }
 
 #[test]
-fn a_primary_that_confirms_late_gets_no_more_writes_until_it_does() {
-    let mut life = Life::new(WRITE, at(1, 10));
-    life.commit();
-    life.probe(status(Role::Primary, 1, 130, &[]));
-    life.now = life.now + Duration::from_millis(99);
+fn a_primary_with_an_unconfirmed_commit_gets_no_writes() {
+    let mut harness = Harness::new(WRITE, at(1, 10));
+    harness.commit();
+    harness.probe(status(Role::Primary, 1, 130, &[]));
+    harness.now = harness.now + Duration::from_millis(99);
     let alone = || status(Role::Primary, 1, 130, &[("b", 129)]);
     assert!(matches!(
-        life.probe(alone())[..],
+        harness.probe(alone())[..],
         [RequestAction::AskStatus { .. }]
     ));
-    life.now = life.now + Duration::from_millis(1);
+    harness.now = harness.now + Duration::from_millis(1);
     let primary = DatabaseName::new("a");
     let position = Position::new(1, 130);
     let doubt = RequestAction::Doubt {
         database: primary.clone(),
         position,
     };
-    assert_eq!(life.probe(alone())[0], doubt);
-    assert!(!life.probe(alone()).contains(&doubt), "it is told once");
-    let mut next = Life::new(WRITE, at(1, 10));
+    assert_eq!(harness.probe(alone())[0], doubt);
+    assert!(!harness.probe(alone()).contains(&doubt), "reported once");
+    let mut next = Harness::new(WRITE, at(1, 10));
     next.table.doubt(&group(), &primary, position);
     let held = next.feed(RequestEvent::Begin);
     assert!(matches!(held[..], [RequestAction::Wait { .. }]));
@@ -417,18 +434,18 @@
 }
 
 #[test]
-fn evidence_is_given_up_at_its_deadline() {
-    let mut life = Life::new(WRITE, at(1, 10));
-    life.commit();
-    life.now = life.now + ACKNOWLEDGE_WITHIN;
-    let actions = finished(life.probe(status(Role::Primary, 1, 130, &[])));
+fn waiting_for_evidence_stops_at_its_deadline() {
+    let mut harness = Harness::new(WRITE, at(1, 10));
+    harness.commit();
+    harness.now = harness.now + ACKNOWLEDGE_WITHIN;
+    let actions = finished(harness.probe(status(Role::Primary, 1, 130, &[])));
     assert!(actions.contains(&RequestAction::Unknown {
         cause: UnknownCause::NoMajority
     }));
 }
 
 #[test]
-fn a_lost_connection_is_told_as_what_it_proves() {
+fn a_lost_connection_is_reported_by_what_it_implies() {
     let unknown = Some(RequestAction::Unknown {
         cause: UnknownCause::ConnectionLost,
     });
@@ -445,52 +462,52 @@
         ("between statements", BEGIN, true, true, rolled_back),
     ];
     for (case, unit, checked, open, expected) in cases {
-        let mut life = Life::new(unit, at(1, 10));
-        let database = life.acquire(RequestEvent::Begin);
-        life.grant(&database);
+        let mut harness = Harness::new(unit, at(1, 10));
+        let database = harness.acquire(RequestEvent::Begin);
+        harness.grant(&database);
         if checked {
-            life.check(status(Role::Primary, 1, 120, &[]));
+            harness.check(status(Role::Primary, 1, 120, &[]));
         }
         if open {
-            life.finish_unit(true);
+            harness.finish_unit(true);
         }
-        let actions = life.feed(RequestEvent::ConnectionLost);
+        let actions = harness.feed(RequestEvent::ConnectionLost);
         match expected {
             Some(expected) => assert!(finished(actions).contains(&expected), "{case}"),
-            None => assert!(!life.machine.is_finished(), "{case}: {actions:?}"),
+            None => assert!(!harness.machine.is_finished(), "{case}: {actions:?}"),
         }
     }
 }
 
 #[test]
-fn a_lease_refused_after_the_unit_was_sent_early_is_no_doubt() {
-    // (refusal, whether the request goes on waiting)
+fn a_lease_refused_after_the_unit_was_sent_early_is_not_an_unknown_outcome() {
+    // (refusal, whether the request keeps waiting)
     let cases = [(Refusal::NoDatabase, true), (Refusal::QueueFull, false)];
-    for (refusal, goes_on) in cases {
+    for (refusal, keeps_waiting) in cases {
         for unit in [WRITE, READ, BEGIN] {
-            let mut life = Life::new(unit, at(1, 10));
-            let database = life.acquire(RequestEvent::Begin);
-            life.grant(&database);
-            let actions = life.feed(RequestEvent::LeaseRefused {
+            let mut harness = Harness::new(unit, at(1, 10));
+            let database = harness.acquire(RequestEvent::Begin);
+            harness.grant(&database);
+            let actions = harness.feed(RequestEvent::LeaseRefused {
                 database: DatabaseName::new(&database),
                 refusal: refusal.clone(),
             });
-            let told = RequestAction::Refuse {
+            let refused = RequestAction::Refuse {
                 refusal: refusal.clone(),
             };
-            assert_eq!(actions.contains(&told), !goes_on, "{unit:?}");
-            assert_eq!(life.machine.is_finished(), !goes_on, "{unit:?}");
+            assert_eq!(actions.contains(&refused), !keeps_waiting, "{unit:?}");
+            assert_eq!(harness.machine.is_finished(), !keeps_waiting, "{unit:?}");
         }
     }
 }
 
 #[test]
 fn a_write_refused_by_a_replica_moves_to_the_new_primary() {
-    let mut life = Life::new(WRITE, at(1, 10));
-    life.acquire(RequestEvent::Begin);
-    life.grant("a");
-    assert_eq!(life.check(status(Role::Replica, 1, 120, &[])), []);
-    let actions = life.feed(RequestEvent::UnitFinished {
+    let mut harness = Harness::new(WRITE, at(1, 10));
+    harness.acquire(RequestEvent::Begin);
+    harness.grant("a");
+    assert_eq!(harness.check(status(Role::Replica, 1, 120, &[])), []);
+    let actions = harness.feed(RequestEvent::UnitFinished {
         result: UnitResult::Failed {
             sqlstate: "25006".to_owned(),
         },
@@ -499,23 +516,24 @@
     assert_eq!(actions[0], RequestAction::Discard);
     assert!(matches!(actions[2], RequestAction::Wait { .. }));
     let answer = status(Role::Primary, 2, 130, &[]);
-    let now = life.now;
-    life.table
+    let now = harness.now;
+    harness
+        .table
         .observe(now, &group(), &DatabaseName::new("b"), &answer);
-    assert_eq!(life.acquire(RequestEvent::ViewChanged), "b");
+    assert_eq!(harness.acquire(RequestEvent::ViewChanged), "b");
 }
 
 #[test]
 fn a_held_write_is_refused_at_its_deadline_and_not_before() {
-    let mut life = Life::new(WRITE, at(2, 10));
-    let actions = life.feed(RequestEvent::Begin);
+    let mut harness = Harness::new(WRITE, at(2, 10));
+    let actions = harness.feed(RequestEvent::Begin);
     assert!(matches!(actions[..], [RequestAction::Wait { .. }]));
-    life.now = Timestamp::from_millis(999);
-    let actions = life.feed(RequestEvent::TimerFired);
+    harness.now = Timestamp::from_millis(999);
+    let actions = harness.feed(RequestEvent::TimerFired);
     assert!(matches!(actions[..], [RequestAction::Wait { until }] if until.0 == 1_000_000));
-    life.now = Timestamp::from_millis(1_000);
+    harness.now = Timestamp::from_millis(1_000);
     assert_eq!(
-        finished(life.feed(RequestEvent::TimerFired)),
+        finished(harness.feed(RequestEvent::TimerFired)),
         [RequestAction::Refuse {
             refusal: Refusal::NoPrimary
         }]
@@ -524,8 +542,8 @@
 
 #[test]
 fn a_draining_primary_gets_no_new_work() {
-    let mut life = Life::new(WRITE, at(1, 10));
-    life.table.configure(
+    let mut harness = Harness::new(WRITE, at(1, 10));
+    harness.table.configure(
         &group(),
         ReadPreference::Replica,
         ["a", "b", "c"].map(|name| Member {
@@ -534,6 +552,6 @@
             draining: name == "a",
         }),
     );
-    let actions = life.feed(RequestEvent::Begin);
+    let actions = harness.feed(RequestEvent::Begin);
     assert!(matches!(actions[..], [RequestAction::Wait { .. }]));
 }
--- a/crates/coordination/src/request/tests/random_lives.rs
+++ b/crates/coordination/src/request/tests/random_lives.rs
@@ -1,13 +1,13 @@
-//! Properties that hold in every life, sought in random ones.
+//! Properties of every transaction, checked on random sequences of events.
 
 use hookpoint_state::{DatabaseName, Lsn, Position, Refusal, Timestamp};
 use quickcheck::{Arbitrary, Gen};
 
-use super::{BEGIN, Life, READ, WRITE, at, status};
+use super::{BEGIN, Harness, READ, WRITE, at, status};
 use crate::request::{Access, RequestAction, RequestEvent, Unit, UnitResult};
 use crate::status::Role;
 
-/// A step of a random life.
+/// One event of a random sequence and the pause before it, in microseconds.
 #[derive(Clone, Debug)]
 struct Step {
     event: RequestEvent,
@@ -63,22 +63,22 @@
     }
 }
 
-/// Runs a random life and tells the first rule it breaks.
-fn broken_rule(unit: Unit, steps: &[Step]) -> Option<&'static str> {
-    let mut life = Life::new(unit, at(1, 50));
+/// Runs a random sequence of events and returns the first violated rule, if any.
+fn violated_rule(unit: Unit, steps: &[Step]) -> Option<&'static str> {
+    let mut harness = Harness::new(unit, at(1, 50));
     let mut holds_connection = false;
     let mut sent_commit = false;
     let mut finals = 0;
-    let mut handled = |life: &mut Life, event: RequestEvent| -> Option<&'static str> {
-        let over = life.machine.is_finished();
+    let mut handled = |harness: &mut Harness, event: RequestEvent| -> Option<&'static str> {
+        let ended = harness.machine.is_finished();
         if matches!(event, RequestEvent::LeaseGranted { .. }) && holds_connection {
             return None;
         }
         let evidence = matches!(&event, RequestEvent::ProbeAnswered { status }
             if status.role == Role::Primary && status.flushed[0].position >= status.position
                 && status.position > Lsn(0));
-        for action in life.feed(event) {
-            if over {
+        for action in harness.feed(event) {
+            if ended {
                 return Some("an action after the end");
             }
             match action {
@@ -87,14 +87,14 @@
                     sent_commit = probe;
                 }
                 RequestAction::Release { .. } if !holds_connection => {
-                    return Some("released what was not held");
+                    return Some("released a connection that was not held");
                 }
                 RequestAction::Release { .. } => holds_connection = false,
                 RequestAction::Discard if sent_commit && unit.access == Access::Write => {
                     sent_commit = false;
                 }
                 RequestAction::Refuse { .. } if sent_commit => {
-                    return Some("told `not run` of what may have run");
+                    return Some("reported as not run although it may have run");
                 }
                 RequestAction::Acknowledge { .. } if !evidence => {
                     return Some("acknowledged without evidence");
@@ -106,25 +106,25 @@
         }
         (finals > 1).then_some("ended twice")
     };
-    if let Some(rule) = handled(&mut life, RequestEvent::Begin) {
+    if let Some(rule) = handled(&mut harness, RequestEvent::Begin) {
         return Some(rule);
     }
     for step in steps {
-        life.now = Timestamp(life.now.0 + step.pause);
-        if let Some(rule) = handled(&mut life, step.event.clone()) {
+        harness.now = Timestamp(harness.now.0 + step.pause);
+        if let Some(rule) = handled(&mut harness, step.event.clone()) {
             return Some(rule);
         }
     }
-    (life.machine.is_finished() && holds_connection).then_some("a connection leaked")
+    (harness.machine.is_finished() && holds_connection).then_some("a connection leaked")
 }
 
 #[test]
-fn random_lives_keep_the_rules() {
+fn random_event_sequences_keep_the_rules() {
     for seed in 0..4_000 {
         let mut random = Gen::from_size_and_seed(40, seed);
         let steps = Vec::<Step>::arbitrary(&mut random);
         for unit in [READ, WRITE, BEGIN] {
-            assert_eq!(broken_rule(unit, &steps), None, "seed {seed}, {steps:?}");
+            assert_eq!(violated_rule(unit, &steps), None, "seed {seed}, {steps:?}");
         }
     }
 }
--- a/crates/coordination/src/retry/backoff.rs
+++ b/crates/coordination/src/retry/backoff.rs
@@ -5,10 +5,11 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Largest exponent of two a pause is multiplied by; keeps the arithmetic in range.
+/// Maximum exponent of the power of two by which a pause is multiplied. Prevents
+/// overflow.
 const MAXIMUM_DOUBLINGS: u32 = 16;
 
-/// First and longest pause.
+/// Bounds of the pauses between attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BackoffPolicy {
     /// Upper bound of the first pause.
@@ -18,13 +19,14 @@
 }
 
 impl BackoffPolicy {
-    /// Upper bound of the pause before attempt number `attempt`, counted from 0.
+    /// Returns the upper bound of the pause before attempt number `attempt`, counted
+    /// from 0.
     pub fn bound(&self, attempt: u32) -> Duration {
         let factor = 1u32 << attempt.min(MAXIMUM_DOUBLINGS);
         self.first.saturating_mul(factor).min(self.maximum)
     }
 
-    /// A pause between half of the bound and the bound.
+    /// Draws a pause between half of the bound and the bound.
     pub fn pause(&self, attempt: u32, generator: &mut impl Rng) -> Duration {
         let bound = self.bound(attempt);
         let half = bound / 2;
@@ -33,7 +35,7 @@
     }
 }
 
-/// A run of failures of one thing, with the pause after each.
+/// Consecutive failures of one operation, with the pause to make after each.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     policy: BackoffPolicy,
@@ -42,7 +44,7 @@
 }
 
 impl Backoff {
-    /// No failures yet; jitter is drawn from `seed`.
+    /// Creates a back-off without failures, whose jitter is drawn from `seed`.
     pub fn new(policy: BackoffPolicy, seed: u64) -> Self {
         Self {
             policy,
@@ -58,12 +60,12 @@
         pause
     }
 
-    /// Forgets the failures after a success.
+    /// Resets the number of failures after a success.
     pub fn succeeded(&mut self) {
         self.failures = 0;
     }
 
-    /// Failures since the last success.
+    /// Returns the number of failures since the last success.
     pub fn failures(&self) -> u32 {
         self.failures
     }
--- a/crates/coordination/src/retry/budget.rs
+++ b/crates/coordination/src/retry/budget.rs
@@ -1,5 +1,5 @@
-//! Retry budgets: retries are a bounded share of requests, so that a fault is not
-//! multiplied by those who suffer from it.
+//! Retry budgets: retries are limited to a share of the requests, so that callers
+//! affected by a fault do not amplify it.
 
 use std::collections::BTreeMap;
 
@@ -7,15 +7,15 @@
 
 /// Cost of one retry, in hundredths of a request.
 const RETRY_COST: u32 = 100;
-/// Retries a tenant that has sent little may still make.
+/// Retries available to a tenant that has not sent any requests yet.
 const INITIAL_RETRIES: u32 = 10;
-/// Retries a tenant may save up.
+/// Maximum number of retries that a tenant can accumulate.
 const MAXIMUM_RETRIES: u32 = 100;
-/// Tenants whose budgets are kept.
+/// Maximum number of tenants whose budgets are kept.
 const MAXIMUM_TENANTS: usize = 4_096;
 
-/// One tenant's token bucket. Each request adds `percent` hundredths; each retry takes
-/// a whole one.
+/// Token bucket of one tenant, in hundredths of a retry. Each request adds `percent`
+/// hundredths; each retry takes one hundred.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RetryBudget {
     hundredths: u32,
@@ -30,13 +30,14 @@
 }
 
 impl RetryBudget {
-    /// Counts a first attempt.
+    /// Counts the first attempt of a request, which adds `percent` hundredths of a
+    /// retry.
     pub fn requested(&mut self, percent: u32) {
         let filled = self.hundredths.saturating_add(percent);
         self.hundredths = filled.min(MAXIMUM_RETRIES * RETRY_COST);
     }
 
-    /// Takes a retry if there is one.
+    /// Takes one retry from the budget. Returns false if less than one is left.
     pub fn take(&mut self) -> bool {
         let Some(rest) = self.hundredths.checked_sub(RETRY_COST) else {
             return false;
@@ -46,20 +47,21 @@
     }
 }
 
-/// Budgets of all tenants of a node; the number kept is bounded.
+/// Budgets of a node's tenants, in bounded number.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudgets {
     tenants: BTreeMap<TenantName, RetryBudget>,
 }
 
 impl RetryBudgets {
-    /// No tenant has asked for anything yet.
+    /// Creates an empty set of budgets.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The budget of `tenant`. When too many tenants are known, the one of the lowest
-    /// name other than `tenant` is forgotten and starts anew.
+    /// Returns the budget of `tenant`. When the maximum number of tenants is reached, a
+    /// new tenant evicts the one with the lowest name, which starts over with a fresh
+    /// budget.
     pub fn of(&mut self, tenant: &TenantName) -> &mut RetryBudget {
         if self.tenants.len() >= MAXIMUM_TENANTS && !self.tenants.contains_key(tenant) {
             self.tenants.pop_first();
@@ -67,12 +69,12 @@
         self.tenants.entry(tenant.clone()).or_default()
     }
 
-    /// How many tenants are known.
+    /// Returns the number of tenants whose budgets are kept.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Whether no tenant is known.
+    /// Returns whether no budget is kept.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
--- a/crates/coordination/src/retry/mod.rs
+++ b/crates/coordination/src/retry/mod.rs
@@ -1,8 +1,8 @@
-//! The retry policy of the whole fleet: back-off with jitter, budgets per tenant and
+//! The retry policy of the fleet: back-off with jitter, budgets per tenant, and
 //! deadlines.
 //!
-//! Only requests that provably did not run are ever retried; this module decides when
-//! and whether, never what.
+//! Only requests that provably did not run are ever retried. This module decides whether
+//! and when to retry; its callers decide which requests may be retried.
 
 mod backoff;
 mod budget;
--- a/crates/coordination/src/retry/policy.rs
+++ b/crates/coordination/src/retry/policy.rs
@@ -1,4 +1,4 @@
-//! Whether and when a request that did not run is tried again.
+//! Decides whether and when a request that did not run is retried.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 
 use super::{BackoffPolicy, RetryBudget};
 
-/// Attempts of one request, the first included.
+/// Maximum number of attempts per request, including the first.
 const MAXIMUM_ATTEMPTS: u32 = 8;
 /// Pauses between the attempts of one request.
 const REQUEST_BACKOFF: BackoffPolicy = BackoffPolicy {
@@ -16,42 +16,42 @@
     maximum: Duration::from_millis(200),
 };
 
-/// Why no further attempt is made.
+/// Reason why no further attempt is made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryStop {
-    /// It has had all its attempts.
+    /// The maximum number of attempts has been made.
     Attempts,
     /// The pause would end after the deadline.
     Deadline,
-    /// The tenant's budget is spent.
+    /// The tenant's retry budget is exhausted.
     Budget,
 }
 
-/// What to do after an attempt that did not run.
+/// Decision after an attempt that did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryDecision {
-    /// Try again at this time.
+    /// Retry at this time.
     At(Timestamp),
     /// Refuse the request.
     Stop(RetryStop),
 }
 
-/// The policy with its jitter.
+/// The retry policy and its generator of jitter.
 #[derive(Clone, Debug)]
 pub struct RetryPolicy {
     generator: ChaCha8Rng,
 }
 
 impl RetryPolicy {
-    /// A policy whose jitter is drawn from `seed`.
+    /// Creates a policy whose jitter is drawn from `seed`.
     pub fn new(seed: u64) -> Self {
         Self {
             generator: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Decides after `attempts` attempts of a request whose wait ends at `deadline`.
-    /// The budget is charged only when another attempt is made.
+    /// Decides after `attempts` attempts of a request whose wait ends at `deadline`. The
+    /// budget is charged only when another attempt is made.
     pub fn decide(
         &mut self,
         now: Timestamp,
--- a/crates/coordination/src/retry/tests.rs
+++ b/crates/coordination/src/retry/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_pauses_and_another_one_others() {
+fn pauses_are_determined_by_the_seed() {
     let pauses = |seed| {
         let mut backoff = Backoff::new(POLICY, seed);
         (0..20).map(|_| backoff.failed()).collect::<Vec<_>>()
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn a_decision_stops_for_the_first_reason_that_holds() {
-    let spent = || {
+fn a_decision_stops_for_the_first_applicable_reason() {
+    let exhausted = || {
         let mut budget = RetryBudget::default();
         while budget.take() {}
         budget
@@ -68,9 +68,9 @@
     let near = Timestamp::from_millis(1);
     let cases = [
         (8, far, RetryBudget::default(), Some(RetryStop::Attempts)),
-        (8, near, spent(), Some(RetryStop::Attempts)),
+        (8, near, exhausted(), Some(RetryStop::Attempts)),
         (1, near, RetryBudget::default(), Some(RetryStop::Deadline)),
-        (1, far, spent(), Some(RetryStop::Budget)),
+        (1, far, exhausted(), Some(RetryStop::Budget)),
         (1, far, RetryBudget::default(), None),
         (7, far, RetryBudget::default(), None),
     ];
--- a/crates/coordination/src/status.rs
+++ b/crates/coordination/src/status.rs
@@ -1,4 +1,4 @@
-//! What one status query says of a database.
+//! Result of a status query to a database.
 
 use hookpoint_state::{Lsn, Position, Term};
 use serde::{Deserialize, Serialize};
@@ -15,9 +15,9 @@
 /// Answer to the status query, as evaluated by the database when the query ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackendStatus {
-    /// Role it believes to have.
+    /// Role that the database reports.
     pub role: Role,
-    /// Term it is on.
+    /// Term that the database is on.
     pub term: Term,
     /// Flushed position of a primary; replayed position of a replica.
     pub position: Lsn,
@@ -25,17 +25,17 @@
     pub flushed: Vec<FlushedReplica>,
 }
 
-/// A replica's flushed position as its primary knows it.
+/// A replica's flushed position as reported by its primary.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FlushedReplica {
     /// `application_name` of the replica.
     pub name: String,
-    /// Position it has reported as flushed.
+    /// Position that the replica has reported as flushed.
     pub position: Lsn,
 }
 
 impl BackendStatus {
-    /// Term and position together.
+    /// Returns the term and position together.
     pub fn place(&self) -> Position {
         Position {
             term: self.term,
--- a/crates/coordination/src/terms.rs
+++ b/crates/coordination/src/terms.rs
@@ -1,4 +1,5 @@
-//! What a node knows of each group: roles, terms and positions of its databases.
+//! Each group's state as observed by this node: roles, terms and positions of its
+//! databases.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -8,12 +9,12 @@
 
 use crate::status::{BackendStatus, Role};
 
-/// Samples of a primary's position that a group keeps, to tell replicas' lag.
+/// Samples of a primary's position kept per group to estimate the lag of replicas.
 const PRIMARY_SAMPLES: usize = 256;
-/// Shortest time between two samples.
+/// Minimum time between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How near a database is to this node.
+/// Network distance of a database from this node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Proximity {
     /// In the same zone.
@@ -25,73 +26,75 @@
     Remote,
 }
 
-/// A database of a group as the bundle names it, seen from this node.
+/// A database of a group as configured by the bundle, relative to this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
     /// Name of the database.
     pub name: DatabaseName,
-    /// How near it is.
+    /// Network distance from this node.
     pub proximity: Proximity,
-    /// Whether it gets no new work.
+    /// Whether the database is draining and gets no new work.
     pub draining: bool,
 }
 
-/// What is known of one database.
+/// Observed state of one database.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct DatabaseView {
     /// Name of the database.
     pub name: DatabaseName,
-    /// How near it is.
+    /// Network distance from this node.
     pub proximity: Proximity,
-    /// Last known role, none before the first observation.
+    /// Last known role; `None` before the first observation.
     pub role: Option<Role>,
-    /// Last known place.
+    /// Last known term and position.
     pub place: Position,
-    /// When it was last observed to answer.
+    /// When the database last answered.
     pub observed_at: Timestamp,
-    /// Whether it answered last time.
+    /// Whether the database answered the last time it was asked.
     pub reachable: bool,
-    /// Whether it gets no new work.
+    /// Whether the database is draining and gets no new work.
     pub draining: bool,
-    /// Requests of this node that are on it or wait for it.
+    /// Requests of this node that run on the database or wait for it.
     pub load: u32,
-    /// How far it replays behind its primary, as last measured.
+    /// Replay delay behind the primary, as last estimated.
     pub lag: Duration,
-    /// On a primary: a commit that has waited long for a majority.
+    /// On a primary: position of a commit that has waited too long for a majority. No
+    /// further writes are routed here until a majority has flushed it.
     pub unconfirmed: Option<Lsn>,
 }
 
-/// What is known of one group.
+/// Observed state of one group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GroupView {
-    /// Its databases in the order of their names.
+    /// Databases of the group, ordered by name.
     pub databases: Vec<DatabaseView>,
-    /// Highest term ever seen in the group.
+    /// Highest term ever observed in the group.
     pub highest_term: Term,
-    /// Where the bundle sends its reads.
+    /// Where the bundle routes the group's reads.
     pub reads: ReadPreference,
-    /// When the primary of the highest term was seen at which position, oldest first.
+    /// Positions at which the primary of the highest term was observed, with the time of
+    /// each observation, oldest first.
     samples: VecDeque<(Timestamp, Lsn)>,
 }
 
 impl GroupView {
-    /// The primary of the highest known term, if one has been seen.
+    /// Returns the primary of the highest known term, if it has been observed.
     pub fn primary(&self) -> Option<&DatabaseView> {
         self.databases.iter().find(|database| {
             database.role == Some(Role::Primary) && database.place.term == self.highest_term
         })
     }
 
-    /// The database called `name`.
+    /// Returns the database called `name`.
     pub fn database(&self, name: &DatabaseName) -> Option<&DatabaseView> {
         self.databases
             .iter()
             .find(|database| &database.name == name)
     }
 
-    /// Whether `database` is expected to have replayed `required` by `now`: it was
-    /// seen there, or its lag has passed since the primary was seen there. This only
-    /// guides the choice; the check on the connection decides.
+    /// Returns whether `database` is expected to have replayed `required` by `now`: it
+    /// was observed there, or its lag has elapsed since the primary was observed there.
+    /// This only guides routing; the check on the connection is authoritative.
     pub fn expects_fresh(
         &self,
         now: Timestamp,
@@ -108,25 +111,26 @@
             .is_some_and(|reached| now >= reached + database.lag)
     }
 
-    /// When the primary was first seen at `lsn` or beyond.
+    /// Returns when the primary was first observed at `lsn` or first_beyond.
     fn reached_at(&self, lsn: Lsn) -> Option<Timestamp> {
         let index = self.samples.partition_point(|(_, sample)| *sample < lsn);
         self.samples.get(index).map(|(at, _)| *at)
     }
 
-    /// Between which bounds the lag of a replica at `lsn` lies. It is at least the age
-    /// of the first sample beyond `lsn` and at most the age of the first one there.
+    /// Returns the lower and upper bound of the lag of a replica at `lsn`. The lag is at
+    /// least the age of the first sample first_beyond `lsn` and at most the age of the first
+    /// sample at or beyond it.
     fn lag_bounds(&self, now: Timestamp, lsn: Lsn) -> (Duration, Duration) {
-        let beyond = self.samples.partition_point(|(_, sample)| *sample <= lsn);
-        let least = self.samples.get(beyond).map(|(at, _)| now.since(*at));
+        let first_beyond = self.samples.partition_point(|(_, sample)| *sample <= lsn);
+        let least = self.samples.get(first_beyond).map(|(at, _)| now.since(*at));
         let most = self.reached_at(lsn).map(|at| now.since(at));
         let least = least.unwrap_or(Duration::ZERO);
         (least, most.unwrap_or(Duration::MAX).max(least))
     }
 
-    /// Counts the members of the group, the primary included, that have flushed
-    /// `target` by the status of a primary. Standbys that the bundle does not name have
-    /// no vote, so they are no evidence.
+    /// Counts the members of the group, including the primary, that have flushed
+    /// `target` according to a primary's status. Standbys that are not in the bundle
+    /// have no vote and are not counted.
     pub fn holders(&self, status: &BackendStatus, target: Lsn) -> usize {
         let own = usize::from(status.position >= target);
         let flushed = |name: &DatabaseName| {
@@ -146,20 +150,26 @@
         }
     }
 
-    /// Takes a status answer. Returns false when it is of no use: the database is not
-    /// in the group, or the answer is of an older term than already known of it.
-    fn update(&mut self, now: Timestamp, name: &DatabaseName, status: &BackendStatus) -> bool {
+    /// Applies a status answer. Returns false if it is ignored: the database is not in
+    /// the group, or the answer is of an older term than the one already known of the
+    /// database.
+    fn apply_status(
+        &mut self,
+        now: Timestamp,
+        name: &DatabaseName,
+        status: &BackendStatus,
+    ) -> bool {
         self.raise_term(status.term);
         if status.role == Role::Primary && status.term == self.highest_term {
             self.sample_primary(now, status.position);
         }
         let (least, most) = self.lag_bounds(now, status.position);
         let majority = self.majority();
-        let held = |target| self.holders(status, target) >= majority;
-        let settled = self
+        let has_majority = |target| self.holders(status, target) >= majority;
+        let confirmed = self
             .database(name)
             .and_then(|entry| entry.unconfirmed)
-            .is_some_and(held);
+            .is_some_and(has_majority);
         let Some(entry) = self.databases.iter_mut().find(|entry| &entry.name == name) else {
             return false;
         };
@@ -172,7 +182,7 @@
             term: status.term,
             lsn: status.position.max(floor),
         };
-        if settled || !same_term || status.role == Role::Replica {
+        if confirmed || !same_term || status.role == Role::Replica {
             entry.unconfirmed = None;
         }
         entry.role = Some(status.role);
@@ -196,7 +206,7 @@
         self.samples.push_back((now, lsn));
     }
 
-    /// How many databases make a majority.
+    /// Returns the number of databases that form a majority.
     pub fn majority(&self) -> usize {
         self.databases.len() / 2 + 1
     }
@@ -207,31 +217,32 @@
 pub struct LeadershipChange {
     /// Group concerned.
     pub group: GroupName,
-    /// Its new highest term.
+    /// New highest term of the group.
     pub term: Term,
-    /// The primary of that term, once seen.
+    /// Primary of that term; `None` until it has been observed.
     pub primary: Option<DatabaseName>,
 }
 
-/// Views of all groups a node works with. An older term never replaces a newer one.
+/// Views of all groups that a node serves. Observations of an older term never replace
+/// those of a newer one.
 #[derive(Clone, Debug, Default)]
 pub struct TermTable {
     groups: BTreeMap<GroupName, GroupView>,
 }
 
 impl TermTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The view of `group`.
+    /// Returns the view of `group`.
     pub fn view(&self, group: &GroupName) -> Option<&GroupView> {
         self.groups.get(group)
     }
 
-    /// Takes a group from a bundle: new databases are added, missing ones removed,
-    /// proximity and draining marks replaced. Observations are kept.
+    /// Configures a group from a bundle: adds new databases, removes missing ones and
+    /// replaces proximity and draining marks. Observations are kept.
     pub fn configure(
         &mut self,
         group: &GroupName,
@@ -258,18 +269,18 @@
         view.databases.sort_by(|a, b| a.name.cmp(&b.name));
     }
 
-    /// Forgets a group that a bundle no longer names.
+    /// Removes a group that is no longer in the bundle.
     pub fn remove(&mut self, group: &GroupName) {
         self.groups.remove(group);
     }
 
-    /// Names of the groups in the table.
+    /// Returns the names of the groups in the table.
     pub fn groups(&self) -> impl Iterator<Item = &GroupName> {
         self.groups.keys()
     }
 
-    /// Takes a status answer of `database`. Statuses of an older term than already
-    /// known of the same database are dropped.
+    /// Applies a status answer of `database`. Answers of an older term than the one
+    /// already known of the database are dropped.
     pub fn observe(
         &mut self,
         now: Timestamp,
@@ -280,7 +291,7 @@
         let view = self.groups.get_mut(group)?;
         let before = view.primary().map(|primary| primary.name.clone());
         let term_before = view.highest_term;
-        if !view.update(now, database, status) {
+        if !view.apply_status(now, database, status) {
             return None;
         }
         let primary = view.primary().map(|primary| primary.name.clone());
@@ -292,8 +303,8 @@
         })
     }
 
-    /// Raises the highest known term of `group`, as told by an authentic token or by
-    /// another node. Returns whether it was news.
+    /// Raises the highest known term of `group`, as reported by an authentic token or by
+    /// another node. Returns whether the term was raised.
     pub fn learn_term(&mut self, group: &GroupName, term: Term) -> bool {
         match self.groups.get_mut(group) {
             Some(view) if view.highest_term < term => {
@@ -304,8 +315,8 @@
         }
     }
 
-    /// Keeps further writes off `database`, whose commit at `position` waits for a
-    /// majority, until a status shows that one has it.
+    /// Stops routing writes to `database`, whose commit at `position` waits for a
+    /// majority, until a status shows that a majority has flushed it.
     pub fn doubt(&mut self, group: &GroupName, database: &DatabaseName, position: Position) {
         if let Some(entry) = self.entry(group, database)
             && entry.place.term == position.term
@@ -314,14 +325,14 @@
         }
     }
 
-    /// Marks `database` as not answering.
+    /// Marks `database` as unreachable.
     pub fn unreachable(&mut self, group: &GroupName, database: &DatabaseName) {
         if let Some(entry) = self.entry(group, database) {
             entry.reachable = false;
         }
     }
 
-    /// Sets the load this node puts on `database`.
+    /// Sets the number of this node's requests that run on `database` or wait for it.
     pub fn set_load(&mut self, group: &GroupName, database: &DatabaseName, load: u32) {
         if let Some(entry) = self.entry(group, database) {
             entry.load = load;
--- a/crates/coordination/tests/home.rs
+++ b/crates/coordination/tests/home.rs
@@ -126,7 +126,8 @@
             fresh.add(node(index), &zone(index % ZONES), &region(index % ZONES));
         }
         configure(&mut fresh, ZONES);
-        let expected: std::collections::BTreeSet<DatabaseName> = fresh.held().cloned().collect();
+        let expected: std::collections::BTreeSet<DatabaseName> =
+            fresh.own_databases().cloned().collect();
         held == expected && homes(&mut table, &names) == homes(&mut fresh, &names)
     }
     QuickCheck::new()
