--- a/crates/coordination/benches/decisions.rs
+++ b/crates/coordination/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! Time of the decisions that are made for every request or message.
+//! Benchmarks of the decisions that are made for every request or message.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -25,7 +25,7 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// Groups in the table of terms, as many as 3,000 databases make.
+/// Groups in the table of terms; with three databases each they make 3,000 databases.
 const GROUPS: usize = 1_000;
 /// Members of the fleet.
 const NODES: u64 = 1_500;
@@ -89,10 +89,10 @@
     }
 }
 
-/// The whole life of one request that meets no fault.
-fn life(table: &TermTable, access: Access) -> usize {
+/// Runs one request from beginning to end without faults. Returns the number of actions.
+fn run_request(table: &TermTable, access: Access) -> usize {
     let now = Timestamp::from_millis(2);
-    let place = if access == Access::Read { 1 } else { 0 };
+    let index = if access == Access::Read { 1 } else { 0 };
     let role = if access == Access::Read {
         Role::Replica
     } else {
@@ -103,7 +103,7 @@
     let events = [
         RequestEvent::Begin,
         RequestEvent::LeaseGranted {
-            database: database(7, place),
+            database: database(7, index),
         },
         RequestEvent::CheckAnswered {
             status: status(role, 100),
@@ -128,7 +128,7 @@
     let table = term_table();
     for (name, access) in [("read", Access::Read), ("write", Access::Write)] {
         criterion.bench_function(&format!("request/{name}"), |bencher| {
-            bencher.iter(|| life(&table, black_box(access)));
+            bencher.iter(|| run_request(&table, black_box(access)));
         });
     }
 }
@@ -255,8 +255,8 @@
     let names: Vec<DatabaseName> = (0..GROUPS)
         .flat_map(|group| (0..3).map(move |index| database(group, index)))
         .collect();
-    let places = names.iter().enumerate();
-    table.configure(places.map(|(index, name)| (name, &zones[index % 5], None)));
+    let indexed_names = names.iter().enumerate();
+    table.configure(indexed_names.map(|(index, name)| (name, &zones[index % 5], None)));
     for node in 1..=NODES {
         let member = info(node);
         table.add(member.node, &member.zone, &member.region);
--- a/crates/coordination/src/membership/datagram.rs
+++ b/crates/coordination/src/membership/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams between members. `protocol::peer` seals them; here they are values.
+//! Datagrams between members, before they are sealed by `protocol::peer`.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,46 +8,48 @@
 
 use super::member::{MemberInfo, MemberUpdate};
 
-/// What every datagram says of its sender.
+/// Sender's state, included in every datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sender {
-    /// The sender.
+    /// Identifier of the sender.
     pub node: NodeId,
-    /// Its incarnation.
+    /// Incarnation of the sender.
     pub incarnation: u32,
-    /// Whether it is leaving.
+    /// Whether the sender is leaving the fleet.
     pub leaving: bool,
-    /// Version of the bundle it has in force.
+    /// Version of the bundle that the sender has in force.
     pub bundle: BundleVersion,
-    /// Digest of its table of members; see [`super::Membership::digest`].
+    /// Digest of the sender's member table; see [`super::Membership::digest`].
     pub digest: u64,
-    /// Zone, region and address, where the receiver may not have them.
+    /// Zone, region and address of the sender; included where the receiver may not know
+    /// them.
     pub info: Option<Arc<MemberInfo>>,
 }
 
-/// A datagram. One that names another receiver, or none, changes nothing.
+/// A datagram. A datagram without a receiver, or with a receiver other than this node,
+/// does not change the receiving node's state.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// The sender.
+    /// State of the sender.
     pub sender: Sender,
-    /// The receiver; none in a [`DatagramBody::Hello`].
+    /// Intended receiver; `None` in a [`DatagramBody::Hello`].
     pub receiver: Option<NodeId>,
-    /// What it is for.
+    /// Kind and payload.
     pub body: DatagramBody,
-    /// Claims that travel along.
+    /// Piggybacked claims about members.
     pub updates: Vec<MemberUpdate>,
 }
 
 /// Kinds of datagrams.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DatagramBody {
-    /// Asks whoever is at an address to introduce itself.
+    /// Asks the node at an address to introduce itself.
     Hello,
     /// Answers a `Hello`.
     Welcome,
     /// Asks for an [`DatagramBody::Ack`].
     Ping {
-        /// Number of the probe, chosen by its sender.
+        /// Number of the probe, assigned by its sender.
         probe: u32,
     },
     /// Answers a `Ping`.
@@ -57,16 +59,16 @@
     },
     /// The node that a `Ping` names is not at this address; this one is.
     NotHere {
-        /// The node named in the `Ping`.
+        /// Node named in the `Ping`.
         target: NodeId,
     },
     /// Asks the receiver to probe `target` on the sender's behalf.
     PingRequest {
         /// Number of the sender's probe.
         probe: u32,
-        /// Whom to probe.
+        /// Node to probe.
         target: NodeId,
-        /// Where it is.
+        /// Address of that node.
         address: SocketAddr,
     },
     /// `target` answered a probe made on the receiver's behalf.
@@ -78,32 +80,33 @@
     Gossip,
     /// Asks for zone, region and address of these members.
     Lookup {
-        /// The members.
+        /// Members to look up.
         nodes: Vec<NodeId>,
     },
     /// Asks for the parts of the table that differ from the sender's.
     SyncStart {
-        /// Digests of the sender's parts.
+        /// Digests of the parts of the sender's table.
         digests: Vec<u64>,
-        /// Whether the pages should hold zone, region and address of each member.
+        /// Whether the pages should include zone, region and address of each member.
         with_info: bool,
     },
-    /// Asks for the members after `after`, in the order of their identifiers.
+    /// Asks for the next page: the members after `after`, in the order of their
+    /// identifiers.
     SyncRequest {
-        /// The parts that are of interest, a bit each.
+        /// Requested parts, one bit each.
         parts: u64,
-        /// Last member of the page before.
+        /// Last member of the previous page; `None` for the first page.
         after: Option<NodeId>,
-        /// Whether the page should hold zone, region and address of each member.
+        /// Whether the page should include zone, region and address of each member.
         with_info: bool,
     },
-    /// A page of members, in the updates.
+    /// A page of members, carried in the datagram's updates.
     SyncPage {
-        /// The parts that the page is taken from, a bit each.
+        /// Parts that the page is taken from, one bit each.
         parts: u64,
-        /// Where the page starts, as asked.
+        /// Member after which the page starts, copied from the request.
         after: Option<NodeId>,
-        /// Where it ends; none when there are no members behind it.
+        /// Last member of the page; `None` when no members follow.
         next: Option<NodeId>,
     },
 }
--- a/crates/coordination/src/membership/gossip.rs
+++ b/crates/coordination/src/membership/gossip.rs
@@ -1,4 +1,4 @@
-//! Sending datagrams, with claims on their back, and bursts of gossip.
+//! Sending of datagrams with piggybacked claims, and bursts of gossip.
 
 use std::time::Duration;
 
@@ -8,21 +8,22 @@
 use super::machine::{Membership, MembershipAction};
 use super::member::{MemberState, MemberUpdate};
 
-/// Bytes of a datagram besides its updates: IP and UDP headers, sealing, sender.
+/// Bytes of a datagram besides its updates: IP and UDP headers, sealing and sender.
 pub const DATAGRAM_OVERHEAD_BYTES: usize = 140;
-/// Members that are told at once when this node leaves.
+/// Number of members notified immediately when this node leaves.
 const LEAVING_FANOUT: usize = 8;
-/// Members that are told at once of a bundle that came into force here.
+/// Number of members notified immediately when a bundle comes into force on this node.
 const ANNOUNCEMENT_FANOUT: usize = 4;
-/// Bursts of gossip that tell a few more of it.
+/// Number of bursts of gossip that then notify further members.
 const ANNOUNCEMENTS: u32 = 3;
-/// Queued changes from which on those that a member knows need not be passed on.
+/// Number of queued changes above which changes already known to another member are
+/// dropped from the queue.
 const MANY_CHANGES: usize = 64;
-/// Incarnation at which a claim carries zone, region and address: that of a joining
-/// member. Who misses them asks.
+/// Incarnation at which a claim includes zone, region and address: that of a joining
+/// member. A receiver that lacks them sends a lookup.
 const INTRODUCING_INCARNATION: u32 = 0;
 
-/// A bucket of bytes that fills at a constant rate.
+/// Token bucket of bytes that fills at a constant rate.
 #[derive(Clone, Debug)]
 pub struct ByteBudget {
     available: f64,
@@ -32,7 +33,7 @@
 }
 
 impl ByteBudget {
-    /// A full bucket.
+    /// Creates a full bucket.
     pub fn new(now: Timestamp, bytes_per_second: u32, burst_bytes: u32) -> Self {
         let burst = f64::from(burst_bytes);
         Self {
@@ -43,7 +44,8 @@
         }
     }
 
-    /// Whether `bytes` may be sent now. What is taken may overdraw the bucket.
+    /// Returns whether anything may be sent now, that is, whether the bucket is not
+    /// empty. A datagram may overdraw the bucket.
     pub fn allows(&mut self, now: Timestamp) -> bool {
         let passed: Duration = now.since(self.filled_at);
         self.filled_at = now;
@@ -52,14 +54,14 @@
         self.available > 0.0
     }
 
-    /// Takes `bytes` out.
+    /// Takes `bytes` out of the bucket.
     pub fn take(&mut self, bytes: usize) {
         self.available -= bytes as f64;
     }
 }
 
 impl Membership {
-    /// Sends to a member, with as many queued claims as a probe has room for.
+    /// Sends a datagram to a member, with as many queued claims as fit into a probe.
     pub(super) fn send(
         &mut self,
         to: NodeId,
@@ -67,11 +69,11 @@
         with_info: bool,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let updates = self.take_updates(to, self.settings.probe_update_bytes);
+        let updates = self.collect_updates(to, self.settings.probe_update_bytes);
         self.send_with(to, body, with_info, updates, actions);
     }
 
-    /// Sends to a member with exactly these claims.
+    /// Sends a datagram to a member with exactly these claims.
     pub(super) fn send_with(
         &mut self,
         to: NodeId,
@@ -95,9 +97,9 @@
         });
     }
 
-    /// Claims for `to`: first what is held against itself, so that it can deny it, and
-    /// then queued ones, up to `room` bytes.
-    pub(super) fn take_updates(&mut self, to: NodeId, room: usize) -> Vec<MemberUpdate> {
+    /// Collects claims for `to`, up to `room` bytes: first the suspicion or death of
+    /// `to` itself, if any, so that it can refute it, and then queued claims.
+    pub(super) fn collect_updates(&mut self, to: NodeId, room: usize) -> Vec<MemberUpdate> {
         let mut updates = Vec::new();
         let mut used = 0;
         if let Some(member) = self.table.get(to)
@@ -121,7 +123,7 @@
                 sent.push(node);
             }
         }
-        let once = self.transmissions_of_joins();
+        let join_transmissions = self.join_transmissions();
         for node in sent {
             let joining = self.is_joining(node);
             let factor = if joining {
@@ -129,7 +131,8 @@
             } else {
                 self.settings.retransmit_factor
             };
-            self.queue.sent(node, once * factor);
+            self.queue
+                .record_transmission(node, join_transmissions * factor);
         }
         updates
     }
@@ -144,9 +147,9 @@
         Some(member.update(introduce))
     }
 
-    /// Stops passing on the many changes of a fleet that has just started or merged,
-    /// once another member is found to have the same digest, and so to know them all.
-    /// Suspicions, which a digest does not tell, stay.
+    /// Drops the queued changes of a fleet that has just started or merged, once another
+    /// member has the same digest and thus knows all of them. Suspicions are not covered
+    /// by the digest and stay queued.
     pub(super) fn drop_known_changes(&mut self) {
         if self.queue.len() <= MANY_CHANGES {
             return;
@@ -166,8 +169,8 @@
         }
     }
 
-    /// Whether all there is to tell of a node is that it has joined. Who misses that
-    /// learns it when tables are compared, and is none the worse meanwhile.
+    /// Returns whether the only known change of a node is its join. A member that misses
+    /// a join learns of it when tables are compared, and works without it until then.
     fn is_joining(&self, node: NodeId) -> bool {
         let member = self.table.get(node);
         member.is_some_and(|member| {
@@ -175,13 +178,13 @@
         })
     }
 
-    /// How often the news of a join is passed on by one node: log2 of the members.
-    fn transmissions_of_joins(&self) -> u32 {
+    /// Returns how often one node transmits a join: log2 of the number of members.
+    fn join_transmissions(&self) -> u32 {
         let members = self.table.present() as u32 + 1;
         u32::BITS - members.leading_zeros()
     }
 
-    /// Sends queued claims to a few members at random, within the budget.
+    /// Sends queued claims to a few random members, within the bandwidth limit.
     pub(super) fn gossip(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
         if self.announcements > 0 {
             self.announcements -= 1;
@@ -190,13 +193,14 @@
         self.gossip_to(now, self.settings.gossip_fanout, actions);
     }
 
-    /// Tells a number of members at once that this node is leaving.
+    /// Notifies some members immediately that this node is leaving.
     pub(super) fn announce_leaving(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
         self.gossip_to(now, LEAVING_FANOUT, actions);
     }
 
-    /// Takes a bundle's coming into force here, and tells a few members at once. Each of
-    /// them will do the same, so that the number gets around in a few steps.
+    /// Records that a bundle came into force on this node and notifies a few members
+    /// immediately. Each of them does the same, so that the version spreads in a few
+    /// steps.
     pub(super) fn set_bundle(
         &mut self,
         now: Timestamp,
@@ -214,11 +218,11 @@
 
     fn announce_bundle(&mut self, fanout: usize, actions: &mut Vec<MembershipAction>) {
         for node in self.draw_members(fanout, None) {
-            let behind = self
+            let is_behind = self
                 .table
                 .get(node)
                 .is_some_and(|member| member.bundle < self.bundle);
-            if behind {
+            if is_behind {
                 self.send(node, DatagramBody::Gossip, false, actions);
             }
         }
@@ -232,7 +236,7 @@
             if !self.budget.allows(now) {
                 return;
             }
-            let updates = self.take_updates(node, self.settings.update_bytes);
+            let updates = self.collect_updates(node, self.settings.update_bytes);
             if updates.is_empty() {
                 continue;
             }
--- a/crates/coordination/src/membership/hints.rs
+++ b/crates/coordination/src/membership/hints.rs
@@ -1,5 +1,5 @@
-//! Addresses at which members may be found: seeds from the settings and the platform's
-//! lagging list of machines.
+//! Addresses at which members may be found: seeds from the settings, and the platform's
+//! list of machines, which may be out of date.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,25 +10,25 @@
 use super::datagram::{Datagram, DatagramBody};
 use super::machine::{Membership, MembershipAction};
 
-/// Addresses kept from each source.
+/// Maximum number of addresses kept from each source.
 const MAXIMUM_ADDRESSES: usize = 4_096;
-/// Addresses greeted at once while nobody is known.
-const GREETINGS_WHILE_ALONE: usize = 8;
-/// Time between greetings while nobody is known.
+/// Number of addresses sent a `Hello` at once while no member is known.
+const HELLOS_WHILE_ALONE: usize = 8;
+/// Time between two rounds of `Hello`s while no member is known.
 const PERIOD_WHILE_ALONE: Duration = Duration::from_millis(500);
 
-/// Known addresses and the one greeted last.
+/// Known addresses and the one used last.
 #[derive(Clone, Debug)]
 pub struct Hints {
     seeds: BTreeSet<SocketAddr>,
     hints: BTreeSet<SocketAddr>,
     last: Option<SocketAddr>,
-    /// When the next greeting is due.
+    /// When the next `Hello` is due.
     pub next_at: Timestamp,
 }
 
 impl Hints {
-    /// No addresses.
+    /// Creates an empty set of addresses.
     pub fn new(now: Timestamp) -> Self {
         Self {
             seeds: BTreeSet::new(),
@@ -43,16 +43,16 @@
         self.seeds = addresses.into_iter().take(MAXIMUM_ADDRESSES).collect();
     }
 
-    /// Replaces the platform's list.
+    /// Replaces the addresses from the platform's list of machines.
     pub fn set_hints(&mut self, addresses: Vec<SocketAddr>) {
         self.hints = addresses.into_iter().take(MAXIMUM_ADDRESSES).collect();
     }
 
-    /// The next address in turn that `wanted` accepts.
+    /// Returns the next address, in round-robin order, that `wanted` accepts.
     fn next(&mut self, mut wanted: impl FnMut(SocketAddr) -> bool) -> Option<SocketAddr> {
         let rounds = self.seeds.len() + self.hints.len();
         for _ in 0..rounds {
-            let address = self.step()?;
+            let address = self.advance()?;
             if wanted(address) {
                 return Some(address);
             }
@@ -60,14 +60,14 @@
         None
     }
 
-    fn step(&mut self) -> Option<SocketAddr> {
-        let behind = |set: &BTreeSet<SocketAddr>, last: SocketAddr| {
+    fn advance(&mut self) -> Option<SocketAddr> {
+        let address_after = |set: &BTreeSet<SocketAddr>, last: SocketAddr| {
             let range = (std::ops::Bound::Excluded(last), std::ops::Bound::Unbounded);
             set.range(range).next().copied()
         };
         let following = self.last.and_then(|last| {
-            let seed = behind(&self.seeds, last);
-            let hint = behind(&self.hints, last);
+            let seed = address_after(&self.seeds, last);
+            let hint = address_after(&self.hints, last);
             seed.into_iter().chain(hint).min()
         });
         let first = || {
@@ -81,20 +81,20 @@
 }
 
 impl Membership {
-    /// Greets addresses that belong to no known member.
-    pub(super) fn greet(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
-        let alone = self.table.present() == 0;
-        let (count, period) = if alone {
-            (GREETINGS_WHILE_ALONE, PERIOD_WHILE_ALONE)
+    /// Sends a `Hello` to addresses that belong to no known member.
+    pub(super) fn send_hellos(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
+        let no_members_known = self.table.present() == 0;
+        let (count, period) = if no_members_known {
+            (HELLOS_WHILE_ALONE, PERIOD_WHILE_ALONE)
         } else {
             (1, self.settings.hint_period)
         };
         self.hints.next_at = now + period;
-        let mut greeted = BTreeSet::new();
+        let mut contacted = BTreeSet::new();
         for _ in 0..count {
             let table = &self.table;
             let address = self.hints.next(|address| !table.has_address(address));
-            let Some(address) = address.filter(|address| greeted.insert(*address)) else {
+            let Some(address) = address.filter(|address| contacted.insert(*address)) else {
                 return;
             };
             let datagram = Datagram {
--- a/crates/coordination/src/membership/machine.rs
+++ b/crates/coordination/src/membership/machine.rs
@@ -1,4 +1,4 @@
-//! The membership machine: its state, events and actions.
+//! The membership state machine: its state, events and actions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,66 +14,68 @@
 use super::member::{Member, MemberInfo, MemberState, MemberUpdate};
 use super::probe::{Probe, Relay};
 use super::settings::MembershipSettings;
-use super::suspicion::{Suspicions, time_to_refute};
+use super::suspicion::{Suspicions, suspicion_timeout};
 use super::sync::RunningSync;
 use super::table::MemberTable;
 use super::updates::UpdateQueue;
 
-/// Added to the caution after a pause.
-const CAUTION_AFTER_PAUSE: u32 = 2;
-/// Highest caution; probes then may take this many times longer, plus one.
-const MAXIMUM_CAUTION: u32 = 3;
-/// Members waiting to be checked because another node takes them for dead.
-const MAXIMUM_ACCUSED: usize = 4_096;
+/// Amount by which the timeout slack grows after a pause of this node.
+const SLACK_AFTER_PAUSE: u32 = 2;
+/// Maximum timeout slack. Probe timeouts are multiplied by the slack plus one.
+const MAXIMUM_TIMEOUT_SLACK: u32 = 3;
+/// Maximum number of members queued for a check because another node considers them
+/// dead.
+const MAXIMUM_QUEUED_CHECKS: usize = 4_096;
 
-/// What happens to the membership.
+/// Input event of the membership.
 #[derive(Clone, Debug)]
 pub enum MembershipEvent {
-    /// A datagram that was proved to come from the fleet.
+    /// A datagram that was authenticated as coming from the fleet.
     Datagram(Box<Datagram>),
-    /// The time of [`Membership::next_wake`] has come.
+    /// The time returned by [`Membership::next_wake`] has been reached.
     Timer,
-    /// Addresses at which nodes may be found at any time.
+    /// Configured addresses at which nodes may be found.
     Seeds(Vec<SocketAddr>),
-    /// Addresses from the platform's list of machines; replaces the list before.
+    /// Addresses from the platform's list of machines; replaces the previous list.
     Hints(Vec<SocketAddr>),
     /// A bundle came into force on this node.
     BundleInForce(BundleVersion),
-    /// A link to this member was lost: look at once.
+    /// A link to this member was lost: probe it immediately.
     ProbeNow(NodeId),
-    /// Ask every member that is not known to have this version in force.
+    /// Ping every member that is not known to have this version in force, to learn its
+    /// version.
     RefreshVersions(BundleVersion),
-    /// This node takes no new work from now on.
+    /// This node accepts no new work from now on.
     Leave,
 }
 
-/// What the membership asks for.
+/// Output action of the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MembershipAction {
     /// Send a datagram.
     Send {
-        /// Where to.
+        /// Destination address.
         to: SocketAddr,
         /// The datagram.
         datagram: Box<Datagram>,
     },
     /// A member was added or its state changed.
     MemberChanged {
-        /// The member.
+        /// Member concerned.
         info: Arc<MemberInfo>,
-        /// Its state now.
+        /// New state of the member.
         state: MemberState,
     },
-    /// A member was heard to have a bundle in force.
+    /// A member reported a newer version of its bundle in force.
     VersionSeen {
-        /// The member.
+        /// Member concerned.
         node: NodeId,
-        /// The version.
+        /// Reported version.
         version: BundleVersion,
     },
 }
 
-/// Membership as seen by one node.
+/// One node's view of the membership.
 #[derive(Clone, Debug)]
 pub struct Membership {
     pub(super) settings: MembershipSettings,
@@ -90,8 +92,8 @@
     pub(super) next_probe_number: u32,
     pub(super) probe_at: Timestamp,
     pub(super) dead_probe_at: Timestamp,
-    pub(super) accused: BTreeSet<NodeId>,
-    pub(super) accuse_at: Timestamp,
+    pub(super) check_queue: BTreeSet<NodeId>,
+    pub(super) check_at: Timestamp,
     pub(super) refresh: BTreeSet<NodeId>,
     pub(super) gossip_at: Timestamp,
     pub(super) announcements: u32,
@@ -101,13 +103,14 @@
     pub(super) sync: Option<RunningSync>,
     pub(super) sync_allowed_at: Timestamp,
     pub(super) differs_since: Option<Timestamp>,
-    pub(super) heard_at: Timestamp,
+    pub(super) last_received_at: Timestamp,
     expected_wake: Timestamp,
-    caution: u32,
+    timeout_slack: u32,
 }
 
 impl Membership {
-    /// A fleet of one. `random` must be seeded differently on each node.
+    /// Creates a membership that knows only this node. `random` must be seeded
+    /// differently on each node.
     pub fn new(
         now: Timestamp,
         settings: MembershipSettings,
@@ -139,8 +142,8 @@
             next_probe_number: 0,
             probe_at: now,
             dead_probe_at: now + settings.dead_probe_period,
-            accused: BTreeSet::new(),
-            accuse_at: now,
+            check_queue: BTreeSet::new(),
+            check_at: now,
             refresh: BTreeSet::new(),
             gossip_at: now,
             announcements: 0,
@@ -150,27 +153,27 @@
             sync: None,
             sync_allowed_at: now,
             differs_since: None,
-            heard_at: now,
+            last_received_at: now,
             expected_wake: now,
-            caution: 0,
+            timeout_slack: 0,
             settings,
         }
     }
 
-    /// Takes an event and appends the actions it causes to `actions`.
+    /// Processes an event and appends the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         now: Timestamp,
         event: MembershipEvent,
         actions: &mut Vec<MembershipAction>,
     ) {
-        self.notice_pause(now);
+        self.detect_pause(now);
         match event {
             MembershipEvent::Datagram(datagram) => self.receive(now, *datagram, actions),
             MembershipEvent::Timer => self.run_timers(now, actions),
             MembershipEvent::Seeds(addresses) => {
                 self.hints.set_seeds(addresses);
-                self.greet(now, actions);
+                self.send_hellos(now, actions);
             }
             MembershipEvent::Hints(addresses) => self.hints.set_hints(addresses),
             MembershipEvent::BundleInForce(version) => self.set_bundle(now, version, actions),
@@ -178,28 +181,28 @@
             MembershipEvent::RefreshVersions(version) => self.refresh_versions(now, version),
             MembershipEvent::Leave => self.leave(now, actions),
         }
-        // What has only now become due is not late.
+        // A timer that became due only through this event must not count as late.
         self.expected_wake = self.next_wake().max(now);
     }
 
-    /// When [`MembershipEvent::Timer`] is due.
+    /// Returns when [`MembershipEvent::Timer`] is due.
     pub fn next_wake(&self) -> Timestamp {
-        let caution = self.caution();
+        let timeout_factor = self.timeout_factor();
         let probes = self
             .probes
             .values()
-            .map(|probe| probe.next_step(&self.settings, caution));
+            .map(|probe| probe.next_step(&self.settings, timeout_factor));
         let mut wake = self.probe_at.min(self.hints.next_at);
         wake = probes.fold(wake, Timestamp::min);
         if self.table.has_dead() {
             wake = wake.min(self.dead_probe_at);
         }
-        let news = !self.queue.is_empty() || self.announcements > 0;
-        if news && self.table.present() > 0 {
+        let has_changes = !self.queue.is_empty() || self.announcements > 0;
+        if has_changes && self.table.present() > 0 {
             wake = wake.min(self.gossip_at);
         }
-        if !self.accused.is_empty() || !self.refresh.is_empty() {
-            wake = wake.min(self.accuse_at);
+        if !self.check_queue.is_empty() || !self.refresh.is_empty() {
+            wake = wake.min(self.check_at);
         }
         if let Some(sync) = &self.sync {
             wake = wake.min(sync.deadline);
@@ -210,81 +213,82 @@
         wake
     }
 
-    /// This node.
+    /// Returns the properties of this node.
     pub fn own(&self) -> &Arc<MemberInfo> {
         &self.own
     }
 
-    /// Whether this node is leaving.
+    /// Returns whether this node is leaving.
     pub fn is_leaving(&self) -> bool {
         self.leaving
     }
 
-    /// Version of the bundle this node has in force.
+    /// Returns the version of the bundle that this node has in force.
     pub fn bundle(&self) -> BundleVersion {
         self.bundle
     }
 
-    /// What is held of another member.
+    /// Returns the known state of another member.
     pub fn member(&self, node: NodeId) -> Option<&Member> {
         self.table.get(node)
     }
 
-    /// Other members in the order of their identifiers, remembered dead ones included.
+    /// Returns the other members in the order of their identifiers, including dead ones
+    /// that are still kept.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.table.iter()
     }
 
-    /// Other members that are not dead.
+    /// Returns the number of other members that are not dead.
     pub fn present(&self) -> usize {
         self.table.present()
     }
 
-    /// Digest of all members that are not dead, this node included. Equal digests mean
-    /// equal tables.
+    /// Returns the digest of all members that are not dead, including this node. Nodes
+    /// with equal digests have equal tables, apart from suspicions.
     pub fn digest(&self) -> u64 {
         self.table.digest(self.incarnation, self.leaving)
     }
 
-    /// Whether the node has heard from nobody for so long that it takes itself, not
-    /// the others, for cut off.
+    /// Returns whether the node has received no datagram for so long that it considers
+    /// itself, rather than the other members, to be isolated.
     pub fn is_isolated(&self, now: Timestamp) -> bool {
-        now.since(self.heard_at) > self.settings.isolation
+        now.since(self.last_received_at) > self.settings.isolation_timeout
     }
 
-    pub(super) fn caution(&self) -> u32 {
-        self.caution + 1
+    pub(super) fn timeout_factor(&self) -> u32 {
+        self.timeout_slack + 1
     }
 
-    pub(super) fn relax(&mut self) {
-        self.caution = self.caution.saturating_sub(1);
+    pub(super) fn reduce_timeout_slack(&mut self) {
+        self.timeout_slack = self.timeout_slack.saturating_sub(1);
     }
 
-    fn add_caution(&mut self, amount: u32) {
-        self.caution = (self.caution + amount).min(MAXIMUM_CAUTION);
+    fn add_timeout_slack(&mut self, amount: u32) {
+        self.timeout_slack = (self.timeout_slack + amount).min(MAXIMUM_TIMEOUT_SLACK);
     }
 
-    /// A node whose own timer is late was paused. Answers may have come and gone, so
-    /// it judges nobody by what it missed.
-    fn notice_pause(&mut self, now: Timestamp) {
+    /// A late timer means that this node was paused. It may have missed answers, so it
+    /// discards running probes and postpones suspicions.
+    fn detect_pause(&mut self, now: Timestamp) {
         let late = now.since(self.expected_wake);
-        if late <= self.settings.pause {
+        if late <= self.settings.pause_threshold {
             return;
         }
         log::warn!(
             "membership: this node was paused for {} ms.",
             late.as_millis()
         );
-        self.add_caution(CAUTION_AFTER_PAUSE);
+        self.add_timeout_slack(SLACK_AFTER_PAUSE);
         self.probes.clear();
         self.relays.clear();
         self.sync = None;
         self.suspicions.postpone(late);
-        self.heard_at = now;
+        self.last_received_at = now;
         self.probe_at = now;
         self.dead_probe_at = now + self.settings.dead_probe_period;
         self.gossip_at = now;
-        self.accuse_at = now;
+        self.check_at = now;
         self.hints.next_at = now;
     }
 
@@ -326,13 +330,13 @@
         }
     }
 
-    /// Takes a claim about this node; denies it if it is wrong.
-    pub(super) fn hear_of_self(&mut self, update: &MemberUpdate) {
+    /// Handles a claim about this node and refutes it if it is wrong.
+    pub(super) fn handle_claim_about_self(&mut self, update: &MemberUpdate) {
         let wrong = matches!(update.state, MemberState::Suspect | MemberState::Dead);
         if wrong && update.incarnation >= self.incarnation {
             self.incarnation = update.incarnation.saturating_add(1);
             self.queue.push(self.own.node);
-            self.add_caution(1);
+            self.add_timeout_slack(1);
         }
     }
 
@@ -342,7 +346,7 @@
         now: Timestamp,
         node: NodeId,
         claim: (u32, MemberState),
-        private: bool,
+        local_only: bool,
         actions: &mut Vec<MembershipAction>,
     ) {
         let Some(info) = self.table.get(node).map(|member| member.info.clone()) else {
@@ -350,15 +354,15 @@
         };
         let before = self.table.get(node).map(|member| member.state);
         self.table
-            .change(now, node, claim, private, &mut self.random);
-        if private {
+            .change(now, node, claim, local_only, &mut self.random);
+        if local_only {
             self.queue.remove(node);
         } else {
             self.queue.push(node);
         }
         self.suspicions.clear(node);
         if claim.1 == MemberState::Suspect {
-            let time = time_to_refute(&self.settings, self.table.present());
+            let time = suspicion_timeout(&self.settings, self.table.present());
             self.suspicions.start(node, now + time);
         }
         if before != Some(claim.1) {
@@ -373,24 +377,24 @@
         now: Timestamp,
         info: &Arc<MemberInfo>,
         (incarnation, state): (u32, MemberState),
-        spread: bool,
+        enqueue: bool,
         actions: &mut Vec<MembershipAction>,
     ) {
         let member = Member {
             info: info.clone(),
             incarnation,
             state,
-            private: false,
+            local_only: false,
             bundle: BundleVersion::default(),
             changed_at: now,
             in_ring: false,
         };
         self.table.insert(member, &mut self.random);
-        if spread {
+        if enqueue {
             self.queue.push(info.node);
         }
         if state == MemberState::Suspect {
-            let time = time_to_refute(&self.settings, self.table.present());
+            let time = suspicion_timeout(&self.settings, self.table.present());
             self.suspicions.start(info.node, now + time);
         }
         log::debug!("membership: member {} is new.", info.node);
@@ -400,9 +404,9 @@
         });
     }
 
-    pub(super) fn accuse(&mut self, node: NodeId) {
-        if self.accused.len() < MAXIMUM_ACCUSED {
-            self.accused.insert(node);
+    pub(super) fn queue_check(&mut self, node: NodeId) {
+        if self.check_queue.len() < MAXIMUM_QUEUED_CHECKS {
+            self.check_queue.insert(node);
         }
     }
 
@@ -413,7 +417,7 @@
             .filter(|member| member.state != MemberState::Dead && member.bundle < version)
             .map(|member| member.info.node);
         self.refresh = behind.collect();
-        self.accuse_at = self.accuse_at.max(now);
+        self.check_at = self.check_at.max(now);
     }
 
     fn run_timers(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
@@ -423,39 +427,39 @@
         if now >= self.probe_at {
             self.probe_at = next_after(self.probe_at, self.settings.probe_period, now);
             self.relays.retain(|_, relay| relay.expires > now);
-            self.table.forget_dead(now - self.settings.dead_memory);
+            self.table.forget_dead(now - self.settings.dead_retention);
             self.probe_next(now, actions);
         }
         if self.table.has_dead() && now >= self.dead_probe_at {
             self.dead_probe_at = now + self.settings.dead_probe_period;
             self.probe_dead(actions);
         }
-        if now >= self.accuse_at {
-            self.accuse_at = now + self.settings.accusation_period;
-            self.check_accused(now, actions);
+        if now >= self.check_at {
+            self.check_at = now + self.settings.check_period;
+            self.run_checks(now, actions);
         }
         if now >= self.gossip_at {
             self.gossip_at = now + self.settings.gossip_period;
             self.gossip(now, actions);
         }
         if now >= self.hints.next_at {
-            self.greet(now, actions);
+            self.send_hellos(now, actions);
         }
     }
 
     fn expire_suspicions(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
-        while let Some(node) = self.suspicions.expired(now) {
+        while let Some(node) = self.suspicions.pop_expired(now) {
             let Some(member) = self.table.get(node) else {
                 continue;
             };
-            let private = member.private || self.is_isolated(now);
+            let local_only = member.local_only || self.is_isolated(now);
             let claim = (member.incarnation, MemberState::Dead);
-            self.change(now, node, claim, private, actions);
+            self.change(now, node, claim, local_only, actions);
         }
     }
 }
 
-/// The first time after `now` on the grid of `period` through `last`.
+/// Returns `last + period`, or `now + period` if that is already past.
 fn next_after(last: Timestamp, period: Duration, now: Timestamp) -> Timestamp {
     let next = last + period;
     if next > now { next } else { now + period }
--- a/crates/coordination/src/membership/member.rs
+++ b/crates/coordination/src/membership/member.rs
@@ -1,4 +1,4 @@
-//! Members and what is said of them.
+//! Members and claims about them.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -6,12 +6,12 @@
 use hookpoint_state::{BundleVersion, NodeId, RegionName, Timestamp, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// What never changes in the life of a node.
+/// Immutable properties of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberInfo {
-    /// The node.
+    /// Identifier of the node.
     pub node: NodeId,
-    /// Zone it runs in.
+    /// Zone that the node runs in.
     pub zone: ZoneName,
     /// Region of the zone.
     pub region: RegionName,
@@ -19,26 +19,28 @@
     pub address: SocketAddr,
 }
 
-/// State of a member. At one incarnation a later state overrides an earlier one.
+/// State of a member. Within one incarnation a later state overrides an earlier one, in
+/// the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// Answers, and takes new work.
+    /// Responsive; accepts new work.
     Alive,
-    /// Did not answer lately and may still refute that.
+    /// Did not answer a probe; may still refute the suspicion.
     Suspect,
-    /// Takes no new work but still finishes and forwards what it has.
+    /// Accepts no new work, but still finishes and forwards the work it has.
     Leaving,
-    /// Gone.
+    /// Failed or stopped.
     Dead,
 }
 
 impl MemberState {
-    /// Whether the member may be given duties.
+    /// Returns whether the member accepts new work, such as becoming the home of a
+    /// database.
     pub fn takes_work(self) -> bool {
         self == MemberState::Alive
     }
 
-    /// Name for people.
+    /// Returns the state's name as shown in logs and status output.
     pub fn as_str(self) -> &'static str {
         match self {
             MemberState::Alive => "alive",
@@ -49,16 +51,16 @@
     }
 }
 
-/// A claim about a member, as it travels between nodes.
+/// A claim about a member, as exchanged between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberUpdate {
-    /// The member.
+    /// Member that the claim is about.
     pub node: NodeId,
-    /// Incarnation of the member that the claim is about.
+    /// Incarnation of the member that the claim refers to.
     pub incarnation: u32,
     /// Claimed state.
     pub state: MemberState,
-    /// Zone, region and address; left out where the receiver is expected to have them.
+    /// Zone, region and address; omitted where the receiver is expected to know them.
     pub info: Option<Arc<MemberInfo>>,
 }
 
@@ -68,7 +70,7 @@
 const INFO_OVERHEAD_BYTES: usize = 40;
 
 impl MemberUpdate {
-    /// Upper bound of its encoded size in bytes.
+    /// Returns an upper bound of the encoded size, in bytes.
     pub fn encoded_bound(&self) -> usize {
         let info = self.info.as_ref().map_or(0, |info| {
             INFO_OVERHEAD_BYTES + info.zone.as_str().len() + info.region.as_str().len()
@@ -77,36 +79,38 @@
     }
 }
 
-/// What this node holds of a member.
+/// State of a member as known to this node.
 #[derive(Clone, Debug)]
 pub struct Member {
     /// Zone, region and address.
     pub info: Arc<MemberInfo>,
-    /// Highest incarnation heard of.
+    /// Highest known incarnation.
     pub incarnation: u32,
     /// State at that incarnation.
     pub state: MemberState,
-    /// Set when the state is this node's own verdict, reached while it heard from
-    /// nobody. It is never passed on, and any sign of life overrides it.
-    pub private: bool,
-    /// Version of the bundle it was last heard to have in force.
+    /// Set when the state is this node's own verdict, made while it was isolated. Such a
+    /// state is not sent to other nodes, and any evidence that the member is alive
+    /// overrides it.
+    pub local_only: bool,
+    /// Version of the bundle that the member last reported to have in force.
     pub bundle: BundleVersion,
-    /// When the state last changed here.
+    /// When this node last changed the state.
     pub changed_at: Timestamp,
-    /// Whether it stands in its probe ring.
+    /// Whether the member is in its probe ring.
     pub(super) in_ring: bool,
 }
 
 impl Member {
-    /// Whether a claim of `state` at `incarnation` overrides what is held.
+    /// Returns whether a claim of `state` at `incarnation` overrides the known state.
     pub fn overridden_by(&self, incarnation: u32, state: MemberState) -> bool {
-        if self.private && incarnation == self.incarnation && state != MemberState::Suspect {
+        if self.local_only && incarnation == self.incarnation && state != MemberState::Suspect {
             return state != self.state;
         }
         (incarnation, state) > (self.incarnation, self.state)
     }
 
-    /// The claim that passes this on.
+    /// Returns the claim that describes this state, with zone, region and address if
+    /// `with_info` is set.
     pub fn update(&self, with_info: bool) -> MemberUpdate {
         MemberUpdate {
             node: self.info.node,
--- a/crates/coordination/src/membership/mod.rs
+++ b/crates/coordination/src/membership/mod.rs
@@ -1,10 +1,12 @@
-//! Who is in the fleet: alive, suspected, leaving or dead, per zone and region.
+//! Membership of the fleet: which nodes are alive, suspected, leaving or dead, with
+//! their zones and regions.
 //!
-//! The protocol follows SWIM: each node probes one other per period, asks a few more to
-//! probe a silent one, suspects it, and declares it dead only when it has not refuted
-//! the suspicion in time. Changes travel on the back of probes and in short bursts of
-//! gossip; a digest in every datagram reveals tables that differ, and these are then
-//! compared page by page. `docs/design/membership.md` weighs the ways.
+//! The protocol follows SWIM: each node probes one other member per period, asks a few
+//! members to probe an unresponsive one, suspects it, and declares it dead only if it
+//! does not refute the suspicion in time. Changes are piggybacked on probes and sent in
+//! short bursts of gossip. Every datagram contains a digest of the sender's table;
+//! tables whose digests differ are compared page by page. `docs/design/membership.md`
+//! compares the alternatives.
 
 mod datagram;
 mod gossip;
--- a/crates/coordination/src/membership/probe.rs
+++ b/crates/coordination/src/membership/probe.rs
@@ -1,4 +1,4 @@
-//! Probing members, directly and through others.
+//! Direct and indirect probes of members.
 
 use hookpoint_state::{NodeId, Timestamp};
 use rand::Rng;
@@ -7,76 +7,88 @@
 use super::machine::{Membership, MembershipAction};
 use super::member::MemberState;
 use super::settings::MembershipSettings;
-use super::table::Nearness;
+use super::table::Proximity;
 
-/// Probes under way at once; more are only caused by accusations and lost links.
+/// Maximum number of concurrent probes. Only checks and lost links can cause that many.
 const MAXIMUM_PROBES: usize = 64;
-/// Probes made on behalf of others at once.
+/// Maximum number of concurrent probes on behalf of other members.
 const MAXIMUM_RELAYS: usize = 256;
-/// Members asked for their version in one step of a refresh.
+/// Number of members pinged for their version in one step of a refresh.
 const REFRESH_BATCH: usize = 10;
 
-/// A probe under way.
+/// A running probe.
 #[derive(Clone, Debug)]
 pub struct Probe {
-    /// Who should answer.
+    /// Member that is probed.
     pub target: NodeId,
-    /// When it began.
+    /// When the probe began.
     pub started: Timestamp,
-    /// Whether others have been asked to probe the target too.
+    /// Whether other members have been asked to probe the target too.
     pub indirect: bool,
 }
 
-/// A probe on behalf of another member.
+/// A running probe on behalf of another member.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    /// Who asked for it.
+    /// Member that requested the probe.
     pub origin: NodeId,
-    /// The number that member gave it.
+    /// Number that the requesting member assigned to its probe.
     pub probe: u32,
-    /// When an answer is of no more use.
+    /// When the probe is dropped.
     pub expires: Timestamp,
 }
 
 impl Probe {
-    /// When the next step is due.
-    pub fn next_step(&self, settings: &MembershipSettings, caution: u32) -> Timestamp {
+    /// Returns when the next step is due.
+    pub fn next_step(&self, settings: &MembershipSettings, timeout_factor: u32) -> Timestamp {
         if self.indirect {
-            self.started + settings.probe_deadline * caution
+            self.started + settings.probe_deadline * timeout_factor
         } else {
-            self.started + settings.probe_timeout * caution
+            self.started + settings.probe_timeout * timeout_factor
         }
     }
 }
 
 impl Membership {
-    /// Probes the next member in turn.
+    /// Probes the next member in round-robin order.
     pub(super) fn probe_next(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
-        let nearness = self.draw_nearness(
+        let proximity = self.draw_proximity(
             self.settings.own_zone_percent,
             self.settings.own_region_percent,
         );
-        let order = match nearness {
-            Nearness::Zone => [Nearness::Zone, Nearness::Region, Nearness::Far],
-            Nearness::Region => [Nearness::Region, Nearness::Zone, Nearness::Far],
-            Nearness::Far => [Nearness::Far, Nearness::Region, Nearness::Zone],
+        let order = match proximity {
+            Proximity::SameZone => [
+                Proximity::SameZone,
+                Proximity::SameRegion,
+                Proximity::Remote,
+            ],
+            Proximity::SameRegion => [
+                Proximity::SameRegion,
+                Proximity::SameZone,
+                Proximity::Remote,
+            ],
+            Proximity::Remote => [
+                Proximity::Remote,
+                Proximity::SameRegion,
+                Proximity::SameZone,
+            ],
         };
-        for nearness in order {
-            if let Some(target) = self.table.next_in(nearness, &mut self.random) {
+        for proximity in order {
+            if let Some(target) = self.table.next_in(proximity, &mut self.random) {
                 self.probe(now, target, actions);
                 return;
             }
         }
     }
 
-    pub(super) fn draw_nearness(&mut self, zone_percent: u32, region_percent: u32) -> Nearness {
+    pub(super) fn draw_proximity(&mut self, zone_percent: u32, region_percent: u32) -> Proximity {
         let drawn = self.random.random_range(0..100);
         if drawn < zone_percent {
-            Nearness::Zone
+            Proximity::SameZone
         } else if drawn < zone_percent + region_percent {
-            Nearness::Region
+            Proximity::SameRegion
         } else {
-            Nearness::Far
+            Proximity::Remote
         }
     }
 
@@ -105,7 +117,7 @@
         self.next_probe_number
     }
 
-    /// Probes a member out of turn.
+    /// Probes a member immediately, unless it is dead or already being probed.
     pub(super) fn probe_now(
         &mut self,
         now: Timestamp,
@@ -122,13 +134,13 @@
         }
     }
 
-    /// Takes the steps of running probes that are due.
+    /// Performs the steps of running probes that are due.
     pub(super) fn advance_probes(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
-        let caution = self.caution();
+        let timeout_factor = self.timeout_factor();
         let due: Vec<u32> = self
             .probes
             .iter()
-            .filter(|(_, probe)| probe.next_step(&self.settings, caution) <= now)
+            .filter(|(_, probe)| probe.next_step(&self.settings, timeout_factor) <= now)
             .map(|(number, _)| *number)
             .collect();
         for number in due {
@@ -146,11 +158,16 @@
             self.probe_failed(now, target, actions);
         } else {
             probe.indirect = true;
-            self.ask_others(number, target, actions);
+            self.send_indirect_probes(number, target, actions);
         }
     }
 
-    fn ask_others(&mut self, number: u32, target: NodeId, actions: &mut Vec<MembershipAction>) {
+    fn send_indirect_probes(
+        &mut self,
+        number: u32,
+        target: NodeId,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         let Some(address) = self.table.get(target).map(|member| member.info.address) else {
             return;
         };
@@ -164,7 +181,8 @@
         }
     }
 
-    /// Up to `count` different members at random, near and far.
+    /// Draws up to `count` distinct members at random, across all distances, excluding
+    /// `except`.
     pub(super) fn draw_members(&mut self, count: usize, except: Option<NodeId>) -> Vec<NodeId> {
         const ATTEMPTS: usize = 3;
         let mut drawn: Vec<NodeId> = Vec::with_capacity(count);
@@ -172,10 +190,15 @@
             if drawn.len() == count {
                 break;
             }
-            let nearness = self.draw_nearness(50, 25);
-            let node = [nearness, Nearness::Region, Nearness::Zone, Nearness::Far]
-                .into_iter()
-                .find_map(|nearness| self.table.random_in(nearness, &mut self.random));
+            let proximity = self.draw_proximity(50, 25);
+            let node = [
+                proximity,
+                Proximity::SameRegion,
+                Proximity::SameZone,
+                Proximity::Remote,
+            ]
+            .into_iter()
+            .find_map(|proximity| self.table.random_in(proximity, &mut self.random));
             if let Some(node) = node
                 && Some(node) != except
                 && !drawn.contains(&node)
@@ -197,16 +220,18 @@
         };
         let state = match member.state {
             MemberState::Alive => MemberState::Suspect,
-            // It takes no work any more and is on its way out.
+            // A leaving member accepts no more work and is about to stop, so no
+            // suspicion is needed.
             MemberState::Leaving => MemberState::Dead,
             MemberState::Suspect | MemberState::Dead => return,
         };
         let claim = (member.incarnation, state);
-        let private = self.is_isolated(now);
-        self.change(now, target, claim, private, actions);
+        let local_only = self.is_isolated(now);
+        self.change(now, target, claim, local_only, actions);
     }
 
-    /// Takes an answer to one of this node's probes, or to one on another's behalf.
+    /// Handles an answer to one of this node's probes, or to one made on another
+    /// member's behalf.
     pub(super) fn probe_answered(
         &mut self,
         from: NodeId,
@@ -224,16 +249,16 @@
             .is_some_and(|probe| probe.target == from);
         if answered {
             self.probes.remove(&number);
-            self.relax();
+            self.reduce_timeout_slack();
         }
     }
 
-    /// Takes the word of a helper that the target of a probe answered.
+    /// Handles the report of another member that the target of a probe answered.
     pub(super) fn probe_answered_indirectly(&mut self, number: u32) {
         self.probes.remove(&number);
     }
 
-    /// Probes `target` on behalf of `origin`.
+    /// Probes `target` on behalf of another member.
     pub(super) fn relay_probe(
         &mut self,
         now: Timestamp,
@@ -254,30 +279,30 @@
         self.send(target, DatagramBody::Ping { probe: number }, true, actions);
     }
 
-    /// Pings a dead member, telling it that it is taken for dead.
+    /// Pings a random dead member; the ping includes the claim that the member is dead.
     pub(super) fn probe_dead(&mut self, actions: &mut Vec<MembershipAction>) {
         if let Some(node) = self.table.random_dead(&mut self.random) {
             self.ping(node, actions);
         }
     }
 
-    /// Pings a member without judging it by its answer.
+    /// Pings a member without suspecting it if it does not answer.
     fn ping(&mut self, node: NodeId, actions: &mut Vec<MembershipAction>) {
         let probe = self.take_probe_number();
-        let updates = self.take_updates(node, 0);
+        let updates = self.collect_updates(node, 0);
         self.send_with(node, DatagramBody::Ping { probe }, true, updates, actions);
     }
 
-    /// Checks one member that another node takes for dead, and asks a few for their
-    /// versions if an operator wants to know.
-    pub(super) fn check_accused(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
+    /// Checks one queued member that another node considers dead, and pings a batch of
+    /// members for their versions if an operator requested a refresh.
+    pub(super) fn run_checks(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
         for _ in 0..REFRESH_BATCH {
             let Some(node) = self.refresh.pop_first() else {
                 break;
             };
             self.ping(node, actions);
         }
-        let Some(node) = self.accused.pop_first() else {
+        let Some(node) = self.check_queue.pop_first() else {
             return;
         };
         let state = self.table.get(node).map(|member| member.state);
--- a/crates/coordination/src/membership/receive.rs
+++ b/crates/coordination/src/membership/receive.rs
@@ -1,4 +1,4 @@
-//! Taking datagrams.
+//! Handling of received datagrams.
 
 use hookpoint_state::{NodeId, Timestamp};
 
@@ -6,9 +6,9 @@
 use super::machine::{Membership, MembershipAction};
 use super::member::{MemberState, MemberUpdate};
 
-/// Unknown members in a page that make it worth asking for the page again.
+/// Number of unknown members in a page above which the page is requested again.
 const MANY_UNKNOWN: usize = 6;
-/// Members looked up in one datagram.
+/// Maximum number of members looked up in one datagram.
 const MAXIMUM_LOOKUP: usize = 32;
 
 impl Membership {
@@ -22,10 +22,10 @@
             return;
         }
         if datagram.receiver != Some(self.own.node) {
-            self.answer_stray(&datagram, actions);
+            self.answer_misaddressed(&datagram, actions);
             return;
         }
-        self.heard_at = now;
+        self.last_received_at = now;
         self.observe_sender(now, &datagram.sender, actions);
         let Datagram {
             sender,
@@ -34,15 +34,15 @@
             ..
         } = datagram;
         let joining = self.sync.as_ref().is_some_and(|sync| sync.joining);
-        let spread = !(joining && matches!(body, DatagramBody::SyncPage { .. }));
-        let unknown = self.take_claims(now, &updates, spread, actions);
+        let enqueue = !(joining && matches!(body, DatagramBody::SyncPage { .. }));
+        let unknown = self.merge_claims(now, &updates, enqueue, actions);
         if unknown.len() > MANY_UNKNOWN
             && matches!(body, DatagramBody::SyncPage { .. })
-            && self.ask_again_with_info(now, sender.node, actions)
+            && self.request_page_with_info(now, sender.node, actions)
         {
             return;
         }
-        self.act(now, sender.node, body, &updates, actions);
+        self.handle_body(now, sender.node, body, &updates, actions);
         if !unknown.is_empty() {
             let body = DatagramBody::Lookup { nodes: unknown };
             self.send_with(sender.node, body, true, Vec::new(), actions);
@@ -50,8 +50,8 @@
         self.compare_digests(now, &sender, actions);
     }
 
-    /// Compares tables with a member whose digest differs, once there is nothing left
-    /// to pass on or it has differed for long.
+    /// Compares tables with a member whose digest differs, once no changes are queued or
+    /// the digests have differed for too long.
     fn compare_digests(
         &mut self,
         now: Timestamp,
@@ -64,13 +64,14 @@
             return;
         }
         let since = *self.differs_since.get_or_insert(now);
-        if self.queue.is_empty() || now.since(since) > self.settings.sync_patience {
+        if self.queue.is_empty() || now.since(since) > self.settings.sync_delay {
             self.start_sync(now, sender.node, false, actions);
         }
     }
 
-    /// Answers a datagram that is not bound to this node. It changes nothing here.
-    fn answer_stray(&self, datagram: &Datagram, actions: &mut Vec<MembershipAction>) {
+    /// Answers a datagram that is not addressed to this node, without changing this
+    /// node's state.
+    fn answer_misaddressed(&self, datagram: &Datagram, actions: &mut Vec<MembershipAction>) {
         let Some(info) = &datagram.sender.info else {
             return;
         };
@@ -91,7 +92,7 @@
         });
     }
 
-    /// Takes what a datagram says of its sender, who is alive beyond doubt.
+    /// Applies what a datagram states about its sender, which is known to be alive.
     fn observe_sender(
         &mut self,
         now: Timestamp,
@@ -113,17 +114,17 @@
             return;
         };
         if member.overridden_by(sender.incarnation, state) {
-            let returned = member.state == MemberState::Dead;
+            let was_dead = member.state == MemberState::Dead;
             let claim = (sender.incarnation, state);
             self.change(now, sender.node, claim, false, actions);
-            if returned {
-                // A cut has healed, or nearly so: compare tables soon.
+            if was_dead {
+                // A partition has healed, or is healing: compare tables soon.
                 self.sync_allowed_at = self.sync_allowed_at.min(now);
                 self.start_sync(now, sender.node, false, actions);
             }
         } else if matches!(member.state, MemberState::Suspect | MemberState::Dead) {
-            // It has not heard what is held against it.
-            self.accuse(sender.node);
+            // The member has not refuted its suspicion or death; ping it so that it can.
+            self.queue_check(sender.node);
         }
         self.observe_version(sender, actions);
     }
@@ -142,27 +143,28 @@
         }
     }
 
-    /// Merges claims. Returns members that are claimed to be there but not known.
-    fn take_claims(
+    /// Merges claims. Returns the members that are claimed to be present but are
+    /// unknown.
+    fn merge_claims(
         &mut self,
         now: Timestamp,
         updates: &[MemberUpdate],
-        spread: bool,
+        enqueue: bool,
         actions: &mut Vec<MembershipAction>,
     ) -> Vec<NodeId> {
         let mut unknown = Vec::new();
         for update in updates {
             if update.node == self.own.node {
-                self.hear_of_self(update);
+                self.handle_claim_about_self(update);
             } else if self.table.get(update.node).is_some() {
-                self.take_claim(now, update, actions);
+                self.merge_claim(now, update, actions);
             } else if let Some(info) = update
                 .info
                 .as_ref()
                 .filter(|info| info.node == update.node && update.state != MemberState::Dead)
             {
                 let claim = (update.incarnation, update.state);
-                self.add(now, info, claim, spread, actions);
+                self.add(now, info, claim, enqueue, actions);
             } else if update.state != MemberState::Dead && unknown.len() < MAXIMUM_LOOKUP {
                 unknown.push(update.node);
             }
@@ -172,10 +174,10 @@
 
     /// Merges a claim about a known member.
     ///
-    /// A death is believed only of a member that was suspected here before, and so had
-    /// its chance to deny it. Otherwise the member is asked: it may be dead only to
-    /// the far side of a cut that has just healed.
-    fn take_claim(
+    /// A death is accepted only for a member that was suspected or leaving here, and so
+    /// could have refuted it. Otherwise the member is checked first: it may be dead only
+    /// from the far side of a partition that has just healed.
+    fn merge_claim(
         &mut self,
         now: Timestamp,
         update: &MemberUpdate,
@@ -187,10 +189,10 @@
         if !member.overridden_by(update.incarnation, update.state) {
             return;
         }
-        let trusted = matches!(member.state, MemberState::Suspect | MemberState::Leaving);
-        if update.state == MemberState::Dead && !trusted {
+        let could_refute = matches!(member.state, MemberState::Suspect | MemberState::Leaving);
+        if update.state == MemberState::Dead && !could_refute {
             if member.state != MemberState::Dead {
-                self.accuse(update.node);
+                self.queue_check(update.node);
             }
             return;
         }
@@ -198,7 +200,7 @@
         self.change(now, update.node, claim, false, actions);
     }
 
-    fn act(
+    fn handle_body(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -208,12 +210,12 @@
     ) {
         match body {
             DatagramBody::Hello | DatagramBody::Gossip => {}
-            DatagramBody::Welcome => self.welcomed(now, from, actions),
+            DatagramBody::Welcome => self.handle_welcome(now, from, actions),
             DatagramBody::Ping { probe } => {
                 self.send(from, DatagramBody::Ack { probe }, false, actions);
             }
             DatagramBody::Ack { probe } => self.probe_answered(from, probe, actions),
-            DatagramBody::NotHere { target } => self.not_here(now, from, target, actions),
+            DatagramBody::NotHere { target } => self.handle_not_here(now, from, target, actions),
             DatagramBody::PingRequest { probe, target, .. } => {
                 self.relay_probe(now, (from, probe), target, actions);
             }
@@ -232,12 +234,17 @@
             }
             DatagramBody::SyncPage { parts, after, next } => {
                 let corrections = self.corrections(updates);
-                self.take_page(now, from, parts, (after, next), corrections, actions);
+                self.handle_page(now, from, parts, (after, next), corrections, actions);
             }
         }
     }
 
-    fn welcomed(&mut self, now: Timestamp, from: NodeId, actions: &mut Vec<MembershipAction>) {
+    fn handle_welcome(
+        &mut self,
+        now: Timestamp,
+        from: NodeId,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         let joining = self.table.present() <= 1;
         if joining {
             self.sync_allowed_at = self.sync_allowed_at.min(now);
@@ -246,19 +253,20 @@
         self.probe_now(now, from, actions);
     }
 
-    /// Another node has taken the address of `target`, which is therefore gone.
-    fn not_here(
+    /// Handles the report that another node now uses the address of `target`, which is
+    /// therefore dead.
+    fn handle_not_here(
         &mut self,
         now: Timestamp,
         from: NodeId,
         target: NodeId,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let (Some(speaker), Some(member)) = (self.table.get(from), self.table.get(target)) else {
+        let (Some(reporter), Some(member)) = (self.table.get(from), self.table.get(target)) else {
             return;
         };
-        let same_place = speaker.info.address == member.info.address;
-        if !same_place || member.state == MemberState::Dead {
+        let same_address = reporter.info.address == member.info.address;
+        if !same_address || member.state == MemberState::Dead {
             return;
         }
         let claim = (member.incarnation, MemberState::Dead);
@@ -296,8 +304,8 @@
                 continue;
             };
             if correction.state == MemberState::Dead {
-                // The peer may be right. Ask the member itself.
-                self.accuse(update.node);
+                // The peer may be right: check the member itself.
+                self.queue_check(update.node);
             }
             if let Some(left) = room.checked_sub(correction.encoded_bound()) {
                 room = left;
--- a/crates/coordination/src/membership/ring.rs
+++ b/crates/coordination/src/membership/ring.rs
@@ -1,11 +1,11 @@
-//! A shuffled round robin over members.
+//! Shuffled round-robin order of members.
 
 use hookpoint_state::NodeId;
 use rand::Rng;
 use rand::seq::SliceRandom;
 
-/// Members in random order with a cursor; shuffled again after each round. Removal is
-/// lazy: whoever draws skips members that are no longer wanted.
+/// Members in random order with a cursor, reshuffled after each round. Removal is lazy:
+/// [`ProbeRing::next`] drops members that are no longer wanted.
 #[derive(Clone, Debug, Default)]
 pub struct ProbeRing {
     nodes: Vec<NodeId>,
@@ -13,15 +13,16 @@
 }
 
 impl ProbeRing {
-    /// Adds a member at a random place of what is left of the round.
+    /// Adds a member at a random position in the rest of the round.
     pub fn insert(&mut self, node: NodeId, random: &mut impl Rng) {
         self.nodes.push(node);
         let last = self.nodes.len() - 1;
-        let place = random.random_range(self.cursor.min(last)..=last);
-        self.nodes.swap(place, last);
+        let position = random.random_range(self.cursor.min(last)..=last);
+        self.nodes.swap(position, last);
     }
 
-    /// The next member that `wanted` accepts. Others are dropped from the ring.
+    /// Returns the next member that `wanted` accepts, and drops rejected members from
+    /// the ring.
     pub fn next(
         &mut self,
         random: &mut impl Rng,
@@ -42,7 +43,7 @@
         None
     }
 
-    /// A member at random. It may be one that is no longer wanted.
+    /// Returns a random member, which may be one that is no longer wanted.
     pub fn random(&self, random: &mut impl Rng) -> Option<NodeId> {
         if self.nodes.is_empty() {
             return None;
--- a/crates/coordination/src/membership/settings.rs
+++ b/crates/coordination/src/membership/settings.rs
@@ -7,59 +7,65 @@
 pub struct MembershipSettings {
     /// Time between two probes.
     pub probe_period: Duration,
-    /// How long a direct answer may take before others are asked.
+    /// How long to wait for a direct answer before other members are asked to probe the
+    /// target.
     pub probe_timeout: Duration,
-    /// How long the whole probe may take before its target is suspected.
+    /// How long the whole probe, including indirect ones, may take before its target is
+    /// suspected.
     pub probe_deadline: Duration,
-    /// How many members are asked to probe a silent one.
+    /// Number of members asked to probe an unresponsive one.
     pub indirect_probes: usize,
-    /// Time to refute a suspicion among ten members or fewer; it grows with log10 of the members.
+    /// Timeout of a suspicion with ten members or fewer; it grows with log10 of the
+    /// number of members.
     pub suspicion: Duration,
-    /// Transmissions of a suspicion, a denial, a death or a leaving by one node, per
-    /// log2 of the members. The news of a join is passed on log2 of the members times.
+    /// Number of times that one node transmits a suspicion, refutation, death or
+    /// departure, as a multiple of log2 of the number of members. A join is transmitted
+    /// log2 of the number of members times.
     pub retransmit_factor: u32,
-    /// Time between two bursts of gossip while there are changes to pass on.
+    /// Time between two bursts of gossip while changes are queued.
     pub gossip_period: Duration,
-    /// Members that a burst of gossip goes to.
+    /// Number of members that a burst of gossip is sent to.
     pub gossip_fanout: usize,
-    /// Bytes per second that gossip and accusations may take.
+    /// Bandwidth limit of gossip, in bytes per second.
     pub gossip_bytes_per_second: u32,
-    /// Bytes that they may take at once after a quiet time.
+    /// Burst limit of gossip, in bytes.
     pub gossip_burst_bytes: u32,
-    /// Bytes per second that pages for members who compare tables may take. Who gets no
-    /// page asks again, and then another member.
+    /// Bandwidth limit of pages sent to members that compare tables, in bytes per
+    /// second. A member that gets no page repeats its request, and then chooses another
+    /// member.
     pub page_bytes_per_second: u32,
-    /// Bytes that they may take at once after a quiet time.
+    /// Burst limit of pages, in bytes.
     pub page_burst_bytes: u32,
-    /// Share of the probes that go to the own zone, in percent.
+    /// Percentage of probes sent to members of the node's own zone.
     pub own_zone_percent: u32,
-    /// Share of the probes that go to other zones of the own region, in percent. The
-    /// rest goes to other regions.
+    /// Percentage of probes sent to members of other zones of the node's own region. The
+    /// rest is sent to other regions.
     pub own_region_percent: u32,
-    /// Time between two probes of dead members, which reveal a healed cut.
+    /// Time between two probes of dead members, which detect a healed partition.
     pub dead_probe_period: Duration,
-    /// How long dead members are remembered.
-    pub dead_memory: Duration,
-    /// Time between two greetings of addresses that belong to no known member.
+    /// How long dead members are kept in the table.
+    pub dead_retention: Duration,
+    /// Time between two `Hello`s to addresses that belong to no known member.
     pub hint_period: Duration,
-    /// Time without any datagram after which the node takes itself for cut off and
-    /// keeps its verdicts to itself.
-    pub isolation: Duration,
-    /// Delay of its own timer after which the node takes itself for paused.
-    pub pause: Duration,
-    /// How long tables may differ while there is still news to pass on; then they are
+    /// Time without any received datagram after which the node considers itself isolated
+    /// and does not send its own death verdicts to other nodes.
+    pub isolation_timeout: Duration,
+    /// Delay of the node's own timer after which it considers itself to have been
+    /// paused.
+    pub pause_threshold: Duration,
+    /// How long tables may differ while changes are still queued, before they are
     /// compared.
-    pub sync_patience: Duration,
-    /// Shortest time between two comparisons of tables.
+    pub sync_delay: Duration,
+    /// Minimum time between two comparisons of tables.
     pub sync_interval: Duration,
-    /// How long one page of a comparison may take.
+    /// How long to wait for one page of a comparison.
     pub sync_timeout: Duration,
-    /// Room for updates in a datagram of gossip or a page, in bytes.
+    /// Maximum size of the updates in a datagram of gossip or a page, in bytes.
     pub update_bytes: usize,
-    /// Room for updates in a probe or its answer, in bytes.
+    /// Maximum size of the updates in a probe or its answer, in bytes.
     pub probe_update_bytes: usize,
-    /// Time between two checks of members that another node takes for dead.
-    pub accusation_period: Duration,
+    /// Time between two checks of members that another node considers dead.
+    pub check_period: Duration,
 }
 
 impl Default for MembershipSettings {
@@ -80,16 +86,16 @@
             own_zone_percent: 70,
             own_region_percent: 20,
             dead_probe_period: Duration::from_millis(3_000),
-            dead_memory: Duration::from_secs(3_600),
+            dead_retention: Duration::from_secs(3_600),
             hint_period: Duration::from_millis(2_000),
-            isolation: Duration::from_millis(2_500),
-            pause: Duration::from_millis(700),
-            sync_patience: Duration::from_millis(1_500),
+            isolation_timeout: Duration::from_millis(2_500),
+            pause_threshold: Duration::from_millis(700),
+            sync_delay: Duration::from_millis(1_500),
             sync_interval: Duration::from_secs(2),
             sync_timeout: Duration::from_millis(700),
             update_bytes: 1_150,
             probe_update_bytes: 400,
-            accusation_period: Duration::from_millis(100),
+            check_period: Duration::from_millis(100),
         }
     }
 }
--- a/crates/coordination/src/membership/suspicion.rs
+++ b/crates/coordination/src/membership/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicions that run out, and how long they last.
+//! Timeouts of suspicions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -7,25 +7,26 @@
 
 use super::settings::MembershipSettings;
 
-/// Members up to which a suspicion lasts its shortest time.
+/// Number of members up to which a suspicion has its shortest timeout.
 const SMALL_FLEET: usize = 10;
 
-/// Running suspicions by member and by deadline.
+/// Running suspicions, indexed by member and by deadline.
 #[derive(Clone, Debug, Default)]
 pub struct Suspicions {
     running: BTreeMap<NodeId, Timestamp>,
     deadlines: BTreeSet<(Timestamp, NodeId)>,
 }
 
-/// How long a member has to refute a suspicion. News takes a time in the order of the
-/// logarithm of the members to get around, and back.
-pub fn time_to_refute(settings: &MembershipSettings, members: usize) -> Duration {
+/// Returns how long a member has to refute a suspicion. The time to spread a suspicion,
+/// and its refutation, grows with the logarithm of the number of members.
+pub fn suspicion_timeout(settings: &MembershipSettings, members: usize) -> Duration {
     let scale = (members.max(SMALL_FLEET) as f64).log10();
     settings.suspicion.mul_f64(scale)
 }
 
 impl Suspicions {
-    /// Starts a suspicion that runs out at `deadline`, unless one runs.
+    /// Starts a suspicion that expires at `deadline`, unless one is already running for
+    /// the member.
     pub fn start(&mut self, node: NodeId, deadline: Timestamp) {
         if self.running.contains_key(&node) {
             return;
@@ -41,8 +42,8 @@
         }
     }
 
-    /// A member whose suspicion has run out.
-    pub fn expired(&mut self, now: Timestamp) -> Option<NodeId> {
+    /// Removes and returns a member whose suspicion has expired.
+    pub fn pop_expired(&mut self, now: Timestamp) -> Option<NodeId> {
         let (deadline, node) = *self.deadlines.first()?;
         if deadline > now {
             return None;
@@ -51,12 +52,12 @@
         Some(node)
     }
 
-    /// When the next suspicion runs out.
+    /// Returns when the next suspicion expires.
     pub fn next_deadline(&self) -> Option<Timestamp> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
-    /// Puts off every deadline by `pause`, in which this node could not hear
+    /// Postpones every deadline by `pause`, during which this node could not receive
     /// refutations.
     pub fn postpone(&mut self, pause: Duration) {
         self.deadlines.clear();
--- a/crates/coordination/src/membership/sync.rs
+++ b/crates/coordination/src/membership/sync.rs
@@ -1,5 +1,5 @@
-//! Comparing whole tables page by page: on joining, and when digests differ although
-//! nothing is left to pass on.
+//! Anti-entropy: comparison of whole member tables page by page, on joining and when
+//! digests differ although no queued changes are left.
 
 use std::time::Duration;
 
@@ -11,28 +11,29 @@
 use super::machine::{Membership, MembershipAction};
 use super::member::{MemberState, MemberUpdate};
 
-/// Times a page is asked for again before the comparison is given up.
+/// Maximum number of requests for one page before the comparison is abandoned.
 const PAGE_ATTEMPTS: u32 = 3;
 
-/// A comparison under way; one at a time.
+/// State of the running table comparison. At most one runs at a time.
 #[derive(Clone, Debug)]
 pub struct RunningSync {
-    /// Member whose table is read.
+    /// Member whose table is being read.
     pub peer: NodeId,
-    /// Last member of the page before.
+    /// Last member of the previous page.
     pub after: Option<NodeId>,
-    /// The parts that differ, a bit each; none before the first page.
+    /// Parts that differ, one bit each; `None` before the first page.
     parts: Option<u64>,
-    /// Whether this is the first one since the node started.
+    /// Whether this is the node's first comparison, made when it joins.
     pub joining: bool,
     with_info: bool,
-    /// When the page is late.
+    /// When the requested page counts as late.
     pub deadline: Timestamp,
     attempts: u32,
 }
 
 impl Membership {
-    /// Starts reading the table of `peer` if it is time.
+    /// Starts a comparison with the table of `peer`, unless one is running or the
+    /// minimum interval has not passed.
     pub(super) fn start_sync(
         &mut self,
         now: Timestamp,
@@ -53,15 +54,15 @@
             deadline: now + self.settings.sync_timeout,
             attempts: 1,
         });
-        self.ask_for_page(Vec::new(), actions);
+        self.request_page(Vec::new(), actions);
     }
 
-    /// Between once and twice `interval`.
+    /// Returns a random duration between `interval` and twice `interval`.
     fn jittered(&mut self, interval: Duration) -> Duration {
         interval + interval.mul_f64(self.random.random::<f64>())
     }
 
-    fn ask_for_page(
+    fn request_page(
         &mut self,
         corrections: Vec<MemberUpdate>,
         actions: &mut Vec<MembershipAction>,
@@ -84,9 +85,9 @@
         self.send_with(sync.peer, body, true, corrections, actions);
     }
 
-    /// Asks for the page at hand once more, with zone, region and address of each
-    /// member. Returns false if it already had them, or was not asked for.
-    pub(super) fn ask_again_with_info(
+    /// Requests the current page again, with zone, region and address of each member.
+    /// Returns false if the page already included them or is not being read from `from`.
+    pub(super) fn request_page_with_info(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -101,11 +102,11 @@
         }
         sync.with_info = true;
         sync.deadline = now + timeout;
-        self.ask_for_page(Vec::new(), actions);
+        self.request_page(Vec::new(), actions);
         true
     }
 
-    /// The parts whose digests differ from this node's, a bit each.
+    /// Returns the parts whose digests differ from this node's, one bit each.
     pub(super) fn differing_parts(&self, digests: &[u64]) -> u64 {
         let own = self.table.digests(self.incarnation, self.leaving);
         let differing = own
@@ -115,7 +116,7 @@
         differing.fold(0, |parts, (part, _)| parts | 1 << part)
     }
 
-    /// Asks again for a page that is late, or gives up.
+    /// Requests a late page again, or abandons the comparison.
     pub(super) fn expire_sync(&mut self, now: Timestamp, actions: &mut Vec<MembershipAction>) {
         let timeout = self.settings.sync_timeout;
         let Some(sync) = &mut self.sync else {
@@ -130,10 +131,10 @@
         }
         sync.attempts += 1;
         sync.deadline = now + timeout;
-        self.ask_for_page(Vec::new(), actions);
+        self.request_page(Vec::new(), actions);
     }
 
-    /// Answers with one page of the table.
+    /// Sends one page of the table, unless the budget for pages is exhausted.
     pub(super) fn send_page(
         &mut self,
         now: Timestamp,
@@ -150,10 +151,10 @@
         let mut used = 0;
         let mut next = None;
         let mut last = after;
-        for member in self.table.behind(after, parts) {
+        for member in self.table.members_after(after, parts) {
             let node = member.info.node;
-            let telling = member.state != MemberState::Dead && !member.private && node != to;
-            if telling {
+            let included = member.state != MemberState::Dead && !member.local_only && node != to;
+            if included {
                 let update = member.update(with_info);
                 used += update.encoded_bound();
                 if used > self.settings.update_bytes {
@@ -174,9 +175,9 @@
         );
     }
 
-    /// Takes a page: `entries` are already merged; `corrections` are what this node
-    /// knows better.
-    pub(super) fn take_page(
+    /// Handles the end of a page whose entries are already merged. `corrections` are
+    /// newer claims held by this node, to be sent back.
+    pub(super) fn handle_page(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -203,10 +204,10 @@
         sync.parts = Some(parts);
         sync.attempts = 1;
         sync.deadline = now + timeout;
-        self.ask_for_page(corrections, actions);
+        self.request_page(corrections, actions);
     }
 
-    /// What this node holds against a claim that it did not take over.
+    /// Returns this node's claim about a member if it is newer than `update`.
     pub(super) fn correction(&self, update: &MemberUpdate) -> Option<MemberUpdate> {
         if update.node == self.own.node {
             let known = (update.incarnation, update.state) >= (self.incarnation, self.own_state());
@@ -214,6 +215,6 @@
         }
         let member = self.table.get(update.node)?;
         let newer = (member.incarnation, member.state) > (update.incarnation, update.state);
-        (newer && !member.private).then(|| member.update(false))
+        (newer && !member.local_only).then(|| member.update(false))
     }
 }
--- a/crates/coordination/src/membership/table.rs
+++ b/crates/coordination/src/membership/table.rs
@@ -1,4 +1,4 @@
-//! The table of members with its digest and rings.
+//! The member table with its digests and probe rings.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -10,18 +10,18 @@
 use super::member::{Member, MemberInfo, MemberState};
 use super::ring::ProbeRing;
 
-/// How near a member is.
+/// Network distance of a member from this node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Nearness {
+pub enum Proximity {
     /// In the same zone.
-    Zone,
+    SameZone,
     /// In another zone of the same region.
-    Region,
+    SameRegion,
     /// In another region.
-    Far,
+    Remote,
 }
 
-/// Other members by identifier. This node itself is not in it.
+/// Other members by identifier. This node itself is not in the table.
 #[derive(Clone, Debug)]
 pub struct MemberTable {
     own: Arc<MemberInfo>,
@@ -33,23 +33,24 @@
     digests: [u64; BUCKETS],
 }
 
-/// Parts of the table that are compared one by one.
+/// Number of parts of the table that have their own digests and are compared separately.
 pub const BUCKETS: usize = 64;
 
-/// The part that a member belongs to: the highest bits of its identifier.
+/// Returns the part that a member belongs to: the highest bits of its identifier.
 fn bucket_of(node: NodeId) -> usize {
     (node.0 >> (u64::BITS - BUCKETS.ilog2())) as usize
 }
 
-/// First and last identifier of a part.
+/// Returns the first and last identifier of a part.
 fn bucket_range(bucket: usize) -> (NodeId, NodeId) {
     let shift = u64::BITS - BUCKETS.ilog2();
     let first = (bucket as u64) << shift;
     (NodeId(first), NodeId(first | ((1 << shift) - 1)))
 }
 
-/// Share of a member in the digest: a fixed mix of identifier, incarnation and whether
-/// it is leaving. Suspicions pass too quickly to count.
+/// Returns a member's contribution to the digest: a hash of its identifier, its
+/// incarnation and whether it is leaving. Suspicions are excluded, as they are too
+/// short-lived.
 fn digest_of(node: NodeId, incarnation: u32, leaving: bool) -> u64 {
     let mut value = node.0 ^ (u64::from(incarnation) << 1 | u64::from(leaving)).rotate_left(32);
     // The finalizer of SplitMix64.
@@ -59,7 +60,7 @@
 }
 
 impl MemberTable {
-    /// A table of nobody else.
+    /// Creates a table without other members.
     pub fn new(own: Arc<MemberInfo>) -> Self {
         Self {
             own,
@@ -72,29 +73,34 @@
         }
     }
 
-    /// A member, dead ones included.
+    /// Returns a member, which may be dead.
     pub fn get(&self, node: NodeId) -> Option<&Member> {
         self.members.get(&node)
     }
 
-    /// A member's record, to change what is not its state.
+    /// Returns a member's record for changes to anything but its state; use
+    /// [`MemberTable::change`] for the state.
     pub fn get_mut(&mut self, node: NodeId) -> Option<&mut Member> {
         self.members.get_mut(&node)
     }
 
-    /// Members that are not dead.
+    /// Returns the number of members that are not dead.
     pub fn present(&self) -> usize {
         self.present
     }
 
-    /// Members in the order of their identifiers, dead ones included.
+    /// Returns the members in the order of their identifiers, including dead ones.
     pub fn iter(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Members behind `after` in the order of their identifiers, from the parts whose
-    /// bits are set in `parts`.
-    pub fn behind(&self, after: Option<NodeId>, parts: u64) -> impl Iterator<Item = &Member> {
+    /// Returns the members after `after` in the order of their identifiers, from the
+    /// parts whose bits are set in `parts`.
+    pub fn members_after(
+        &self,
+        after: Option<NodeId>,
+        parts: u64,
+    ) -> impl Iterator<Item = &Member> {
         let first_part = after.map_or(0, bucket_of);
         (first_part..BUCKETS)
             .filter(move |bucket| parts & (1 << bucket) != 0)
@@ -106,7 +112,7 @@
             .skip_while(move |member| after.is_some_and(|after| member.info.node <= after))
     }
 
-    /// Digest of the members that are not dead, this node included.
+    /// Returns the digest of the members that are not dead, including this node.
     pub fn digest(&self, own_incarnation: u32, leaving: bool) -> u64 {
         let others = self.digests.iter().fold(0, |sum, digest| sum ^ digest);
         others ^ digest_of(self.own.node, own_incarnation, leaving)
@@ -119,7 +125,7 @@
         digests
     }
 
-    /// Whether a member that is not dead has this address.
+    /// Returns whether a member that is not dead, or this node, has this address.
     pub fn has_address(&self, address: SocketAddr) -> bool {
         address == self.own.address
             || self
@@ -129,18 +135,18 @@
                 .is_some_and(|member| member.state != MemberState::Dead)
     }
 
-    /// How near a member is.
-    pub fn nearness(&self, info: &MemberInfo) -> Nearness {
+    /// Returns the network distance of a member from this node.
+    pub fn proximity(&self, info: &MemberInfo) -> Proximity {
         if info.zone == self.own.zone {
-            Nearness::Zone
+            Proximity::SameZone
         } else if info.region == self.own.region {
-            Nearness::Region
+            Proximity::SameRegion
         } else {
-            Nearness::Far
+            Proximity::Remote
         }
     }
 
-    /// Adds a member that is not known.
+    /// Adds a member that is not in the table.
     pub fn insert(&mut self, mut member: Member, random: &mut impl Rng) {
         let node = member.info.node;
         self.addresses.insert(member.info.address, node);
@@ -161,7 +167,7 @@
         now: Timestamp,
         node: NodeId,
         (incarnation, state): (u32, MemberState),
-        private: bool,
+        local_only: bool,
         random: &mut impl Rng,
     ) {
         let Some(member) = self.members.get_mut(&node) else {
@@ -171,7 +177,7 @@
         let changed_at = member.changed_at;
         member.incarnation = incarnation;
         member.state = state;
-        member.private = private;
+        member.local_only = local_only;
         member.changed_at = now;
         let address = member.info.address;
         if before.1 == MemberState::Dead {
@@ -191,12 +197,12 @@
             if before.1 == MemberState::Dead {
                 self.addresses.insert(address, node);
                 self.present += 1;
-                self.return_to_ring(node, random);
+                self.reenter_ring(node, random);
             }
         }
     }
 
-    fn return_to_ring(&mut self, node: NodeId, random: &mut impl Rng) {
+    fn reenter_ring(&mut self, node: NodeId, random: &mut impl Rng) {
         if let Some(mut member) = self.members.remove(&node) {
             self.enter_ring(&mut member, random);
             self.members.insert(node, member);
@@ -206,12 +212,12 @@
     fn enter_ring(&mut self, member: &mut Member, random: &mut impl Rng) {
         if !member.in_ring {
             member.in_ring = true;
-            let ring = self.nearness(&member.info) as usize;
+            let ring = self.proximity(&member.info) as usize;
             self.rings[ring].insert(member.info.node, random);
         }
     }
 
-    /// Forgets members that died before `before`.
+    /// Removes members that died before `before`.
     pub fn forget_dead(&mut self, before: Timestamp) {
         while let Some((died_at, node)) = self.dead.first().copied() {
             if died_at >= before {
@@ -226,12 +232,12 @@
         }
     }
 
-    /// Whether dead members are remembered.
+    /// Returns whether the table contains dead members.
     pub fn has_dead(&self) -> bool {
         !self.dead.is_empty()
     }
 
-    /// A dead member at random, drawn by time of death.
+    /// Returns a random dead member, drawn by time of death.
     pub fn random_dead(&self, random: &mut impl Rng) -> Option<NodeId> {
         let (first, _) = *self.dead.first()?;
         let (last, _) = *self.dead.last()?;
@@ -241,10 +247,10 @@
         later.or_else(|| self.dead.first()).map(|(_, node)| *node)
     }
 
-    /// The next member of a ring that is not dead.
-    pub fn next_in(&mut self, nearness: Nearness, random: &mut impl Rng) -> Option<NodeId> {
+    /// Returns the next member of a ring that is not dead.
+    pub fn next_in(&mut self, proximity: Proximity, random: &mut impl Rng) -> Option<NodeId> {
         let members = &mut self.members;
-        let ring = &mut self.rings[nearness as usize];
+        let ring = &mut self.rings[proximity as usize];
         ring.next(random, |node| {
             let present = is_present(members, node);
             if !present && let Some(member) = members.get_mut(&node) {
@@ -254,9 +260,9 @@
         })
     }
 
-    /// A member at random that is not dead, from a ring.
-    pub fn random_in(&self, nearness: Nearness, random: &mut impl Rng) -> Option<NodeId> {
-        let ring = &self.rings[nearness as usize];
+    /// Returns a random member of a ring that is not dead.
+    pub fn random_in(&self, proximity: Proximity, random: &mut impl Rng) -> Option<NodeId> {
+        let ring = &self.rings[proximity as usize];
         const ATTEMPTS: usize = 4;
         (0..ATTEMPTS)
             .filter_map(|_| ring.random(random))
--- a/crates/coordination/src/membership/updates.rs
+++ b/crates/coordination/src/membership/updates.rs
@@ -1,11 +1,11 @@
-//! Changes that wait to be passed on, those passed on least often first.
+//! Queue of changes to be gossiped, those transmitted least often first.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use hookpoint_state::NodeId;
 
-/// A queue of members whose current record is to be passed on a bounded number of
-/// times. Each member stands in it at most once.
+/// A queue of members whose current record is to be transmitted a bounded number of
+/// times. Each member is in the queue at most once.
 #[derive(Clone, Debug, Default)]
 pub struct UpdateQueue {
     order: BTreeSet<(u32, u64, NodeId)>,
@@ -14,30 +14,32 @@
 }
 
 impl UpdateQueue {
-    /// Starts passing on a member's record from the beginning.
+    /// Queues a member's record and resets its number of transmissions.
     pub fn push(&mut self, node: NodeId) {
         self.remove(node);
-        // Counting down puts the latest change first among equals.
+        // Sequence numbers count down, so that the latest change comes first among those
+        // transmitted equally often.
         let sequence = u64::MAX - self.next_sequence;
         self.next_sequence += 1;
         self.entries.insert(node, (0, sequence));
         self.order.insert((0, sequence, node));
     }
 
-    /// Stops passing on a member's record.
+    /// Removes a member from the queue.
     pub fn remove(&mut self, node: NodeId) {
         if let Some((sent, sequence)) = self.entries.remove(&node) {
             self.order.remove(&(sent, sequence, node));
         }
     }
 
-    /// Members in the order in which they should be sent.
+    /// Returns the members in the order in which their records should be sent.
     pub fn iter(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.order.iter().map(|(_, _, node)| *node)
     }
 
-    /// Counts a transmission of `node`; after `limit` of them it leaves the queue.
-    pub fn sent(&mut self, node: NodeId, limit: u32) {
+    /// Counts a transmission of `node` and removes it from the queue after `limit`
+    /// transmissions.
+    pub fn record_transmission(&mut self, node: NodeId, limit: u32) {
         let Some((sent, sequence)) = self.entries.remove(&node) else {
             return;
         };
@@ -48,12 +50,12 @@
         }
     }
 
-    /// Whether nothing is to be passed on.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Members in the queue.
+    /// Returns the number of members in the queue.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
--- a/crates/coordination/src/rollout/event.rs
+++ b/crates/coordination/src/rollout/event.rs
@@ -1,4 +1,4 @@
-//! What a rollout machine is told and what it asks for.
+//! Input events and output actions of a rollout machine.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,74 +10,75 @@
 use super::message::RolloutMessage;
 use super::store::ChangeError;
 
-/// What happens to a node.
+/// Input event of a rollout machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutEvent {
-    /// Place of this node among the members of its zone that take work, from 0 in the
-    /// order of their identifiers. The first few watch the platform.
+    /// Number of members of this node's zone that accept new work and have lower
+    /// identifiers. Nodes of the lowest ranks watch the platform.
     ZoneRank(usize),
-    /// The platform's pointer names this version. An older one than in force is the
-    /// answer of a platform that has lost its memory, and changes nothing.
+    /// The platform's pointer names this version. A version older than the one in force
+    /// means that the platform has lost data, and is ignored.
     PlatformVersion(BundleVersion),
     /// The platform's bundle, as an encoded change. Answers
     /// [`RolloutAction::FetchFromPlatform`].
     PlatformChange(Bytes),
-    /// The platform's bundle could not be had. Answers
+    /// The platform's bundle could not be fetched. Answers
     /// [`RolloutAction::FetchFromPlatform`].
     PlatformFailed,
-    /// The platform's list of machines says that these databases are leaving.
+    /// The platform's list of machines names these databases as leaving.
     PlatformLeaving(LeavingList),
-    /// A member was heard to have this version in force.
+    /// A member reported that it has this version in force.
     PeerVersion {
-        /// The member.
+        /// Member concerned.
         node: NodeId,
-        /// The version.
+        /// Version that the member has in force.
         version: BundleVersion,
     },
-    /// A member is gone, or a message to it could not be delivered.
+    /// A member died or left, or a message to it could not be delivered.
     PeerGone(NodeId),
-    /// A message from another node, proved to come from it.
+    /// A message from another node, whose origin was authenticated.
     PeerMessage {
-        /// The sender.
+        /// Node that sent the message.
         from: NodeId,
-        /// The message.
+        /// Message received or to be sent.
         message: RolloutMessage,
     },
-    /// The time of [`super::RolloutMachine::next_wake`] has come.
+    /// The time returned by [`super::RolloutMachine::next_wake`] has been reached.
     Timer,
 }
 
-/// What a node asks for.
+/// Output action of a rollout machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RolloutAction {
-    /// Begin or end to watch the platform's pointer.
+    /// Start (`true`) or stop (`false`) watching the platform's pointer.
     WatchPlatform(bool),
-    /// Read the pointer and its bundle from the platform, once.
+    /// Read the pointer and its bundle from the platform once.
     FetchFromPlatform,
     /// Send a message to another node.
     SendPeer {
-        /// The receiver.
+        /// Node to send to.
         to: NodeId,
-        /// The message.
+        /// Message received or to be sent.
         message: RolloutMessage,
     },
     /// Send a message to all other members of this node's zone.
     TellZone(RolloutMessage),
-    /// Drain the databases at these addresses, and no others on account of the list of
-    /// machines.
+    /// Drain the databases at these addresses. Replaces the previous set of databases
+    /// drained because of the list of machines.
     DrainLeaving(BTreeSet<SocketAddr>),
-    /// The store holds a newer bundle: put it in force and tell the members.
+    /// The store holds a newer bundle: put it in force and announce its version to the
+    /// members.
     Install(BundleVersion),
-    /// A change was not accepted.
+    /// A change was rejected.
     Rejected {
-        /// Where it came from.
+        /// Origin of the change.
         source: ChangeSource,
-        /// Why.
+        /// Reason for the rejection.
         error: ChangeError,
     },
 }
 
-/// Where a change came from.
+/// Origin of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeSource {
     /// The platform.
--- a/crates/coordination/src/rollout/fetching.rs
+++ b/crates/coordination/src/rollout/fetching.rs
@@ -1,4 +1,5 @@
-//! Reading the platform: the watchers' part, and whoever has no one else to ask.
+//! Fetching bundles from the platform, done by the watchers and by nodes that have no
+//! peer to pull from.
 
 use std::time::Duration;
 
@@ -9,63 +10,65 @@
 use super::machine::{Fetch, RolloutMachine};
 use super::store::BundleStore;
 
-/// Shortest and longest pause between attempts to read the platform.
+/// Minimum and maximum pause between attempts to read the platform, before jitter.
 const FETCH_PAUSE: (Duration, Duration) = (Duration::from_millis(200), Duration::from_secs(5));
-/// Longest wait for the platform's answer before the attempt counts as failed.
+/// How long to wait for the platform's answer before the attempt counts as failed.
 const FETCH_TIMEOUT: Duration = Duration::from_secs(10);
 
 impl<Store: BundleStore> RolloutMachine<Store> {
-    pub(super) fn take_platform_version(
+    pub(super) fn handle_platform_version(
         &mut self,
         now: Timestamp,
         version: BundleVersion,
         actions: &mut Vec<RolloutAction>,
     ) {
         self.platform_version = version.max(self.platform_version);
-        let waiting = matches!(self.fetch, Fetch::Asked { .. });
+        let waiting = matches!(self.fetch, Fetch::Pending { .. });
         if version > self.store.version() && !waiting {
-            self.fetch_now(now, actions);
+            self.start_fetch(now, actions);
         }
     }
 
-    pub(super) fn take_platform_change(
+    pub(super) fn handle_platform_change(
         &mut self,
         now: Timestamp,
         change: &[u8],
         actions: &mut Vec<RolloutAction>,
     ) {
         self.fetch = Fetch::Idle;
-        let accepted = self.take_change(now, change, ChangeSource::Platform, actions);
+        let accepted = self.apply_change(now, change, ChangeSource::Platform, actions);
         if accepted && self.holders.is_empty() {
-            // Whoever had a newer version is gone, and the platform does not have it.
-            self.heard_version = self.store.version();
+            // The nodes that had a newer version are gone, and the platform does not
+            // have it.
+            self.highest_peer_version = self.store.version();
         }
         if !accepted || self.platform_version > self.store.version() {
-            self.plan_fetch_again(now);
+            self.schedule_fetch_retry(now);
         } else {
             self.fetch_failures = 0;
         }
     }
 
-    /// Plans another reading of the platform as long as one is of use.
-    pub(super) fn plan_fetch_again(&mut self, now: Timestamp) {
-        let held = self.store.version();
-        let known = self.platform_version.max(self.heard_version);
-        if held != BundleVersion(0) && known <= held {
+    /// Schedules another fetch from the platform, unless no version newer than the one
+    /// in force is known.
+    pub(super) fn schedule_fetch_retry(&mut self, now: Timestamp) {
+        let current = self.store.version();
+        let known = self.platform_version.max(self.highest_peer_version);
+        if current != BundleVersion(0) && known <= current {
             self.fetch = Fetch::Idle;
             self.fetch_failures = 0;
             return;
         }
-        let (shortest, longest) = FETCH_PAUSE;
+        let (minimum, maximum) = FETCH_PAUSE;
         let factor = 1_u32 << self.fetch_failures.min(8);
-        let pause = (shortest * factor).min(longest);
+        let pause = (minimum * factor).min(maximum);
         self.fetch_failures += 1;
         let at = now + pause.mul_f64(0.5 + self.random.random::<f64>());
-        self.fetch = Fetch::Planned { at };
+        self.fetch = Fetch::Scheduled { at };
     }
 
-    pub(super) fn fetch_now(&mut self, now: Timestamp, actions: &mut Vec<RolloutAction>) {
-        self.fetch = Fetch::Asked {
+    pub(super) fn start_fetch(&mut self, now: Timestamp, actions: &mut Vec<RolloutAction>) {
+        self.fetch = Fetch::Pending {
             deadline: now + FETCH_TIMEOUT,
         };
         actions.push(RolloutAction::FetchFromPlatform);
--- a/crates/coordination/src/rollout/machine.rs
+++ b/crates/coordination/src/rollout/machine.rs
@@ -1,4 +1,4 @@
-//! The rollout machine of one node.
+//! The rollout state machine of one node.
 
 use std::time::Duration;
 
@@ -10,66 +10,68 @@
 use super::holders::Holders;
 use super::leaving::LeavingList;
 use super::message::RolloutMessage;
-use super::pulling::PULL_SPREAD;
+use super::pulling::MAXIMUM_PULL_DELAY;
 use super::serving::ServeLimit;
 use super::store::{BundleStore, ChangeError};
 
-/// Nodes of a zone that watch the platform.
+/// Number of nodes per zone that watch the platform.
 pub const WATCHERS_PER_ZONE: usize = 2;
-/// How long a node without any bundle waits for word from its peers before it asks the
-/// platform itself; the actual wait is between this and twice this.
-pub(super) const LONELY_WAIT: Duration = Duration::from_millis(500);
+/// How long a node waits for its peers before it reads the platform itself: a node
+/// without a bundle waits between this and twice this, other waits are drawn between
+/// zero and this.
+pub(super) const PEER_WAIT: Duration = Duration::from_millis(500);
 
-/// The pull from a peer.
+/// State of the pull from a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Pull {
     Idle,
-    Planned {
+    Scheduled {
         at: Timestamp,
         avoid: Option<NodeId>,
     },
-    Asked {
+    Pending {
         node: NodeId,
         deadline: Timestamp,
     },
 }
 
-/// The reading of the platform.
+/// State of the fetch from the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fetch {
     Idle,
-    Planned { at: Timestamp },
-    Asked { deadline: Timestamp },
+    Scheduled { at: Timestamp },
+    Pending { deadline: Timestamp },
 }
 
-/// One node's part in the spread of bundles.
+/// State machine that distributes bundles on one node.
 #[derive(Clone, Debug)]
 pub struct RolloutMachine<Store> {
     pub(super) store: Store,
     pub(super) random: ChaCha8Rng,
     pub(super) watching: bool,
-    /// When to begin to watch, if the rank is still low enough then.
+    /// When to start watching, if the rank is still low enough then.
     pub(super) watch_at: Option<Timestamp>,
     pub(super) platform_version: BundleVersion,
-    /// Newest version that any member was heard to have.
-    pub(super) heard_version: BundleVersion,
+    /// Newest version that any member reported.
+    pub(super) highest_peer_version: BundleVersion,
     pub(super) holders: Holders,
     pub(super) serving: ServeLimit,
     pub(super) pull: Pull,
     pub(super) pull_failures: u32,
-    /// Ask for the whole bundle next, since a change did not fit.
-    pub(super) pull_whole: bool,
+    /// Whether to pull the whole bundle next, because a delta did not apply.
+    pub(super) pull_full: bool,
     pub(super) fetch: Fetch,
     pub(super) fetch_failures: u32,
     pub(super) leaving: LeavingList,
 }
 
 impl<Store: BundleStore> RolloutMachine<Store> {
-    /// A node that has just started with what `store` holds, usually nothing.
+    /// Creates the machine of a node that has just started with the contents of `store`,
+    /// which is usually empty.
     pub fn new(now: Timestamp, store: Store, mut random: ChaCha8Rng) -> Self {
-        let lonely = LONELY_WAIT + LONELY_WAIT.mul_f64(random.random());
+        let wait = PEER_WAIT + PEER_WAIT.mul_f64(random.random());
         let fetch = if store.version() == BundleVersion(0) {
-            Fetch::Planned { at: now + lonely }
+            Fetch::Scheduled { at: now + wait }
         } else {
             Fetch::Idle
         };
@@ -79,29 +81,29 @@
             watching: false,
             watch_at: None,
             platform_version: BundleVersion(0),
-            heard_version: BundleVersion(0),
+            highest_peer_version: BundleVersion(0),
             holders: Holders::default(),
             serving: ServeLimit::default(),
             pull: Pull::Idle,
             pull_failures: 0,
-            pull_whole: false,
+            pull_full: false,
             fetch,
             fetch_failures: 0,
             leaving: LeavingList::default(),
         }
     }
 
-    /// The store.
+    /// Returns the store.
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// Whether this node watches the platform.
+    /// Returns whether this node watches the platform.
     pub fn is_watching(&self) -> bool {
         self.watching
     }
 
-    /// Takes an event and appends the actions it causes to `actions`.
+    /// Processes an event and appends the resulting actions to `actions`.
     pub fn handle(
         &mut self,
         now: Timestamp,
@@ -111,41 +113,41 @@
         match event {
             RolloutEvent::ZoneRank(rank) => self.set_rank(now, rank, actions),
             RolloutEvent::PlatformVersion(version) => {
-                self.take_platform_version(now, version, actions);
+                self.handle_platform_version(now, version, actions);
             }
             RolloutEvent::PlatformChange(change) => {
-                self.take_platform_change(now, &change, actions);
+                self.handle_platform_change(now, &change, actions);
             }
-            RolloutEvent::PlatformFailed => self.plan_fetch_again(now),
-            RolloutEvent::PlatformLeaving(list) => self.take_leaving(list, actions),
+            RolloutEvent::PlatformFailed => self.schedule_fetch_retry(now),
+            RolloutEvent::PlatformLeaving(list) => self.handle_leaving(list, actions),
             RolloutEvent::PeerVersion { node, version } => {
-                self.take_peer_version(now, node, version);
+                self.handle_peer_version(now, node, version);
             }
-            RolloutEvent::PeerGone(node) => self.lose_peer(now, node),
+            RolloutEvent::PeerGone(node) => self.remove_peer(now, node),
             RolloutEvent::PeerMessage { from, message } => {
-                self.take_message(now, from, message, actions);
+                self.handle_message(now, from, message, actions);
             }
             RolloutEvent::Timer => self.run_timers(now, actions),
         }
     }
 
-    /// When [`RolloutEvent::Timer`] is due, if at all.
+    /// Returns when [`RolloutEvent::Timer`] is due; `None` if no timer is needed.
     pub fn next_wake(&self) -> Option<Timestamp> {
         let pull = match self.pull {
             Pull::Idle => None,
-            Pull::Planned { at, .. } => Some(at),
-            Pull::Asked { deadline, .. } => Some(deadline),
+            Pull::Scheduled { at, .. } => Some(at),
+            Pull::Pending { deadline, .. } => Some(deadline),
         };
         let fetch = match self.fetch {
             Fetch::Idle => None,
-            Fetch::Planned { at } => Some(at),
-            Fetch::Asked { deadline } => Some(deadline),
+            Fetch::Scheduled { at } => Some(at),
+            Fetch::Pending { deadline } => Some(deadline),
         };
         pull.into_iter().chain(fetch).chain(self.watch_at).min()
     }
 
-    /// A node that has just started knows nobody and takes itself for the first of its
-    /// zone, so it waits a little before it believes that.
+    /// Sets the zone rank. A node that has just started knows no other members and so
+    /// has rank 0, so it waits for a short time before it starts watching.
     fn set_rank(&mut self, now: Timestamp, rank: usize, actions: &mut Vec<RolloutAction>) {
         if rank >= WATCHERS_PER_ZONE {
             self.watch_at = None;
@@ -153,11 +155,11 @@
                 actions.push(RolloutAction::WatchPlatform(false));
             }
         } else if !self.watching && self.watch_at.is_none() {
-            self.watch_at = Some(now + LONELY_WAIT.mul_f64(self.random.random()));
+            self.watch_at = Some(now + PEER_WAIT.mul_f64(self.random.random()));
         }
     }
 
-    fn take_message(
+    fn handle_message(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -165,29 +167,30 @@
         actions: &mut Vec<RolloutAction>,
     ) {
         match message {
-            RolloutMessage::Pull { have } => self.serve(now, from, have, actions),
-            RolloutMessage::Leaving(list) => self.hear_leaving(list, actions),
-            answer => self.take_answer(now, from, answer, actions),
+            RolloutMessage::Pull { have } => self.answer_pull(now, from, have, actions),
+            RolloutMessage::Leaving(list) => self.handle_leaving_from_peer(list, actions),
+            answer => self.handle_answer(now, from, answer, actions),
         }
     }
 
-    fn take_leaving(&mut self, list: LeavingList, actions: &mut Vec<RolloutAction>) {
-        if self.leaving.read(list) {
+    fn handle_leaving(&mut self, list: LeavingList, actions: &mut Vec<RolloutAction>) {
+        if self.leaving.replace(list) {
             let list = self.leaving.clone();
             actions.push(RolloutAction::DrainLeaving(list.addresses.clone()));
             actions.push(RolloutAction::TellZone(RolloutMessage::Leaving(list)));
         }
     }
 
-    /// A watcher goes by what it reads itself.
-    fn hear_leaving(&mut self, list: LeavingList, actions: &mut Vec<RolloutAction>) {
-        if !self.watching && self.leaving.hear(list) {
+    /// Handles a peer's list of leaving databases. A watcher ignores it, as it reads the
+    /// list itself.
+    fn handle_leaving_from_peer(&mut self, list: LeavingList, actions: &mut Vec<RolloutAction>) {
+        if !self.watching && self.leaving.replace_if_newer(list) {
             let addresses = self.leaving.addresses.clone();
             actions.push(RolloutAction::DrainLeaving(addresses));
         }
     }
 
-    fn serve(
+    fn answer_pull(
         &mut self,
         now: Timestamp,
         to: NodeId,
@@ -209,8 +212,8 @@
         }
     }
 
-    /// Takes a change; false when it was rejected.
-    pub(super) fn take_change(
+    /// Applies a change. Returns false when it was rejected.
+    pub(super) fn apply_change(
         &mut self,
         now: Timestamp,
         change: &[u8],
@@ -224,8 +227,8 @@
                 true
             }
             Err(error) => {
-                // A change that does not fit is worth one attempt with the whole bundle.
-                self.pull_whole = !self.pull_whole && matches!(error, ChangeError::Delta(_));
+                // After a delta that does not apply, the whole bundle is pulled once.
+                self.pull_full = !self.pull_full && matches!(error, ChangeError::Delta(_));
                 actions.push(RolloutAction::Rejected { source, error });
                 false
             }
@@ -238,17 +241,17 @@
         version: BundleVersion,
         actions: &mut Vec<RolloutAction>,
     ) {
-        self.pull_whole = false;
+        self.pull_full = false;
         self.pull_failures = 0;
         self.holders.keep_newer_than(version);
         actions.push(RolloutAction::Install(version));
-        let newest = self.platform_version.max(self.heard_version);
-        if matches!(self.fetch, Fetch::Planned { .. }) && newest <= version {
+        let newest = self.platform_version.max(self.highest_peer_version);
+        if matches!(self.fetch, Fetch::Scheduled { .. }) && newest <= version {
             self.fetch = Fetch::Idle;
             self.fetch_failures = 0;
         }
-        if matches!(self.pull, Pull::Planned { .. }) {
-            self.plan_pull(now, PULL_SPREAD, None);
+        if matches!(self.pull, Pull::Scheduled { .. }) {
+            self.schedule_pull(now, MAXIMUM_PULL_DELAY, None);
         }
     }
 
@@ -259,16 +262,16 @@
             actions.push(RolloutAction::WatchPlatform(true));
         }
         match self.pull {
-            Pull::Planned { at, avoid } if at <= now => self.ask(now, avoid, actions),
-            Pull::Asked { node, deadline } if deadline <= now => {
-                self.plan_pull_after_silence(now, node);
+            Pull::Scheduled { at, avoid } if at <= now => self.send_pull(now, avoid, actions),
+            Pull::Pending { node, deadline } if deadline <= now => {
+                self.schedule_pull_after_timeout(now, node);
             }
-            Pull::Idle | Pull::Planned { .. } | Pull::Asked { .. } => {}
+            Pull::Idle | Pull::Scheduled { .. } | Pull::Pending { .. } => {}
         }
         match self.fetch {
-            Fetch::Planned { at } if at <= now => self.fetch_now(now, actions),
-            Fetch::Asked { deadline } if deadline <= now => self.plan_fetch_again(now),
-            Fetch::Idle | Fetch::Planned { .. } | Fetch::Asked { .. } => {}
+            Fetch::Scheduled { at } if at <= now => self.start_fetch(now, actions),
+            Fetch::Pending { deadline } if deadline <= now => self.schedule_fetch_retry(now),
+            Fetch::Idle | Fetch::Scheduled { .. } | Fetch::Pending { .. } => {}
         }
     }
 }
--- a/crates/coordination/src/rollout/message.rs
+++ b/crates/coordination/src/rollout/message.rs
@@ -1,4 +1,4 @@
-//! Messages between nodes, and the encoded change they carry.
+//! Messages between rollout machines, and the encoded change they carry.
 
 use super::leaving::LeavingList;
 use bytes::Bytes;
@@ -6,40 +6,41 @@
 use hookpoint_state::bundle::{BundleDelta, SignedBundle};
 use serde::{Deserialize, Serialize};
 
-/// Largest encoded change accepted, in bytes.
+/// Maximum size of an encoded change, in bytes.
 pub const MAXIMUM_CHANGE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Between two nodes.
+/// A message between the rollout machines of two nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RolloutMessage {
     /// Asks for the change since a version; version 0 asks for the whole bundle.
     Pull {
-        /// Version the sender has in force.
+        /// Version that the sender has in force.
         have: BundleVersion,
     },
     /// Answers a pull with an encoded [`Change`].
     Change(Bytes),
-    /// Answers a pull: too many others are being served, ask another node.
+    /// Answers a pull: too many pulls are being answered; ask another node.
     Busy,
-    /// Answers a pull: nothing newer is in force here.
+    /// Answers a pull: no newer version is in force on this node.
     NothingNewer,
-    /// Databases whose machines are leaving, from a watcher or with a first bundle.
+    /// Databases whose machines are leaving, sent by a watcher or with a first bundle.
     Leaving(LeavingList),
 }
 
-/// What brings a node to a newer version.
+/// A change that leads to a newer version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// The whole bundle, for a node that has none or a very old one.
+    /// The whole bundle, for a node that has no bundle or one that is too old.
     Full(SignedBundle),
-    /// What changed since the version that the receiver has.
+    /// The difference from the version that the receiver has.
     Delta(Box<BundleDelta>),
 }
 
 impl Change {
-    /// The encoded change.
+    /// Returns the encoded change.
     pub fn encode(&self) -> Bytes {
-        // Every type in a change has an encoding, and memory is the only sink.
+        // Encoding does not fail: every type in a change is encodable, and the output is
+        // memory.
         Bytes::from(postcard::to_stdvec(self).unwrap_or_default())
     }
 }
--- a/crates/coordination/src/rollout/mod.rs
+++ b/crates/coordination/src/rollout/mod.rs
@@ -1,13 +1,14 @@
-//! How bundles spread: few nodes of a zone watch the platform, the others hear of a new
-//! version by membership messages and pull the change from a node that has it.
+//! Distribution of bundles: a few nodes of each zone watch the platform; the other nodes
+//! learn of a new version from membership messages and pull the change from a node that
+//! has it.
 //!
-//! [`RolloutMachine`] receives [`RolloutEvent`]s and answers with [`RolloutAction`]s, to
-//! be carried out in order. After each event its driver looks at
-//! [`RolloutMachine::next_wake`] and sends [`RolloutEvent::Timer`] when that time has
-//! come. The machine keeps the bundle itself in a [`BundleStore`].
+//! [`RolloutMachine`] receives [`RolloutEvent`]s and returns [`RolloutAction`]s, to be
+//! carried out in order. After each event the driver must call
+//! [`RolloutMachine::next_wake`] and send [`RolloutEvent::Timer`] at the returned time.
+//! The bundle itself is kept in a [`BundleStore`].
 //!
-//! Invariants: the version in force never falls, whatever the order of events, and a
-//! bundle that no trusted key has signed never comes into force.
+//! Invariants: the version in force never decreases, whatever the order of events, and a
+//! bundle that is not signed by a trusted key never comes into force.
 
 mod event;
 mod fetching;
--- a/crates/coordination/src/rollout/pulling.rs
+++ b/crates/coordination/src/rollout/pulling.rs
@@ -7,22 +7,23 @@
 use rand::Rng;
 
 use super::event::{ChangeSource, RolloutAction};
-use super::machine::{Fetch, LONELY_WAIT, Pull, RolloutMachine};
+use super::machine::{Fetch, PEER_WAIT, Pull, RolloutMachine};
 use super::message::RolloutMessage;
 use super::store::BundleStore;
 
-/// Longest wait before the first pull of a version, so that its first holders are not
-/// asked by everyone at once.
-pub(super) const PULL_SPREAD: Duration = Duration::from_millis(40);
-/// Longest wait before another holder is asked after a busy one.
-const BUSY_PAUSE: Duration = Duration::from_millis(60);
-/// Longest wait for the answer to a pull.
+/// Maximum random delay before the first pull of a version, so that its first holders do
+/// not receive the pulls of all nodes at once.
+pub(super) const MAXIMUM_PULL_DELAY: Duration = Duration::from_millis(40);
+/// Maximum random delay before the next pull after a busy answer.
+const BUSY_DELAY: Duration = Duration::from_millis(60);
+/// How long to wait for the answer to a pull.
 const PULL_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest pause after a pull without an answer; it doubles from [`BUSY_PAUSE`].
-const LONGEST_PULL_PAUSE: Duration = Duration::from_secs(2);
+/// Upper limit of the maximum delay after an unanswered pull; the delay doubles from
+/// [`BUSY_DELAY`].
+const MAXIMUM_RETRY_DELAY: Duration = Duration::from_secs(2);
 
 impl<Store: BundleStore> RolloutMachine<Store> {
-    pub(super) fn take_peer_version(
+    pub(super) fn handle_peer_version(
         &mut self,
         now: Timestamp,
         node: NodeId,
@@ -31,66 +32,73 @@
         if version <= self.store.version() {
             return;
         }
-        self.heard_version = version.max(self.heard_version);
-        self.holders.note(node, version);
+        self.highest_peer_version = version.max(self.highest_peer_version);
+        self.holders.record(node, version);
         if self.pull == Pull::Idle {
-            self.plan_pull(now, PULL_SPREAD, None);
+            self.schedule_pull(now, MAXIMUM_PULL_DELAY, None);
         }
     }
 
-    pub(super) fn plan_pull(&mut self, now: Timestamp, spread: Duration, avoid: Option<NodeId>) {
+    pub(super) fn schedule_pull(
+        &mut self,
+        now: Timestamp,
+        maximum_delay: Duration,
+        avoid: Option<NodeId>,
+    ) {
         if !self.holders.is_empty() {
-            let at = now + spread.mul_f64(self.random.random());
-            self.pull = Pull::Planned { at, avoid };
+            let at = now + maximum_delay.mul_f64(self.random.random());
+            self.pull = Pull::Scheduled { at, avoid };
             return;
         }
         self.pull = Pull::Idle;
-        if self.heard_version > self.store.version() && self.fetch == Fetch::Idle {
-            let at = now + LONELY_WAIT.mul_f64(self.random.random());
-            self.fetch = Fetch::Planned { at };
+        if self.highest_peer_version > self.store.version() && self.fetch == Fetch::Idle {
+            let at = now + PEER_WAIT.mul_f64(self.random.random());
+            self.fetch = Fetch::Scheduled { at };
         }
     }
 
-    /// Plans another attempt after a pull without an answer. The holder stays known:
-    /// whether it is gone is the membership's to say.
-    pub(super) fn plan_pull_after_silence(&mut self, now: Timestamp, node: NodeId) {
+    /// Schedules another pull after an unanswered one. The holder is kept, as only the
+    /// membership decides whether it is gone.
+    pub(super) fn schedule_pull_after_timeout(&mut self, now: Timestamp, node: NodeId) {
         let factor = 1_u32 << self.pull_failures.min(8);
         self.pull_failures += 1;
-        let spread = (BUSY_PAUSE * factor).min(LONGEST_PULL_PAUSE);
-        self.plan_pull(now, spread, Some(node));
+        let maximum_delay = (BUSY_DELAY * factor).min(MAXIMUM_RETRY_DELAY);
+        self.schedule_pull(now, maximum_delay, Some(node));
     }
 
-    pub(super) fn lose_peer(&mut self, now: Timestamp, node: NodeId) {
+    pub(super) fn remove_peer(&mut self, now: Timestamp, node: NodeId) {
         self.holders.remove(node);
-        if matches!(self.pull, Pull::Asked { node: asked, .. } if asked == node) {
-            self.plan_pull(now, Duration::ZERO, None);
+        if matches!(self.pull, Pull::Pending { node: pending, .. } if pending == node) {
+            self.schedule_pull(now, Duration::ZERO, None);
         }
     }
 
-    pub(super) fn take_answer(
+    pub(super) fn handle_answer(
         &mut self,
         now: Timestamp,
         from: NodeId,
         answer: RolloutMessage,
         actions: &mut Vec<RolloutAction>,
     ) {
-        let expected = matches!(self.pull, Pull::Asked { node, .. } if node == from);
+        let expected = matches!(self.pull, Pull::Pending { node, .. } if node == from);
         if !expected {
             return;
         }
         match answer {
-            RolloutMessage::Change(change) => self.take_pulled(now, from, &change, actions),
-            RolloutMessage::Busy => self.plan_pull(now, BUSY_PAUSE, Some(from)),
+            RolloutMessage::Change(change) => {
+                self.handle_pulled_change(now, from, &change, actions)
+            }
+            RolloutMessage::Busy => self.schedule_pull(now, BUSY_DELAY, Some(from)),
             RolloutMessage::NothingNewer
             | RolloutMessage::Pull { .. }
             | RolloutMessage::Leaving(_) => {
                 self.holders.remove(from);
-                self.plan_pull(now, BUSY_PAUSE, None);
+                self.schedule_pull(now, BUSY_DELAY, None);
             }
         }
     }
 
-    pub(super) fn take_pulled(
+    pub(super) fn handle_pulled_change(
         &mut self,
         now: Timestamp,
         from: NodeId,
@@ -99,32 +107,32 @@
     ) {
         self.pull = Pull::Idle;
         let before = self.store.version();
-        let accepted = self.take_change(now, change, ChangeSource::Peer(from), actions);
-        let retry_whole = !accepted && self.pull_whole;
-        if self.store.version() == before && !retry_whole {
+        let accepted = self.apply_change(now, change, ChangeSource::Peer(from), actions);
+        let retry_full = !accepted && self.pull_full;
+        if self.store.version() == before && !retry_full {
             self.holders.remove(from);
         }
         if self.pull == Pull::Idle {
-            self.plan_pull(now, BUSY_PAUSE, None);
+            self.schedule_pull(now, BUSY_DELAY, None);
         }
     }
 
-    pub(super) fn ask(
+    pub(super) fn send_pull(
         &mut self,
         now: Timestamp,
         avoid: Option<NodeId>,
         actions: &mut Vec<RolloutAction>,
     ) {
         let Some(node) = self.holders.choose(avoid, &mut self.random) else {
-            self.plan_pull(now, Duration::ZERO, None);
+            self.schedule_pull(now, Duration::ZERO, None);
             return;
         };
-        let have = if self.pull_whole {
+        let have = if self.pull_full {
             BundleVersion(0)
         } else {
             self.store.version()
         };
-        self.pull = Pull::Asked {
+        self.pull = Pull::Pending {
             node,
             deadline: now + PULL_TIMEOUT,
         };
--- a/crates/coordination/src/rollout/roll.rs
+++ b/crates/coordination/src/rollout/roll.rs
@@ -1,69 +1,70 @@
-//! An operator's roll: moving the platform's pointer to another version, with answers
-//! that may be lost.
+//! An operator's roll: moves the platform's pointer to another version over requests
+//! whose answers may be lost.
 //!
-//! The pointer is moved by one transaction that compares the revision it was read at.
-//! The transaction may be sent again after a lost answer: the comparison holds at most
-//! once, and when it fails, the identifier of the attempt found in the store says
-//! whether an earlier sending took effect. Once the comparison has failed, no sending
-//! that is still under way can take effect any more.
+//! The pointer is moved by one transaction that compares the revision at which the
+//! pointer was read. The transaction may be resent after a lost answer, because the
+//! comparison succeeds at most once. When the comparison fails, the attempt identifier
+//! found in the store shows whether an earlier transmission took effect. Once the
+//! comparison has failed, no transmission still in flight can take effect.
 
 use hookpoint_state::{BundleVersion, Outcome};
 
-/// A pointer as it was read.
+/// The platform's pointer as read from the store.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PointerView<Attempt> {
-    /// Version it names.
+    /// Version that the pointer names.
     pub version: BundleVersion,
-    /// The attempt that set it.
+    /// Attempt that set the pointer.
     pub attempt: Attempt,
 }
 
-/// What happened to a roll's request.
+/// Result of a roll's request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RollEvent<Attempt> {
     /// The pointer was read. Answers [`RollStep::ReadPointer`].
     PointerRead {
-        /// The pointer, once anything was rolled.
+        /// The pointer; `None` before the first roll.
         pointer: Option<PointerView<Attempt>>,
-        /// Revision of its latest change; 0 when it does not exist.
+        /// Revision of the pointer's latest change; 0 when the pointer does not exist.
         revision: i64,
     },
-    /// The transaction ran and its comparison held. Answers [`RollStep::MovePointer`].
+    /// The transaction ran and its comparison succeeded. Answers
+    /// [`RollStep::MovePointer`].
     Moved,
-    /// The transaction ran and its comparison failed; this is what it read instead.
+    /// The transaction ran and its comparison failed; it read this state instead.
     /// Answers [`RollStep::MovePointer`].
     NotMoved {
-        /// The pointer.
+        /// Current pointer.
         pointer: Option<PointerView<Attempt>>,
-        /// The pointer that once named the version to be rolled, from the history.
+        /// Pointer that named the version to be rolled, from the history.
         past: Option<PointerView<Attempt>>,
     },
-    /// The request brought no answer.
+    /// The request got no answer.
     Failed {
-        /// What that says of it.
+        /// What is known about the execution of the request.
         outcome: Outcome,
     },
-    /// The operator's time is over.
+    /// The operator's time limit has passed.
     GaveUp,
 }
 
-/// What a roll needs next.
+/// Next step of a roll.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RollStep<Attempt> {
-    /// Read the pointer.
+    /// Read the platform's pointer.
     ReadPointer,
     /// Move the pointer if its latest change still has this revision.
     MovePointer {
-        /// The revision.
+        /// Revision to compare with.
         unchanged_since: i64,
-        /// Version that the pointer names until then.
+        /// Version that the pointer names before the move.
         previous: BundleVersion,
     },
-    /// Nothing; this is what it came to.
+    /// The roll has finished with this result.
     Finished(RollResult<Attempt>),
 }
 
-/// What a roll came to.
+/// Result of a roll.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RollResult<Attempt> {
     /// The version was put in force.
@@ -73,19 +74,20 @@
         /// Whether another version has been rolled since.
         superseded: bool,
     },
-    /// Another roll came first; nothing was changed, and nothing will be.
+    /// Another roll came first. This roll changed nothing and will not take effect
+    /// later.
     Conflict {
-        /// The pointer that it set.
+        /// Pointer set by the other roll.
         winner: Option<PointerView<Attempt>>,
     },
-    /// The version is not above the one in force; nothing was changed.
+    /// The version is not newer than the one in force; nothing was changed.
     NotNewer {
         /// Version in force.
         active: BundleVersion,
     },
     /// No request took effect, and none will.
     NotRun,
-    /// A request may have taken effect, or may yet.
+    /// A request may have taken effect, or may still take effect.
     Unknown,
 }
 
@@ -93,32 +95,33 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RollMachine<Attempt> {
     version: BundleVersion,
-    seen: Option<BundleVersion>,
+    expected: Option<BundleVersion>,
     attempt: Attempt,
     step: RollStep<Attempt>,
-    /// Whether a sending of the transaction may have taken effect.
+    /// Whether a transmission of the transaction may have taken effect.
     uncertain: bool,
 }
 
 impl<Attempt: Clone + PartialEq> RollMachine<Attempt> {
-    /// A roll of `version` by an operator who has `seen` a version in force, or goes by
-    /// what is read first.
-    pub fn new(version: BundleVersion, seen: Option<BundleVersion>, attempt: Attempt) -> Self {
+    /// Creates a roll of `version`. With `expected`, the roll conflicts unless that
+    /// version is in force when the pointer is read; with `None`, any version is
+    /// accepted.
+    pub fn new(version: BundleVersion, expected: Option<BundleVersion>, attempt: Attempt) -> Self {
         Self {
             version,
-            seen,
+            expected,
             attempt,
             step: RollStep::ReadPointer,
             uncertain: false,
         }
     }
 
-    /// What is needed next.
+    /// Returns the next step.
     pub fn step(&self) -> &RollStep<Attempt> {
         &self.step
     }
 
-    /// Takes an event; those that do not answer the present step change nothing.
+    /// Processes an event. Events that do not answer the current step are ignored.
     pub fn handle(&mut self, event: RollEvent<Attempt>) {
         let result = match (&self.step, event) {
             (RollStep::Finished(_), _) => return,
@@ -146,7 +149,7 @@
     fn plan_move(&mut self, pointer: Option<PointerView<Attempt>>, revision: i64) {
         let active = pointer.as_ref().map(|pointer| pointer.version);
         let active = active.unwrap_or_default();
-        self.step = if self.seen.is_some_and(|seen| seen != active) {
+        self.step = if self.expected.is_some_and(|expected| expected != active) {
             RollStep::Finished(RollResult::Conflict { winner: pointer })
         } else if self.version <= active {
             RollStep::Finished(RollResult::NotNewer { active })
--- a/crates/coordination/src/rollout/serving.rs
+++ b/crates/coordination/src/rollout/serving.rs
@@ -1,16 +1,16 @@
-//! How many pulls a node answers, so that the first holders of a version are not
-//! stormed.
+//! Rate limit for answering pulls, which protects the first holders of a version from
+//! overload.
 
 use std::time::Duration;
 
 use hookpoint_state::Timestamp;
 
-/// Length of a window.
+/// Length of a rate limiting window.
 const WINDOW: Duration = Duration::from_millis(50);
-/// Pulls answered with a change in one window.
+/// Maximum number of pulls answered with a change in one window.
 const SERVED_PER_WINDOW: u32 = 8;
 
-/// Counts the pulls answered in the present window.
+/// Counts the pulls answered in the current window.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct ServeLimit {
     window_end: Timestamp,
@@ -18,7 +18,7 @@
 }
 
 impl ServeLimit {
-    /// Whether one more pull may be answered now; counts it if so.
+    /// Returns whether one more pull may be answered now, and counts it if so.
     pub(super) fn admit(&mut self, now: Timestamp) -> bool {
         if now >= self.window_end {
             self.window_end = now + WINDOW;
--- a/crates/coordination/src/rollout/store.rs
+++ b/crates/coordination/src/rollout/store.rs
@@ -1,4 +1,4 @@
-//! Where a node keeps the bundle it has in force, and the changes that led to it.
+//! Storage of the bundle in force and of the latest deltas that led to it.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -12,104 +12,106 @@
 
 use super::message::{Change, MAXIMUM_CHANGE_BYTES};
 
-/// Changes kept for nodes that are a little behind.
-const MAXIMUM_CHAIN: usize = 64;
-/// Entries that the kept changes hold together.
-const MAXIMUM_CHAIN_ENTRIES: usize = 16_384;
+/// Maximum number of deltas kept for nodes that are a few versions behind.
+const MAXIMUM_KEPT_DELTAS: usize = 64;
+/// Maximum number of entries in all kept deltas together.
+const MAXIMUM_KEPT_ENTRIES: usize = 16_384;
 
-/// Keeps the bundle in force. The simulator has a store of bare numbers.
+/// Storage of the bundle in force. The simulator implements it with version numbers
+/// only.
 pub trait BundleStore {
-    /// Version in force; 0 when there is none.
+    /// Returns the version in force; 0 when there is none.
     fn version(&self) -> BundleVersion;
 
-    /// The encoded change from `have` to the version in force; none when `have` is not
-    /// older.
+    /// Returns the encoded change from `have` to the version in force; `None` when
+    /// `have` is not older.
     fn change_since(&self, have: BundleVersion) -> Option<Bytes>;
 
-    /// Verifies a change and takes it, if it leads to a newer version. Returns that
-    /// version, or none when the change brings nothing newer.
+    /// Verifies a change and applies it if it leads to a newer version. Returns that
+    /// version, or `None` when the change contains nothing newer.
     ///
     /// # Errors
-    /// A [`ChangeError`]; the store is as before.
+    /// Returns a [`ChangeError`] when the change is rejected; the store is then
+    /// unchanged.
     fn apply(&mut self, change: &[u8]) -> Result<Option<BundleVersion>, ChangeError>;
 }
 
-/// Why a change is not accepted.
+/// Reason why a change is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// Larger than [`MAXIMUM_CHANGE_BYTES`].
+    /// The change is larger than [`MAXIMUM_CHANGE_BYTES`].
     #[error("the change is too large")]
     TooLarge,
-    /// Not an encoded change.
+    /// The change can't be decoded.
     #[error("the change is malformed")]
     Malformed,
-    /// It does not follow from the bundle held.
+    /// The delta does not apply to the stored bundle.
     #[error(transparent)]
     Delta(#[from] DeltaError),
-    /// It is not approved.
+    /// The change is not approved by a trusted signature.
     #[error(transparent)]
     Signature(#[from] SignatureError),
-    /// The bundle it leads to breaks a rule.
+    /// The resulting bundle violates a validation rule.
     #[error("{0}")]
     Rule(BundleProblem),
 }
 
-/// Keeps signed bundles and the latest changes between them.
+/// Stores the signed bundle in force and the latest deltas that led to it.
 #[derive(Debug)]
 pub struct SignedStore {
     trusted: TrustedKeys,
     current: Option<SignedBundle>,
-    chain: VecDeque<BundleDelta>,
+    recent_deltas: VecDeque<BundleDelta>,
 }
 
 impl SignedStore {
-    /// An empty store that accepts the approval of `trusted`.
+    /// Creates an empty store that accepts bundles approved by `trusted`.
     pub fn new(trusted: TrustedKeys) -> Self {
         Self {
             trusted,
             current: None,
-            chain: VecDeque::new(),
+            recent_deltas: VecDeque::new(),
         }
     }
 
-    /// The bundle in force.
+    /// Returns the bundle in force.
     pub fn current(&self) -> Option<&SignedBundle> {
         self.current.as_ref()
     }
 
-    fn take_full(&mut self, signed: SignedBundle) -> Result<(), ChangeError> {
+    fn apply_full(&mut self, signed: SignedBundle) -> Result<(), ChangeError> {
         self.trusted.verify(&signed)?;
         signed.bundle.check().map_err(ChangeError::Rule)?;
-        if let Some(held) = &self.current {
-            let delta = BundleDelta::between(&held.bundle, &signed);
-            self.remember(delta);
+        if let Some(current) = &self.current {
+            let delta = BundleDelta::between(&current.bundle, &signed);
+            self.keep_delta(delta);
         }
         self.current = Some(signed);
         Ok(())
     }
 
-    fn take_delta(&mut self, delta: BundleDelta) -> Result<(), ChangeError> {
-        // The signature comes first: it is cheap, and a change of a stranger's making
-        // is then never worked through.
+    fn apply_delta(&mut self, delta: BundleDelta) -> Result<(), ChangeError> {
+        // The signature is checked first: it is cheap, and a delta from an untrusted
+        // source is then never processed.
         self.trusted
             .verify_digest(delta.to, delta.digest, &delta.signatures)?;
         let none = Bundle::default();
-        let held = self.current.as_ref().map(|signed| &*signed.bundle);
-        let bundle = delta.apply(held.unwrap_or(&none))?;
+        let current = self.current.as_ref().map(|signed| &*signed.bundle);
+        let bundle = delta.apply(current.unwrap_or(&none))?;
         bundle.check().map_err(ChangeError::Rule)?;
         self.current = Some(SignedBundle {
             bundle: Arc::new(bundle),
             signatures: delta.signatures.clone(),
         });
-        self.remember(delta);
+        self.keep_delta(delta);
         Ok(())
     }
 
-    fn remember(&mut self, delta: BundleDelta) {
-        self.chain.push_back(delta);
-        let mut entries: usize = self.chain.iter().map(BundleDelta::entries).sum();
-        while self.chain.len() > MAXIMUM_CHAIN || entries > MAXIMUM_CHAIN_ENTRIES {
-            let Some(oldest) = self.chain.pop_front() else {
+    fn keep_delta(&mut self, delta: BundleDelta) {
+        self.recent_deltas.push_back(delta);
+        let mut entries: usize = self.recent_deltas.iter().map(BundleDelta::entries).sum();
+        while self.recent_deltas.len() > MAXIMUM_KEPT_DELTAS || entries > MAXIMUM_KEPT_ENTRIES {
+            let Some(oldest) = self.recent_deltas.pop_front() else {
                 return;
             };
             entries -= oldest.entries();
@@ -117,8 +119,11 @@
     }
 
     fn delta_since(&self, have: BundleVersion) -> Option<BundleDelta> {
-        let start = self.chain.iter().position(|delta| delta.from == have)?;
-        let mut later = self.chain.iter().skip(start);
+        let start = self
+            .recent_deltas
+            .iter()
+            .position(|delta| delta.from == have)?;
+        let mut later = self.recent_deltas.iter().skip(start);
         let first = later.next()?.clone();
         later.try_fold(first, |sum, delta| sum.then(delta)).ok()
     }
@@ -156,8 +161,8 @@
             return Ok(None);
         }
         match change {
-            Change::Full(signed) => self.take_full(signed)?,
-            Change::Delta(delta) => self.take_delta(*delta)?,
+            Change::Full(signed) => self.apply_full(signed)?,
+            Change::Delta(delta) => self.apply_delta(*delta)?,
         }
         Ok(Some(offered))
     }
--- a/crates/coordination/src/rollout/tests/accepting.rs
+++ b/crates/coordination/src/rollout/tests/accepting.rs
@@ -1,4 +1,5 @@
-//! What a node accepts, whatever the order of events.
+//! Tests that a node accepts only approved, newer versions, whatever the order of
+//! events.
 
 use std::sync::Arc;
 
@@ -31,7 +32,7 @@
     RolloutMachine::new(Timestamp(0), store(), ChaCha8Rng::seed_from_u64(seed))
 }
 
-/// A bundle that breaks no rule and differs from version to version.
+/// Returns a valid bundle whose contents depend on the version.
 fn bundle(version: u64) -> Bundle {
     let mut bundle = Bundle::default().with_version(BundleVersion(version));
     bundle.zones.insert("z".into(), "r".into());
@@ -71,7 +72,7 @@
     Change::Delta(Box::new(delta)).encode()
 }
 
-/// A change that must never come into force.
+/// Returns a change that must never come into force.
 fn forged(kind: usize, version: u64) -> Bytes {
     let mut signed = signed_by(1, version);
     match kind % 4 {
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn the_version_in_force_never_falls_and_is_always_approved() {
+fn the_version_in_force_never_decreases_and_is_always_approved() {
     fn property(seed: u64, events: Vec<AnyEvent>) -> bool {
         let mut machine = machine(seed);
         let mut now = Timestamp(0);
@@ -158,7 +159,7 @@
         .quickcheck(property as fn(u64, Vec<AnyEvent>) -> bool);
 }
 
-/// Name, change and what its error must be.
+/// Name, change and a predicate that its error must satisfy.
 type RejectionCase = (&'static str, Bytes, fn(&ChangeError) -> bool);
 
 #[test]
@@ -176,7 +177,7 @@
         ("unsigned", forged(0, 1), |error| {
             *error == ChangeError::Signature(SignatureError::Unsigned)
         }),
-        ("a stranger's", forged(1, 1), |error| {
+        ("signed by an untrusted key", forged(1, 1), |error| {
             *error == ChangeError::Signature(SignatureError::NotTrusted)
         }),
         ("other contents", forged(2, 1), |error| {
@@ -193,7 +194,7 @@
         ("too large", Bytes::from(large), |error| {
             *error == ChangeError::TooLarge
         }),
-        ("signed but broken", invalid, |error| {
+        ("signed but invalid", invalid, |error| {
             matches!(error, ChangeError::Rule(_))
         }),
         ("a delta without its base", delta(1, 2), |error| {
@@ -209,7 +210,7 @@
 }
 
 #[test]
-fn an_old_answer_of_the_platform_changes_nothing() {
+fn an_older_version_from_the_platform_is_ignored() {
     let mut machine = machine(1);
     let mut actions = Vec::new();
     machine.handle(Timestamp(0), RolloutEvent::ZoneRank(0), &mut actions);
@@ -232,7 +233,7 @@
 }
 
 #[test]
-fn changes_that_are_one_behind_are_small_and_older_ones_are_whole() {
+fn known_versions_get_deltas_and_unknown_ones_the_whole_bundle() {
     let mut store = store();
     for version in 1..=NEWEST {
         let installed = store.apply(&full(version));
@@ -254,20 +255,20 @@
 }
 
 #[test]
-fn a_delta_that_does_not_fit_is_followed_by_a_pull_of_the_whole() {
+fn a_delta_that_does_not_apply_is_followed_by_a_pull_of_the_whole_bundle() {
     let mut machine = machine(3);
     let mut actions = Vec::new();
     let holder = NodeId(9);
     let mut now = Timestamp(0);
     machine.handle(now, RolloutEvent::PlatformChange(full(2)), &mut actions);
-    let word = RolloutEvent::PeerVersion {
+    let report = RolloutEvent::PeerVersion {
         node: holder,
         version: BundleVersion(6),
     };
-    machine.handle(now, word, &mut actions);
+    machine.handle(now, report, &mut actions);
     let mut pulls = Vec::new();
     for answer in [delta(4, 6), full(6)] {
-        now = machine.next_wake().expect("a pull is planned");
+        now = machine.next_wake().expect("a pull is scheduled");
         machine.handle(now, RolloutEvent::Timer, &mut actions);
         pulls.extend(actions.drain(..).filter_map(|action| match action {
             RolloutAction::SendPeer {
--- a/crates/coordination/src/rollout/tests/exploring.rs
+++ b/crates/coordination/src/rollout/tests/exploring.rs
@@ -1,6 +1,6 @@
-//! Every way in which three operators' rolls can go, breadth first: requests that are
-//! refused, answers that are lost, requests that take effect later than their sender
-//! believes, and operators who give up at any moment.
+//! Explores breadth first all executions of up to three concurrent rolls: requests that
+//! are refused, answers that are lost, requests that take effect after their sender
+//! counted them as failed, and operators who give up at any point.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -9,46 +9,46 @@
 use crate::rollout::roll::{PointerView, RollEvent, RollMachine, RollResult, RollStep};
 
 type Attempt = u8;
-/// A version to roll, and the version that its operator saw.
+/// A version to roll, and the version that its operator expects to be in force.
 type Roll = (u64, Option<u64>);
 
-/// What the model leaves out on purpose, to see the search find it missing.
+/// Defect injected into the model, to prove that the search detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Mutation {
     None,
     /// The transaction does not compare the revision.
     NoComparison,
-    /// A lost answer is taken for a refusal.
+    /// A lost answer counts as a refusal.
     LostIsNotRun,
     /// The history of the version is not read when the comparison fails.
     NoHistory,
 }
 
-/// A sending of a transaction that nobody waits for any more.
+/// A transmitted transaction that its sender no longer waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Late {
+struct DelayedTransaction {
     operator: usize,
     unchanged_since: i64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct World {
+struct State {
     operators: Vec<RollMachine<Attempt>>,
     versions: Vec<BundleVersion>,
     pointer: Option<PointerView<Attempt>>,
     revision: i64,
     history: BTreeMap<BundleVersion, PointerView<Attempt>>,
     applied: Vec<u8>,
-    late: BTreeSet<Late>,
-    /// How many more answers may be lost; bounds the search.
+    delayed_transactions: BTreeSet<DelayedTransaction>,
+    /// How many more answers may be lost. Bounds the search.
     losses: u8,
 }
 
-impl World {
+impl State {
     fn new(rolls: &[Roll], losses: u8) -> Self {
-        let machine = |(attempt, (version, seen)): (usize, &Roll)| {
+        let machine = |(attempt, (version, expected)): (usize, &Roll)| {
             let version = BundleVersion(*version);
-            RollMachine::new(version, seen.map(BundleVersion), attempt as Attempt)
+            RollMachine::new(version, expected.map(BundleVersion), attempt as Attempt)
         };
         Self {
             operators: rolls.iter().enumerate().map(machine).collect(),
@@ -60,15 +60,19 @@
             revision: 0,
             history: BTreeMap::new(),
             applied: vec![0; rolls.len()],
-            late: BTreeSet::new(),
+            delayed_transactions: BTreeSet::new(),
             losses,
         }
     }
 
-    /// Runs a transaction in the store.
-    fn transact(&mut self, sending: Late, mutation: Mutation) -> RollEvent<Attempt> {
-        let holds = sending.unchanged_since == self.revision;
-        let version = self.versions[sending.operator];
+    /// Runs a transaction in the model of the store.
+    fn transact(
+        &mut self,
+        transaction: DelayedTransaction,
+        mutation: Mutation,
+    ) -> RollEvent<Attempt> {
+        let holds = transaction.unchanged_since == self.revision;
+        let version = self.versions[transaction.operator];
         if !holds && mutation != Mutation::NoComparison {
             let past = self.history.get(&version).cloned();
             return RollEvent::NotMoved {
@@ -78,28 +82,28 @@
         }
         let view = PointerView {
             version,
-            attempt: sending.operator as Attempt,
+            attempt: transaction.operator as Attempt,
         };
         self.revision += 1;
-        self.applied[sending.operator] += 1;
+        self.applied[transaction.operator] += 1;
         self.history.insert(version, view.clone());
         self.pointer = Some(view);
         RollEvent::Moved
     }
 
-    fn tell(&self, operator: usize, event: RollEvent<Attempt>) -> Self {
+    fn deliver(&self, operator: usize, event: RollEvent<Attempt>) -> Self {
         let mut next = self.clone();
         next.operators[operator].handle(event);
         next
     }
 
-    /// Every world that may follow.
-    fn successors(&self, mutation: Mutation) -> Vec<World> {
+    /// Returns all possible next states.
+    fn successors(&self, mutation: Mutation) -> Vec<State> {
         let mut successors = Vec::new();
-        for sending in &self.late {
+        for transaction in &self.delayed_transactions {
             let mut next = self.clone();
-            next.late.remove(sending);
-            next.transact(*sending, mutation);
+            next.delayed_transactions.remove(transaction);
+            next.transact(*transaction, mutation);
             successors.push(next);
         }
         for operator in 0..self.operators.len() {
@@ -108,7 +112,7 @@
         successors
     }
 
-    fn operator_steps(&self, operator: usize, mutation: Mutation, successors: &mut Vec<World>) {
+    fn operator_steps(&self, operator: usize, mutation: Mutation, successors: &mut Vec<State>) {
         match *self.operators[operator].step() {
             RollStep::Finished(_) => return,
             RollStep::ReadPointer => {
@@ -116,22 +120,27 @@
                     pointer: self.pointer.clone(),
                     revision: self.revision,
                 };
-                successors.push(self.tell(operator, event));
+                successors.push(self.deliver(operator, event));
             }
             RollStep::MovePointer {
                 unchanged_since, ..
             } => {
-                let sending = Late {
+                let transaction = DelayedTransaction {
                     operator,
                     unchanged_since,
                 };
-                self.transactions(sending, mutation, successors);
+                self.push_transaction_outcomes(transaction, mutation, successors);
             }
         }
-        successors.push(self.tell(operator, RollEvent::GaveUp));
+        successors.push(self.deliver(operator, RollEvent::GaveUp));
     }
 
-    fn transactions(&self, sending: Late, mutation: Mutation, successors: &mut Vec<World>) {
+    fn push_transaction_outcomes(
+        &self,
+        transaction: DelayedTransaction,
+        mutation: Mutation,
+        successors: &mut Vec<State>,
+    ) {
         let lost = RollEvent::Failed {
             outcome: if mutation == Mutation::LostIsNotRun {
                 Outcome::NotRun
@@ -140,25 +149,25 @@
             },
         };
         let mut answered = self.clone();
-        let answer = answered.transact(sending, mutation);
-        successors.push(answered.tell(sending.operator, answer));
+        let answer = answered.transact(transaction, mutation);
+        successors.push(answered.deliver(transaction.operator, answer));
         if self.losses == 0 {
             return;
         }
         answered.losses -= 1;
-        successors.push(answered.tell(sending.operator, lost.clone()));
+        successors.push(answered.deliver(transaction.operator, lost.clone()));
         let mut delayed = self.clone();
         delayed.losses -= 1;
-        delayed.late.insert(sending);
-        successors.push(delayed.tell(sending.operator, lost));
+        delayed.delayed_transactions.insert(transaction);
+        successors.push(delayed.deliver(transaction.operator, lost));
     }
 
-    /// The first promise that this world breaks.
-    fn broken(&self, before: Option<&World>) -> Option<&'static str> {
+    /// Returns the first invariant that this state violates, if any.
+    fn violated_invariant(&self, before: Option<&State>) -> Option<&'static str> {
         if self.applied.iter().any(|count| *count > 1) {
             return Some("an attempt was applied twice");
         }
-        let version = |world: &World| world.pointer.as_ref().map(|pointer| pointer.version);
+        let version = |state: &State| state.pointer.as_ref().map(|pointer| pointer.version);
         if before.is_some_and(|before| version(before) > version(self)) {
             return Some("the pointer went back to an older version");
         }
@@ -167,30 +176,30 @@
             let RollStep::Finished(result) = machine.step() else {
                 continue;
             };
-            let truthful = match result {
+            let correct = match result {
                 RollResult::Rolled { .. } => applied,
                 RollResult::Unknown => true,
                 RollResult::Conflict { .. } | RollResult::NotNewer { .. } | RollResult::NotRun => {
                     !applied
                 }
             };
-            if !truthful {
-                return Some("an operator was told something untrue");
+            if !correct {
+                return Some("an operator got a wrong result");
             }
         }
         None
     }
 }
 
-/// Visits every world that can be reached. Returns how many there are, or the first
-/// promise found broken.
-fn explore(start: World, mutation: Mutation) -> Result<usize, &'static str> {
+/// Visits every reachable state. Returns the number of states, or the first violated
+/// invariant.
+fn explore(start: State, mutation: Mutation) -> Result<usize, &'static str> {
     let mut visited = BTreeSet::from([start.clone()]);
     let mut queue = VecDeque::from([start]);
-    while let Some(world) = queue.pop_front() {
-        for next in world.successors(mutation) {
-            if let Some(promise) = next.broken(Some(&world)) {
-                return Err(promise);
+    while let Some(state) = queue.pop_front() {
+        for next in state.successors(mutation) {
+            if let Some(invariant) = next.violated_invariant(Some(&state)) {
+                return Err(invariant);
             }
             if visited.insert(next.clone()) {
                 queue.push_back(next);
@@ -200,7 +209,7 @@
     Ok(visited.len())
 }
 
-/// Rolls at the same time, and how many answers are lost.
+/// Concurrent rolls, and how many answers may be lost.
 const CASES: &[(&[Roll], u8)] = &[
     (&[(1, Some(0))], 4),
     (&[(1, Some(0)), (2, Some(0))], 4),
@@ -211,20 +220,20 @@
 ];
 
 #[test]
-fn no_order_of_three_rolls_and_their_losses_breaks_a_promise() {
-    let mut worlds = 0;
+fn no_execution_of_three_rolls_violates_an_invariant() {
+    let mut states = 0;
     for (rolls, losses) in CASES {
-        let explored = explore(World::new(rolls, *losses), Mutation::None);
-        worlds += explored.unwrap_or_else(|promise| panic!("{rolls:?}: {promise}"));
+        let explored = explore(State::new(rolls, *losses), Mutation::None);
+        states += explored.unwrap_or_else(|invariant| panic!("{rolls:?}: {invariant}"));
     }
     assert!(
-        worlds > 10_000,
-        "{worlds} worlds are too few to mean anything"
+        states > 10_000,
+        "{states} states are too few for a meaningful search"
     );
 }
 
 #[test]
-fn the_search_finds_each_mutation() {
+fn the_search_detects_each_mutation() {
     let mutations = [
         Mutation::NoComparison,
         Mutation::LostIsNotRun,
@@ -233,7 +242,7 @@
     for mutation in mutations {
         let found = CASES
             .iter()
-            .any(|(rolls, losses)| explore(World::new(rolls, *losses), mutation).is_err());
-        assert!(found, "{mutation:?} is found");
+            .any(|(rolls, losses)| explore(State::new(rolls, *losses), mutation).is_err());
+        assert!(found, "{mutation:?} is not detected");
     }
 }
--- a/crates/coordination/src/rollout/tests/mod.rs
+++ b/crates/coordination/src/rollout/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the rollout: what is accepted, and how it spreads.
+//! Tests of the rollout: which changes are accepted, and how versions are distributed.
 
 mod accepting;
 mod exploring;
--- a/crates/coordination/src/rollout/tests/network.rs
+++ b/crates/coordination/src/rollout/tests/network.rs
@@ -1,4 +1,5 @@
-//! A small network of rollout machines in virtual time, with stores of bare numbers.
+//! A simulated network of rollout machines in virtual time, whose stores hold only
+//! version numbers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -14,7 +15,7 @@
     RolloutMessage,
 };
 
-/// Keeps only a number; its changes are that number.
+/// Stores only a version number; an encoded change is that number.
 #[derive(Clone, Debug, Default)]
 pub struct NumberStore(u64);
 
@@ -38,10 +39,10 @@
     }
 }
 
-/// How the network misbehaves.
+/// Faults of the simulated network.
 #[derive(Clone, Copy, Debug)]
-pub struct Weather {
-    /// Share of the messages between nodes that are lost, in percent.
+pub struct Faults {
+    /// Percentage of the messages between nodes that are lost.
     pub loss: u32,
     /// Whether the platform answers.
     pub platform: bool,
@@ -52,10 +53,10 @@
     Timer(NodeId),
 }
 
-/// The network.
+/// The simulated network.
 pub struct Network {
     pub nodes: BTreeMap<NodeId, RolloutMachine<NumberStore>>,
-    pub weather: Weather,
+    pub faults: Faults,
     pub fetches: usize,
     pub busy: usize,
     pub drained: BTreeMap<NodeId, BTreeSet<SocketAddr>>,
@@ -67,11 +68,11 @@
 }
 
 impl Network {
-    /// `count` nodes in one zone.
-    pub fn new(count: u64, seed: u64, weather: Weather) -> Self {
+    /// Creates a network of `count` nodes in one zone.
+    pub fn new(count: u64, seed: u64, faults: Faults) -> Self {
         let mut network = Self {
             nodes: BTreeMap::new(),
-            weather,
+            faults,
             fetches: 0,
             busy: 0,
             drained: BTreeMap::new(),
@@ -108,10 +109,10 @@
         }
     }
 
-    /// Rolls a version on the platform; its watchers hear of it.
+    /// Rolls a version on the platform and notifies the watchers.
     pub fn roll(&mut self, version: u64) {
         self.platform_version = version;
-        if !self.weather.platform {
+        if !self.faults.platform {
             return;
         }
         let nodes: Vec<NodeId> = self.nodes.keys().copied().collect();
@@ -122,7 +123,8 @@
         }
     }
 
-    /// The list of machines names these databases as leaving; the watchers hear of it.
+    /// Makes the platform's list of machines name these databases as leaving, and
+    /// notifies the watchers.
     pub fn leave(&mut self, revision: u64, addresses: &BTreeSet<SocketAddr>) {
         let nodes: Vec<NodeId> = self.nodes.keys().copied().collect();
         for node in nodes {
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Runs until `duration` has passed.
+    /// Runs the network for `duration`.
     pub fn run(&mut self, duration: Duration) {
         let end = self.now + duration;
         while let Some(entry) = self.queue.first_entry() {
@@ -160,7 +162,7 @@
         self.now = end;
     }
 
-    /// Lowest and highest version in force.
+    /// Returns the lowest and the highest version in force.
     pub fn versions(&self) -> (u64, u64) {
         let versions = || self.nodes.values().map(|machine| machine.store().0);
         (versions().min().unwrap_or(0), versions().max().unwrap_or(0))
@@ -174,24 +176,24 @@
         machine.handle(self.now, event, &mut actions);
         let wake = machine.next_wake();
         for action in actions {
-            self.carry_out(node, action);
+            self.perform(node, action);
         }
         if let Some(at) = wake {
-            self.put(at, Delivery::Timer(node));
+            self.enqueue(at, Delivery::Timer(node));
         }
     }
 
-    fn carry_out(&mut self, node: NodeId, action: RolloutAction) {
+    fn perform(&mut self, node: NodeId, action: RolloutAction) {
         match action {
             RolloutAction::FetchFromPlatform => {
                 self.fetches += 1;
-                let event = if self.weather.platform && self.platform_version > 0 {
+                let event = if self.faults.platform && self.platform_version > 0 {
                     let change = self.platform_version.to_be_bytes();
                     RolloutEvent::PlatformChange(Bytes::copy_from_slice(&change))
                 } else {
                     RolloutEvent::PlatformFailed
                 };
-                self.put_after(20, Delivery::Event(node, event));
+                self.enqueue_after(20, Delivery::Event(node, event));
             }
             RolloutAction::SendPeer { to, message } => self.send(node, to, message),
             RolloutAction::Install(version) => self.announce(node, version),
@@ -204,10 +206,10 @@
             RolloutAction::DrainLeaving(addresses) => {
                 self.drained.insert(node, addresses);
             }
-            RolloutAction::WatchPlatform(true) if self.weather.platform => {
+            RolloutAction::WatchPlatform(true) if self.faults.platform => {
                 let version = BundleVersion(self.platform_version);
                 let event = RolloutEvent::PlatformVersion(version);
-                self.put_after(10, Delivery::Event(node, event));
+                self.enqueue_after(10, Delivery::Event(node, event));
             }
             RolloutAction::WatchPlatform(_) | RolloutAction::Rejected { .. } => {}
         }
@@ -215,27 +217,27 @@
 
     fn send(&mut self, from: NodeId, to: NodeId, message: RolloutMessage) {
         self.busy += usize::from(message == RolloutMessage::Busy);
-        if self.random.random_range(0..100) >= self.weather.loss {
+        if self.random.random_range(0..100) >= self.faults.loss {
             let event = RolloutEvent::PeerMessage { from, message };
-            self.put_after(5, Delivery::Event(to, event));
+            self.enqueue_after(5, Delivery::Event(to, event));
         }
     }
 
-    /// Every node hears of the version at some time within the next 300 ms.
+    /// Reports the version to every node at a random time within the next 300 ms.
     fn announce(&mut self, node: NodeId, version: BundleVersion) {
         let others: Vec<NodeId> = self.nodes.keys().copied().collect();
         for other in others {
             let delay = self.random.random_range(0..300);
             let event = RolloutEvent::PeerVersion { node, version };
-            self.put_after(delay, Delivery::Event(other, event));
+            self.enqueue_after(delay, Delivery::Event(other, event));
         }
     }
 
-    fn put_after(&mut self, millis: u64, delivery: Delivery) {
-        self.put(self.now + Duration::from_millis(millis), delivery);
+    fn enqueue_after(&mut self, millis: u64, delivery: Delivery) {
+        self.enqueue(self.now + Duration::from_millis(millis), delivery);
     }
 
-    fn put(&mut self, at: Timestamp, delivery: Delivery) {
+    fn enqueue(&mut self, at: Timestamp, delivery: Delivery) {
         self.sequence += 1;
         self.queue.insert((at, self.sequence), delivery);
     }
--- a/crates/coordination/src/rollout/tests/spreading.rs
+++ b/crates/coordination/src/rollout/tests/spreading.rs
@@ -1,4 +1,4 @@
-//! How a version gets around.
+//! Tests of how a version is distributed.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -9,24 +9,24 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-use super::network::{Network, NumberStore, Weather};
+use super::network::{Faults, Network, NumberStore};
 use crate::rollout::{
     LeavingList, RolloutAction, RolloutEvent, RolloutMachine, RolloutMessage, WATCHERS_PER_ZONE,
 };
 
-const FAIR: Weather = Weather {
+const NO_FAULTS: Faults = Faults {
     loss: 0,
     platform: true,
 };
 
 #[test]
-fn every_node_comes_to_the_newest_version_whatever_is_lost() {
+fn every_node_reaches_the_newest_version_despite_losses() {
     fn property(seed: u64, count: u8, loss: u8) -> bool {
-        let weather = Weather {
+        let faults = Faults {
             loss: u32::from(loss % 60),
             platform: true,
         };
-        let mut network = Network::new(u64::from(count % 40) + 1, seed, weather);
+        let mut network = Network::new(u64::from(count % 40) + 1, seed, faults);
         for version in [1, 2, 5] {
             network.roll(version);
             network.run(Duration::from_millis(700));
@@ -41,8 +41,8 @@
 }
 
 #[test]
-fn only_the_watchers_ask_the_platform_for_a_version() {
-    let mut network = Network::new(200, 1, FAIR);
+fn only_the_watchers_fetch_a_version_from_the_platform() {
+    let mut network = Network::new(200, 1, NO_FAULTS);
     network.roll(1);
     network.run(Duration::from_secs(10));
     assert_eq!(network.versions(), (1, 1));
@@ -55,10 +55,10 @@
 
 #[test]
 fn a_node_that_starts_during_an_outage_gets_the_bundle_from_a_peer() {
-    let mut network = Network::new(5, 2, FAIR);
+    let mut network = Network::new(5, 2, NO_FAULTS);
     network.roll(4);
     network.run(Duration::from_secs(5));
-    network.weather.platform = false;
+    network.faults.platform = false;
     for number in 1..=4 {
         network.start(NodeId(number));
     }
@@ -67,8 +67,8 @@
 }
 
 #[test]
-fn a_version_from_before_the_outage_is_kept_when_the_platform_comes_back_with_less() {
-    let mut network = Network::new(6, 3, FAIR);
+fn the_version_in_force_is_kept_when_the_platform_returns_with_an_older_one() {
+    let mut network = Network::new(6, 3, NO_FAULTS);
     network.roll(9);
     network.run(Duration::from_secs(5));
     network.roll(7);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_holder_serves_a_bounded_number_at_once_and_turns_the_others_away() {
+fn a_holder_limits_the_rate_of_answered_pulls() {
     let random = ChaCha8Rng::seed_from_u64(1);
     let mut holder = RolloutMachine::new(Timestamp(0), NumberStore::default(), random);
     let mut actions = Vec::new();
@@ -89,7 +89,7 @@
         &mut actions,
     );
     actions.clear();
-    let ask = |holder: &mut RolloutMachine<NumberStore>, at: u64| {
+    let send_pulls = |holder: &mut RolloutMachine<NumberStore>, at: u64| {
         let mut actions = Vec::new();
         for number in 0..100 {
             let event = RolloutEvent::PeerMessage {
@@ -111,28 +111,28 @@
         };
         (actions.iter().filter(is_change).count(), actions.len())
     };
-    assert_eq!(ask(&mut holder, 0), (8, 100));
-    assert_eq!(ask(&mut holder, 10), (0, 100));
-    assert_eq!(ask(&mut holder, 60), (8, 100));
+    assert_eq!(send_pulls(&mut holder, 0), (8, 100));
+    assert_eq!(send_pulls(&mut holder, 10), (0, 100));
+    assert_eq!(send_pulls(&mut holder, 60), (8, 100));
 }
 
 #[test]
-fn a_crowd_is_turned_away_by_the_first_holder_and_still_gets_there() {
-    let mut network = Network::new(300, 4, FAIR);
+fn all_nodes_get_a_version_although_holders_answer_busy() {
+    let mut network = Network::new(300, 4, NO_FAULTS);
     network.roll(1);
     network.run(Duration::from_secs(20));
     assert_eq!(network.versions(), (1, 1));
     assert!(
         network.busy > 0,
-        "the crowd was larger than what is served at once"
+        "there were more pulls than are answered at once"
     );
 }
 
 #[test]
-fn the_rank_decides_who_watches() {
+fn the_zone_rank_decides_whether_a_node_watches() {
     let random = ChaCha8Rng::seed_from_u64(1);
     let mut machine = RolloutMachine::new(Timestamp(0), NumberStore::default(), random);
-    // Rank, whether the time to wait passes before the next one, and what is asked for.
+    // Rank, whether the wait elapses before the next rank, and the expected request.
     let cases = [
         (0, false, None),
         (2, true, None),
@@ -144,10 +144,10 @@
         (0, true, Some(true)),
     ];
     let mut now = Timestamp(0);
-    for (number, (rank, passes, expected)) in cases.into_iter().enumerate() {
+    for (number, (rank, wait_elapses, expected)) in cases.into_iter().enumerate() {
         let mut actions = Vec::new();
         machine.handle(now, RolloutEvent::ZoneRank(rank), &mut actions);
-        if passes {
+        if wait_elapses {
             now = now + Duration::from_secs(1);
             machine.handle(now, RolloutEvent::Timer, &mut actions);
         }
@@ -161,8 +161,8 @@
 }
 
 #[test]
-fn leaving_databases_are_drained_by_the_whole_zone_and_by_whoever_starts_later() {
-    let mut network = Network::new(30, 6, FAIR);
+fn leaving_databases_are_drained_by_the_whole_zone_and_by_nodes_started_later() {
+    let mut network = Network::new(30, 6, NO_FAULTS);
     network.roll(1);
     network.run(Duration::from_secs(5));
     let first = BTreeSet::from([SocketAddr::from(([10, 0, 0, 1], 5432))]);
@@ -189,5 +189,5 @@
     };
     let machine = network.nodes.get_mut(&NodeId(20)).expect("a node");
     machine.handle(Timestamp(0), event, &mut actions);
-    assert_eq!(actions, vec![], "an older list changes nothing");
+    assert_eq!(actions, vec![], "an older list is ignored");
 }
--- a/crates/coordination/src/slots/connections.rs
+++ b/crates/coordination/src/slots/connections.rs
@@ -1,4 +1,4 @@
-//! The connections of one database and what each is doing.
+//! The connections to one database and their states.
 
 use std::collections::BTreeMap;
 
@@ -25,43 +25,43 @@
 pub struct SlotCounts {
     /// Connections being opened.
     pub opening: usize,
-    /// Connections nobody holds.
+    /// Idle connections.
     pub idle: usize,
-    /// Connections a session holds.
+    /// Connections granted to a session.
     pub held: usize,
-    /// Connections whose end is not confirmed.
+    /// Connections being closed whose end is not confirmed.
     pub closing: usize,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: usize,
 }
 
 impl SlotCounts {
-    /// Connections that take a slot.
+    /// Returns the number of connections that occupy a slot.
     pub fn connections(&self) -> usize {
         self.opening + self.idle + self.held + self.closing
     }
 
-    /// Connections that serve sessions or soon will.
+    /// Returns the number of connections that serve sessions or can do so soon.
     pub fn usable(&self) -> usize {
         self.opening + self.idle + self.held
     }
 }
 
-/// All connections. The one that became idle last is used next, so that the others can
-/// be seen to be spare.
+/// All connections. The most recently used idle connection is granted first, so that
+/// surplus connections stay idle and can be closed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Connections {
-    all: BTreeMap<ConnectionNumber, Connection>,
-    /// Idle connections, the one that has been idle longest first.
+    by_number: BTreeMap<ConnectionNumber, Connection>,
+    /// Idle connections; the one that has been idle longest comes first.
     idle: Vec<ConnectionNumber>,
     next: u64,
 }
 
 impl Connections {
-    /// Counts by state; nobody waits as far as connections know.
+    /// Counts the connections by state; `waiting` is left at 0.
     pub fn counts(&self) -> SlotCounts {
         let mut counts = SlotCounts::default();
-        for connection in self.all.values() {
+        for connection in self.by_number.values() {
             match connection.state {
                 State::Opening => counts.opening += 1,
                 State::Idle { .. } => counts.idle += 1,
@@ -72,37 +72,38 @@
         counts
     }
 
-    /// Adds a connection that is being opened.
-    pub fn open(&mut self) -> ConnectionNumber {
+    /// Adds a connection that is being opened and returns its number.
+    pub fn start_opening(&mut self) -> ConnectionNumber {
         let number = ConnectionNumber(self.next);
         self.next += 1;
         let connection = Connection {
             state: State::Opening,
             outdated: false,
         };
-        self.all.insert(number, connection);
+        self.by_number.insert(number, connection);
         number
     }
 
-    /// A connection has been opened. Whether it was being opened at all.
+    /// Marks a connection as idle after it was opened. Returns whether it was being
+    /// opened.
     pub fn opened(&mut self, now: Timestamp, number: ConnectionNumber) -> bool {
         let opening = self.state(number) == Some(State::Opening);
         if opening {
-            self.rest(now, number);
+            self.mark_idle(now, number);
         }
         opening
     }
 
-    /// A connection came back. Whether it was held at all; it is idle then.
+    /// Marks a returned connection as idle. Returns whether it was held.
     pub fn returned(&mut self, now: Timestamp, number: ConnectionNumber) -> bool {
         let held = self.state(number) == Some(State::Held);
         if held {
-            self.rest(now, number);
+            self.mark_idle(now, number);
         }
         held
     }
 
-    /// Takes the connection that became idle last.
+    /// Takes the most recently used idle connection.
     pub fn take_idle(&mut self) -> Option<ConnectionNumber> {
         let number = self.idle.pop()?;
         self.set_state(number, State::Held);
@@ -115,27 +116,28 @@
         self.set_state(number, State::Closing);
     }
 
-    /// Forgets a connection that takes no slot any more.
+    /// Removes a connection that no longer occupies a slot.
     pub fn remove(&mut self, number: ConnectionNumber) {
-        self.all.remove(&number);
+        self.by_number.remove(&number);
         self.idle.retain(|candidate| *candidate != number);
     }
 
-    /// Marks all connections to be closed when they are next idle.
-    pub fn outdate(&mut self) {
-        for connection in self.all.values_mut() {
+    /// Marks all connections as outdated; they are closed when they next become idle.
+    pub fn mark_all_outdated(&mut self) {
+        for connection in self.by_number.values_mut() {
             connection.outdated = true;
         }
     }
 
-    /// An idle connection that is outdated.
+    /// Returns an idle connection that is outdated.
     pub fn outdated_idle(&self) -> Option<ConnectionNumber> {
         let outdated =
-            |number: &&ConnectionNumber| self.all.get(number).is_some_and(|c| c.outdated);
+            |number: &&ConnectionNumber| self.by_number.get(number).is_some_and(|c| c.outdated);
         self.idle.iter().find(outdated).copied()
     }
 
-    /// The connection that has been idle longest, and since when.
+    /// Returns the connection that has been idle longest, and since when it has been
+    /// idle.
     pub fn oldest_idle(&self) -> Option<(ConnectionNumber, Timestamp)> {
         let number = *self.idle.first()?;
         match self.state(number)? {
@@ -144,22 +146,22 @@
         }
     }
 
-    /// Idle connections.
+    /// Returns the number of idle connections.
     pub fn idle(&self) -> usize {
         self.idle.len()
     }
 
     fn state(&self, number: ConnectionNumber) -> Option<State> {
-        Some(self.all.get(&number)?.state)
+        Some(self.by_number.get(&number)?.state)
     }
 
-    fn rest(&mut self, now: Timestamp, number: ConnectionNumber) {
+    fn mark_idle(&mut self, now: Timestamp, number: ConnectionNumber) {
         self.set_state(number, State::Idle { since: now });
         self.idle.push(number);
     }
 
     fn set_state(&mut self, number: ConnectionNumber, state: State) {
-        if let Some(connection) = self.all.get_mut(&number) {
+        if let Some(connection) = self.by_number.get_mut(&number) {
             connection.state = state;
         }
     }
--- a/crates/coordination/src/slots/event.rs
+++ b/crates/coordination/src/slots/event.rs
@@ -4,123 +4,124 @@
 
 use super::policy::SlotPolicy;
 
-/// A request for a connection, numbered by the pool that received it.
+/// Number of a request for a connection, assigned by the pool that received it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNumber(pub u64);
 
-/// A connection of the pool, numbered by the slot table.
+/// Number of a connection of the pool, assigned by the slot table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionNumber(pub u64);
 
-/// Which part of the queue a request waits in.
+/// Part of the queue that a request waits in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lane {
     /// Requests of callers.
     Work,
-    /// Status queries of this fleet's observers: short, few, and ahead of all work.
+    /// Status queries of the fleet's observers. They are short and few, and are served
+    /// before all work.
     Observer,
 }
 
-/// A request that wants a connection.
+/// A request that waits for a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WaitingRequest {
-    /// Its number, unique in the pool.
+    /// Number of the request, unique in the pool.
     pub number: RequestNumber,
-    /// Tenant it is charged to.
+    /// Tenant that the request is accounted to.
     pub tenant: TenantName,
     /// Zone of the proxy that serves the caller.
     pub zone: ZoneName,
-    /// Session that asks.
+    /// Session that made the request.
     pub session: SessionId,
-    /// When it is refused if it still waits.
+    /// When the request is refused if it still waits.
     pub deadline: Timestamp,
-    /// Where it waits.
+    /// Part of the queue that the request waits in.
     pub lane: Lane,
 }
 
-/// Why a connection could not be opened.
+/// Reason why a connection could not be opened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum OpenFailure {
-    /// The database has given all its slots away (SQLSTATE 53300); another holder has
-    /// some of them.
+    /// All connection slots of the database are in use (SQLSTATE 53300), some of them by
+    /// another holder.
     SlotsTaken,
-    /// Nobody answers at the address, or the database is starting or stopping.
+    /// The address does not answer, or the database is starting or stopping.
     Unreachable,
-    /// The database refuses this user or database, with this SQLSTATE.
+    /// The database refuses this user or database name, with this SQLSTATE.
     Rejected(String),
 }
 
-/// What the pool tells its slot table.
+/// Input event of a slot table, sent by its pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SlotEvent {
-    /// A request wants a connection.
+    /// A request asks for a connection.
     Request(WaitingRequest),
-    /// The request is no longer wanted.
+    /// A request was cancelled.
     Cancelled(RequestNumber),
-    /// A connection asked for by [`SlotAction::OpenConnection`] is ready.
+    /// A connection requested with [`SlotAction::OpenConnection`] is open.
     ConnectionOpened(ConnectionNumber),
-    /// It could not be opened and takes no slot.
+    /// A connection could not be opened and occupies no slot.
     ConnectionFailed {
-        /// The connection.
+        /// Connection concerned.
         connection: ConnectionNumber,
-        /// Why.
+        /// Reason for the failure.
         failure: OpenFailure,
     },
-    /// A granted connection came back.
+    /// A granted connection was returned.
     ConnectionReturned {
-        /// The connection.
+        /// Connection concerned.
         connection: ConnectionNumber,
-        /// Whether it may serve another session.
+        /// Whether the connection may serve another session.
         reusable: bool,
     },
-    /// A connection is closed and takes no slot any more.
+    /// A connection was closed and no longer occupies a slot.
     ConnectionClosed(ConnectionNumber),
     /// A granted connection turned out to be closed before the request used it.
     GrantFailed {
-        /// The connection, now closed.
+        /// Connection that was closed.
         connection: ConnectionNumber,
-        /// The request, which goes to the front of the queue.
+        /// Request concerned; it is put at the front of the queue.
         request: WaitingRequest,
     },
     /// The bundle changed the slots, limits or weights.
     PolicyChanged(SlotPolicy),
-    /// Connections opened so far lead to an address or user of the past: they finish
-    /// what they do and are closed.
+    /// The database's address or user has changed: existing connections finish their
+    /// current use and are closed.
     Renew,
-    /// The database gets no new work.
+    /// The database drains: no new work is admitted.
     Drain,
-    /// The database gets work again.
+    /// The database no longer drains: work is admitted again.
     Undrain,
-    /// The database is not what it was when the requests came to wait: it does not
-    /// answer, or its group has another primary now. Waiting requests are refused, so
-    /// that they look for a database again.
+    /// The database does not answer, or its group has another primary than when the
+    /// requests were queued. Waiting requests are refused, so that they are routed
+    /// again.
     Reroute,
-    /// Whether this node is the database's home. One that is not keeps no idle
-    /// connection, which leaves the slots to the home.
+    /// Whether this node is the database's home. Any other node keeps no idle
+    /// connections, to leave the slots to the home.
     Home(bool),
-    /// The time of [`super::SlotTable::next_timer`] has come.
+    /// The time returned by [`super::SlotTable::next_timer`] has been reached.
     Timer,
 }
 
-/// What the slot table asks of its pool.
+/// Output action of a slot table, for its pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SlotAction {
-    /// Open a connection.
+    /// Open a connection with this number.
     OpenConnection(ConnectionNumber),
-    /// The request has the connection.
+    /// Grant a connection to a request.
     Grant {
-        /// The request.
+        /// Request concerned.
         request: RequestNumber,
-        /// The connection, idle until now.
+        /// Connection that is granted; it was idle.
         connection: ConnectionNumber,
     },
-    /// The request is refused; nothing was sent for it.
+    /// Refuse a request; nothing was sent for it.
     Refuse {
-        /// The request.
+        /// Request concerned.
         request: RequestNumber,
-        /// Why.
+        /// Reason for the refusal.
         refusal: Refusal,
     },
-    /// Close the connection and confirm it.
+    /// Close a connection and confirm with [`SlotEvent::ConnectionClosed`].
     CloseConnection(ConnectionNumber),
 }
--- a/crates/coordination/src/slots/mod.rs
+++ b/crates/coordination/src/slots/mod.rs
@@ -1,10 +1,10 @@
-//! Who may use a connection of one database.
+//! Allocation of the connections of one database to requests.
 //!
-//! [`SlotTable`] receives [`SlotEvent`]s from the pool of one database and answers with
+//! [`SlotTable`] receives [`SlotEvent`]s from the pool of one database and returns
 //! [`SlotAction`]s. It never has more connections (opening, open, and closing ones whose
 //! end is not confirmed) than the database has slots. Waiting requests are served by
-//! weighted deficit round robin over tenants, then over the zones of a tenant in turn,
-//! then in the order of arrival.
+//! weighted deficit round robin over tenants, then round robin over the zones of a
+//! tenant, then in the order of arrival.
 
 mod connections;
 mod event;
--- a/crates/coordination/src/slots/table.rs
+++ b/crates/coordination/src/slots/table.rs
@@ -1,4 +1,4 @@
-//! The slot table of one database.
+//! Slot table of one database.
 
 use std::time::Duration;
 
@@ -13,15 +13,15 @@
 use crate::limits::QueueState;
 use crate::retry::{Backoff, BackoffPolicy};
 
-/// Observers that may wait for one database.
+/// Maximum number of observers that may wait for one database.
 const OBSERVER_QUEUE_LIMIT: usize = 8;
-/// Pauses after a failure to open a connection.
+/// Pauses after a failed attempt to open a connection.
 const OPEN_BACKOFF: BackoffPolicy = BackoffPolicy {
     first: Duration::from_millis(20),
     maximum: Duration::from_millis(500),
 };
 
-/// Why opening is held back.
+/// Suspension of attempts to open connections after a failure.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct OpenHold {
     until: Timestamp,
@@ -41,8 +41,8 @@
 }
 
 impl SlotTable {
-    /// A table without connections on a node that is the database's home. Jitter is
-    /// drawn from `seed`.
+    /// Creates a table without connections, on a node that is the database's home.
+    /// Jitter is drawn from `seed`.
     pub fn new(policy: SlotPolicy, seed: u64) -> Self {
         Self {
             policy,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Takes an event and appends the actions it causes to `actions`, to be carried out
-    /// in order.
+    /// Processes an event and appends the resulting actions to `actions`, to be carried
+    /// out in order.
     pub fn handle(&mut self, now: Timestamp, event: SlotEvent, actions: &mut Vec<SlotAction>) {
         match event {
             SlotEvent::Request(request) => self.request(now, request, actions),
@@ -88,10 +88,10 @@
             SlotEvent::Home(home) => self.home = home,
             SlotEvent::Timer => {}
         }
-        self.settle(now, actions);
+        self.advance(now, actions);
     }
 
-    /// When [`SlotEvent::Timer`] is due, if ever.
+    /// Returns when [`SlotEvent::Timer`] is due; `None` if no timer is needed.
     pub fn next_timer(&self) -> Option<Timestamp> {
         let opening = self
             .hold
@@ -105,14 +105,15 @@
             .min()
     }
 
-    /// Whether the end of a hold would open a connection. While an attempt is under way
-    /// or no slot is left, an event ends the wait; a timer in the past would spin.
+    /// Returns whether a connection would be opened at the end of a hold. While an
+    /// attempt is running or no slot is free, only an event can end the wait; a timer in
+    /// the past would make the driver spin.
     fn could_open(&self) -> bool {
         let counts = self.connections.counts();
         !self.queue.is_empty() && counts.opening == 0 && counts.connections() < self.policy.slots
     }
 
-    /// How many connections and requests there are.
+    /// Returns the numbers of connections and waiting requests.
     pub fn counts(&self) -> SlotCounts {
         SlotCounts {
             waiting: self.queue.len(),
@@ -166,8 +167,8 @@
         }
     }
 
-    /// The refusal of all work while the database cannot be reached or rejects this
-    /// proxy, and no connection to it is left.
+    /// Returns the refusal for all work while the database is unreachable or rejects
+    /// this proxy, and no usable connection to it is left.
     fn outage(&self, now: Timestamp) -> Option<Refusal> {
         let hold = self.hold.as_ref().filter(|hold| now < hold.until)?;
         if self.connections.counts().usable() > 0 {
@@ -215,11 +216,11 @@
     }
 
     fn renew(&mut self) {
-        self.connections.outdate();
+        self.connections.mark_all_outdated();
         self.hold = None;
     }
 
-    fn settle(&mut self, now: Timestamp, actions: &mut Vec<SlotAction>) {
+    fn advance(&mut self, now: Timestamp, actions: &mut Vec<SlotAction>) {
         while let Some(request) = self.queue.pop_expired(now) {
             refuse(request.number, Refusal::WaitDeadline, actions);
         }
@@ -256,18 +257,19 @@
 
     fn open(&mut self, now: Timestamp, actions: &mut Vec<SlotAction>) {
         let counts = self.counts();
-        let room = self.policy.slots.saturating_sub(counts.connections());
+        let free_slots = self.policy.slots.saturating_sub(counts.connections());
         let wanted = self.queue.len().saturating_sub(counts.opening);
-        let mut number = wanted.min(room);
+        let mut number = wanted.min(free_slots);
         if let Some(hold) = &self.hold {
-            let probing = hold.failure != OpenFailure::SlotsTaken && self.queue.observers() > 0;
-            let allowed = now >= hold.until || probing;
-            // One attempt at a time until one succeeds.
+            let observer_waits =
+                hold.failure != OpenFailure::SlotsTaken && self.queue.observers() > 0;
+            let allowed = now >= hold.until || observer_waits;
+            // Only one attempt at a time until an attempt succeeds.
             let limit = usize::from(allowed && counts.opening == 0);
             number = number.min(limit);
         }
         for _ in 0..number {
-            actions.push(SlotAction::OpenConnection(self.connections.open()));
+            actions.push(SlotAction::OpenConnection(self.connections.start_opening()));
         }
     }
 
@@ -303,7 +305,7 @@
         actions.push(SlotAction::CloseConnection(number));
     }
 
-    /// When the connection that has been idle longest may be closed.
+    /// Returns when the connection that has been idle longest may be closed.
     fn first_idle_expiry(&self) -> Option<Timestamp> {
         let spare = self.connections.idle() > self.policy.minimum_idle;
         let (_, since) = self.connections.oldest_idle().filter(|_| spare)?;
--- a/crates/coordination/src/slots/tests/fairness.rs
+++ b/crates/coordination/src/slots/tests/fairness.rs
@@ -1,4 +1,4 @@
-//! Who is served how soon.
+//! Tests of the order in which requests are served.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use hookpoint_state::{Refusal, TenantName};
 use quickcheck::{Arbitrary, Gen};
 
-use super::model::{Fate, Model, policy};
+use super::model::{Model, RequestState, policy};
 use crate::slots::*;
 
 const WAIT: Duration = Duration::from_secs(60);
@@ -22,8 +22,9 @@
         .collect()
 }
 
-/// One slot, held by somebody else while the others queue up.
-fn busy(list: &[(&str, u32)]) -> Model {
+/// Returns a model with one slot, which is held by another session while requests are
+/// queued.
+fn saturated(list: &[(&str, u32)]) -> Model {
     let mut table = policy(1);
     table.tenants = weights(list);
     table.queue_limit = 100_000;
@@ -44,7 +45,7 @@
 
 #[test]
 fn tenants_are_served_by_their_weights() {
-    let mut model = busy(&[("clinic", 3), ("shop", 1)]);
+    let mut model = saturated(&[("clinic", 3), ("shop", 1)]);
     for _ in 0..40 {
         model.request("shop", "a", WAIT);
     }
@@ -59,8 +60,8 @@
     assert_eq!(shops, 4, "{order:?}");
 }
 
-/// With every tenant always waiting, nobody waits for more grants than the sum of the
-/// other tenants' weights.
+/// When all tenants always have waiting requests, no tenant waits for more grants than
+/// the sum of the other tenants' weights.
 #[test]
 fn no_tenant_starves() {
     for seed in 0..100 {
@@ -73,7 +74,7 @@
             .map(|name| (name.as_str(), 1 + u32::arbitrary(&mut random) % 4))
             .collect();
         let total: usize = list.iter().map(|(_, weight)| *weight as usize).sum();
-        let mut model = busy(&list);
+        let mut model = saturated(&list);
         for _ in 0..300 {
             let name = random.choose(&names).unwrap().clone();
             for _ in 0..1 + u8::arbitrary(&mut random) % 3 {
@@ -91,17 +92,17 @@
         let order = served(&model);
         for (name, weight) in &list {
             let bound = total - *weight as usize;
-            let places = order
+            let indexes = order
                 .iter()
                 .enumerate()
                 .filter(|(_, tenant)| tenant == name);
             let mut last = 0;
-            for (place, _) in places {
+            for (index, _) in indexes {
                 assert!(
-                    place - last <= bound + 1,
+                    index - last <= bound + 1,
                     "seed {seed}: {name} in {order:?}"
                 );
-                last = place;
+                last = index;
             }
             assert!(
                 order.len() - last <= bound + 1,
@@ -112,8 +113,8 @@
 }
 
 #[test]
-fn zones_of_a_tenant_take_turns_and_each_is_first_come_first_served() {
-    let mut model = busy(&[]);
+fn zones_of_a_tenant_take_turns_in_order_of_arrival() {
+    let mut model = saturated(&[]);
     let far: Vec<_> = (0..30)
         .map(|_| model.request("shop", "far", WAIT))
         .collect();
@@ -128,23 +129,23 @@
 }
 
 #[test]
-fn an_observer_goes_ahead_of_all_work() {
-    let mut model = busy(&[]);
+fn observers_are_served_before_all_work() {
+    let mut model = saturated(&[]);
     model.request("shop", "a", WAIT);
     let observer = model.request_in(Lane::Observer, "hookpoint", "a", WAIT);
     model.returned(true);
-    assert!(matches!(model.fate(observer), Fate::Granted(_)));
+    assert!(matches!(model.state(observer), RequestState::Granted(_)));
 }
 
 #[test]
-fn a_flooding_tenant_is_limited_and_another_one_still_gets_in() {
+fn a_flooding_tenant_is_limited_and_another_tenant_is_still_admitted() {
     let mut table = policy(1);
     table.tenants = weights(&[("clinic", 1), ("shop", 1)]);
     let mut model = Model::new(table, 1);
     model.request("clinic", "a", WAIT);
     let numbers: Vec<_> = (0..200).map(|_| model.request("shop", "a", WAIT)).collect();
-    let last = model.fate(numbers[199]).clone();
-    assert_eq!(last, Fate::Refused(Refusal::TenantLimit));
+    let last = model.state(numbers[199]).clone();
+    assert_eq!(last, RequestState::Refused(Refusal::TenantLimit));
     let other = model.request("clinic", "a", WAIT);
-    assert_eq!(*model.fate(other), Fate::Waiting);
+    assert_eq!(*model.state(other), RequestState::Waiting);
 }
