--- a/crates/coordination/src/slots/tests/model.rs
+++ b/crates/coordination/src/slots/tests/model.rs
@@ -1,4 +1,4 @@
-//! A pool in miniature that carries out actions and checks each of them.
+//! A minimal pool that carries out the actions of a slot table and checks each of them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -17,9 +17,9 @@
     }
 }
 
-/// What became of a request.
+/// State of a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestState {
     Waiting,
     Granted(ConnectionNumber),
     Refused(Refusal),
@@ -34,7 +34,7 @@
     pub idle: BTreeSet<ConnectionNumber>,
     pub held: BTreeMap<ConnectionNumber, WaitingRequest>,
     pub closing: BTreeSet<ConnectionNumber>,
-    pub requests: BTreeMap<RequestNumber, (WaitingRequest, Fate)>,
+    pub requests: BTreeMap<RequestNumber, (WaitingRequest, RequestState)>,
     pub grants: Vec<WaitingRequest>,
     next: u64,
 }
@@ -60,13 +60,15 @@
         self.opening.len() + self.idle.len() + self.held.len() + self.closing.len()
     }
 
-    pub fn fate(&self, number: RequestNumber) -> &Fate {
+    pub fn state(&self, number: RequestNumber) -> &RequestState {
         &self.requests[&number].1
     }
 
     pub fn waiting(&self) -> usize {
-        let fates = self.requests.values();
-        fates.filter(|(_, fate)| *fate == Fate::Waiting).count()
+        let states = self.requests.values();
+        states
+            .filter(|(_, state)| *state == RequestState::Waiting)
+            .count()
     }
 
     pub fn request(&mut self, tenant: &str, zone: &str, wait: Duration) -> RequestNumber {
@@ -91,12 +93,13 @@
             lane,
         };
         self.requests
-            .insert(number, (request.clone(), Fate::Waiting));
+            .insert(number, (request.clone(), RequestState::Waiting));
         self.event(SlotEvent::Request(request));
         number
     }
 
-    /// Ends an opening, if one is under way.
+    /// Ends the running attempt with the lowest number to open a connection, if there is
+    /// one.
     pub fn opened(&mut self, failure: Option<OpenFailure>) {
         let Some(connection) = self.opening.pop_first() else {
             return;
@@ -113,7 +116,7 @@
         }
     }
 
-    /// Gives back the held connection of the lowest number.
+    /// Returns the held connection with the lowest number to the pool.
     pub fn returned(&mut self, reusable: bool) {
         let Some((connection, _)) = self.held.pop_first() else {
             return;
@@ -131,11 +134,12 @@
         }
     }
 
-    /// The held connection of the highest number was found closed before use.
+    /// Reports that the held connection with the highest number was found closed before
+    /// use.
     pub fn grant_failed(&mut self) {
         if let Some((connection, request)) = self.held.pop_last() {
             self.requests
-                .insert(request.number, (request.clone(), Fate::Waiting));
+                .insert(request.number, (request.clone(), RequestState::Waiting));
             self.event(SlotEvent::GrantFailed {
                 connection,
                 request,
@@ -143,7 +147,7 @@
         }
     }
 
-    /// An idle connection breaks.
+    /// Reports that an idle connection has broken.
     pub fn broken(&mut self) {
         if let Some(connection) = self.idle.pop_first() {
             self.event(SlotEvent::ConnectionClosed(connection));
@@ -151,8 +155,8 @@
     }
 
     pub fn cancel(&mut self, number: RequestNumber) {
-        if let Some((_, fate)) = self.requests.get(&number)
-            && *fate == Fate::Waiting
+        if let Some((_, state)) = self.requests.get(&number)
+            && *state == RequestState::Waiting
         {
             self.requests.remove(&number);
             self.event(SlotEvent::Cancelled(number));
@@ -173,7 +177,7 @@
         });
     }
 
-    pub fn pass(&mut self, time: Duration) {
+    pub fn advance(&mut self, time: Duration) {
         self.now = self.now + time;
         self.event(SlotEvent::Timer);
     }
@@ -182,7 +186,7 @@
         let mut actions = Vec::new();
         self.table.handle(self.now, event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.perform(action);
         }
         let counts = self.table.counts();
         assert_eq!(counts.opening, self.opening.len());
@@ -192,10 +196,10 @@
         assert_eq!(counts.waiting, self.waiting());
         let timer = self.table.next_timer();
         let stuck = self.waiting() > 0 && timer.is_none();
-        assert!(!stuck, "something waits and nothing will wake it");
+        assert!(!stuck, "a request waits without a timer");
     }
 
-    fn carry_out(&mut self, action: SlotAction) {
+    fn perform(&mut self, action: SlotAction) {
         match action {
             SlotAction::OpenConnection(connection) => {
                 assert!(self.connections() < self.slots, "the slots are exceeded");
@@ -206,18 +210,18 @@
                 connection,
             } => {
                 assert!(self.idle.remove(&connection), "granted while not idle");
-                let (waiting, fate) = self.requests.get_mut(&request).unwrap();
-                assert_eq!(*fate, Fate::Waiting, "answered twice");
+                let (waiting, state) = self.requests.get_mut(&request).unwrap();
+                assert_eq!(*state, RequestState::Waiting, "answered twice");
                 assert!(waiting.deadline > self.now, "granted after the deadline");
                 assert!(!self.draining || waiting.lane == Lane::Observer);
-                *fate = Fate::Granted(connection);
+                *state = RequestState::Granted(connection);
                 self.grants.push(waiting.clone());
                 self.held.insert(connection, waiting.clone());
             }
             SlotAction::Refuse { request, refusal } => {
-                let (_, fate) = self.requests.get_mut(&request).unwrap();
-                assert_eq!(*fate, Fate::Waiting, "answered twice");
-                *fate = Fate::Refused(refusal);
+                let (_, state) = self.requests.get_mut(&request).unwrap();
+                assert_eq!(*state, RequestState::Waiting, "answered twice");
+                *state = RequestState::Refused(refusal);
             }
             SlotAction::CloseConnection(connection) => {
                 assert!(self.idle.remove(&connection), "closed while in use");
--- a/crates/coordination/src/slots/tests/random.rs
+++ b/crates/coordination/src/slots/tests/random.rs
@@ -1,10 +1,10 @@
-//! Random runs against the model, which checks every action.
+//! Random sequences of events against the model, which checks every action.
 
 use std::time::Duration;
 
 use quickcheck::{Arbitrary, Gen};
 
-use super::model::{Fate, Model, policy};
+use super::model::{Model, RequestState, policy};
 use crate::slots::*;
 
 fn failure(random: &mut Gen) -> Option<OpenFailure> {
@@ -44,39 +44,40 @@
             2 => SlotEvent::Home(false),
             _ => SlotEvent::Home(true),
         }),
-        _ => model.pass(Duration::from_millis(u64::arbitrary(random) % 300)),
+        _ => model.advance(Duration::from_millis(u64::arbitrary(random) % 300)),
     }
     let bound = 50 + 8 + model.slots.max(6);
     assert!(model.waiting() <= bound, "the queue is bounded");
 }
 
 #[test]
-fn no_run_breaks_a_rule_and_every_request_is_answered() {
+fn random_sequences_keep_the_rules_and_answer_every_request() {
     for seed in 0..400 {
         let mut random = Gen::from_size_and_seed(60, seed);
         let mut model = Model::new(policy(1 + usize::arbitrary(&mut random) % 5), seed);
         for _ in 0..400 {
             step(&mut model, &mut random);
         }
-        model.pass(Duration::from_secs(10));
+        model.advance(Duration::from_secs(10));
         let open = model
             .requests
             .values()
-            .find(|(_, fate)| *fate == Fate::Waiting);
+            .find(|(_, state)| *state == RequestState::Waiting);
         assert_eq!(open, None, "seed {seed}");
     }
 }
 
-/// After any run, once the faults are over, waiting requests are served.
+/// After any sequence of events, once the faults have ended, waiting requests are
+/// served.
 #[test]
-fn a_healthy_database_serves_all_after_any_past() {
+fn a_recovered_database_serves_all_requests() {
     for seed in 0..200 {
         let mut random = Gen::from_size_and_seed(60, seed);
         let mut model = Model::new(policy(3), seed);
         for _ in 0..200 {
             step(&mut model, &mut random);
         }
-        model.pass(Duration::from_secs(10));
+        model.advance(Duration::from_secs(10));
         model.drain(false);
         model.set_slots(policy(3));
         let wait = Duration::from_secs(20);
@@ -85,11 +86,11 @@
             model.opened(None);
             model.returned(true);
             model.confirm_close();
-            model.pass(Duration::from_millis(10));
+            model.advance(Duration::from_millis(10));
         }
         for number in numbers {
-            let served = matches!(model.fate(number), Fate::Granted(_));
-            assert!(served, "seed {seed}: {:?}", model.fate(number));
+            let served = matches!(model.state(number), RequestState::Granted(_));
+            assert!(served, "seed {seed}: {:?}", model.state(number));
         }
     }
 }
--- a/crates/coordination/tests/home.rs
+++ b/crates/coordination/tests/home.rs
@@ -1,4 +1,4 @@
-//! Properties of the home nodes.
+//! Tests of the choice of home nodes.
 
 use std::collections::BTreeMap;
 
@@ -53,7 +53,7 @@
 const SCORE_OF_NODE_2: u64 = 17_037_056_578_443_886_453;
 
 #[test]
-fn one_more_node_takes_only_its_share() {
+fn an_added_node_takes_over_only_its_share() {
     for count in [3, 10, 50] {
         let mut table = HomeTable::new(node(0));
         let names = configure(&mut table, 1);
@@ -64,14 +64,14 @@
         table.add(node(count), &zone(0), &region(0));
         let after = homes(&mut table, &names);
         let moved = names.iter().filter(|name| before[*name] != after[*name]);
-        let mut share = 0;
+        let mut moved_count = 0;
         for name in moved {
             assert_eq!(after[name], Some(node(count)));
-            share += 1;
+            moved_count += 1;
         }
         assert!(
-            share <= 2 * DATABASES / (count + 1),
-            "{share} of {DATABASES} moved"
+            moved_count <= 2 * DATABASES / (count + 1),
+            "{moved_count} of {DATABASES} moved"
         );
         table.remove(node(count));
         assert_eq!(homes(&mut table, &names), before);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn the_own_zone_comes_before_the_region_before_any() {
+fn homes_are_chosen_from_the_zone_then_the_region_then_the_fleet() {
     let mut table = HomeTable::new(node(0));
     let names = configure(&mut table, 1);
     let name = &names[0];
@@ -94,30 +94,31 @@
     assert_eq!(table.home_of(name), Some(node(2)));
 }
 
-/// A sequence of joins and departures gives the same homes and duties as a fresh start.
+/// A sequence of joins and departures results in the same homes as computing them from
+/// scratch.
 #[test]
-fn incremental_changes_equal_a_fresh_computation() {
+fn incremental_changes_equal_a_full_computation() {
     fn property(steps: Vec<u8>) -> bool {
         const NODES: usize = 24;
         const ZONES: usize = 5;
         let mut table = HomeTable::new(node(0));
         let names = configure(&mut table, ZONES);
-        let mut held = std::collections::BTreeSet::new();
+        let mut own_databases = std::collections::BTreeSet::new();
         let mut present = [false; NODES];
         for step in steps {
             let index = usize::from(step) % NODES;
-            let place = index % ZONES;
+            let zone_index = index % ZONES;
             let changes = if present[index] {
                 table.remove(node(index))
             } else {
-                table.add(node(index), &zone(place), &region(place))
+                table.add(node(index), &zone(zone_index), &region(zone_index))
             };
             present[index] = !present[index];
             for change in changes {
                 if change.is_home {
-                    assert!(held.insert(change.database));
+                    assert!(own_databases.insert(change.database));
                 } else {
-                    assert!(held.remove(&change.database));
+                    assert!(own_databases.remove(&change.database));
                 }
             }
         }
@@ -128,7 +129,7 @@
         configure(&mut fresh, ZONES);
         let expected: std::collections::BTreeSet<DatabaseName> =
             fresh.own_databases().cloned().collect();
-        held == expected && homes(&mut table, &names) == homes(&mut fresh, &names)
+        own_databases == expected && homes(&mut table, &names) == homes(&mut fresh, &names)
     }
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(120, 4))
--- a/crates/coordination/tests/membership.rs
+++ b/crates/coordination/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Properties of the membership in virtual time.
+//! Tests of the membership protocol in virtual time.
 
 mod network;
 
@@ -12,7 +12,8 @@
     Duration::from_secs(count)
 }
 
-/// `count` nodes over `zones` zones, each of which knows only the first.
+/// Starts `count` nodes in `zones` zones, each of which has only the first node as its
+/// seed.
 fn fleet(seed: u64, count: u16, zones: usize) -> (Network, Vec<NodeId>) {
     let mut network = Network::new(seed, 3);
     let mut nodes = Vec::new();
@@ -36,7 +37,7 @@
 }
 
 #[test]
-fn a_seed_that_starts_last_is_found() {
+fn a_seed_that_starts_after_the_others_is_found() {
     let mut network = Network::new(2, 3);
     network.start(1, 1, &[0]);
     network.start(2, 2, &[0]);
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn a_platform_hint_alone_is_enough() {
+fn a_platform_hint_is_enough_to_find_a_member() {
     let mut network = Network::new(3, 3);
     let first = network.start(0, 0, &[]);
     network.start(1, 1, &[]);
@@ -58,12 +59,13 @@
 }
 
 #[test]
-fn a_dead_node_is_noticed_by_all() {
+fn a_dead_node_is_detected_by_all() {
     for (count, limit) in [(2, 8), (3, 8), (12, 10), (60, 14)] {
         let (mut network, nodes) = fleet(4, count, 3);
         network.run_until_agreed(seconds(20)).expect("they agree");
         network.kill(nodes[1]);
-        // A fleet of two hears from nobody and keeps its verdict to itself, but has it.
+        // In a fleet of two the surviving node is isolated: it does not send its
+        // verdict, but still makes it.
         network.run(seconds(limit));
         for node in network.nodes.keys() {
             assert_eq!(network.state(*node, nodes[1]), Some(MemberState::Dead));
@@ -73,7 +75,7 @@
 }
 
 #[test]
-fn loss_kills_nobody() {
+fn datagram_loss_causes_no_false_deaths() {
     let (mut network, _) = fleet(5, 40, 4);
     network.run_until_agreed(seconds(20)).expect("they agree");
     network.loss_one_in = 50;
@@ -84,7 +86,7 @@
 }
 
 #[test]
-fn a_paused_node_refutes_and_accuses_nobody() {
+fn a_paused_node_refutes_its_death_and_declares_no_other_dead() {
     for pause in [2, 5, 30, 120] {
         let (mut network, nodes) = fleet(6, 20, 3);
         network.run_until_agreed(seconds(20)).expect("they agree");
@@ -104,20 +106,20 @@
 }
 
 #[test]
-fn a_restarted_process_replaces_the_one_before() {
+fn a_restarted_process_replaces_its_predecessor() {
     let (mut network, nodes) = fleet(7, 12, 3);
     network.run_until_agreed(seconds(20)).expect("they agree");
-    let reborn = network.start(5, 2, &[0]);
+    let restarted = network.start(5, 2, &[0]);
     assert!(network.run_until_agreed(seconds(20)).is_some());
     network.run(seconds(10));
-    for node in network.nodes.keys().filter(|node| **node != reborn) {
+    for node in network.nodes.keys().filter(|node| **node != restarted) {
         let state = network.state(*node, nodes[5]);
         assert!(matches!(state, None | Some(MemberState::Dead)), "{state:?}");
     }
 }
 
 #[test]
-fn leaving_is_seen_by_all_and_stays() {
+fn leaving_reaches_all_nodes_and_is_kept() {
     let (mut network, nodes) = fleet(8, 30, 3);
     network.run_until_agreed(seconds(20)).expect("they agree");
     network.handle(nodes[3], MembershipEvent::Leave);
@@ -137,11 +139,11 @@
 }
 
 #[test]
-fn a_cut_zone_goes_on_alone_and_merges_without_a_storm() {
+fn a_partitioned_zone_merges_again_with_bounded_traffic() {
     for minutes in [1, 10] {
         let (mut network, nodes) = fleet(9, 60, 3);
         network.run_until_agreed(seconds(20)).expect("they agree");
-        network.cut.extend([(0, 1), (0, 2)]);
+        network.partitions.extend([(0, 1), (0, 2)]);
         network.run(seconds(60 * minutes));
         let inside = nodes[3];
         let outside = nodes[4];
@@ -149,44 +151,44 @@
         assert_eq!(network.state(outside, nodes[8]), Some(MemberState::Alive));
         assert_eq!(network.state(inside, outside), Some(MemberState::Dead));
         assert_eq!(network.state(outside, inside), Some(MemberState::Dead));
-        let deaths_in_the_cut = network.false_deaths();
+        let deaths_in_the_partition = network.false_deaths();
         network.take_rates(seconds(1));
-        network.cut.clear();
+        network.partitions.clear();
         let time = network.run_until_agreed(seconds(60));
         let time = time.expect("both sides merge");
         assert!(time <= seconds(30), "merged after {time:?}");
-        let (mean, most) = network.take_rates(time);
+        let (mean, maximum) = network.take_rates(time);
         let bytes = mean * time.as_secs_f64();
         assert!(bytes < 40_000.0, "{bytes:.0} bytes a node");
-        assert!(most < 20_000.0, "{most:.0} bytes/s on one node");
+        assert!(maximum < 20_000.0, "{maximum:.0} bytes/s on one node");
         assert_eq!(
             network.false_deaths(),
-            deaths_in_the_cut,
-            "the merge kills nobody"
+            deaths_in_the_partition,
+            "the merge causes no false deaths"
         );
     }
 }
 
 #[test]
-fn a_node_cut_off_alone_tells_no_tales() {
+fn an_isolated_node_spreads_no_false_deaths() {
     let (mut network, nodes) = fleet(10, 31, 5);
     network.run_until_agreed(seconds(20)).expect("they agree");
-    // The last zone of a sixth, empty of others.
-    let lonely = network.start(100, 5, &[0]);
+    // A sixth zone, with no other node.
+    let isolated = network.start(100, 5, &[0]);
     network.run_until_agreed(seconds(20)).expect("they agree");
-    network.cut.extend((0..5).map(|zone| (zone, 5)));
+    network.partitions.extend((0..5).map(|zone| (zone, 5)));
     network.run(seconds(120));
     let before = network.nodes[&nodes[2]].deaths.len();
-    network.cut.clear();
+    network.partitions.clear();
     assert!(network.run_until_agreed(seconds(30)).is_some());
-    assert!(before <= 1, "only the lonely node is taken for dead");
+    assert!(before <= 1, "only the isolated node was declared dead");
     let after = network.nodes[&nodes[2]].deaths.len();
     assert_eq!(before, after);
-    assert_ne!(network.state(nodes[2], lonely), Some(MemberState::Dead));
+    assert_ne!(network.state(nodes[2], isolated), Some(MemberState::Dead));
 }
 
 #[test]
-fn versions_are_learnt_on_request() {
+fn versions_are_refreshed_on_request() {
     let (mut network, nodes) = fleet(11, 40, 3);
     network.run_until_agreed(seconds(20)).expect("they agree");
     for node in &nodes[..39] {
@@ -204,21 +206,21 @@
 }
 
 #[test]
-fn a_quiet_fleet_costs_little() {
+fn an_idle_fleet_uses_little_bandwidth() {
     let (mut network, _) = fleet(12, 60, 5);
     network.run_until_agreed(seconds(20)).expect("they agree");
     network.run(seconds(30));
     network.take_rates(seconds(1));
     network.run(seconds(60));
-    let (mean, most) = network.take_rates(seconds(60));
+    let (mean, maximum) = network.take_rates(seconds(60));
     assert!(
-        mean < 800.0 && most < 1_500.0,
-        "{mean:.0} and {most:.0} bytes/s"
+        mean < 800.0 && maximum < 1_500.0,
+        "{mean:.0} and {maximum:.0} bytes/s"
     );
 }
 
 #[test]
-fn a_version_gets_around_within_seconds() {
+fn a_version_reaches_all_nodes_within_seconds() {
     let (mut network, nodes) = fleet(13, 200, 5);
     network.run_until_agreed(seconds(30)).expect("they agree");
     network.pulls_bundles = true;
@@ -233,10 +235,11 @@
     assert_eq!(behind.count(), 0);
 }
 
-/// What becomes due after a long time is not late: a node must not take itself for
-/// paused, and put off its verdicts, because it hears of the first death in an hour.
+/// Guards against a node that considers itself paused, and so postpones its suspicions,
+/// when it learns of the first death after a long time: timers that only then become
+/// relevant were due long ago, but must not count as late.
 #[test]
-fn a_death_after_a_long_quiet_delays_no_other() {
+fn a_death_after_a_long_idle_time_does_not_delay_later_ones() {
     for seed in 0..8 {
         let (mut network, nodes) = fleet(seed, 4, 2);
         network.run_until_agreed(seconds(20)).expect("they agree");
@@ -252,12 +255,12 @@
             network.run(Duration::from_millis(50));
         }
         let first = |node: usize| network.nodes[&nodes[node]].deaths[0];
-        let (judge, hearer) = if first(0) < first(1) { (0, 1) } else { (1, 0) };
-        network.kill(nodes[judge]);
+        let (first_detector, second_detector) = if first(0) < first(1) { (0, 1) } else { (1, 0) };
+        network.kill(nodes[first_detector]);
         network.run(seconds(20));
-        for other in [2, 3, judge] {
+        for other in [2, 3, first_detector] {
             assert_eq!(
-                network.state(nodes[hearer], nodes[other]),
+                network.state(nodes[second_detector], nodes[other]),
                 dead,
                 "seed {seed}"
             );
--- a/crates/coordination/tests/network/mod.rs
+++ b/crates/coordination/tests/network/mod.rs
@@ -1,4 +1,5 @@
-//! A small network in virtual time that drives memberships.
+//! Simulated network in virtual time that drives the membership state machines of
+//! several nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,14 +13,14 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// What is due at some time.
-enum Due {
-    Installed(NodeId, BundleVersion),
+/// A scheduled event.
+enum ScheduledEvent {
+    BundleInstalled(NodeId, BundleVersion),
     Arrival(SocketAddr, Box<Datagram>),
     Timer(NodeId),
 }
 
-/// One node and what was seen of it.
+/// One node and observations of its behaviour.
 pub struct Node {
     pub membership: Membership,
     pub zone: usize,
@@ -29,19 +30,19 @@
     timer: Timestamp,
 }
 
-/// The network and all nodes.
+/// The simulated network and all its nodes.
 pub struct Network {
     pub now: Timestamp,
     pub nodes: BTreeMap<NodeId, Node>,
-    /// Loss in one of this many datagrams; none at zero.
+    /// One datagram in this many is lost; 0 means no losses.
     pub loss_one_in: u32,
-    /// Whether nodes pull bundles that they hear of.
+    /// Whether nodes pull the bundle of a newer version that another member reports.
     pub pulls_bundles: bool,
-    /// Pairs of zones that do not reach each other.
-    pub cut: BTreeSet<(usize, usize)>,
+    /// Pairs of zones that are partitioned from each other, lower zone first.
+    pub partitions: BTreeSet<(usize, usize)>,
     zones_per_region: usize,
     addresses: BTreeMap<SocketAddr, NodeId>,
-    queue: BTreeMap<(Timestamp, u64), Due>,
+    queue: BTreeMap<(Timestamp, u64), ScheduledEvent>,
     sequence: u64,
     random: ChaCha8Rng,
     settings: MembershipSettings,
@@ -49,8 +50,8 @@
 
 /// How long a node takes to pull a bundle from another.
 const PULL_TIME: Duration = Duration::from_millis(60);
-/// Bytes of sealing, IP and UDP around a datagram.
-const WRAPPING_BYTES: u64 = 73;
+/// Bytes that sealing, IP and UDP headers add to a datagram.
+const ENVELOPE_BYTES: u64 = 73;
 
 impl Network {
     pub fn new(seed: u64, zones_per_region: usize) -> Self {
@@ -59,7 +60,7 @@
             nodes: BTreeMap::new(),
             loss_one_in: 0,
             pulls_bundles: false,
-            cut: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             zones_per_region,
             addresses: BTreeMap::new(),
             queue: BTreeMap::new(),
@@ -73,7 +74,8 @@
         SocketAddr::from(([10, 0, (index >> 8) as u8, index as u8], 7_000))
     }
 
-    /// Starts a process at the address of `index`; an earlier one there is gone.
+    /// Starts a process at the address of `index`. It replaces a process that ran there
+    /// before.
     pub fn start(&mut self, index: u16, zone: usize, seeds: &[u16]) -> NodeId {
         let node = NodeId(self.random.random());
         let address = Self::address(index);
@@ -104,12 +106,12 @@
         node
     }
 
-    /// A node vanishes.
+    /// Removes a node without notice.
     pub fn kill(&mut self, node: NodeId) {
         self.nodes.remove(&node);
     }
 
-    /// A node does nothing for a while.
+    /// Suspends a node for a while; its events are delivered afterwards.
     pub fn pause(&mut self, node: NodeId, time: Duration) {
         let until = self.now + time;
         self.nodes
@@ -136,7 +138,10 @@
                 }
                 MembershipAction::VersionSeen { version, .. } => {
                     if self.pulls_bundles && version > self.nodes[&id].membership.bundle() {
-                        self.push(self.now + PULL_TIME, Due::Installed(id, version));
+                        self.push(
+                            self.now + PULL_TIME,
+                            ScheduledEvent::BundleInstalled(id, version),
+                        );
                     }
                 }
             }
@@ -144,24 +149,24 @@
         let wake = self.nodes[&id].membership.next_wake().max(self.now);
         if wake != self.nodes[&id].timer {
             self.nodes.get_mut(&id).expect("the node runs").timer = wake;
-            self.push(wake, Due::Timer(id));
+            self.push(wake, ScheduledEvent::Timer(id));
         }
     }
 
-    fn push(&mut self, at: Timestamp, due: Due) {
+    fn push(&mut self, at: Timestamp, due: ScheduledEvent) {
         self.sequence += 1;
         self.queue.insert((at, self.sequence), due);
     }
 
     fn send(&mut self, from: NodeId, to: SocketAddr, datagram: Box<Datagram>) {
-        let bytes = postcard::to_stdvec(&datagram).expect("it encodes");
+        let bytes = postcard::to_stdvec(&datagram).expect("datagrams are encodable");
         assert!(
-            bytes.len() as u64 + WRAPPING_BYTES - 28 <= 1_400,
+            bytes.len() as u64 + ENVELOPE_BYTES - 28 <= 1_400,
             "{} bytes",
             bytes.len()
         );
         let sender = self.nodes.get_mut(&from).expect("the sender runs");
-        sender.bytes_sent += bytes.len() as u64 + WRAPPING_BYTES;
+        sender.bytes_sent += bytes.len() as u64 + ENVELOPE_BYTES;
         let zone = sender.zone;
         if self.loss_one_in > 0 && self.random.random_ratio(1, self.loss_one_in) {
             return;
@@ -170,7 +175,7 @@
             return;
         };
         let pair = (zone.min(target.zone), zone.max(target.zone));
-        if self.cut.contains(&pair) {
+        if self.partitions.contains(&pair) {
             return;
         }
         let latency = match (
@@ -183,10 +188,10 @@
         };
         let jitter = self.random.random_range(0..latency / 2);
         let at = self.now + Duration::from_micros(latency + jitter);
-        self.push(at, Due::Arrival(to, datagram));
+        self.push(at, ScheduledEvent::Arrival(to, datagram));
     }
 
-    /// Lets time pass.
+    /// Runs the network for `time`.
     pub fn run(&mut self, time: Duration) {
         let end = self.now + time;
         while let Some(entry) = self.queue.first_entry() {
@@ -201,10 +206,10 @@
         self.now = end;
     }
 
-    fn deliver(&mut self, due: Due) {
+    fn deliver(&mut self, due: ScheduledEvent) {
         let id = match &due {
-            Due::Arrival(to, _) => self.addresses.get(to).copied(),
-            Due::Timer(id) | Due::Installed(id, _) => Some(*id),
+            ScheduledEvent::Arrival(to, _) => self.addresses.get(to).copied(),
+            ScheduledEvent::Timer(id) | ScheduledEvent::BundleInstalled(id, _) => Some(*id),
         };
         let Some(node) = id.and_then(|id| self.nodes.get(&id)) else {
             return;
@@ -216,11 +221,13 @@
         }
         let Some(id) = id else { return };
         match due {
-            Due::Arrival(_, datagram) => self.handle(id, MembershipEvent::Datagram(datagram)),
-            Due::Installed(_, version) => {
+            ScheduledEvent::Arrival(_, datagram) => {
+                self.handle(id, MembershipEvent::Datagram(datagram))
+            }
+            ScheduledEvent::BundleInstalled(_, version) => {
                 self.handle(id, MembershipEvent::BundleInForce(version));
             }
-            Due::Timer(_) => {
+            ScheduledEvent::Timer(_) => {
                 if node.timer == self.now || node.membership.next_wake() <= self.now {
                     self.handle(id, MembershipEvent::Timer);
                 }
@@ -228,7 +235,7 @@
         }
     }
 
-    /// Whether every node sees exactly the others that run, all of them alive.
+    /// Returns whether every node considers exactly the other running nodes alive.
     pub fn agrees(&self) -> bool {
         self.nodes.iter().all(|(id, node)| {
             let seen: BTreeSet<NodeId> = node
@@ -245,7 +252,8 @@
         })
     }
 
-    /// Runs in steps until [`Network::agrees`]; returns the time it took.
+    /// Runs in steps until [`Network::agrees`]. Returns the time it took, or `None` if
+    /// it took longer than `limit`.
     pub fn run_until_agreed(&mut self, limit: Duration) -> Option<Duration> {
         const STEP: Duration = Duration::from_millis(250);
         let mut passed = Duration::ZERO;
@@ -259,7 +267,7 @@
         Some(passed)
     }
 
-    /// State of `of` as `by` sees it.
+    /// Returns the state of node `of` according to node `by`.
     pub fn state(&self, by: NodeId, of: NodeId) -> Option<MemberState> {
         self.nodes[&by]
             .membership
@@ -267,7 +275,7 @@
             .map(|member| member.state)
     }
 
-    /// Verdicts of death on nodes that run.
+    /// Returns how often a running node was declared dead.
     pub fn false_deaths(&self) -> usize {
         self.nodes
             .values()
@@ -276,16 +284,17 @@
             .count()
     }
 
-    /// Bytes sent per node and second since the last call, over `time`.
+    /// Returns the mean and the maximum over all nodes of the bytes sent per second
+    /// since the last call, which was `time` ago.
     pub fn take_rates(&mut self, time: Duration) -> (f64, f64) {
         let count = self.nodes.len() as f64;
         let mut sum = 0.0;
-        let mut most: f64 = 0.0;
+        let mut maximum: f64 = 0.0;
         for node in self.nodes.values_mut() {
             let rate = std::mem::take(&mut node.bytes_sent) as f64 / time.as_secs_f64();
             sum += rate;
-            most = most.max(rate);
+            maximum = maximum.max(rate);
         }
-        (sum / count, most)
+        (sum / count, maximum)
     }
 }
--- a/crates/coordination/tests/spread.rs
+++ b/crates/coordination/tests/spread.rs
@@ -1,4 +1,5 @@
-//! The spread of leadership changes among node machines, in virtual time.
+//! Tests of the propagation of leadership changes between node machines, in virtual
+//! time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -26,11 +27,11 @@
     addresses: BTreeMap<SocketAddr, NodeId>,
     queue: BTreeMap<(Timestamp, u64), (NodeId, NodeEvent)>,
     sequence: u64,
-    learnt: BTreeMap<NodeId, Vec<LeadershipNews>>,
-    /// Leadership messages sent.
+    learned: BTreeMap<NodeId, Vec<LeadershipNews>>,
+    /// Number of leadership messages sent.
     sent: usize,
-    /// Nodes whose links lose every message.
-    deaf: BTreeSet<NodeId>,
+    /// Nodes to which every message is lost.
+    unreachable: BTreeSet<NodeId>,
 }
 
 fn address(index: usize) -> SocketAddr {
@@ -65,21 +66,22 @@
             election_timeout_ms: 300,
         };
         bundle.groups.insert(group(index), entry);
-        for place in 0..ZONES {
+        for zone_index in 0..ZONES {
             let entry = Database {
                 group: group(index),
-                zone: zone(place),
+                zone: zone(zone_index),
                 address: "10.9.9.9:5432".to_owned(),
                 slots: 5,
             };
-            bundle.databases.insert(database(index, place), entry);
+            bundle.databases.insert(database(index, zone_index), entry);
         }
     }
     Arc::new(bundle)
 }
 
 impl Mesh {
-    /// `count` nodes that know each other and have a bundle of `groups` in force.
+    /// Creates `count` nodes that know each other and have a bundle with `groups` groups
+    /// in force.
     fn new(count: usize, groups: usize) -> Self {
         let mut mesh = Self {
             now: Timestamp::from_millis(1),
@@ -87,16 +89,16 @@
             addresses: BTreeMap::new(),
             queue: BTreeMap::new(),
             sequence: 0,
-            learnt: BTreeMap::new(),
+            learned: BTreeMap::new(),
             sent: 0,
-            deaf: BTreeSet::new(),
+            unreachable: BTreeSet::new(),
         };
         for index in 0..count {
             mesh.add(index);
         }
         mesh.run(Duration::from_secs(20));
         for node in mesh.nodes() {
-            mesh.tell(node, NodeEvent::BundleInstalled(bundle(groups)));
+            mesh.deliver(node, NodeEvent::BundleInstalled(bundle(groups)));
         }
         mesh.run(Duration::from_secs(1));
         mesh
@@ -126,7 +128,7 @@
         self.queue.insert((at, self.sequence), (to, event));
     }
 
-    fn tell(&mut self, node: NodeId, event: NodeEvent) {
+    fn deliver(&mut self, node: NodeId, event: NodeEvent) {
         let Some(machine) = self.machines.get_mut(&node) else {
             return;
         };
@@ -149,13 +151,13 @@
             }
             NodeAction::SendPeer { to, message } => {
                 self.sent += usize::from(matches!(message, PeerMessage::LeadershipChange(_)));
-                if !self.deaf.contains(&to) {
+                if !self.unreachable.contains(&to) {
                     let from = node;
                     self.push(arrival, to, NodeEvent::PeerMessage { from, message });
                 }
             }
-            NodeAction::LeadershipLearned(news) => {
-                self.learnt.entry(node).or_default().push(news);
+            NodeAction::LeadershipLearned(leadership) => {
+                self.learned.entry(node).or_default().push(leadership);
             }
             _ => {}
         }
@@ -176,7 +178,7 @@
                     .get(&node)
                     .is_some_and(|machine| machine.next_wake() > self.now);
             if !idle {
-                self.tell(node, event);
+                self.deliver(node, event);
             }
         }
         self.now = end;
@@ -193,51 +195,54 @@
         homes[0]
     }
 
-    fn learnt(&self, node: NodeId) -> &[LeadershipNews] {
-        self.learnt.get(&node).map_or(&[], Vec::as_slice)
+    fn learned(&self, node: NodeId) -> &[LeadershipNews] {
+        self.learned.get(&node).map_or(&[], Vec::as_slice)
     }
 }
 
-fn news(group_index: usize, term: u32, primary: Option<usize>) -> LeadershipNews {
+fn leadership(group_index: usize, term: u32, primary: Option<usize>) -> LeadershipNews {
     LeadershipNews {
         group: group(group_index),
         term: Term(term),
-        primary: primary.map(|place| database(group_index, place)),
+        primary: primary.map(|zone_index| database(group_index, zone_index)),
         place: Position::new(term, 100),
     }
 }
 
 #[test]
-fn a_change_reaches_those_who_use_the_group_and_nobody_else() {
+fn a_change_reaches_only_homes_and_users_of_the_group() {
     let mut mesh = Mesh::new(12, 8);
     let nodes = mesh.nodes();
     let users = &nodes[2..6];
     for user in users {
-        mesh.tell(*user, NodeEvent::GroupUsed(group(3)));
+        mesh.deliver(*user, NodeEvent::GroupUsed(group(3)));
     }
     mesh.run(Duration::from_millis(100));
     let observer = mesh.home(&database(3, 0));
-    mesh.tell(observer, NodeEvent::LeadershipObserved(news(3, 2, Some(1))));
+    mesh.deliver(
+        observer,
+        NodeEvent::LeadershipObserved(leadership(3, 2, Some(1))),
+    );
     mesh.run(Duration::from_millis(50));
     let homes: BTreeSet<NodeId> = (0..ZONES)
-        .map(|place| mesh.home(&database(3, place)))
+        .map(|zone_index| mesh.home(&database(3, zone_index)))
         .collect();
     for node in &nodes {
-        let concerned = users.contains(node) || homes.contains(node);
-        let expected = if concerned && *node != observer {
-            vec![news(3, 2, Some(1))]
+        let expected_to_learn = users.contains(node) || homes.contains(node);
+        let expected = if expected_to_learn && *node != observer {
+            vec![leadership(3, 2, Some(1))]
         } else {
             Vec::new()
         };
-        assert_eq!(mesh.learnt(*node), expected);
+        assert_eq!(mesh.learned(*node), expected);
     }
-    // Three homes tell four users and each other.
+    // Three homes notify four users and each other.
     assert!(mesh.sent <= 3 * (4 + 2), "{} messages", mesh.sent);
 }
 
 #[test]
-fn older_news_change_nothing() {
-    // (term and primary known, term and primary told, whether it is news)
+fn only_newer_leadership_is_applied() {
+    // (known term and primary, reported term and primary, whether the report is newer)
     let cases = [
         ((2, Some(0)), (1, Some(1)), false),
         ((2, Some(0)), (2, Some(1)), false),
@@ -246,72 +251,78 @@
         ((2, Some(0)), (3, None), true),
         ((0, None), (1, Some(2)), true),
     ];
-    for (known, told, is_news) in cases {
+    for (known, reported, is_newer) in cases {
         let mut mesh = Mesh::new(3, 1);
         let home = mesh.home(&database(0, 0));
         let from = mesh.home(&database(0, 1));
-        let known = news(0, known.0, known.1);
-        mesh.tell(home, NodeEvent::LeadershipObserved(known.clone()));
-        let message = PeerMessage::LeadershipChange(news(0, told.0, told.1));
-        mesh.tell(home, NodeEvent::PeerMessage { from, message });
+        let known = leadership(0, known.0, known.1);
+        mesh.deliver(home, NodeEvent::LeadershipObserved(known.clone()));
+        let message = PeerMessage::LeadershipChange(leadership(0, reported.0, reported.1));
+        mesh.deliver(home, NodeEvent::PeerMessage { from, message });
         assert_eq!(
-            !mesh.learnt(home).is_empty(),
-            is_news,
-            "{known:?} then {told:?}"
+            !mesh.learned(home).is_empty(),
+            is_newer,
+            "{known:?} then {reported:?}"
         );
     }
 }
 
 #[test]
-fn a_user_that_missed_a_change_learns_it_when_it_renews() {
+fn a_user_that_missed_a_change_learns_it_on_renewal() {
     let mut mesh = Mesh::new(12, 2);
     let homes: BTreeSet<NodeId> = (0..ZONES)
-        .map(|place| mesh.home(&database(0, place)))
+        .map(|zone_index| mesh.home(&database(0, zone_index)))
         .collect();
     let user = mesh.nodes().into_iter().find(|node| !homes.contains(node));
     let user = user.expect("not every node is a home of the group");
-    mesh.tell(user, NodeEvent::GroupUsed(group(0)));
+    mesh.deliver(user, NodeEvent::GroupUsed(group(0)));
     mesh.run(Duration::from_millis(100));
-    mesh.deaf.insert(user);
+    mesh.unreachable.insert(user);
     let observer = mesh.home(&database(0, 0));
-    mesh.tell(observer, NodeEvent::LeadershipObserved(news(0, 5, Some(2))));
+    mesh.deliver(
+        observer,
+        NodeEvent::LeadershipObserved(leadership(0, 5, Some(2))),
+    );
     mesh.run(Duration::from_secs(1));
-    assert!(mesh.learnt(user).is_empty());
-    mesh.deaf.clear();
+    assert!(mesh.learned(user).is_empty());
+    mesh.unreachable.clear();
     mesh.run(Duration::from_secs(20));
-    assert_eq!(mesh.learnt(user), [news(0, 5, Some(2))]);
+    assert_eq!(mesh.learned(user), [leadership(0, 5, Some(2))]);
 }
 
 #[test]
-fn a_user_ahead_of_the_homes_tells_them() {
+fn a_user_with_newer_leadership_updates_the_homes() {
     let mut mesh = Mesh::new(6, 1);
     let homes: BTreeSet<NodeId> = (0..ZONES)
-        .map(|place| mesh.home(&database(0, place)))
+        .map(|zone_index| mesh.home(&database(0, zone_index)))
         .collect();
     let user = mesh.nodes().into_iter().find(|node| !homes.contains(node));
     let user = user.expect("not every node is a home of the group");
-    mesh.tell(user, NodeEvent::LeadershipObserved(news(0, 7, Some(1))));
+    mesh.deliver(
+        user,
+        NodeEvent::LeadershipObserved(leadership(0, 7, Some(1))),
+    );
     mesh.run(Duration::from_millis(100));
     for home in homes {
-        assert_eq!(mesh.learnt(home), [news(0, 7, Some(1))]);
+        assert_eq!(mesh.learned(home), [leadership(0, 7, Some(1))]);
     }
 }
 
 #[test]
-fn a_stopping_node_gives_up_its_duties_at_once() {
+fn a_stopping_node_is_home_of_no_database() {
     let mut mesh = Mesh::new(6, 12);
     let node = mesh.home(&database(0, 0));
-    let held: Vec<DatabaseName> = mesh.machines[&node].held().cloned().collect();
-    mesh.tell(node, NodeEvent::StopRequested);
+    let homed_databases: Vec<DatabaseName> = mesh.machines[&node].held().cloned().collect();
+    mesh.deliver(node, NodeEvent::StopRequested);
     assert_eq!(mesh.machines[&node].held().count(), 0);
     mesh.run(Duration::from_millis(1_000));
-    for database in held {
+    for database in homed_databases {
         assert_ne!(mesh.home(&database), node);
     }
 }
 
 #[test]
-fn a_machine_that_the_platform_calls_leaving_gets_no_duties() {
+fn a_machine_listed_as_leaving_is_home_of_no_database() {
     let mut mesh = Mesh::new(6, 12);
     let node = mesh.home(&database(0, 0));
     let leaving = mesh.machines[&node].membership().own().address;
@@ -323,11 +334,11 @@
         NodeEvent::PlatformMachines(mesh_addresses().map(machine).collect())
     };
     for other in mesh.nodes() {
-        mesh.tell(other, machines(true));
+        mesh.deliver(other, machines(true));
     }
     assert_ne!(mesh.home(&database(0, 0)), node);
     for other in mesh.nodes() {
-        mesh.tell(other, machines(false));
+        mesh.deliver(other, machines(false));
     }
     assert_eq!(mesh.home(&database(0, 0)), node);
 }
@@ -337,7 +348,7 @@
 }
 
 #[test]
-fn a_request_goes_home_and_then_to_the_next_choice() {
+fn a_request_is_routed_to_the_home_and_then_to_the_next_candidate() {
     let mut mesh = Mesh::new(9, 4);
     let name = database(1, 1);
     let home = mesh.home(&name);
