--- a/crates/coordination/src/node/machine.rs
+++ b/crates/coordination/src/node/machine.rs
@@ -89,7 +89,7 @@
             NodeEvent::LeadershipObserved(update) => {
                 self.propagate_leadership(now, None, &update, actions)
             }
-            NodeEvent::GroupUsed(group) => self.note_use(now, &group, None, actions),
+            NodeEvent::GroupUsed(group) => self.record_use(now, &group, None, actions),
             NodeEvent::VersionsRequested(version) => {
                 self.update_membership(now, MembershipEvent::RefreshVersions(version), actions);
             }
@@ -147,7 +147,7 @@
         actions: &mut Vec<NodeAction>,
     ) -> Option<Route> {
         let home = self.homes.home_of(database);
-        self.note_use(now, group, home, actions);
+        self.record_use(now, group, home, actions);
         self.route_to(home?)
     }
 
@@ -312,7 +312,7 @@
         homes.filter(|home| *home != own).collect()
     }
 
-    fn note_use(
+    fn record_use(
         &mut self,
         now: Timestamp,
         group: &GroupName,
--- a/crates/coordination/src/request/machine.rs
+++ b/crates/coordination/src/request/machine.rs
@@ -393,10 +393,10 @@
             self.evidence = Some(Evidence::new(self.term, now, self.acknowledge_within));
             return;
         }
-        self.unit_over(actions);
+        self.end_unit(actions);
     }
 
-    fn unit_over(&mut self, actions: &mut Vec<RequestAction>) {
+    fn end_unit(&mut self, actions: &mut Vec<RequestAction>) {
         if self.in_transaction {
             self.stage = Stage::Idle;
             return;
@@ -433,7 +433,7 @@
                 actions.push(RequestAction::Acknowledge {
                     position: Some(position),
                 });
-                self.unit_over(actions);
+                self.end_unit(actions);
             }
             Verdict::ProbeAgain { after } => self.probe_again(now, after, actions),
             Verdict::OutcomeUnknown(cause) => self.give_up(cause, actions),
--- a/crates/coordination/src/retry/backoff.rs
+++ b/crates/coordination/src/retry/backoff.rs
@@ -30,8 +30,8 @@
     pub fn pause(&self, attempt: u32, generator: &mut impl Rng) -> Duration {
         let bound = self.bound(attempt);
         let half = bound / 2;
-        let spread = u64::try_from((bound - half).as_micros()).unwrap_or(u64::MAX);
-        half + Duration::from_micros(generator.random_range(0..=spread))
+        let variation = u64::try_from((bound - half).as_micros()).unwrap_or(u64::MAX);
+        half + Duration::from_micros(generator.random_range(0..=variation))
     }
 }
 
--- a/crates/coordination/src/slots/tests/model.rs
+++ b/crates/coordination/src/slots/tests/model.rs
@@ -148,7 +148,7 @@
     }
 
     /// Reports that an idle connection has broken.
-    pub fn broken(&mut self) {
+    pub fn idle_connection_broken(&mut self) {
         if let Some(connection) = self.idle.pop_first() {
             self.event(SlotEvent::ConnectionClosed(connection));
         }
--- a/crates/coordination/src/slots/tests/random.rs
+++ b/crates/coordination/src/slots/tests/random.rs
@@ -31,7 +31,7 @@
         12..=14 => model.returned(!u8::arbitrary(random).is_multiple_of(4)),
         15..=16 => model.confirm_close(),
         17 => model.grant_failed(),
-        18 => model.broken(),
+        18 => model.idle_connection_broken(),
         19 => {
             let number = RequestNumber(u64::arbitrary(random) % 400);
             model.cancel(number);
@@ -59,11 +59,11 @@
             step(&mut model, &mut random);
         }
         model.advance(Duration::from_secs(10));
-        let open = model
+        let unanswered = model
             .requests
             .values()
             .find(|(_, state)| *state == RequestState::Waiting);
-        assert_eq!(open, None, "seed {seed}");
+        assert_eq!(unanswered, None, "seed {seed}");
     }
 }
 
--- a/crates/coordination/tests/spread.rs
+++ b/crates/coordination/tests/spread.rs
@@ -137,11 +137,11 @@
         let wake = machine.next_wake().max(self.now);
         self.push(wake, node, NodeEvent::Timer);
         for action in actions {
-            self.carry_out(node, action);
+            self.perform(node, action);
         }
     }
 
-    fn carry_out(&mut self, node: NodeId, action: NodeAction) {
+    fn perform(&mut self, node: NodeId, action: NodeAction) {
         let arrival = self.now + LATENCY;
         match action {
             NodeAction::SendDatagram { to, datagram } => {
--- a/crates/state/benches/bundle.rs
+++ b/crates/state/benches/bundle.rs
@@ -1,4 +1,4 @@
-//! Time of what is done with a bundle of 3,000 databases.
+//! Benchmarks of operations on a bundle of 3,000 databases.
 
 use std::hint::black_box;
 use std::sync::Arc;
--- a/crates/state/src/bundle/delta.rs
+++ b/crates/state/src/bundle/delta.rs
@@ -1,4 +1,4 @@
-//! The change from one version of a bundle to a later one, section by section.
+//! The difference between two versions of a bundle, section by section.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,34 +11,35 @@
 };
 use crate::names::{DatabaseName, GroupName, RegionName, TenantName, ZoneName};
 
-/// Entries of a map that were added or changed, and those that were removed.
+/// Entries of a map that were added, changed or removed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MapDelta<Key: Ord, Value> {
     /// New values by key.
     pub changed: BTreeMap<Key, Value>,
-    /// Keys that are gone.
+    /// Removed keys.
     pub removed: BTreeSet<Key>,
 }
 
-/// Entries of a set that were added and removed.
+/// Entries of a set that were added or removed.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SetDelta<Key: Ord> {
     /// New entries.
     pub added: BTreeSet<Key>,
-    /// Entries that are gone.
+    /// Removed entries.
     pub removed: BTreeSet<Key>,
 }
 
-/// The change between two versions of a bundle, with the approvals of the later one.
+/// The difference between two versions of a bundle, with the approvals of the later
+/// version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BundleDelta {
-    /// Version the change starts from.
+    /// Version that the delta applies to.
     pub from: BundleVersion,
-    /// Version it leads to.
+    /// Version of the resulting bundle.
     pub to: BundleVersion,
-    /// Digest of the bundle it leads to.
+    /// Digest of the resulting bundle.
     pub digest: BundleDigest,
-    /// Approvals of the bundle it leads to.
+    /// Approvals of the resulting bundle.
     pub signatures: Vec<BundleSignature>,
     description: Option<String>,
     limits: Option<Limits>,
@@ -49,21 +50,21 @@
     drain: SetDelta<DatabaseName>,
 }
 
-/// Why a change cannot be applied.
+/// Reason why a delta cannot be applied or combined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DeltaError {
-    /// The change starts from another version.
+    /// The delta applies to another version than the one held.
     #[error("the change starts from version {from} and version {held} is held", from = from.0, held = held.0)]
     WrongBase {
-        /// Version the change starts from.
+        /// Version that the delta applies to.
         from: BundleVersion,
-        /// Version held.
+        /// Version of the bundle held.
         held: BundleVersion,
     },
-    /// The result is not the bundle that the change promises.
+    /// The resulting bundle does not have the digest stated in the delta.
     #[error("the change does not lead to the bundle it names")]
     DigestMismatch,
-    /// The second change does not start where the first one ends.
+    /// The second delta does not apply to the version that the first one results in.
     #[error("the changes do not follow each other")]
     NotConsecutive,
 }
@@ -136,7 +137,7 @@
 }
 
 impl BundleDelta {
-    /// The change from `from` to `to`.
+    /// Computes the delta from `from` to `to`.
     pub fn between(from: &Bundle, to: &SignedBundle) -> Self {
         let signatures = to.signatures.clone();
         let to = &to.bundle;
@@ -155,11 +156,11 @@
         }
     }
 
-    /// Applies the change to `base`. The result has the promised digest; its approvals
-    /// are still to be verified.
+    /// Applies the delta to `base`. The result has the stated digest; the caller must
+    /// still verify its approvals.
     ///
     /// # Errors
-    /// [`DeltaError::WrongBase`] or [`DeltaError::DigestMismatch`].
+    /// Returns [`DeltaError::WrongBase`] or [`DeltaError::DigestMismatch`].
     pub fn apply(&self, base: &Bundle) -> Result<Bundle, DeltaError> {
         if base.version != self.from {
             return Err(DeltaError::WrongBase {
@@ -186,10 +187,11 @@
         Ok(bundle)
     }
 
-    /// This change followed by `later`, as one.
+    /// Combines this delta with `later` into one delta.
     ///
     /// # Errors
-    /// [`DeltaError::NotConsecutive`].
+    /// Returns [`DeltaError::NotConsecutive`] if `later` does not apply to the result of
+    /// this delta.
     pub fn then(mut self, later: &BundleDelta) -> Result<Self, DeltaError> {
         if later.from != self.to {
             return Err(DeltaError::NotConsecutive);
@@ -211,7 +213,7 @@
         Ok(self)
     }
 
-    /// Entries that the change adds, replaces or removes.
+    /// Returns the number of entries that the delta adds, changes or removes.
     pub fn entries(&self) -> usize {
         self.zones.len()
             + self.groups.len()
--- a/crates/state/src/bundle/digest.rs
+++ b/crates/state/src/bundle/digest.rs
@@ -9,26 +9,28 @@
 
 use super::Bundle;
 
-/// SHA-256 of a bundle's canonical encoding, its version included.
+/// SHA-256 of a bundle's canonical encoding, which includes its version.
 ///
-/// The canonical encoding is `postcard`'s: fields in the order of their declaration,
-/// maps and sets in the order of their keys, so equal bundles have equal encodings.
+/// The canonical encoding is that of `postcard`: fields in the order of their
+/// declaration, maps and sets in the order of their keys. Equal bundles therefore have
+/// equal encodings.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BundleDigest(pub [u8; 32]);
 
-/// A text that is no digest.
+/// Error for text that is not a digest.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("a digest has 64 hexadecimal digits")]
 pub struct ParseDigestError;
 
 impl Bundle {
-    /// The canonical encoding.
+    /// Returns the canonical encoding.
     pub fn canonical_encoding(&self) -> Vec<u8> {
-        // Every type in a bundle has an encoding, and memory is the only sink.
+        // Encoding does not fail: every type in a bundle is encodable, and the output is
+        // memory.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// Digest of the canonical encoding.
+    /// Returns the digest of the canonical encoding.
     pub fn digest(&self) -> BundleDigest {
         BundleDigest(Sha256::digest(self.canonical_encoding()).into())
     }
@@ -75,19 +77,19 @@
     }
 }
 
-/// Lower-case hexadecimal digits of `bytes`.
+/// Returns `bytes` as lower-case hexadecimal digits.
 pub(super) fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes that `text` gives in hexadecimal, if it gives exactly `LENGTH` of them.
+/// Decodes hexadecimal `text`; returns `None` unless it encodes exactly `LENGTH` bytes.
 pub(super) fn from_hex<const LENGTH: usize>(text: &str) -> Option<[u8; LENGTH]> {
     if text.len() != LENGTH * 2 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
     }
     let mut bytes = [0; LENGTH];
-    for (place, byte) in bytes.iter_mut().enumerate() {
-        *byte = u8::from_str_radix(&text[place * 2..place * 2 + 2], 16).ok()?;
+    for (index, byte) in bytes.iter_mut().enumerate() {
+        *byte = u8::from_str_radix(&text[index * 2..index * 2 + 2], 16).ok()?;
     }
     Some(bytes)
 }
--- a/crates/state/src/bundle/mod.rs
+++ b/crates/state/src/bundle/mod.rs
@@ -1,5 +1,5 @@
 //! The configuration bundle: groups, databases, routing preferences, limits and back
-//! ends to drain, as one versioned document.
+//! ends to drain, in one versioned document.
 
 mod delta;
 mod digest;
@@ -24,25 +24,27 @@
 
 use crate::names::{DatabaseName, GroupName, RegionName, TenantName, ZoneName};
 
-/// Version of a bundle. Preparing a bundle gives it a version above every earlier one;
-/// the signature covers it, and the one in force never gives way to a lower one.
+/// Version of a bundle. Preparing a bundle assigns it a version above all earlier ones.
+/// The signature covers the version, and the bundle in force is never replaced by one of
+/// a lower version.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(transparent)]
 pub struct BundleVersion(pub u64);
 
-/// The whole configuration that is in force on a proxy.
+/// The configuration in force on a proxy.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bundle {
-    /// Version, set when the bundle is prepared; 0 in a document that is being written.
+    /// Version, assigned when the bundle is prepared; 0 in a document that is still
+    /// being written.
     #[serde(default)]
     pub version: BundleVersion,
     /// Free text for operators.
     #[serde(default)]
     pub description: String,
-    /// Zones and the region each lies in.
+    /// Zones, with the region of each.
     pub zones: BTreeMap<ZoneName, RegionName>,
     /// Database groups by name.
     pub groups: BTreeMap<GroupName, Group>,
@@ -51,7 +53,8 @@
     /// Limits and time budgets.
     #[serde(default)]
     pub limits: Limits,
-    /// Weights of tenants in the fair queue; 1 where none is given.
+    /// Weights and limits of tenants in the fair queue. A tenant that is not listed has
+    /// weight 1 and no limit.
     #[serde(default)]
     pub tenants: BTreeMap<TenantName, TenantLimits>,
     /// Databases that get no new work.
@@ -59,29 +62,31 @@
     pub drain: BTreeSet<DatabaseName>,
 }
 
-/// A replicated group.
+/// A replicated database group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Group {
-    /// Name of the database inside the servers, as told in the start-up message.
+    /// Name of the database on the servers, sent in the start-up message.
     pub database: String,
-    /// User name towards the servers. Its password stands in the proxies' settings.
+    /// User name for connections to the servers. Its password is in the proxies'
+    /// settings.
     pub user: String,
-    /// Where reads may go.
+    /// Databases that reads are routed to.
     #[serde(default)]
     pub reads: ReadPreference,
-    /// Shortest time in which the group replaces a silent primary, in milliseconds. An
-    /// observation of the primary by a majority counts for less than this.
+    /// Minimum time in which the group replaces an unresponsive primary, in
+    /// milliseconds. An observation of the primary by a majority is valid for less than
+    /// this.
     #[serde(default = "default_election_timeout_ms")]
     pub election_timeout_ms: u64,
 }
 
-/// Where a group's reads may go.
+/// Databases that a group's reads are routed to.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReadPreference {
-    /// A replica that is fresh enough, in the same zone before the same region before
-    /// any; the primary when none is.
+    /// A replica that is fresh enough, preferring the same zone, then the same region;
+    /// the primary when there is none.
     #[default]
     Replica,
     /// Always the primary.
@@ -92,13 +97,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Database {
-    /// Group it belongs to.
+    /// Group that the database belongs to.
     pub group: GroupName,
-    /// Zone it stands in.
+    /// Zone that the database runs in.
     pub zone: ZoneName,
     /// Address as `ip:port`.
     pub address: String,
-    /// Connections the whole fleet may hold to it.
+    /// Maximum number of connections from the whole fleet.
     pub slots: u32,
 }
 
@@ -106,21 +111,20 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Longest wait for a connection or a primary, in milliseconds.
+    /// Maximum wait for a connection or a primary, in milliseconds.
     pub wait_ms: u64,
-    /// Longest wait for the evidence that a commit is held by a majority, in
-    /// milliseconds.
+    /// Maximum wait for evidence that a majority has flushed a commit, in milliseconds.
     pub acknowledge_ms: u64,
-    /// Longest queue for one database on its home node, in requests.
+    /// Maximum length of the queue for one database on its home node, in requests.
     pub queue_per_database: u32,
-    /// Sessions one node accepts.
+    /// Maximum number of sessions per node.
     pub sessions_per_node: u32,
-    /// Largest message accepted from a caller, in bytes.
+    /// Maximum size of a message from a caller, in bytes.
     pub message_bytes: u32,
-    /// Longest time a transaction may sit idle while it holds a connection, in
+    /// Maximum time for which a transaction may be idle while it holds a connection, in
     /// milliseconds.
     pub idle_transaction_ms: u64,
-    /// Retries a tenant may spend per second, as a share of its requests in percent.
+    /// Retries of a tenant, as a percentage of its requests.
     pub retry_percent: u32,
 }
 
@@ -139,25 +143,26 @@
 }
 
 impl Limits {
-    /// [`Limits::wait_ms`] as a duration.
+    /// Returns [`Limits::wait_ms`] as a duration.
     pub fn wait(&self) -> Duration {
         Duration::from_millis(self.wait_ms)
     }
 
-    /// [`Limits::acknowledge_ms`] as a duration.
+    /// Returns [`Limits::acknowledge_ms`] as a duration.
     pub fn acknowledge(&self) -> Duration {
         Duration::from_millis(self.acknowledge_ms)
     }
 }
 
-/// A tenant's share.
+/// Weight and limits of a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TenantLimits {
     /// Weight in the fair queue, at least 1.
     #[serde(default = "default_weight")]
     pub weight: u32,
-    /// Requests it may have waiting on one node; unlimited where none is given.
+    /// Maximum number of the tenant's waiting requests in one queue; unlimited if
+    /// `None`.
     #[serde(default)]
     pub waiting: Option<u32>,
 }
@@ -171,7 +176,7 @@
 }
 
 impl Bundle {
-    /// The databases of `group`, in the order of their names.
+    /// Returns the databases of `group`, ordered by name.
     pub fn databases_of<'a>(
         &'a self,
         group: &'a GroupName,
@@ -181,7 +186,7 @@
             .filter(move |(_, database)| &database.group == group)
     }
 
-    /// The region of `zone`, if the bundle names it.
+    /// Returns the region of `zone`; `None` if the zone is not in the bundle.
     pub fn region_of(&self, zone: &ZoneName) -> Option<&RegionName> {
         self.zones.get(zone)
     }
--- a/crates/state/src/bundle/parse.rs
+++ b/crates/state/src/bundle/parse.rs
@@ -1,4 +1,4 @@
-//! Reading a bundle that an operator wrote.
+//! Parsing of bundle documents written by operators.
 
 use std::fmt;
 
@@ -11,19 +11,19 @@
 /// A problem of a bundle document.
 pub type BundleProblem = Problem<BundleReason>;
 
-/// The problems of a bundle document, in the order of their lines.
+/// The problems of a bundle document, ordered by line.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct BundleProblems {
-    /// Name of the document, such as its file.
+    /// Name of the document, such as its file name.
     pub document: String,
-    /// The first of its problems, at most [`MAXIMUM_PROBLEMS`].
+    /// The problems found, at most [`MAXIMUM_PROBLEMS`].
     pub problems: Vec<BundleProblem>,
 }
 
 impl fmt::Display for BundleProblems {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, problem) in self.problems.iter().enumerate() {
-            if place > 0 {
+        for (index, problem) in self.problems.iter().enumerate() {
+            if index > 0 {
                 formatter.write_str("\n")?;
             }
             write!(formatter, "{}: {problem}", self.document)?;
@@ -32,10 +32,11 @@
     }
 }
 
-/// Reads and validates the bundle in `text`; `document` names it in problems.
+/// Parses and validates the bundle in `text`. `document` is the name of the document in
+/// reported problems.
 ///
 /// # Errors
-/// Every problem found, each with its line, key and reason.
+/// Returns the problems found, each with its line, key and reason.
 pub fn parse_bundle(document: &str, text: &str) -> Result<Bundle, BundleProblems> {
     let failure = |problems| BundleProblems {
         document: document.to_owned(),
@@ -71,11 +72,11 @@
 }
 
 impl Bundle {
-    /// Whether the bundle breaks no rule. Checked again wherever a bundle arrives, since
-    /// it may have been written by another version of the software.
+    /// Validates the bundle. This is repeated wherever a bundle is received, since it
+    /// may have been written by another version of the software.
     ///
     /// # Errors
-    /// The first problem, without a line.
+    /// Returns the first problem, without a line.
     pub fn check(&self) -> Result<(), BundleProblem> {
         match validate(self).into_iter().next() {
             Some((key, reason)) => Err(Problem {
@@ -87,7 +88,7 @@
         }
     }
 
-    /// The same bundle with another version.
+    /// Returns the bundle with its version replaced.
     pub fn with_version(mut self, version: BundleVersion) -> Self {
         self.version = version;
         self
--- a/crates/state/src/bundle/signature.rs
+++ b/crates/state/src/bundle/signature.rs
@@ -1,4 +1,4 @@
-//! Approval: ed25519 signatures over a bundle's version and digest.
+//! Approvals of bundles: ed25519 signatures over a bundle's version and digest.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,60 +15,61 @@
 use super::digest::{from_hex, to_hex};
 use super::{Bundle, BundleDigest, BundleVersion};
 
-/// What every signed text starts with, so that no signature serves another purpose.
+/// Domain separation prefix of every signed text, so that no signature is valid for
+/// another purpose.
 const SIGNATURE_DOMAIN: &[u8] = b"hookpoint bundle 1\0";
-/// Fixed beginning of an ed25519 private key in PKCS #8 (RFC 8410); 32 bytes follow.
+/// Fixed prefix of an ed25519 private key in PKCS #8 (RFC 8410); 32 bytes of key follow.
 const PKCS8_PREFIX: [u8; 16] = [
     0x30, 0x2e, 0x02, 0x01, 0x00, 0x30, 0x05, 0x06, 0x03, 0x2b, 0x65, 0x70, 0x04, 0x22, 0x04, 0x20,
 ];
-/// Most signatures a bundle carries.
+/// Maximum number of signatures on a bundle.
 const MAXIMUM_SIGNATURES: usize = 16;
 
-/// Name of a key: the first 8 bytes of the SHA-256 of its public half.
+/// Identifier of a key: the first 8 bytes of the SHA-256 of its public key.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(into = "String", try_from = "String")]
 pub struct KeyId([u8; 8]);
 
-/// Why a key cannot be read.
+/// Reason why a key cannot be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum KeyError {
-    /// Neither 64 hexadecimal digits nor an ed25519 key in PEM.
+    /// The text is neither 64 hexadecimal digits nor an ed25519 key in PEM.
     #[error("a key has 64 hexadecimal digits, or is an ed25519 private key in PEM")]
     Malformed,
-    /// The digits are no point of the curve.
+    /// The digits are not a point on the curve.
     #[error("the digits are no public key of ed25519")]
-    NoPublicKey,
-    /// A key name has 16 hexadecimal digits.
+    NotAPublicKey,
+    /// The text of a key identifier is not 16 hexadecimal digits.
     #[error("a key name has 16 hexadecimal digits")]
     MalformedName,
 }
 
-/// Why a bundle is not accepted as approved.
+/// Reason why a bundle is not accepted as approved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SignatureError {
-    /// It carries no signature.
+    /// The bundle has no signature.
     #[error("the bundle is not signed")]
     Unsigned,
-    /// No signature is of a trusted key.
+    /// No signature was made with a trusted key.
     #[error("the bundle is not signed by a trusted key")]
     NotTrusted,
-    /// A signature that names a trusted key does not match.
+    /// A signature that names a trusted key is invalid.
     #[error("a signature of the bundle does not match")]
     Mismatch,
-    /// More signatures than one bundle may carry.
+    /// The bundle has more signatures than allowed.
     #[error("the bundle carries too many signatures")]
     TooMany,
-    /// Only a bundle with a version can be signed.
+    /// The bundle has no version, and so cannot be approved.
     #[error("the bundle has no version")]
     NoVersion,
 }
 
-/// One operator's approval.
+/// Signature by which one operator approves a bundle.
 #[derive(Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BundleSignature {
-    /// Key that signed.
+    /// Identifier of the key that signed.
     pub key: KeyId,
-    /// The signature.
+    /// Raw ed25519 signature.
     #[serde(with = "signature_bytes")]
     signature: [u8; 64],
 }
@@ -82,36 +83,36 @@
 /// A bundle with its approvals.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SignedBundle {
-    /// The bundle.
+    /// The approved bundle.
     pub bundle: Arc<Bundle>,
-    /// Its approvals.
+    /// Approvals of the bundle.
     pub signatures: Vec<BundleSignature>,
 }
 
 /// An operator's private key.
 pub struct OperatorKey(SigningKey);
 
-/// Public keys whose approval counts. Without any, no bundle is ever accepted.
+/// Public keys whose approvals are accepted. Without any keys, no bundle is accepted.
 #[derive(Clone, Debug, Default)]
 pub struct TrustedKeys(BTreeMap<KeyId, VerifyingKey>);
 
 impl SignedBundle {
-    /// Version of the bundle.
+    /// Returns the version of the bundle.
     pub fn version(&self) -> BundleVersion {
         self.bundle.version
     }
 }
 
 impl OperatorKey {
-    /// The key with this secret.
+    /// Creates the key from its secret half.
     pub fn from_secret(secret: [u8; 32]) -> Self {
         Self(SigningKey::from_bytes(&secret))
     }
 
-    /// Reads a key from the text of its file: hexadecimal digits, or PEM.
+    /// Parses a key from the text of its file, which is hexadecimal digits or PEM.
     ///
     /// # Errors
-    /// [`KeyError::Malformed`].
+    /// Returns [`KeyError::Malformed`] if the text is neither.
     pub fn read(text: &str) -> Result<Self, KeyError> {
         let text = text.trim();
         if let Some(secret) = from_hex(text) {
@@ -122,22 +123,22 @@
             .ok_or(KeyError::Malformed)
     }
 
-    /// The secret half, as hexadecimal digits.
+    /// Returns the secret half as hexadecimal digits.
     pub fn secret_text(&self) -> String {
         to_hex(&self.0.to_bytes())
     }
 
-    /// The public half, as hexadecimal digits.
+    /// Returns the public half as hexadecimal digits.
     pub fn public_text(&self) -> String {
         to_hex(self.0.verifying_key().as_bytes())
     }
 
-    /// Name of the key.
+    /// Returns the identifier of the key.
     pub fn id(&self) -> KeyId {
         KeyId::of(&self.0.verifying_key())
     }
 
-    /// Approves a bundle of this version and digest.
+    /// Signs the version and digest of a bundle.
     pub fn sign(&self, version: BundleVersion, digest: BundleDigest) -> BundleSignature {
         let signature = self.0.sign(&signed_text(version, digest));
         BundleSignature {
@@ -154,39 +155,40 @@
 }
 
 impl TrustedKeys {
-    /// Reads public keys, each given by 64 hexadecimal digits.
+    /// Parses public keys, each given by 64 hexadecimal digits.
     ///
     /// # Errors
-    /// The index of the first text that is no key, and why.
+    /// Returns the index of the first text that is not a key, and the reason.
     pub fn read(texts: &[String]) -> Result<Self, (usize, KeyError)> {
         let mut keys = Self::default();
         for (index, text) in texts.iter().enumerate() {
             let bytes = from_hex(text.trim()).ok_or((index, KeyError::Malformed))?;
             let key =
-                VerifyingKey::from_bytes(&bytes).map_err(|_| (index, KeyError::NoPublicKey))?;
+                VerifyingKey::from_bytes(&bytes).map_err(|_| (index, KeyError::NotAPublicKey))?;
             keys.0.insert(KeyId::of(&key), key);
         }
         Ok(keys)
     }
 
-    /// Whether no key is trusted.
+    /// Returns whether no key is trusted.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Whether a trusted key has approved `signed`. Signatures of other keys are passed
-    /// over; one that names a trusted key and does not match spoils the bundle.
+    /// Verifies that a trusted key has approved `signed`. Signatures of other keys are
+    /// ignored; an invalid signature that names a trusted key makes the bundle
+    /// unacceptable.
     ///
     /// # Errors
-    /// A [`SignatureError`]; the bundle must not come into force.
+    /// Returns a [`SignatureError`]; the bundle must then not come into force.
     pub fn verify(&self, signed: &SignedBundle) -> Result<(), SignatureError> {
         self.verify_digest(signed.version(), signed.bundle.digest(), &signed.signatures)
     }
 
-    /// Like [`TrustedKeys::verify`], for a digest that has been worked out already.
+    /// Like [`TrustedKeys::verify`], for a digest that has already been computed.
     ///
     /// # Errors
-    /// A [`SignatureError`].
+    /// Returns a [`SignatureError`] if the bundle is not approved.
     pub fn verify_digest(
         &self,
         version: BundleVersion,
@@ -276,7 +278,8 @@
     bytes.strip_prefix(&PKCS8_PREFIX)?.try_into().ok()
 }
 
-/// A signature: hexadecimal digits in text formats, two halves in binary ones.
+/// Serialization of a signature: hexadecimal digits in text formats, two halves in
+/// binary formats.
 mod signature_bytes {
     use super::{Deserialize, Deserializer, Serialize, Serializer, de, from_hex, to_hex};
 
--- a/crates/state/src/bundle/tests.rs
+++ b/crates/state/src/bundle/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the bundle: its rules, approvals and deltas.
+//! Tests of bundles: validation, approvals and deltas.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 
 use super::*;
 
-const GOOD: &str = r#"description = "autumn"
+const VALID: &str = r#"description = "autumn"
 drain = ["m-2"]
 
 [zones]
@@ -37,8 +37,8 @@
 "#;
 
 #[test]
-fn a_good_document_is_read_with_its_defaults() {
-    let bundle = parse_bundle("good.toml", GOOD).expect("the document is good");
+fn a_valid_document_is_read_with_its_defaults() {
+    let bundle = parse_bundle("good.toml", VALID).expect("the document is valid");
     assert_eq!(bundle.version, BundleVersion(0));
     assert_eq!(bundle.limits.wait_ms, 2_000);
     assert_eq!(
@@ -52,8 +52,9 @@
     assert!(bundle.drain.contains(&DatabaseName::new("m-2")));
 }
 
-/// What to replace in the good document, and the line, key and reason of the problem.
-const BAD: &[(&str, &str, usize, &str, &str)] = &[
+/// Text to replace in the valid document, and the line, key and reason of the resulting
+/// problem.
+const INVALID: &[(&str, &str, usize, &str, &str)] = &[
     (
         "description = \"autumn\"",
         "description = ",
@@ -219,10 +220,10 @@
 ];
 
 #[test]
-fn bad_documents_name_line_key_and_reason() {
-    for (old, new, line, key, reason) in BAD {
-        assert!(GOOD.contains(old), "the good document holds {old}");
-        let text = GOOD.replacen(old, new, 1);
+fn problems_name_line_key_and_reason() {
+    for (old, new, line, key, reason) in INVALID {
+        assert!(VALID.contains(old), "the valid document holds {old}");
+        let text = VALID.replacen(old, new, 1);
         let problems = parse_bundle("bad.toml", &text).expect_err(new);
         let found = problems.problems.iter().any(|problem| {
             problem.line == *line
@@ -238,11 +239,11 @@
 }
 
 #[test]
-fn every_problem_is_listed_and_their_number_is_bounded() {
-    let text = GOOD.replace("slots = 5", "slots = 0");
+fn all_problems_are_listed_up_to_a_limit() {
+    let text = VALID.replace("slots = 5", "slots = 0");
     let problems = parse_bundle("bad.toml", &text).expect_err("two problems");
     assert_eq!(problems.problems.len(), 2);
-    let mut text = GOOD.to_owned();
+    let mut text = VALID.to_owned();
     for number in 0..200 {
         text.push_str(&format!(
             "[groups.g{number}]\ndatabase = \"d\"\nuser = \"u\"\n"
@@ -256,7 +257,7 @@
 }
 
 fn large_bundle(databases: usize) -> Bundle {
-    let mut bundle = parse_bundle("good.toml", GOOD).expect("the document is good");
+    let mut bundle = parse_bundle("good.toml", VALID).expect("the document is valid");
     for number in 0..databases {
         let group = GroupName::new(format!("g{}", number / 3));
         let template = bundle.groups[&GroupName::new("mensajes")].clone();
@@ -275,10 +276,10 @@
 }
 
 #[test]
-fn a_document_of_3000_databases_is_good() {
+fn a_document_of_3000_databases_is_valid() {
     let bundle = large_bundle(3_000);
     let text = toml::to_string(&bundle).expect("a bundle has a text");
-    let read = parse_bundle("large.toml", &text).expect("the document is good");
+    let read = parse_bundle("large.toml", &text).expect("the document is valid");
     assert_eq!(read, bundle);
     assert_eq!(read.digest(), bundle.digest());
 }
@@ -294,11 +295,11 @@
 }
 
 #[test]
-fn only_an_approval_of_a_trusted_key_counts() {
+fn only_approvals_of_trusted_keys_are_accepted() {
     let trusted = TrustedKeys::read(&[key(1).public_text()]).expect("a key");
-    let good = signed(large_bundle(3), 7);
+    let valid = signed(large_bundle(3), 7);
     let with = |change: &dyn Fn(&mut SignedBundle)| {
-        let mut signed = good.clone();
+        let mut signed = valid.clone();
         change(&mut signed);
         trusted.verify(&signed)
     };
@@ -314,7 +315,7 @@
             SignatureError::Unsigned,
         ),
         (
-            "a stranger's",
+            "by an untrusted key",
             with(&|signed| {
                 let signature = key(2).sign(signed.version(), signed.bundle.digest());
                 signed.signatures = vec![signature];
@@ -332,7 +333,7 @@
             SignatureError::Mismatch,
         ),
         (
-            "over a wrong number",
+            "over a wrong version number",
             with(&|signed| resign(signed, 6)),
             SignatureError::Mismatch,
         ),
@@ -346,7 +347,7 @@
         assert_eq!(result, Err(expected), "{name}");
     }
     assert_eq!(
-        TrustedKeys::default().verify(&good),
+        TrustedKeys::default().verify(&valid),
         Err(SignatureError::NotTrusted)
     );
     assert_eq!(
@@ -356,15 +357,15 @@
 }
 
 #[test]
-fn a_signed_bundle_survives_both_of_its_encodings() {
-    let good = signed(large_bundle(3), 7);
-    let binary = postcard::to_stdvec(&good).expect("an encoding");
+fn a_signed_bundle_round_trips_through_both_encodings() {
+    let valid = signed(large_bundle(3), 7);
+    let binary = postcard::to_stdvec(&valid).expect("an encoding");
     assert_eq!(
         postcard::from_bytes::<SignedBundle>(&binary),
-        Ok(good.clone())
+        Ok(valid.clone())
     );
-    let text = toml::to_string(&good).expect("a text");
-    assert_eq!(toml::from_str::<SignedBundle>(&text), Ok(good));
+    let text = toml::to_string(&valid).expect("a text");
+    assert_eq!(toml::from_str::<SignedBundle>(&text), Ok(valid));
 }
 
 #[test]
@@ -390,7 +391,7 @@
     }
 }
 
-/// A small bundle drawn at random, so that two of them share entries.
+/// A small random bundle, drawn so that two of them share entries.
 #[derive(Clone, Debug)]
 struct AnyBundle(Bundle);
 
@@ -460,13 +461,16 @@
 }
 
 #[test]
-fn a_delta_on_a_bundle_that_differs_is_noticed() {
+fn a_delta_on_a_differing_bundle_is_rejected() {
     let from = large_bundle(6).with_version(BundleVersion(1));
     let mut to = from.clone();
     to.limits.wait_ms = 77;
     let delta = BundleDelta::between(&from, &signed(to, 2));
-    let mut differs = from.clone();
-    differs.databases.remove(&DatabaseName::new("d0"));
-    assert_eq!(delta.apply(&differs), Err(DeltaError::DigestMismatch));
+    let mut differing_bundle = from.clone();
+    differing_bundle.databases.remove(&DatabaseName::new("d0"));
+    assert_eq!(
+        delta.apply(&differing_bundle),
+        Err(DeltaError::DigestMismatch)
+    );
     assert_eq!(delta.entries(), 0);
 }
--- a/crates/state/src/bundle/validate.rs
+++ b/crates/state/src/bundle/validate.rs
@@ -1,4 +1,4 @@
-//! The rules of a bundle.
+//! Validation of a bundle.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, SocketAddr};
@@ -9,102 +9,103 @@
 use crate::document::{DocumentReason, KeyPath};
 use crate::names::{DatabaseName, GroupName, ZoneName};
 
-/// Longest name, in bytes; PostgreSQL cuts identifiers after 63.
+/// Maximum length of a name, in bytes. PostgreSQL truncates identifiers to 63 bytes.
 const MAXIMUM_NAME_BYTES: usize = 63;
-/// Most slots of one database.
+/// Maximum number of slots of one database.
 const MAXIMUM_SLOTS: u32 = 10_000;
-/// Longest time budget, in milliseconds.
+/// Maximum time budget, in milliseconds.
 const MAXIMUM_BUDGET_MS: u64 = 10 * 60 * 1_000;
 
-/// What is wrong with a bundle.
+/// Reason why a bundle is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum BundleReason {
-    /// It cannot be read.
+    /// The document cannot be read.
     #[error(transparent)]
     Document(DocumentReason),
-    /// A name is empty, too long, or holds other than visible ASCII characters.
+    /// A name is empty, too long, or contains characters other than visible ASCII.
     #[error("a name has 1 to {MAXIMUM_NAME_BYTES} visible ASCII characters")]
     BadName,
-    /// No zones, groups or databases are named.
+    /// The bundle has no zones, groups or databases.
     #[error("at least one entry is needed")]
     Empty,
-    /// A zone that the bundle does not name.
+    /// A database refers to a zone that is not in the bundle.
     #[error("zone `{zone}` is not named under `zones`")]
     UnknownZone {
-        /// The zone.
+        /// Name of the zone.
         zone: ZoneName,
     },
-    /// A group that the bundle does not name.
+    /// A database refers to a group that is not in the bundle.
     #[error("group `{group}` is not named under `groups`")]
     UnknownGroup {
-        /// The group.
+        /// Name of the group.
         group: GroupName,
     },
-    /// A database that the bundle does not name.
+    /// The drain list contains a database that is not in the bundle.
     #[error("database `{database}` is not named under `databases`")]
     UnknownDatabase {
-        /// The database.
+        /// Name of the database.
         database: DatabaseName,
     },
-    /// A group without databases.
+    /// A group has no databases.
     #[error("the group has no database")]
     NoDatabase,
-    /// Not an IP address and port.
+    /// An address is not an IP address and port.
     #[error("`{address}` is no address of the form ip:port")]
     BadAddress {
-        /// The text.
+        /// Address in the document.
         address: String,
     },
-    /// An address that nothing can be reached at.
+    /// An address cannot belong to a server: its port is 0, or its IP address is
+    /// unspecified or multicast.
     #[error("`{address}` is not the address of one machine")]
     UnusableAddress {
-        /// The text.
+        /// Address in the document.
         address: String,
     },
-    /// Two databases at one address.
+    /// Two databases have the same address.
     #[error("database `{other}` has the same address")]
     DuplicateAddress {
         /// The other database.
         other: DatabaseName,
     },
-    /// A number outside its range.
+    /// A number is outside its range.
     #[error("{value} is outside {minimum} to {maximum}")]
     OutOfRange {
-        /// The number.
+        /// Number in the document.
         value: u64,
-        /// Smallest allowed.
+        /// Smallest allowed value.
         minimum: u64,
-        /// Largest allowed.
+        /// Largest allowed value.
         maximum: u64,
     },
 }
 
-type Finding = (KeyPath, BundleReason);
+type Violation = (KeyPath, BundleReason);
 
-/// Every rule that `bundle` breaks.
-pub(super) fn validate(bundle: &Bundle) -> Vec<Finding> {
-    let mut findings = Vec::new();
-    check_zones(bundle, &mut findings);
-    check_groups(bundle, &mut findings);
-    check_databases(bundle, &mut findings);
-    check_limits(&bundle.limits, &mut findings);
-    check_tenants(bundle, &mut findings);
-    check_drain(bundle, &mut findings);
-    findings
+/// Returns all violations of validation rules in `bundle`.
+pub(super) fn validate(bundle: &Bundle) -> Vec<Violation> {
+    let mut violations = Vec::new();
+    check_zones(bundle, &mut violations);
+    check_groups(bundle, &mut violations);
+    check_databases(bundle, &mut violations);
+    check_limits(&bundle.limits, &mut violations);
+    check_tenants(bundle, &mut violations);
+    check_drain(bundle, &mut violations);
+    violations
 }
 
 fn section(name: &str) -> KeyPath {
     KeyPath::root().key(name)
 }
 
-fn check_name(path: &KeyPath, name: &str, findings: &mut Vec<Finding>) {
-    let fits = (1..=MAXIMUM_NAME_BYTES).contains(&name.len());
-    if !fits || !name.bytes().all(|byte| byte.is_ascii_graphic()) {
-        findings.push((path.clone(), BundleReason::BadName));
+fn check_name(path: &KeyPath, name: &str, violations: &mut Vec<Violation>) {
+    let valid_length = (1..=MAXIMUM_NAME_BYTES).contains(&name.len());
+    if !valid_length || !name.bytes().all(|byte| byte.is_ascii_graphic()) {
+        violations.push((path.clone(), BundleReason::BadName));
     }
 }
 
-fn check_range(path: KeyPath, value: u64, range: (u64, u64), findings: &mut Vec<Finding>) {
+fn check_range(path: KeyPath, value: u64, range: (u64, u64), violations: &mut Vec<Violation>) {
     let (minimum, maximum) = range;
     if value < minimum || value > maximum {
         let reason = BundleReason::OutOfRange {
@@ -112,26 +113,26 @@
             minimum,
             maximum,
         };
-        findings.push((path, reason));
+        violations.push((path, reason));
     }
 }
 
-fn check_zones(bundle: &Bundle, findings: &mut Vec<Finding>) {
+fn check_zones(bundle: &Bundle, violations: &mut Vec<Violation>) {
     let zones = section("zones");
     if bundle.zones.is_empty() {
-        findings.push((zones.clone(), BundleReason::Empty));
+        violations.push((zones.clone(), BundleReason::Empty));
     }
     for (zone, region) in &bundle.zones {
         let path = zones.key(zone.as_str());
-        check_name(&path, zone.as_str(), findings);
-        check_name(&path, region.as_str(), findings);
+        check_name(&path, zone.as_str(), violations);
+        check_name(&path, region.as_str(), violations);
     }
 }
 
-fn check_groups(bundle: &Bundle, findings: &mut Vec<Finding>) {
+fn check_groups(bundle: &Bundle, violations: &mut Vec<Violation>) {
     let groups = section("groups");
     if bundle.groups.is_empty() {
-        findings.push((groups.clone(), BundleReason::Empty));
+        violations.push((groups.clone(), BundleReason::Empty));
     }
     let used: BTreeSet<&GroupName> = bundle
         .databases
@@ -140,39 +141,39 @@
         .collect();
     for (name, group) in &bundle.groups {
         let path = groups.key(name.as_str());
-        check_name(&path, name.as_str(), findings);
-        check_group(&path, group, findings);
+        check_name(&path, name.as_str(), violations);
+        check_group(&path, group, violations);
         if !used.contains(name) {
-            findings.push((path, BundleReason::NoDatabase));
+            violations.push((path, BundleReason::NoDatabase));
         }
     }
 }
 
-fn check_group(path: &KeyPath, group: &Group, findings: &mut Vec<Finding>) {
-    check_name(&path.key("database"), &group.database, findings);
-    check_name(&path.key("user"), &group.user, findings);
+fn check_group(path: &KeyPath, group: &Group, violations: &mut Vec<Violation>) {
+    check_name(&path.key("database"), &group.database, violations);
+    check_name(&path.key("user"), &group.user, violations);
     let timeout = path.key("election_timeout_ms");
     let range = (1, MAXIMUM_BUDGET_MS);
-    check_range(timeout, group.election_timeout_ms, range, findings);
+    check_range(timeout, group.election_timeout_ms, range, violations);
 }
 
-fn check_databases(bundle: &Bundle, findings: &mut Vec<Finding>) {
+fn check_databases(bundle: &Bundle, violations: &mut Vec<Violation>) {
     let databases = section("databases");
     if bundle.databases.is_empty() {
-        findings.push((databases.clone(), BundleReason::Empty));
+        violations.push((databases.clone(), BundleReason::Empty));
     }
     let mut addresses: BTreeMap<SocketAddr, &DatabaseName> = BTreeMap::new();
     for (name, database) in &bundle.databases {
         let path = databases.key(name.as_str());
-        check_name(&path, name.as_str(), findings);
-        check_database(bundle, &path, database, findings);
+        check_name(&path, name.as_str(), violations);
+        check_database(bundle, &path, database, violations);
         let address_path = path.key("address");
-        let Some(address) = check_address(&address_path, &database.address, findings) else {
+        let Some(address) = check_address(&address_path, &database.address, violations) else {
             continue;
         };
         if let Some(other) = addresses.insert(address, name) {
             let other = other.clone();
-            findings.push((address_path, BundleReason::DuplicateAddress { other }));
+            violations.push((address_path, BundleReason::DuplicateAddress { other }));
         }
     }
 }
@@ -181,40 +182,44 @@
     bundle: &Bundle,
     path: &KeyPath,
     database: &Database,
-    findings: &mut Vec<Finding>,
+    violations: &mut Vec<Violation>,
 ) {
     if !bundle.groups.contains_key(&database.group) {
         let group = database.group.clone();
-        findings.push((path.key("group"), BundleReason::UnknownGroup { group }));
+        violations.push((path.key("group"), BundleReason::UnknownGroup { group }));
     }
     if !bundle.zones.contains_key(&database.zone) {
         let zone = database.zone.clone();
-        findings.push((path.key("zone"), BundleReason::UnknownZone { zone }));
+        violations.push((path.key("zone"), BundleReason::UnknownZone { zone }));
     }
     let range = (1, u64::from(MAXIMUM_SLOTS));
     check_range(
         path.key("slots"),
         u64::from(database.slots),
         range,
-        findings,
+        violations,
     );
 }
 
-fn check_address(path: &KeyPath, text: &str, findings: &mut Vec<Finding>) -> Option<SocketAddr> {
+fn check_address(
+    path: &KeyPath,
+    text: &str,
+    violations: &mut Vec<Violation>,
+) -> Option<SocketAddr> {
     let Ok(address) = text.parse::<SocketAddr>() else {
         let address = text.chars().take(MAXIMUM_NAME_BYTES).collect();
-        findings.push((path.clone(), BundleReason::BadAddress { address }));
+        violations.push((path.clone(), BundleReason::BadAddress { address }));
         return None;
     };
     let ip: IpAddr = address.ip();
     if address.port() == 0 || ip.is_unspecified() || ip.is_multicast() {
         let address = text.to_owned();
-        findings.push((path.clone(), BundleReason::UnusableAddress { address }));
+        violations.push((path.clone(), BundleReason::UnusableAddress { address }));
     }
     Some(address)
 }
 
-fn check_limits(limits: &Limits, findings: &mut Vec<Finding>) {
+fn check_limits(limits: &Limits, violations: &mut Vec<Violation>) {
     let path = section("limits");
     let budget = (1, MAXIMUM_BUDGET_MS);
     let checks = [
@@ -243,30 +248,30 @@
         ("retry_percent", u64::from(limits.retry_percent), (0, 100)),
     ];
     for (key, value, range) in checks {
-        check_range(path.key(key), value, range, findings);
+        check_range(path.key(key), value, range, violations);
     }
 }
 
-fn check_tenants(bundle: &Bundle, findings: &mut Vec<Finding>) {
+fn check_tenants(bundle: &Bundle, violations: &mut Vec<Violation>) {
     let tenants = section("tenants");
     for (name, limits) in &bundle.tenants {
         let path = tenants.key(name.as_str());
-        check_name(&path, name.as_str(), findings);
+        check_name(&path, name.as_str(), violations);
         let weight = u64::from(limits.weight);
-        check_range(path.key("weight"), weight, (1, 1_000), findings);
+        check_range(path.key("weight"), weight, (1, 1_000), violations);
         if let Some(waiting) = limits.waiting {
             let range = (1, u64::from(u32::MAX));
-            check_range(path.key("waiting"), u64::from(waiting), range, findings);
+            check_range(path.key("waiting"), u64::from(waiting), range, violations);
         }
     }
 }
 
-fn check_drain(bundle: &Bundle, findings: &mut Vec<Finding>) {
+fn check_drain(bundle: &Bundle, violations: &mut Vec<Violation>) {
     for database in &bundle.drain {
         if !bundle.databases.contains_key(database) {
             let path = section("drain").item(database.as_str());
             let database = database.clone();
-            findings.push((path, BundleReason::UnknownDatabase { database }));
+            violations.push((path, BundleReason::UnknownDatabase { database }));
         }
     }
 }
--- a/crates/state/src/document.rs
+++ b/crates/state/src/document.rs
@@ -1,5 +1,5 @@
-//! Reading TOML documents that people write: every problem names its line, its key and
-//! its reason.
+//! Parsing of TOML documents written by people. Every problem states its line, key and
+//! reason.
 
 use std::fmt;
 use std::ops::Range;
@@ -9,9 +9,9 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// Largest document accepted, in bytes.
+/// Maximum size of a document, in bytes.
 pub const MAXIMUM_DOCUMENT_BYTES: usize = 8 * 1024 * 1024;
-/// Most problems one check lists.
+/// Maximum number of problems that one check reports.
 pub const MAXIMUM_PROBLEMS: usize = 100;
 
 /// One step of a path to a value.
@@ -27,26 +27,26 @@
 pub struct KeyPath(Vec<Step>);
 
 impl KeyPath {
-    /// The document itself.
+    /// Returns the path to the document itself.
     pub fn root() -> Self {
         Self::default()
     }
 
-    /// The path to `name` inside the table at this path.
+    /// Returns the path to `name` in the table at this path.
     pub fn key(&self, name: impl AsRef<str>) -> Self {
         let mut steps = self.0.clone();
         steps.push(Step::Key(name.as_ref().to_owned()));
         Self(steps)
     }
 
-    /// The path to entry `index` of the list at this path.
+    /// Returns the path to entry `index` of the list at this path.
     pub fn index(&self, index: usize) -> Self {
         let mut steps = self.0.clone();
         steps.push(Step::Index(index));
         Self(steps)
     }
 
-    /// The path to the entry `text` of the list of texts at this path.
+    /// Returns the path to the entry `text` of the list of texts at this path.
     pub fn item(&self, text: impl AsRef<str>) -> Self {
         let mut steps = self.0.clone();
         steps.push(Step::Item(text.as_ref().to_owned()));
@@ -56,9 +56,9 @@
 
 impl fmt::Display for KeyPath {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (place, step) in self.0.iter().enumerate() {
+        for (position, step) in self.0.iter().enumerate() {
             match step {
-                Step::Key(name) if place == 0 => formatter.write_str(name)?,
+                Step::Key(name) if position == 0 => formatter.write_str(name)?,
                 Step::Key(name) => write!(formatter, ".{name}")?,
                 Step::Index(index) => write!(formatter, "[{index}]")?,
                 Step::Item(text) => write!(formatter, "[{text:?}]")?,
@@ -68,15 +68,15 @@
     }
 }
 
-/// A problem of a document: where it is and what it is.
+/// A problem of a document: its location and its reason.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{}{reason}", prefix(*line, key))]
 pub struct Problem<Reason: fmt::Debug + fmt::Display> {
-    /// Line, from 1; 0 where there is no text.
+    /// Line, counted from 1; 0 when there is no document text.
     pub line: usize,
-    /// Key concerned; the root when the document as a whole is.
+    /// Key concerned; the root when the problem concerns the document as a whole.
     pub key: KeyPath,
-    /// What is wrong.
+    /// Reason of the problem.
     pub reason: Reason,
 }
 
@@ -91,37 +91,37 @@
     prefix
 }
 
-/// Why a document cannot be read at all.
+/// Reason why a document cannot be read at all.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DocumentReason {
-    /// More than [`MAXIMUM_DOCUMENT_BYTES`].
+    /// The document is larger than [`MAXIMUM_DOCUMENT_BYTES`].
     #[error("the document is larger than {MAXIMUM_DOCUMENT_BYTES} bytes")]
     TooLarge,
-    /// Not TOML.
+    /// The document is not valid TOML.
     #[error("{message}")]
     Syntax {
-        /// The reader's text.
+        /// Message of the TOML parser.
         message: String,
     },
-    /// A key that is unknown or missing, or a value of the wrong type.
+    /// A key is unknown or missing, or a value has the wrong type.
     #[error("{message}")]
-    Shape {
-        /// The reader's text.
+    Structure {
+        /// Message of the TOML parser.
         message: String,
     },
 }
 
-/// A document that is TOML.
+/// A parsed TOML document and its text.
 pub struct Document<'text> {
     text: &'text str,
     table: Spanned<DeTable<'text>>,
 }
 
 impl<'text> Document<'text> {
-    /// Reads `text`.
+    /// Parses `text`.
     ///
     /// # Errors
-    /// The first problem of its size or syntax.
+    /// Returns the first problem of the document's size or syntax.
     pub fn parse(text: &'text str) -> Result<Self, Problem<DocumentReason>> {
         if text.len() > MAXIMUM_DOCUMENT_BYTES {
             return Err(Problem {
@@ -143,21 +143,21 @@
     /// Decodes the whole document.
     ///
     /// # Errors
-    /// The first key that is unknown, missing or of the wrong type.
+    /// Returns the first key that is unknown, missing or of the wrong type.
     pub fn decode<T: DeserializeOwned>(&self) -> Result<T, Problem<DocumentReason>> {
         toml::from_str(self.text).map_err(|error| {
             let span = error.span().unwrap_or(0..0);
             Problem {
                 line: line_at(self.text, span.start),
                 key: self.path_at(&span),
-                reason: DocumentReason::Shape {
+                reason: DocumentReason::Structure {
                     message: error.message().trim().to_owned(),
                 },
             }
         })
     }
 
-    /// Line of the value at `path`, or of its nearest parent that exists.
+    /// Returns the line of the value at `path`, or of its nearest existing parent.
     pub fn line_of(&self, path: &KeyPath) -> usize {
         let mut offset = self.table.span().start;
         let mut current: Option<&Spanned<DeValue<'_>>> = None;
@@ -186,10 +186,10 @@
         line_at(self.text, offset)
     }
 
-    /// Path of the innermost key whose own text or value holds `span`.
+    /// Returns the path of the innermost key whose name or value contains `span`.
     fn path_at(&self, span: &Range<usize>) -> KeyPath {
         let mut path = KeyPath::root();
-        descend(self.table.get_ref(), span.start, &mut path);
+        extend_path(self.table.get_ref(), span.start, &mut path);
         path
     }
 }
@@ -204,17 +204,17 @@
         .map(|(key, value)| (key.span().start, value))
 }
 
-fn descend(table: &DeTable<'_>, offset: usize, path: &mut KeyPath) {
+fn extend_path(table: &DeTable<'_>, offset: usize, path: &mut KeyPath) {
     for (key, value) in table {
         if key.span().contains(&offset) {
-            // A table's header may name it anew; the key is still the innermost one
-            // unless one of its own entries holds the place.
+            // A table header may repeat the key. The key is still the innermost one
+            // unless one of its entries contains the offset.
             *path = path.key(key.get_ref());
             return;
         }
         let mut inner = path.key(key.get_ref());
         let depth = inner.0.len();
-        descend_value(value, offset, &mut inner);
+        extend_path_in_value(value, offset, &mut inner);
         if inner.0.len() > depth || value.span().contains(&offset) {
             *path = inner;
             return;
@@ -222,14 +222,14 @@
     }
 }
 
-fn descend_value(value: &Spanned<DeValue<'_>>, offset: usize, path: &mut KeyPath) {
+fn extend_path_in_value(value: &Spanned<DeValue<'_>>, offset: usize, path: &mut KeyPath) {
     if let Some(table) = value.get_ref().as_table() {
-        descend(table, offset, path);
+        extend_path(table, offset, path);
     } else if let Some(array) = value.get_ref().as_array() {
         for (index, item) in array.iter().enumerate() {
             let mut inner = path.index(index);
             let depth = inner.0.len();
-            descend_value(item, offset, &mut inner);
+            extend_path_in_value(item, offset, &mut inner);
             if inner.0.len() > depth || item.span().contains(&offset) {
                 *path = inner;
                 return;
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,8 +1,8 @@
-//! Shared state types of hookpoint: names, log positions, terms, time, outcomes,
-//! the configuration bundle and the session token.
+//! Shared state types of hookpoint: names, log positions, terms, time, outcomes, the
+//! configuration bundle and the session token.
 //!
-//! This is the lowest layer. It performs no I/O, reads no clock and draws no random
-//! numbers; every other layer depends on it and it depends on none of them.
+//! This is the lowest layer: every other layer depends on it, and it depends on none of
+//! them. It performs no I/O, reads no clock and draws no random numbers.
 #![forbid(unsafe_code)]
 
 pub mod bundle;
--- a/crates/state/src/names.rs
+++ b/crates/state/src/names.rs
@@ -15,12 +15,13 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps `text` as it is; callers validate outside input first.
+            /// Wraps `text` without validation; callers must validate outside input
+            /// first.
             pub fn new(text: impl AsRef<str>) -> Self {
                 Self(Arc::from(text.as_ref()))
             }
 
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -53,33 +54,33 @@
 }
 
 text_name! {
-    /// A replicated database group: one primary and its replicas. Callers name it as
-    /// the `database` of their start-up message.
+    /// Name of a replicated database group: one primary and its replicas. Callers pass
+    /// it as the `database` of their start-up message.
     GroupName
 }
 text_name! {
-    /// One database server of a group; unique in the whole bundle.
+    /// Name of a database server of a group, unique within the bundle.
     DatabaseName
 }
 text_name! {
-    /// A zone: machines that fail or are cut off together.
+    /// Name of a zone: machines that can fail or be partitioned together.
     ZoneName
 }
 text_name! {
-    /// A region: zones close to each other.
+    /// Name of a region: zones that are close to each other.
     RegionName
 }
 text_name! {
-    /// The tenant a session belongs to: the `user` of its start-up message.
+    /// Name of the tenant that a session belongs to: the `user` of its start-up message.
     TenantName
 }
 text_name! {
-    /// A caller's identifier of a request that is not repeatable.
+    /// Identifier that a caller assigns to a request that is not repeatable.
     RequestId
 }
 
-/// A proxy node. Drawn at random when the process starts, so a restarted process is a
-/// new node.
+/// Identifier of a proxy node. It is drawn at random when the process starts, so a
+/// restarted process is a new node.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NodeId(pub u64);
 
@@ -95,7 +96,7 @@
     }
 }
 
-/// A caller's session on one node, numbered from 1 in the order of arrival.
+/// Number of a caller's session on one node, from 1 in the order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionId(pub u64);
 
--- a/crates/state/src/outcome.rs
+++ b/crates/state/src/outcome.rs
@@ -1,7 +1,7 @@
-//! What became of a request, and why.
+//! Outcomes of requests and their reasons.
 //!
-//! Every failure that reaches a caller says whether the request ran, did not run or
-//! may have run. The SQLSTATE classes are documented in `docs/OPERATIONS.md`.
+//! Every failure reported to a caller states whether the request ran, did not run or may
+//! have run. The SQLSTATE classes are documented in `docs/OPERATIONS.md`.
 
 use std::time::Duration;
 
@@ -11,16 +11,16 @@
 /// Whether a request took effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It ran; its answer was delivered.
+    /// The request ran, and its answer was delivered.
     Ran,
-    /// It did not run and will not.
+    /// The request did not run and will not run later.
     NotRun,
-    /// It may have run; nobody can tell from here.
+    /// The request may have run; this node cannot determine it.
     Unknown,
 }
 
 impl Outcome {
-    /// The text in the error field that drivers can read (`DETAIL`).
+    /// Returns the text of the error field that drivers can parse (`DETAIL`).
     pub fn as_field(self) -> &'static str {
         match self {
             Outcome::Ran => "hookpoint.outcome=ran",
@@ -30,13 +30,14 @@
     }
 }
 
-/// A request that was refused and did not run.
+/// Reason why a request was refused. A refused request did not run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 pub enum Refusal {
     /// The wait queue of the database is full.
     #[error("the queue for a connection is full")]
     QueueFull,
-    /// The tenant is over its share while the node is overloaded.
+    /// The tenant has reached its own limit, or exceeds its share while the queue is
+    /// overloaded.
     #[error("the tenant is over its limit")]
     TenantLimit,
     /// No connection became free before the deadline.
@@ -48,19 +49,19 @@
     /// No database of the group can be reached.
     #[error("no database of the group can be reached")]
     NoDatabase,
-    /// This proxy is stopping.
+    /// This proxy is shutting down.
     #[error("the proxy is stopping")]
     Stopping,
-    /// The group is not named in the bundle.
+    /// The group is not in the bundle.
     #[error("the group is not in the configuration bundle")]
     UnknownGroup,
     /// No bundle is in force on this proxy yet.
     #[error("no configuration bundle is in force yet")]
     NoBundle,
-    /// The feature cannot be carried by transaction pooling.
+    /// The feature is not supported by transaction pooling.
     #[error("transaction pooling cannot carry {feature}")]
     Unsupported {
-        /// The feature, such as `LISTEN`.
+        /// Name of the feature, such as `LISTEN`.
         feature: String,
     },
     /// A request with the same identifier already ran.
@@ -70,7 +71,7 @@
     /// database rolls it back.
     #[error("the connection broke before COMMIT was sent; the transaction is rolled back")]
     RolledBack,
-    /// The back end refused it before running it and no retry was left.
+    /// The back end refused the request before running it, and no retry was left.
     #[error("the database refused the request before running it ({sqlstate})")]
     BackendRefused {
         /// SQLSTATE of the back end's refusal.
@@ -79,7 +80,7 @@
 }
 
 impl Refusal {
-    /// SQLSTATE told to the caller. Class `HN` means "not run".
+    /// Returns the SQLSTATE reported to the caller. Class `HN` means "not run".
     pub fn sqlstate(&self) -> &'static str {
         match self {
             Refusal::QueueFull => "HN001",
@@ -97,14 +98,14 @@
         }
     }
 
-    /// What the refusal says of the request. [`Refusal::AlreadyRan`] speaks of the
-    /// earlier request of that identifier; this attempt itself did not run.
+    /// Returns the outcome of the refused request. [`Refusal::AlreadyRan`] concerns the
+    /// earlier request with the same identifier; this attempt itself did not run.
     pub fn outcome(&self) -> Outcome {
         Outcome::NotRun
     }
 
-    /// How long the caller had better wait before it asks again, where asking again
-    /// can help.
+    /// Returns how long the caller should wait before it retries; `None` if a retry
+    /// cannot help.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Refusal::QueueFull | Refusal::TenantLimit | Refusal::WaitDeadline => {
@@ -124,7 +125,7 @@
 /// SQLSTATE for a request whose outcome is unknown (`transaction_resolution_unknown`).
 pub const UNKNOWN_SQLSTATE: &str = "08007";
 
-/// Why nobody can tell whether a request ran.
+/// Reason why it is unknown whether a request ran.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, Error)]
 pub enum UnknownCause {
     /// The connection broke after the request was sent and before its answer.
@@ -133,7 +134,7 @@
     /// The write is committed on one database, but no majority confirmed it in time.
     #[error("no majority confirmed the commit in time")]
     NoMajority,
-    /// The primary that ran it has been replaced.
+    /// The primary that ran the request has been replaced.
     #[error("the primary was replaced while the request ran")]
     TermChanged,
     /// The answer did not arrive before the deadline.
--- a/crates/state/src/position.rs
+++ b/crates/state/src/position.rs
@@ -1,4 +1,4 @@
-//! Log positions and terms, in PostgreSQL's own units.
+//! Log positions and terms, in PostgreSQL's units.
 
 use std::fmt;
 use std::str::FromStr;
@@ -12,13 +12,13 @@
 )]
 pub struct Lsn(pub u64);
 
-/// A term of a group: PostgreSQL's timeline. Each change of primary takes a higher one.
+/// Term of a group: PostgreSQL's timeline. Each change of primary starts a higher term.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Term(pub u32);
 
-/// A place in a group's history.
+/// A position in a group's history.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -29,11 +29,11 @@
     pub lsn: Lsn,
 }
 
-/// A text that is no log position.
+/// Error for text that is not a log position.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("`{text}` is not a log position of the form X/Y in hexadecimal")]
 pub struct ParseLsnError {
-    /// The text as received, shortened to 64 characters.
+    /// The text, truncated to 64 characters.
     pub text: String,
 }
 
@@ -70,7 +70,7 @@
 }
 
 impl Position {
-    /// Builds a position from raw numbers.
+    /// Creates a position from raw numbers.
     pub fn new(term: u32, lsn: u64) -> Self {
         Self {
             term: Term(term),
@@ -78,17 +78,19 @@
         }
     }
 
-    /// Whether a database at `self` holds everything acknowledged up to `required`.
+    /// Returns whether a database at `self` holds everything acknowledged up to
+    /// `required`.
     ///
-    /// A database on an older term than `required` may hold a divergent log, so its
-    /// position proves nothing. On the same or a newer term the logs share their
-    /// prefix up to every acknowledged position, because a write is acknowledged only
-    /// when every later primary holds it; there the log position alone decides.
+    /// A database on an older term than `required` may have a divergent log, so its
+    /// position proves nothing. On the same or a newer term the logs share their prefix
+    /// up to every acknowledged position, because a write is acknowledged only when
+    /// every later primary holds it; so on such a term the log position alone decides.
     pub fn covers(self, required: Position) -> bool {
         self.term >= required.term && self.lsn >= required.lsn
     }
 
-    /// The later requirement of two: both the higher term and the higher log position.
+    /// Returns the union of two requirements: the higher term and the higher log
+    /// position.
     pub fn join(self, other: Position) -> Position {
         Position {
             term: self.term.max(other.term),
--- a/crates/state/src/store_revision.rs
+++ b/crates/state/src/store_revision.rs
@@ -1,32 +1,33 @@
-//! States of the state store.
+//! Revisions of the state store.
 //!
-//! The store numbers its states. It may come back from an older copy of itself; it then gives
-//! numbers out again that it had given to other states, and tells a new era from then on. Only an
-//! era and a number together name a state, so a number alone can be neither made into a revision
-//! nor compared with one.
+//! The store numbers its states. After it is restored from an older copy of itself, it
+//! reuses numbers that it had given to other states, and reports a new era. Only an era
+//! and a number together identify a state, so a bare number can neither be converted
+//! into a revision nor be compared with one.
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
-/// A time between two returns of the store from an older copy. Each return begins the next one.
+/// Period between two restores of the store from an older copy. Each restore begins a
+/// new era.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct StoreEra(u64);
 
 impl StoreEra {
-    /// The era that the store calls `number`.
+    /// Creates the era that the store reports as `number`.
     pub const fn new(number: u64) -> Self {
         Self(number)
     }
 
-    /// The era before; the first era has none, and is its own.
+    /// Returns the previous era, or the first era itself, which has no predecessor.
     pub const fn before(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 
-    /// What the store calls it.
+    /// Returns the number by which the store reports the era.
     pub const fn number(self) -> u64 {
         self.0
     }
@@ -40,9 +41,10 @@
 
 /// A state of the store, or the change that led to it.
 ///
-/// All states of an era come after those of the eras before, whatever their numbers. That order
-/// tells what the store holds now. It does not tell what was promised: a change that the store
-/// lost was acknowledged all the same. The default comes before every state.
+/// All states of an era are ordered after those of earlier eras, whatever their numbers.
+/// This order reflects what the store currently holds, not what was acknowledged: a
+/// change that the store lost in a restore was acknowledged nevertheless. The default comes
+/// before every state.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -52,29 +54,30 @@
 }
 
 impl StoreRevision {
-    /// The state that the store called `number` in `era`.
+    /// Creates the revision of the state with `number` in `era`.
     pub const fn new(era: StoreEra, number: u64) -> Self {
         Self { era, number }
     }
 
-    /// Its era.
+    /// Returns the era.
     pub const fn era(self) -> StoreEra {
         self.era
     }
 
-    /// Whether this may be the change `earlier` itself, told by a store that came back from a copy
-    /// which holds it: a copy keeps the numbers of what it holds.
+    /// Returns whether this may be the same change as `earlier`, reported by a store
+    /// that was restored from a copy containing it: a copy keeps the numbers of the
+    /// states it contains.
     pub fn may_be_copy_of(self, earlier: Self) -> bool {
         self.era > earlier.era && self.number == earlier.number
     }
 
-    /// Era and number, to be spelt in a message.
+    /// Returns era and number, for encoding in a message.
     pub const fn parts(self) -> (StoreEra, u64) {
         (self.era, self.number)
     }
 }
 
-/// The era, a point, and the number in it.
+/// Formats the revision as the era, a point and the number.
 impl fmt::Display for StoreRevision {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{}.{}", self.era, self.number)
--- a/crates/state/src/time.rs
+++ b/crates/state/src/time.rs
@@ -1,24 +1,24 @@
-//! Time as an argument: a monotonic reading supplied by whoever drives the logic.
+//! Time as an argument: monotonic readings supplied by the driver of the logic.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Microseconds since an origin of the driver's choice. Readings of one node are
-/// monotonic; readings of two nodes are never compared.
+/// Microseconds since an origin chosen by the driver. Readings of one node are
+/// monotonic; readings of different nodes must not be compared.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Timestamp(pub u64);
 
 impl Timestamp {
-    /// A reading of `millis` milliseconds after the origin.
+    /// Creates a reading of `millis` milliseconds after the origin.
     pub fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// Time passed since `earlier`; zero if `earlier` is later.
+    /// Returns the time elapsed since `earlier`; zero if `earlier` is later.
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
--- a/crates/state/src/token.rs
+++ b/crates/state/src/token.rs
@@ -1,5 +1,5 @@
-//! The session token: a session's last known position, authenticated, so that it can
-//! travel with the caller to another proxy.
+//! The session token: a session's last known position, authenticated so that the caller
+//! can present it to another proxy.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -11,7 +11,7 @@
 use crate::names::GroupName;
 use crate::position::Position;
 
-/// Longest token text accepted, in bytes.
+/// Maximum length of a token's text, in bytes.
 pub const MAXIMUM_TOKEN_LENGTH: usize = 512;
 
 const TAG_LENGTH: usize = 16;
@@ -19,20 +19,20 @@
 
 type TokenMac = Hmac<Sha256>;
 
-/// What a token says.
+/// Contents of a token.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionToken {
     /// Group the position belongs to.
     pub group: GroupName,
-    /// Everything up to here must be visible to the session's reads.
+    /// Position up to which everything must be visible to the session's reads.
     pub position: Position,
 }
 
-/// Why a token was not accepted. A session with such a token is treated as one
+/// Reason why a token was rejected. A session with a rejected token is treated as one
 /// without a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum TokenError {
-    /// Not base64, too long, or not of a known format.
+    /// The token is not base64, too long, or of an unknown format.
     #[error("the token is malformed")]
     Malformed,
     /// The authentication tag does not match under any current key.
@@ -54,7 +54,7 @@
     /// still valid during a rotation).
     ///
     /// # Errors
-    /// [`TokenError::Malformed`] or [`TokenError::Forged`].
+    /// Returns [`TokenError::Malformed`] or [`TokenError::Forged`].
     pub fn open<'a>(
         text: &str,
         keys: impl IntoIterator<Item = &'a [u8]>,
