--- a/crates/coordination/src/explain.rs
+++ b/crates/coordination/src/explain.rs
@@ -24,7 +24,7 @@
     },
     /// The check of a replica's position failed, and the read is routed elsewhere.
     CheckFailed {
-        /// The database that was behind.
+        /// Database whose position was too old.
         database: DatabaseName,
         /// Term and position that the database reported.
         place: Position,
@@ -90,7 +90,7 @@
     NoFreshReplica,
 }
 
-/// What a held request waits for.
+/// Condition that a held request waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HoldReason {
@@ -107,7 +107,7 @@
 pub struct Entry {
     /// When the decision was made, by the node's own clock.
     pub at: Timestamp,
-    /// Session concerned; `None` for decisions that concern the whole node.
+    /// Session concerned; `None` if the decision concerns no session.
     pub session: Option<SessionId>,
     /// Decision that was made.
     pub decision: Decision,
--- a/crates/coordination/src/membership/datagram.rs
+++ b/crates/coordination/src/membership/datagram.rs
@@ -57,7 +57,8 @@
         /// Number of the probe.
         probe: u32,
     },
-    /// The node that a `Ping` names is not at this address; this one is.
+    /// Reports that the sender, and not the node named in a `Ping`, uses the address
+    /// that the `Ping` was sent to.
     NotHere {
         /// Node named in the `Ping`.
         target: NodeId,
--- a/crates/coordination/src/membership/machine.rs
+++ b/crates/coordination/src/membership/machine.rs
@@ -56,7 +56,7 @@
     Send {
         /// Destination address.
         to: SocketAddr,
-        /// The datagram.
+        /// Datagram to send.
         datagram: Box<Datagram>,
     },
     /// A member was added or its state changed.
--- a/crates/coordination/src/membership/table.rs
+++ b/crates/coordination/src/membership/table.rs
@@ -118,7 +118,7 @@
         others ^ digest_of(self.own.node, own_incarnation, leaving)
     }
 
-    /// Digests of the parts of the table, this node included.
+    /// Returns the digests of the parts of the table, including this node.
     pub fn digests(&self, own_incarnation: u32, leaving: bool) -> [u64; BUCKETS] {
         let mut digests = self.digests;
         digests[bucket_of(self.own.node)] ^= digest_of(self.own.node, own_incarnation, leaving);
--- a/crates/coordination/src/node/event.rs
+++ b/crates/coordination/src/node/event.rs
@@ -13,9 +13,9 @@
 /// A machine in the platform's list. The list may be out of date.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformMachine {
-    /// Peer address of the proxy on it.
+    /// Peer address of the proxy on the machine.
     pub address: SocketAddr,
-    /// Whether the platform is about to remove the machine.
+    /// Whether the machine is about to leave.
     pub leaving: bool,
 }
 
@@ -30,7 +30,7 @@
     PeerMessage {
         /// Sender, as authenticated by the link.
         from: NodeId,
-        /// Message to send or received.
+        /// Message received.
         message: PeerMessage,
     },
     /// A link to a node broke or could not be established.
@@ -61,14 +61,14 @@
     SendDatagram {
         /// Destination address.
         to: SocketAddr,
-        /// The datagram.
+        /// Datagram to send.
         datagram: Box<Datagram>,
     },
     /// Send a message over the link to a node; establish the link if there is none.
     SendPeer {
         /// Node to send to.
         to: NodeId,
-        /// Message to send or received.
+        /// Message to send.
         message: PeerMessage,
     },
     /// This node became, or ceased to be, the home of a database.
--- a/crates/coordination/src/request/action.rs
+++ b/crates/coordination/src/request/action.rs
@@ -12,7 +12,7 @@
     /// Verify the group's term by a majority of its databases, with queries sent from
     /// now on.
     VerifyTerm,
-    /// Ask for a connection to `database`; the answer is a lease event.
+    /// Request a connection to `database`; the answer is a lease event.
     Acquire {
         /// Database to connect to.
         database: DatabaseName,
--- a/crates/coordination/src/rollout/event.rs
+++ b/crates/coordination/src/rollout/event.rs
@@ -40,7 +40,7 @@
     PeerMessage {
         /// Node that sent the message.
         from: NodeId,
-        /// Message received or to be sent.
+        /// Message received.
         message: RolloutMessage,
     },
     /// The time returned by [`super::RolloutMachine::next_wake`] has been reached.
@@ -58,7 +58,7 @@
     SendPeer {
         /// Node to send to.
         to: NodeId,
-        /// Message received or to be sent.
+        /// Message to send.
         message: RolloutMessage,
     },
     /// Send a message to all other members of this node's zone.
@@ -81,8 +81,8 @@
 /// Origin of a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeSource {
-    /// The platform.
+    /// The change was fetched from the platform.
     Platform,
-    /// Another node.
+    /// The change was pulled from another node.
     Peer(NodeId),
 }
--- a/crates/coordination/src/rollout/roll.rs
+++ b/crates/coordination/src/rollout/roll.rs
@@ -85,7 +85,7 @@
         /// Version in force.
         active: BundleVersion,
     },
-    /// No request took effect, and none will.
+    /// No request took effect, and none will take effect later.
     NotRun,
     /// A request may have taken effect, or may still take effect.
     Unknown,
--- a/crates/coordination/src/terms.rs
+++ b/crates/coordination/src/terms.rs
@@ -111,14 +111,14 @@
             .is_some_and(|reached| now >= reached + database.lag)
     }
 
-    /// Returns when the primary was first observed at `lsn` or first_beyond.
+    /// Returns when the primary was first observed at `lsn` or beyond it.
     fn reached_at(&self, lsn: Lsn) -> Option<Timestamp> {
         let index = self.samples.partition_point(|(_, sample)| *sample < lsn);
         self.samples.get(index).map(|(at, _)| *at)
     }
 
     /// Returns the lower and upper bound of the lag of a replica at `lsn`. The lag is at
-    /// least the age of the first sample first_beyond `lsn` and at most the age of the first
+    /// least the age of the first sample beyond `lsn` and at most the age of the first
     /// sample at or beyond it.
     fn lag_bounds(&self, now: Timestamp, lsn: Lsn) -> (Duration, Duration) {
         let first_beyond = self.samples.partition_point(|(_, sample)| *sample <= lsn);
@@ -212,7 +212,7 @@
     }
 }
 
-/// An observation that changed a group's leadership.
+/// A change of a group's highest term or primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeadershipChange {
     /// Group concerned.
