--- a/lab/sim/src/checker.rs
+++ b/lab/sim/src/checker.rs
@@ -1,4 +1,4 @@
-//! The history of a run and the checks on it.
+//! The history of a run and the invariant checks on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,44 +8,44 @@
 use crate::database::unit::{Answer, AnswerBody, AttemptId, Key, UnitCall};
 use crate::report::{Invariant, Violation};
 
-/// Violations kept of one run.
+/// Maximum number of violations kept per run.
 const MAXIMUM_VIOLATIONS: usize = 20;
 
-/// What an attempt of a client writes, and what became of it.
+/// Writes of a client's attempt at a request, and the outcome reported to the client.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) client: usize,
-    /// Identifier of the request, if it is not repeatable.
-    pub(crate) once: Option<u64>,
-    /// Keys it appends to, one row each, in one transaction.
+    /// Identifier of the request, if it is not repeatable; several attempts may share it.
+    pub(crate) non_repeatable_id: Option<u64>,
+    /// Keys that the attempt appends to, one row each, in one transaction.
     pub(crate) appends: Vec<Key>,
-    pub(crate) fate: Fate,
+    pub(crate) outcome: ReportedOutcome,
 }
 
-/// What the client was told.
+/// Outcome of an attempt as reported to the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
-    /// Nothing yet, or that nobody knows.
+pub(crate) enum ReportedOutcome {
+    /// Not reported yet, or reported as unknown.
     Open,
-    /// That it was committed.
+    /// Reported as committed.
     Acknowledged,
-    /// That it did not run.
+    /// Reported as not run.
     NotRun,
 }
 
-/// The history so far.
+/// History of a run and the violations found in it.
 #[derive(Debug, Default)]
 pub(crate) struct Checker {
     attempts: BTreeMap<AttemptId, Attempt>,
-    /// Acknowledged rows of each client by key.
-    visible: BTreeMap<(usize, Key), BTreeSet<AttemptId>>,
+    /// Acknowledged rows by client and key; the client must see them in every later read.
+    acknowledged_rows: BTreeMap<(usize, Key), BTreeSet<AttemptId>>,
     drained_since: BTreeMap<usize, Timestamp>,
-    in_force: BTreeMap<usize, BundleVersion>,
+    installed_versions: BTreeMap<usize, BundleVersion>,
     pub(crate) violations: Vec<Violation>,
 }
 
 impl Checker {
-    pub(crate) fn violate(&mut self, now: Timestamp, invariant: Invariant, detail: String) {
+    pub(crate) fn add_violation(&mut self, now: Timestamp, invariant: Invariant, detail: String) {
         if self.violations.len() < MAXIMUM_VIOLATIONS {
             self.violations.push(Violation {
                 invariant,
@@ -55,18 +55,21 @@
         }
     }
 
-    pub(crate) fn begin(&mut self, id: AttemptId, attempt: Attempt) {
+    pub(crate) fn begin_attempt(&mut self, id: AttemptId, attempt: Attempt) {
         self.attempts.insert(id, attempt);
     }
 
-    /// Returns whether the attempt wrote anything.
+    /// Records that the attempt was acknowledged. Returns whether it wrote anything.
     pub(crate) fn acknowledged(&mut self, id: AttemptId) -> bool {
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return false;
         };
-        attempt.fate = Fate::Acknowledged;
+        attempt.outcome = ReportedOutcome::Acknowledged;
         for key in &attempt.appends {
-            let rows = self.visible.entry((attempt.client, *key)).or_default();
+            let rows = self
+                .acknowledged_rows
+                .entry((attempt.client, *key))
+                .or_default();
             rows.insert(id);
         }
         !attempt.appends.is_empty()
@@ -74,11 +77,11 @@
 
     pub(crate) fn not_run(&mut self, id: AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(&id) {
-            attempt.fate = Fate::NotRun;
+            attempt.outcome = ReportedOutcome::NotRun;
         }
     }
 
-    /// An answer has reached the client that sent `call`.
+    /// Checks an answer that has reached the client that sent `call`.
     pub(crate) fn answered(
         &mut self,
         now: Timestamp,
@@ -87,23 +90,26 @@
         answer: &Answer,
     ) {
         if (answer.call.attempt, answer.call.index) != (call.attempt, call.index) {
-            let detail = format!("client {client} sent {call:?} and got {:?}", answer.call);
-            return self.violate(now, Invariant::OwnAnswer, detail);
+            let detail = format!(
+                "client {client} sent {call:?} and received the answer to {:?}",
+                answer.call
+            );
+            return self.add_violation(now, Invariant::OwnAnswer, detail);
         }
         let AnswerBody::Rows(key, rows) = &answer.body else {
             return;
         };
-        let Some(written) = self.visible.get(&(client, *key)) else {
+        let Some(written) = self.acknowledged_rows.get(&(client, *key)) else {
             return;
         };
         let rows: BTreeSet<AttemptId> = rows.iter().copied().collect();
         if let Some(missing) = written.difference(&rows).next() {
             let detail = format!("client {client} read {key:?} without its write {missing:?}");
-            self.violate(now, Invariant::OwnWritesVisible, detail);
+            self.add_violation(now, Invariant::OwnWritesVisible, detail);
         }
     }
 
-    pub(crate) fn drain(&mut self, now: Timestamp, database: usize, drained: bool) {
+    pub(crate) fn set_draining(&mut self, now: Timestamp, database: usize, drained: bool) {
         if drained {
             self.drained_since.entry(database).or_insert(now);
         } else {
@@ -111,61 +117,78 @@
         }
     }
 
-    /// How long `database` has been draining.
+    /// Returns the time at which `database` began to drain; `None` if it is not draining.
     pub(crate) fn draining_since(&self, database: usize) -> Option<Timestamp> {
         self.drained_since.get(&database).copied()
     }
 
-    /// A proxy has put a bundle in force.
-    pub(crate) fn installed(&mut self, now: Timestamp, proxy: usize, version: BundleVersion) {
-        let before = self.in_force.insert(proxy, version);
+    /// Checks that a bundle put in force by a proxy is newer than the proxy's previous one.
+    pub(crate) fn bundle_installed(
+        &mut self,
+        now: Timestamp,
+        proxy: usize,
+        version: BundleVersion,
+    ) {
+        let before = self.installed_versions.insert(proxy, version);
         if before.is_some_and(|before| before >= version) {
             let detail = format!("proxy {proxy} went from {before:?} to {version:?}");
-            self.violate(now, Invariant::BundleInForce, detail);
+            self.add_violation(now, Invariant::BundleInForce, detail);
         }
     }
 
-    /// Compares what clients were told with the log that a group has in the end.
-    pub(crate) fn finish(&mut self, now: Timestamp, clients: &BTreeSet<usize>, log: &[&Entry]) {
-        let mut found: BTreeMap<AttemptId, usize> = BTreeMap::new();
+    /// Compares the outcomes reported to `clients` with the final log of their group.
+    pub(crate) fn check_final_log(
+        &mut self,
+        now: Timestamp,
+        clients: &BTreeSet<usize>,
+        log: &[&Entry],
+    ) {
+        let mut commit_counts: BTreeMap<AttemptId, usize> = BTreeMap::new();
         for entry in log {
             self.check_entry(now, entry);
             for id in entry.owner.iter() {
-                *found.entry(*id).or_default() += 1;
+                *commit_counts.entry(*id).or_default() += 1;
             }
         }
-        let mut broken = Vec::new();
-        let mut runs: BTreeMap<u64, usize> = BTreeMap::new();
-        let own = |attempt: &Attempt| clients.contains(&attempt.client);
-        for (id, attempt) in self.attempts.iter().filter(|(_, attempt)| own(attempt)) {
-            let times = found.get(id).copied().unwrap_or(0);
-            let invariant = match (attempt.fate, times) {
+        let mut found_violations = Vec::new();
+        let mut request_counts: BTreeMap<u64, usize> = BTreeMap::new();
+        let is_of_group = |attempt: &Attempt| clients.contains(&attempt.client);
+        for (id, attempt) in self
+            .attempts
+            .iter()
+            .filter(|(_, attempt)| is_of_group(attempt))
+        {
+            let times = commit_counts.get(id).copied().unwrap_or(0);
+            let invariant = match (attempt.outcome, times) {
                 (_, 2..) => Some(Invariant::AtMostOnce),
-                (Fate::Acknowledged, 0) if !attempt.appends.is_empty() => {
+                (ReportedOutcome::Acknowledged, 0) if !attempt.appends.is_empty() => {
                     Some(Invariant::AcknowledgedWriteKept)
                 }
-                (Fate::NotRun, 1) => Some(Invariant::NotRunIsTrue),
+                (ReportedOutcome::NotRun, 1) => Some(Invariant::NotRunIsTrue),
                 _ => None,
             };
             if let Some(invariant) = invariant {
-                broken.push((invariant, format!("{id:?} {attempt:?} ran {times} times")));
+                found_violations.push((
+                    invariant,
+                    format!("{id:?} {attempt:?} was committed {times} times"),
+                ));
             }
-            if let Some(request) = attempt.once {
-                *runs.entry(request).or_default() += times;
+            if let Some(request) = attempt.non_repeatable_id {
+                *request_counts.entry(request).or_default() += times;
             }
         }
-        for (request, _) in runs.iter().filter(|(_, times)| **times > 1) {
-            broken.push((
+        for (request, _) in request_counts.iter().filter(|(_, times)| **times > 1) {
+            found_violations.push((
                 Invariant::AtMostOnce,
-                format!("request {request} ran twice"),
+                format!("request {request} was committed more than once"),
             ));
         }
-        for (invariant, detail) in broken {
-            self.violate(now, invariant, detail);
+        for (invariant, detail) in found_violations {
+            self.add_violation(now, invariant, detail);
         }
     }
 
-    /// A committed transaction holds all rows of its owner, and nobody else's.
+    /// Checks that a committed transaction holds all rows of its attempt and no other rows.
     fn check_entry(&mut self, now: Timestamp, entry: &Entry) {
         let Some(owner) = entry.owner else {
             return;
@@ -177,10 +200,10 @@
             keys.sort();
             keys
         });
-        let stranger = entry.writes.iter().find(|write| write.attempt != owner);
-        if stranger.is_some() || expected.as_ref() != Some(&keys) {
-            let detail = format!("{entry:?} but its owner writes {expected:?}");
-            self.violate(now, Invariant::TransactionsUnmixed, detail);
+        let foreign_write = entry.writes.iter().find(|write| write.attempt != owner);
+        if foreign_write.is_some() || expected.as_ref() != Some(&keys) {
+            let detail = format!("{entry:?} differs from the writes {expected:?} of its attempt");
+            self.add_violation(now, Invariant::TransactionsUnmixed, detail);
         }
     }
 }
--- a/lab/sim/src/database/execute.rs
+++ b/lab/sim/src/database/execute.rs
@@ -1,4 +1,4 @@
-//! Execution of units on a connection.
+//! Execution of request units on a database connection.
 
 use std::sync::Arc;
 
@@ -15,9 +15,9 @@
 /// SQLSTATE `unique_violation`.
 pub(crate) const UNIQUE_VIOLATION: &str = "23505";
 
-/// An open transaction block.
+/// An open transaction block of a connection.
 #[derive(Clone, Debug)]
-pub(crate) struct Block {
+pub(crate) struct TransactionBlock {
     owner: AttemptId,
     read_only: bool,
     failed: bool,
@@ -25,7 +25,7 @@
     ledger: Option<u64>,
 }
 
-impl Block {
+impl TransactionBlock {
     fn new(owner: AttemptId, read_only: bool) -> Self {
         Self {
             owner,
@@ -38,24 +38,25 @@
 }
 
 impl Database {
-    /// Runs a unit; `block` is the connection's open transaction block.
+    /// Executes a unit and returns its answer. `block` is the connection's open transaction
+    /// block, if any; the unit may open or end it.
     pub(crate) fn execute(
         &mut self,
         now: Timestamp,
-        block: &mut Option<Block>,
+        block: &mut Option<TransactionBlock>,
         call: UnitCall,
     ) -> Answer {
         self.replay(now);
         let body = match call.work {
             Work::Begin | Work::BeginReadOnly => {
                 let read_only = call.work == Work::BeginReadOnly;
-                block.get_or_insert_with(|| Block::new(call.attempt, read_only));
+                block.get_or_insert_with(|| TransactionBlock::new(call.attempt, read_only));
                 AnswerBody::Done
             }
             Work::Commit => self.commit(now, block.take()),
             Work::Read(_) | Work::Append(_) | Work::AppendOnce(..) => match block {
-                Some(block) => self.run_in(block, call),
-                None => self.run_alone(now, call),
+                Some(block) => self.run_in_block(block, call),
+                None => self.run_autocommit(now, call),
             },
         };
         Answer {
@@ -66,25 +67,25 @@
         }
     }
 
-    fn run_alone(&mut self, now: Timestamp, call: UnitCall) -> AnswerBody {
-        let mut block = Block::new(call.attempt, false);
-        let body = self.run_in(&mut block, call);
+    fn run_autocommit(&mut self, now: Timestamp, call: UnitCall) -> AnswerBody {
+        let mut block = TransactionBlock::new(call.attempt, false);
+        let body = self.run_in_block(&mut block, call);
         if matches!(call.work, Work::Read(_)) || block.failed {
             return body;
         }
         self.commit(now, Some(block))
     }
 
-    fn run_in(&mut self, block: &mut Block, call: UnitCall) -> AnswerBody {
+    fn run_in_block(&mut self, block: &mut TransactionBlock, call: UnitCall) -> AnswerBody {
         if block.failed {
             return AnswerBody::Error(FAILED_TRANSACTION);
         }
-        let body = self.statement(block, call);
+        let body = self.run_statement(block, call);
         block.failed = matches!(body, AnswerBody::Error(_));
         body
     }
 
-    fn statement(&self, block: &mut Block, call: UnitCall) -> AnswerBody {
+    fn run_statement(&self, block: &mut TransactionBlock, call: UnitCall) -> AnswerBody {
         let key = match call.work {
             Work::Read(key) => {
                 let mut rows = self.log.tables().rows(key);
@@ -99,7 +100,7 @@
             return AnswerBody::Error(READ_ONLY);
         }
         if let Work::AppendOnce(_, request) = call.work {
-            if self.log.tables().in_ledger(request) {
+            if self.log.tables().ledger_contains(request) {
                 return AnswerBody::Error(UNIQUE_VIOLATION);
             }
             block.ledger = Some(request);
@@ -111,7 +112,7 @@
         AnswerBody::Done
     }
 
-    fn commit(&mut self, now: Timestamp, block: Option<Block>) -> AnswerBody {
+    fn commit(&mut self, now: Timestamp, block: Option<TransactionBlock>) -> AnswerBody {
         let Some(block) = block else {
             return AnswerBody::Done;
         };
@@ -126,7 +127,7 @@
         }
         if block
             .ledger
-            .is_some_and(|id| self.log.tables().in_ledger(id))
+            .is_some_and(|id| self.log.tables().ledger_contains(id))
         {
             return AnswerBody::Error(UNIQUE_VIOLATION);
         }
--- a/lab/sim/src/database/log.rs
+++ b/lab/sim/src/database/log.rs
@@ -1,4 +1,4 @@
-//! The log of a database and the state that its replayed part makes.
+//! The replication log of a database and the tables built from its replayed entries.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,18 +7,19 @@
 
 use super::unit::{AttemptId, Key, Write};
 
-/// A committed transaction, or an empty mark at the start of a term.
+/// A committed transaction, or the empty entry that a primary writes at the start of its term.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Entry {
     pub(crate) term: u32,
-    /// Whose transaction it is; none for the mark.
+    /// Attempt that committed the transaction; `None` for the entry that starts a term.
     pub(crate) owner: Option<AttemptId>,
     pub(crate) writes: Vec<Write>,
-    /// Identifier of the request in the ledger, if it is not repeatable.
+    /// Row that the transaction adds to the ledger: the identifier of a non-repeatable
+    /// request.
     pub(crate) ledger: Option<u64>,
 }
 
-/// What the replayed entries make.
+/// Table contents produced by the replayed entries.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Tables {
     rows: BTreeMap<Key, Vec<AttemptId>>,
@@ -37,16 +38,16 @@
         self.rows.get(&key).cloned().unwrap_or_default()
     }
 
-    pub(crate) fn in_ledger(&self, request: u64) -> bool {
+    pub(crate) fn ledger_contains(&self, request: u64) -> bool {
         self.ledger.contains(&request)
     }
 }
 
-/// Entries with the time at which each arrived here.
+/// Log entries, each with the time at which it arrived at this database.
 #[derive(Debug, Default)]
 pub(crate) struct Log {
     entries: Vec<Arc<Entry>>,
-    arrived: Vec<Timestamp>,
+    arrival_times: Vec<Timestamp>,
     replayed: usize,
     tables: Tables,
 }
@@ -68,7 +69,7 @@
         &self.entries
     }
 
-    /// Term of the last of the first `length` entries.
+    /// Returns the term of entry number `length` (counted from one), or 0 if there is none.
     pub(crate) fn term_at(&self, length: usize) -> u32 {
         match length.checked_sub(1) {
             Some(index) => self.entries.get(index).map_or(0, |entry| entry.term),
@@ -78,13 +79,13 @@
 
     pub(crate) fn push(&mut self, now: Timestamp, entry: Arc<Entry>) {
         self.entries.push(entry);
-        self.arrived.push(now);
+        self.arrival_times.push(now);
     }
 
-    /// Cuts the log to `length` entries. Returns whether replayed ones were lost.
+    /// Truncates the log to `length` entries. Returns whether replayed entries were removed.
     pub(crate) fn truncate(&mut self, length: usize) -> bool {
         self.entries.truncate(length);
-        self.arrived.truncate(length);
+        self.arrival_times.truncate(length);
         let lost = self.replayed > length;
         if lost {
             self.replayed = length;
@@ -96,9 +97,10 @@
         lost
     }
 
-    /// Replays entries that arrived by `horizon`, or all of them.
+    /// Replays the entries that arrived by `horizon`, or every entry if `all` is set.
     pub(crate) fn replay_until(&mut self, horizon: Timestamp, all: bool) {
-        while self.replayed < self.entries.len() && (all || self.arrived[self.replayed] <= horizon)
+        while self.replayed < self.entries.len()
+            && (all || self.arrival_times[self.replayed] <= horizon)
         {
             self.tables.apply(&self.entries[self.replayed]);
             self.replayed += 1;
--- a/lab/sim/src/database/mod.rs
+++ b/lab/sim/src/database/mod.rs
@@ -1,10 +1,10 @@
-//! Model databases: a replicated log, election by majority, replicas that lag, primaries
-//! that do not know they have been replaced.
+//! Model databases: a replicated log, majority elections, lagging replicas and stale
+//! primaries that have not yet learned of their replacement.
 //!
-//! The model follows the rules that the acknowledgement of commits relies on: a vote goes
-//! only to a database whose log is at least as long and as new, a replica that follows a
-//! newer term confirms nothing to an older primary, and a position counts for the term
-//! under which the database last received log.
+//! The model follows the rules that commit acknowledgement relies on: a database votes only
+//! for a candidate whose log is at least as up to date as its own, a replica that follows a
+//! newer term confirms nothing to an older primary, and a log position belongs to the term
+//! under which the database last received log entries.
 
 pub(crate) mod execute;
 pub(crate) mod log;
@@ -19,37 +19,38 @@
 
 use log::Log;
 
-/// Time between two looks at timers.
-pub(crate) const TICK: Duration = Duration::from_millis(25);
-/// Shortest silence after which a replica stands for election.
+/// Interval at which a database checks its timers.
+pub(crate) const TICK_INTERVAL: Duration = Duration::from_millis(25);
+/// Shortest time without contact from a primary after which a replica starts an election.
 pub(crate) const ELECTION_TIMEOUT: Duration = Duration::from_millis(300);
-/// Random addition to [`ELECTION_TIMEOUT`].
-pub(crate) const ELECTION_SPREAD_MS: u64 = 300;
-/// Time between two messages of an idle primary.
-pub(crate) const HEARTBEAT: Duration = Duration::from_millis(50);
-/// How far a replica replays behind what it has received, in ordinary times.
-pub(crate) const ORDINARY_LAG: Duration = Duration::from_millis(20);
+/// Upper bound of the random addition to [`ELECTION_TIMEOUT`], in milliseconds.
+pub(crate) const ELECTION_JITTER_MS: u64 = 300;
+/// Interval between the messages of an idle primary to its replicas.
+pub(crate) const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
+/// Replay delay of a replica that no fault affects.
+pub(crate) const DEFAULT_REPLAY_LAG: Duration = Duration::from_millis(20);
 
-/// What a database believes itself to be.
+/// Role of a database in elections and replication, as the database itself sees it. A
+/// replaced primary keeps its role until it receives a message of a later term.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Standing {
-    /// Follows a primary, or waits for one.
+pub(crate) enum ElectionState {
+    /// Follows a primary, or waits for one to be elected.
     Replica,
-    /// Asks for votes.
+    /// Has asked the other members for votes.
     Candidate {
-        /// Who has given theirs.
+        /// Databases that have voted for this one, itself included.
         votes: BTreeSet<usize>,
     },
-    /// Leads.
+    /// Accepts writes and sends its log to the replicas.
     Primary {
-        /// Length of log that each other database has confirmed.
+        /// Log length that each replica has confirmed.
         confirmed: BTreeMap<usize, usize>,
-        /// Where to start sending to each.
+        /// Index of the next log entry to send to each replica.
         next: BTreeMap<usize, usize>,
     },
 }
 
-/// One database.
+/// A model database.
 #[derive(Debug)]
 pub(crate) struct Database {
     pub(crate) id: usize,
@@ -59,18 +60,18 @@
     pub(crate) slots: usize,
     pub(crate) up: bool,
     pub(crate) paused_until: Timestamp,
-    /// Highest term promised to anyone.
-    pub(crate) promised: u32,
+    /// Highest term that the database has taken part in; messages of lower terms are refused.
+    pub(crate) current_term: u32,
     pub(crate) voted_for: Option<usize>,
-    /// Term under which the log was last received or written.
+    /// Term under which log entries were last received or written.
     pub(crate) timeline: u32,
-    pub(crate) standing: Standing,
+    pub(crate) election_state: ElectionState,
     pub(crate) log: Log,
     pub(crate) lag: Duration,
-    pub(crate) heard_at: Timestamp,
-    pub(crate) patience: Duration,
+    pub(crate) election_timer_start: Timestamp,
+    pub(crate) election_timeout: Duration,
     pub(crate) heartbeat_at: Timestamp,
-    /// Connections that are open on its side.
+    /// Connections that are open on the database's side.
     pub(crate) connections: BTreeSet<u64>,
 }
 
@@ -84,32 +85,33 @@
             slots,
             up: true,
             paused_until: Timestamp::default(),
-            promised: 0,
+            current_term: 0,
             voted_for: None,
             timeline: 0,
-            standing: Standing::Replica,
+            election_state: ElectionState::Replica,
             log: Log::default(),
-            lag: ORDINARY_LAG,
-            heard_at: Timestamp::default(),
-            patience: ELECTION_TIMEOUT,
+            lag: DEFAULT_REPLAY_LAG,
+            election_timer_start: Timestamp::default(),
+            election_timeout: ELECTION_TIMEOUT,
             heartbeat_at: Timestamp::default(),
             connections: BTreeSet::new(),
         }
     }
 
     pub(crate) fn is_primary(&self) -> bool {
-        matches!(self.standing, Standing::Primary { .. })
+        matches!(self.election_state, ElectionState::Primary { .. })
     }
 
     pub(crate) fn is_paused(&self, now: Timestamp) -> bool {
         self.paused_until > now
     }
 
-    pub(crate) fn answers(&self, now: Timestamp) -> bool {
+    pub(crate) fn is_responsive(&self, now: Timestamp) -> bool {
         self.up && !self.is_paused(now)
     }
 
-    /// Replays what is due.
+    /// Replays the log entries that are due: all of them on a primary, those older than the
+    /// replay lag on a replica.
     pub(crate) fn replay(&mut self, now: Timestamp) {
         let horizon = if self.is_primary() {
             now
@@ -119,11 +121,11 @@
         self.log.replay_until(horizon, self.is_primary());
     }
 
-    /// Answer to the status query.
+    /// Returns the answer to the status query.
     pub(crate) fn status(&mut self, now: Timestamp, names: &[DatabaseName]) -> BackendStatus {
         self.replay(now);
-        let (role, position, flushed) = match &self.standing {
-            Standing::Primary { confirmed, .. } => {
+        let (role, position, flushed) = match &self.election_state {
+            ElectionState::Primary { confirmed, .. } => {
                 let flushed = confirmed.iter().map(|(id, length)| FlushedReplica {
                     name: names[*id].as_str().to_owned(),
                     position: Lsn(*length as u64),
--- a/lab/sim/src/database/replicate.rs
+++ b/lab/sim/src/database/replicate.rs
@@ -1,4 +1,4 @@
-//! Replication and election.
+//! Log replication and primary election among the databases of one group.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -7,26 +7,27 @@
 use hookpoint_state::Timestamp;
 
 use super::log::Entry;
-use super::{Database, ELECTION_TIMEOUT, HEARTBEAT, Standing};
+use super::{Database, ELECTION_TIMEOUT, ElectionState, HEARTBEAT_INTERVAL};
 
 /// A message between databases of one group.
 #[derive(Clone, Debug)]
 pub(crate) enum Replication {
-    /// Log from a primary.
+    /// Log entries from a primary; a heartbeat if there are none.
     Append {
         term: u32,
         start: usize,
         start_term: u32,
         entries: Vec<Arc<Entry>>,
     },
-    /// What a replica has of it; `matches` is false when its log does not join.
+    /// Reply to `Append`: the length of the replica's log. `matches` is false if the replica's
+    /// log does not contain the entry before the sent ones.
     Confirm {
         term: u32,
         length: usize,
         matches: bool,
     },
-    /// A candidate asks for a vote.
-    AskVote {
+    /// A candidate's request for a vote.
+    RequestVote {
         term: u32,
         last_term: u32,
         length: usize,
@@ -35,64 +36,71 @@
     Vote { term: u32 },
 }
 
-/// What happened besides messages.
+/// Effect of a message on the database's role, apart from the messages it sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Upheaval {
-    /// Nothing.
+pub(crate) enum RoleChange {
+    /// The role did not change in a way that concerns connections.
     None,
-    /// It leads now.
+    /// The database became primary.
     Promoted,
-    /// It had to start anew as a replica, which ends its connections.
+    /// The database restarted as a replica, which closes its connections.
     Restarted,
 }
 
-/// Messages to other databases.
+/// Messages to send, each with the index of the receiving database.
 pub(crate) type Outbox = Vec<(usize, Replication)>;
 
 impl Database {
-    /// Looks at the timers.
+    /// Checks the timers: a primary sends due heartbeats, any other database starts an
+    /// election when its timeout has passed.
     pub(crate) fn tick(
         &mut self,
         now: Timestamp,
         others: &[usize],
-        patience: Duration,
+        election_delay: Duration,
         outbox: &mut Outbox,
     ) {
         if self.is_primary() {
             if now >= self.heartbeat_at {
                 self.send_log(now, others, outbox);
             }
-        } else if now.since(self.heard_at) >= self.patience {
-            self.stand(now, others, patience, outbox);
+        } else if now.since(self.election_timer_start) >= self.election_timeout {
+            self.start_election(now, others, election_delay, outbox);
         }
     }
 
-    fn stand(&mut self, now: Timestamp, others: &[usize], patience: Duration, outbox: &mut Outbox) {
-        self.promised += 1;
+    fn start_election(
+        &mut self,
+        now: Timestamp,
+        others: &[usize],
+        election_delay: Duration,
+        outbox: &mut Outbox,
+    ) {
+        self.current_term += 1;
         self.voted_for = Some(self.id);
-        self.heard_at = now;
-        self.patience = ELECTION_TIMEOUT + patience;
-        self.standing = Standing::Candidate {
+        self.election_timer_start = now;
+        self.election_timeout = ELECTION_TIMEOUT + election_delay;
+        self.election_state = ElectionState::Candidate {
             votes: BTreeSet::from([self.id]),
         };
-        let ask = Replication::AskVote {
-            term: self.promised,
+        let request = Replication::RequestVote {
+            term: self.current_term,
             last_term: self.log.term_at(self.log.len()),
             length: self.log.len(),
         };
-        outbox.extend(others.iter().map(|other| (*other, ask.clone())));
+        outbox.extend(others.iter().map(|other| (*other, request.clone())));
     }
 
-    /// Sends every other database what it may lack.
+    /// Sends every replica the log entries that it has not yet confirmed.
     pub(crate) fn send_log(&mut self, now: Timestamp, others: &[usize], outbox: &mut Outbox) {
-        self.heartbeat_at = now + HEARTBEAT;
-        let Standing::Primary { next, .. } = &self.standing else {
+        self.heartbeat_at = now + HEARTBEAT_INTERVAL;
+        let ElectionState::Primary { next, .. } = &self.election_state else {
             return;
         };
         for other in others {
             let start = next.get(other).copied().unwrap_or(0).min(self.log.len());
             let append = Replication::Append {
-                term: self.promised,
+                term: self.current_term,
                 start,
                 start_term: self.log.term_at(start),
                 entries: self.log.entries()[start..].to_vec(),
@@ -101,7 +109,7 @@
         }
     }
 
-    /// Takes a message.
+    /// Handles a message from another database.
     pub(crate) fn receive(
         &mut self,
         now: Timestamp,
@@ -109,98 +117,99 @@
         message: Replication,
         others: &[usize],
         outbox: &mut Outbox,
-    ) -> Upheaval {
+    ) -> RoleChange {
         let term = match &message {
             Replication::Append { term, .. }
             | Replication::Confirm { term, .. }
-            | Replication::AskVote { term, .. }
+            | Replication::RequestVote { term, .. }
             | Replication::Vote { term } => *term,
         };
-        let stepped_down = self.notice_term(term);
-        let upheaval = match message {
+        let stepped_down = self.adopt_newer_term(term);
+        let role_change = match message {
             Replication::Append {
                 term,
                 start,
                 start_term,
                 entries,
-            } => self.append(now, from, (term, start, start_term), entries, outbox),
+            } => self.handle_append(now, from, (term, start, start_term), entries, outbox),
             Replication::Confirm {
                 term,
                 length,
                 matches,
             } => {
-                self.confirmed(from, term, length, matches);
-                Upheaval::None
+                self.handle_confirm(from, term, length, matches);
+                RoleChange::None
             }
-            Replication::AskVote {
+            Replication::RequestVote {
                 term,
                 last_term,
                 length,
             } => {
-                self.vote(now, from, (term, last_term, length), outbox);
-                Upheaval::None
+                self.handle_vote_request(now, from, (term, last_term, length), outbox);
+                RoleChange::None
             }
-            Replication::Vote { term } => self.voted(now, from, term, others, outbox),
+            Replication::Vote { term } => self.handle_vote(now, from, term, others, outbox),
         };
         if stepped_down {
-            Upheaval::Restarted
+            RoleChange::Restarted
         } else {
-            upheaval
+            role_change
         }
     }
 
-    /// Steps down before a higher term. Returns whether it led before.
-    fn notice_term(&mut self, term: u32) -> bool {
-        if term <= self.promised {
+    /// Adopts a higher term and steps down. Returns whether the database was primary before.
+    fn adopt_newer_term(&mut self, term: u32) -> bool {
+        if term <= self.current_term {
             return false;
         }
-        let led = self.is_primary();
-        self.promised = term;
+        let was_primary = self.is_primary();
+        self.current_term = term;
         self.voted_for = None;
-        self.standing = Standing::Replica;
-        led
+        self.election_state = ElectionState::Replica;
+        was_primary
     }
 
-    fn append(
+    fn handle_append(
         &mut self,
         now: Timestamp,
         from: usize,
         (term, start, start_term): (u32, usize, u32),
         entries: Vec<Arc<Entry>>,
         outbox: &mut Outbox,
-    ) -> Upheaval {
-        if term < self.promised {
+    ) -> RoleChange {
+        if term < self.current_term {
             let refusal = Replication::Confirm {
-                term: self.promised,
+                term: self.current_term,
                 length: 0,
                 matches: false,
             };
             outbox.push((from, refusal));
-            return Upheaval::None;
+            return RoleChange::None;
         }
-        self.standing = Standing::Replica;
-        self.heard_at = now;
-        let joins = start <= self.log.len() && self.log.term_at(start) == start_term;
+        self.election_state = ElectionState::Replica;
+        self.election_timer_start = now;
+        let log_matches = start <= self.log.len() && self.log.term_at(start) == start_term;
         let mut lost = false;
-        if joins {
-            lost = self.take_entries(now, term, start, entries);
+        if log_matches {
+            lost = self.append_entries(now, term, start, entries);
         }
         let answer = Replication::Confirm {
             term,
             length: self.log.len(),
-            matches: joins,
+            matches: log_matches,
         };
         outbox.push((from, answer));
         if lost {
-            Upheaval::Restarted
+            RoleChange::Restarted
         } else {
-            Upheaval::None
+            RoleChange::None
         }
     }
 
-    /// Takes log that joins its own. The first log of a new term also cuts off what the
-    /// new primary does not have. Returns whether replayed entries were lost.
-    fn take_entries(
+    /// Adds entries that continue the database's own log. The first append of a new term also
+    /// truncates the log after these entries, since the new primary does not have the rest.
+    /// Returns whether replayed entries were removed.
+    fn append_entries(
         &mut self,
         now: Timestamp,
         term: u32,
@@ -230,12 +239,12 @@
         lost
     }
 
-    fn confirmed(&mut self, from: usize, term: u32, length: usize, matches: bool) {
-        if term != self.promised {
+    fn handle_confirm(&mut self, from: usize, term: u32, length: usize, matches: bool) {
+        if term != self.current_term {
             return;
         }
         let own_length = self.log.len();
-        let Standing::Primary { confirmed, next } = &mut self.standing else {
+        let ElectionState::Primary { confirmed, next } = &mut self.election_state else {
             return;
         };
         if matches {
@@ -248,66 +257,71 @@
         }
     }
 
-    fn vote(
+    fn handle_vote_request(
         &mut self,
         now: Timestamp,
         from: usize,
         (term, last_term, length): (u32, u32, usize),
         outbox: &mut Outbox,
     ) {
-        let free = self.voted_for.is_none_or(|candidate| candidate == from);
+        let vote_available = self.voted_for.is_none_or(|candidate| candidate == from);
         let own = (self.log.term_at(self.log.len()), self.log.len());
-        if term == self.promised && free && !self.is_primary() && (last_term, length) >= own {
+        if term == self.current_term
+            && vote_available
+            && !self.is_primary()
+            && (last_term, length) >= own
+        {
             self.voted_for = Some(from);
-            self.heard_at = now;
+            self.election_timer_start = now;
             outbox.push((from, Replication::Vote { term }));
         }
     }
 
-    fn voted(
+    fn handle_vote(
         &mut self,
         now: Timestamp,
         from: usize,
         term: u32,
         others: &[usize],
         outbox: &mut Outbox,
-    ) -> Upheaval {
-        if term != self.promised {
-            return Upheaval::None;
+    ) -> RoleChange {
+        if term != self.current_term {
+            return RoleChange::None;
         }
-        let Standing::Candidate { votes } = &mut self.standing else {
-            return Upheaval::None;
+        let ElectionState::Candidate { votes } = &mut self.election_state else {
+            return RoleChange::None;
         };
         votes.insert(from);
         if votes.len() * 2 <= others.len() + 1 {
-            return Upheaval::None;
+            return RoleChange::None;
         }
-        self.lead(now, others, outbox);
-        Upheaval::Promoted
+        self.become_primary(now, others, outbox);
+        RoleChange::Promoted
     }
 
-    /// Takes the lead of the promised term.
-    pub(crate) fn lead(&mut self, now: Timestamp, others: &[usize], outbox: &mut Outbox) {
+    /// Becomes the primary of the current term.
+    pub(crate) fn become_primary(&mut self, now: Timestamp, others: &[usize], outbox: &mut Outbox) {
         let length = self.log.len();
-        self.timeline = self.promised;
-        self.standing = Standing::Primary {
+        self.timeline = self.current_term;
+        self.election_state = ElectionState::Primary {
             confirmed: BTreeMap::new(),
             next: others.iter().map(|other| (*other, length)).collect(),
         };
-        let mark = Entry {
+        let term_start_entry = Entry {
             term: self.timeline,
             owner: None,
             writes: Vec::new(),
             ledger: None,
         };
-        self.log.push(now, Arc::new(mark));
+        self.log.push(now, Arc::new(term_start_entry));
         self.replay(now);
         self.send_log(now, others, outbox);
     }
 
-    /// Gives up the lead in a planned way.
-    pub(crate) fn resign(&mut self, now: Timestamp) {
-        self.standing = Standing::Replica;
-        self.heard_at = now + ELECTION_TIMEOUT;
+    /// Steps down for a planned switchover and delays its own next candidacy by
+    /// [`ELECTION_TIMEOUT`].
+    pub(crate) fn step_down(&mut self, now: Timestamp) {
+        self.election_state = ElectionState::Replica;
+        self.election_timer_start = now + ELECTION_TIMEOUT;
     }
 }
--- a/lab/sim/src/database/unit.rs
+++ b/lab/sim/src/database/unit.rs
@@ -1,21 +1,25 @@
-//! Units of requests and their answers, as the model databases know them.
+//! Units of requests and their answers, as the model databases execute them.
+//!
+//! The debug form of [`Answer`] is part of the run's trace digest: renaming a field or a
+//! variant changes the digest of every seed.
 
-/// A row set that grows by appends.
+/// Key of an append-only set of rows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Key(pub(crate) u32);
 
-/// One attempt of one client at one request. Also the value that its writes append.
+/// Identifier of one client's attempt at one request. Also the value that the attempt's
+/// writes append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct AttemptId(pub(crate) u64);
 
-/// An append.
+/// One appended row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Write {
     pub(crate) key: Key,
     pub(crate) attempt: AttemptId,
 }
 
-/// What a unit does.
+/// Operation that a unit performs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Work {
     /// Opens a transaction block.
@@ -26,9 +30,9 @@
     Read(Key),
     /// Appends a row.
     Append(Key),
-    /// Appends a row together with its request's row in the ledger.
+    /// Appends a row together with the ledger row of a non-repeatable request.
     AppendOnce(Key, u64),
-    /// Ends the block.
+    /// Commits the transaction block.
     Commit,
 }
 
@@ -36,29 +40,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct UnitCall {
     pub(crate) attempt: AttemptId,
-    /// Number of the unit inside the attempt.
+    /// Index of the unit within the attempt, from zero.
     pub(crate) index: usize,
     pub(crate) work: Work,
 }
 
-/// What a unit answered.
+/// Result of a unit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum AnswerBody {
     /// Rows of a key.
     Rows(Key, Vec<AttemptId>),
-    /// Done.
+    /// Success without rows.
     Done,
-    /// An error of this SQLSTATE.
+    /// An error with this SQLSTATE.
     Error(&'static str),
 }
 
-/// An answer, with what it answers, so that the checker can tell whose it is. The
-/// proxies never look at that.
+/// An answer together with the call that it answers, which lets the checker detect an answer
+/// delivered to the wrong client. Proxies do not use `call`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Answer {
     pub(crate) call: UnitCall,
     pub(crate) body: AnswerBody,
     pub(crate) in_transaction: bool,
-    /// Whether the database believed to be primary.
+    /// Whether the database had the primary role, which a replaced primary may still have.
     pub(crate) by_primary: bool,
 }
--- a/lab/sim/src/faults.rs
+++ b/lab/sim/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults and their random schedule.
+//! Faults and their random generation.
 
 use rand::Rng as _;
 use rand_chacha::ChaCha8Rng;
@@ -6,98 +6,99 @@
 
 use crate::settings::SimSettings;
 
-/// What goes wrong.
+/// Kind of fault, with its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum FaultKind {
-    /// The current primary of a group is killed and comes back later.
+    /// The current primary of a group is killed and restarted later.
     KillPrimary {
         /// Index of the group.
         group: usize,
     },
-    /// The current primary of a group stands still.
+    /// The current primary of a group is frozen for a while.
     PausePrimary {
         /// Index of the group.
         group: usize,
     },
-    /// The current primary is cut off from the other databases, not from the proxies.
+    /// The current primary is partitioned from the other databases, but not from the proxies.
     IsolatePrimary {
         /// Index of the group.
         group: usize,
     },
-    /// A planned change of primary.
+    /// The current primary steps down for a planned switchover.
     Switchover {
         /// Index of the group.
         group: usize,
     },
-    /// A database is killed and comes back later.
+    /// A database is killed and restarted later.
     KillDatabase {
         /// Index of the database.
         database: usize,
     },
-    /// A database replays its log late.
+    /// A database replays its log with a delay.
     Lag {
         /// Index of the database.
         database: usize,
-        /// How late, in milliseconds.
+        /// Replay delay in milliseconds.
         lag_ms: u64,
     },
-    /// A zone is cut off from all others.
+    /// A zone is partitioned from all others.
     CutZone {
         /// Index of the zone.
         zone: usize,
     },
-    /// A proxy dies; another one takes its place later.
+    /// A proxy is killed and replaced by a new process later.
     KillProxy {
-        /// Index of the place.
+        /// Index of the proxy's place in the fleet.
         place: usize,
     },
-    /// A proxy stands still.
+    /// A proxy is frozen for a while.
     PauseProxy {
-        /// Index of the place.
+        /// Index of the proxy's place in the fleet.
         place: usize,
     },
-    /// A proxy is stopped as planned; another one takes its place.
+    /// A proxy is stopped gracefully and replaced by a new process.
     StopProxy {
-        /// Index of the place.
+        /// Index of the proxy's place in the fleet.
         place: usize,
     },
-    /// A bundle drains a database and a later one takes it back.
+    /// A bundle drains a database, and a later bundle ends the drain.
     Drain {
         /// Index of the database.
         database: usize,
     },
     /// The platform does not answer.
     PlatformOutage,
-    /// The platform answers with an older pointer now and then.
+    /// The platform answers every other request with the previous version.
     PlatformOldAnswers,
-    /// A caller's machine fails in the middle of a request.
+    /// Clients disappear as if their machines had failed, possibly in the middle of a request.
     DropClients {
-        /// One of so many clients.
+        /// Each client is dropped with a probability of one in `one_of`.
         one_of: u64,
     },
 }
 
-/// A fault with its time.
+/// A scheduled fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
-    /// When it strikes, in virtual milliseconds.
+    /// Start time in virtual milliseconds.
     pub at_ms: u64,
-    /// How long it lasts, in milliseconds.
+    /// Duration in milliseconds.
     pub lasts_ms: u64,
-    /// What goes wrong.
+    /// Kind and target of the fault.
     pub kind: FaultKind,
 }
 
-/// Earliest fault, so that a first primary has been elected.
-const FIRST_FAULT_MS: u64 = 1_500;
+/// Earliest start of a fault, in milliseconds; by then the first primary has been elected.
+const EARLIEST_FAULT_MS: u64 = 1_500;
 
-/// Shortest draining, longer than a database may still get new work.
+/// Shortest drain in milliseconds. It is longer than the time for which a draining database
+/// may still receive new work.
 const SHORTEST_DRAIN_MS: u64 = 3_500;
 
 impl FaultKind {
-    /// Whether proxies may hear late of a bundle because of it.
-    pub(crate) fn delays_bundles(self) -> bool {
+    /// Returns whether the fault may delay the delivery of bundles to proxies.
+    pub(crate) fn may_delay_bundles(self) -> bool {
         matches!(
             self,
             FaultKind::CutZone { .. }
@@ -110,14 +111,14 @@
     }
 }
 
-/// Draws the faults of a run, in the order of their times.
+/// Draws the random faults of a run, sorted by start time.
 pub(crate) fn draw(settings: &SimSettings, random: &mut ChaCha8Rng) -> Vec<Fault> {
     if settings.faults == 0 {
         return Vec::new();
     }
     let count = random.random_range(1..=settings.faults);
     let mut faults: Vec<Fault> = (0..count).map(|_| draw_one(settings, random)).collect();
-    // Every third run has two faults at the very same time.
+    // One in three runs with several faults starts two of them at the same time.
     if count > 1 && random.random_range(0..3) == 0 {
         faults[1].at_ms = faults[0].at_ms;
     }
@@ -156,7 +157,7 @@
         _ => 50,
     };
     Fault {
-        at_ms: random.random_range(FIRST_FAULT_MS..settings.load_ms.max(FIRST_FAULT_MS + 1)),
+        at_ms: random.random_range(EARLIEST_FAULT_MS..settings.load_ms.max(EARLIEST_FAULT_MS + 1)),
         lasts_ms: shortest + random.random_range(0..5_000),
         kind,
     }
--- a/lab/sim/src/lib.rs
+++ b/lab/sim/src/lib.rs
@@ -1,9 +1,9 @@
-//! Simulator of hookpoint: the shipped decision code of `hookpoint-coordination`, driven in
-//! virtual time from a seed against model databases, a model platform and a model
-//! network, with faults, a history of what clients saw, and a checker.
+//! Deterministic simulator of hookpoint. Runs the production decision code of
+//! `hookpoint-coordination` in virtual time against model databases, a model platform and a
+//! model network, injects faults, records what clients observed and checks invariants.
 //!
-//! The same seed and settings give the same run, event by event; [`SimReport::trace`] is
-//! a digest of the whole run.
+//! The same seed and settings reproduce the same run event by event; [`SimReport::trace`]
+//! is a digest of the whole run.
 #![forbid(unsafe_code)]
 
 mod checker;
--- a/lab/sim/src/models/acknowledge.rs
+++ b/lab/sim/src/models/acknowledge.rs
@@ -1,5 +1,5 @@
-//! The acknowledgement of one write, with three databases, up to two changes of primary
-//! and every order of messages. The write is driven by the shipped request machine.
+//! Acknowledgement of one write with three databases, up to two changes of primary and every
+//! order of messages. The production request machine drives the write.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -18,23 +18,23 @@
 use super::explore::Model;
 
 const NAMES: [&str; 3] = ["a", "b", "c"];
-/// Length of the log before the write.
-const START: u8 = 1;
-/// Time after all deadlines.
-const LATE: Timestamp = Timestamp(60_000_000);
-/// Latest term that is explored.
-const LAST_TERM: u8 = 3;
-
-/// A database. Its log is told by its length, the term of its last entry and whether it
-/// holds the write.
+/// Length of every log before the write.
+const INITIAL_LENGTH: u8 = 1;
+/// A time after all deadlines.
+const AFTER_DEADLINES: Timestamp = Timestamp(60_000_000);
+/// Highest term that is explored.
+const MAX_TERM: u8 = 3;
+
+/// A database. Its log is represented by its length, the term of its last entry and whether
+/// it holds the write.
 #[derive(Clone, Copy, Debug)]
 struct Replica {
     length: u8,
     last_term: u8,
     holds_write: bool,
     timeline: u8,
-    promised: u8,
-    leads: bool,
+    current_term: u8,
+    is_primary: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -49,59 +49,59 @@
     Written(bool),
 }
 
-/// What the caller was told.
+/// Outcome reported to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Told {
-    Nothing,
+enum CallerOutcome {
+    Pending,
     Acknowledged,
     NotRun,
     Unknown,
 }
 
-/// A state of the model.
+/// State of the model.
 #[derive(Clone, Debug)]
 pub struct State {
     replicas: [Replica; 3],
-    /// Replicas that have flushed the write for the first primary, and those of which it
-    /// has heard so.
+    /// Replicas that have flushed the write for the first primary.
     flushed: [bool; 3],
+    /// Replicas whose flush has been confirmed to the first primary.
     confirmed: [bool; 3],
     machine: RequestMachine,
     table: TermTable,
     commands: VecDeque<Command>,
     replies: VecDeque<Reply>,
     connected: bool,
-    late: bool,
-    told: Told,
+    deadlines_passed: bool,
+    caller_outcome: CallerOutcome,
 }
 
 /// A step of the model.
 #[derive(Clone, Copy, Debug)]
 pub enum Step {
-    /// The first primary does the next command on the connection.
-    Work,
-    /// Its next reply reaches the machine.
+    /// The first primary executes the next command on the connection.
+    RunCommand,
+    /// The next reply of the first primary reaches the request machine.
     Deliver,
     /// A replica flushes the write.
     Flush(usize),
-    /// The primary hears of that.
+    /// The first primary receives the confirmation of a flush.
     Confirm(usize),
-    /// A database is elected with the vote of another.
+    /// The first database is elected with the vote of the second.
     Elect(usize, usize),
-    /// A database follows a primary.
+    /// The first database starts to follow the second, a primary.
     Follow(usize, usize),
     /// The connection breaks.
     Break,
-    /// The proxy hears of the latest term.
-    Learn,
+    /// The proxy receives the latest term.
+    LearnTerm,
     /// All deadlines pass.
-    Wait,
+    PassDeadlines,
 }
 
-/// The model.
+/// Model of the acknowledgement of a write.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct AcknowledgeModel {
-    /// Safety checks of the machine.
+    /// Safety checks that the request machine makes.
     pub checks: SafetyChecks,
 }
 
@@ -111,12 +111,16 @@
 
 impl State {
     fn now(&self) -> Timestamp {
-        if self.late { LATE } else { Timestamp(1_000) }
+        if self.deadlines_passed {
+            AFTER_DEADLINES
+        } else {
+            Timestamp(1_000)
+        }
     }
 
-    /// Whether the caller was told that the write is committed.
+    /// Returns whether the write was reported to the caller as committed.
     pub fn is_acknowledged(&self) -> bool {
-        self.told == Told::Acknowledged
+        self.caller_outcome == CallerOutcome::Acknowledged
     }
 
     fn status(&self) -> BackendStatus {
@@ -124,17 +128,17 @@
         let confirmed = (1..3).filter(|index| self.confirmed[*index]);
         let flushed = confirmed.map(|index| FlushedReplica {
             name: NAMES[index].to_owned(),
-            position: Lsn(u64::from(START) + 1),
+            position: Lsn(u64::from(INITIAL_LENGTH) + 1),
         });
         BackendStatus {
-            role: if own.leads {
+            role: if own.is_primary {
                 Role::Primary
             } else {
                 Role::Replica
             },
             term: Term(u32::from(own.timeline)),
             position: Lsn(u64::from(own.length)),
-            flushed: if own.leads {
+            flushed: if own.is_primary {
                 flushed.collect()
             } else {
                 Vec::new()
@@ -142,18 +146,18 @@
         }
     }
 
-    fn feed(&mut self, event: RequestEvent) {
+    fn request_event(&mut self, event: RequestEvent) {
         let mut actions = Vec::new();
         let now = self.now();
         if let Some(view) = self.table.view(&group()) {
             self.machine.handle(now, view, event, &mut actions);
         }
         for action in actions {
-            self.carry_out(action);
+            self.apply_action(action);
         }
     }
 
-    fn carry_out(&mut self, action: RequestAction) {
+    fn apply_action(&mut self, action: RequestAction) {
         match action {
             RequestAction::Send { check, probe } => {
                 let status = |wanted: bool| wanted.then_some(Command::Status);
@@ -162,9 +166,9 @@
                 self.commands.extend(status(probe));
             }
             RequestAction::Probe { .. } => self.commands.push_back(Command::Status),
-            RequestAction::Acknowledge { .. } => self.told = Told::Acknowledged,
-            RequestAction::Refuse { .. } => self.told = Told::NotRun,
-            RequestAction::Unknown { .. } => self.told = Told::Unknown,
+            RequestAction::Acknowledge { .. } => self.caller_outcome = CallerOutcome::Acknowledged,
+            RequestAction::Refuse { .. } => self.caller_outcome = CallerOutcome::NotRun,
+            RequestAction::Unknown { .. } => self.caller_outcome = CallerOutcome::Unknown,
             RequestAction::Release { .. } => {
                 self.connected = false;
                 self.replies.clear();
@@ -173,20 +177,20 @@
         }
     }
 
-    fn work(&mut self) {
+    fn run_command(&mut self) {
         let Some(command) = self.commands.pop_front() else {
             return;
         };
         let reply = match command {
             Command::Status => Reply::Status(self.status()),
             Command::Write => {
-                let leads = self.replicas[0].leads;
-                if leads {
+                let is_primary = self.replicas[0].is_primary;
+                if is_primary {
                     self.replicas[0].length += 1;
                     self.replicas[0].last_term = self.replicas[0].timeline;
                     self.replicas[0].holds_write = true;
                 }
-                Reply::Written(leads)
+                Reply::Written(is_primary)
             }
         };
         if self.connected {
@@ -205,7 +209,7 @@
                 } else {
                     RequestEvent::CheckAnswered { status }
                 };
-                return self.feed(event);
+                return self.request_event(event);
             }
             Some(Reply::Written(true)) => UnitResult::Succeeded,
             Some(Reply::Written(false)) => UnitResult::Failed {
@@ -213,13 +217,14 @@
             },
             None => return,
         };
-        self.feed(RequestEvent::UnitFinished {
+        self.request_event(RequestEvent::UnitFinished {
             result: unit,
             in_transaction: false,
         });
     }
 
-    /// Whether the check has been answered: then the next status is a probe's.
+    /// Returns whether the status query before the write has been answered; the next status then
+    /// answers a probe.
     fn checked(&self) -> bool {
         let written = self
             .replies
@@ -234,15 +239,15 @@
 
     fn elect(&mut self, candidate: usize, voter: usize) {
         let term = self.replicas[candidate]
-            .promised
-            .max(self.replicas[voter].promised)
+            .current_term
+            .max(self.replicas[voter].current_term)
             + 1;
-        self.replicas[voter].promised = term;
+        self.replicas[voter].current_term = term;
         self.step_down(voter);
         let winner = &mut self.replicas[candidate];
-        winner.promised = term;
+        winner.current_term = term;
         winner.timeline = term;
-        winner.leads = true;
+        winner.is_primary = true;
         winner.length += 1;
         winner.last_term = term;
         if candidate == 0 {
@@ -250,10 +255,11 @@
         }
     }
 
-    /// A primary that hears of a later term starts anew as a replica.
+    /// Makes a database a replica, as a message of a later term does. If the first database was
+    /// primary, it restarts and the connection to it breaks.
     fn step_down(&mut self, index: usize) {
-        let led = std::mem::replace(&mut self.replicas[index].leads, false);
-        if index == 0 && led {
+        let was_primary = std::mem::replace(&mut self.replicas[index].is_primary, false);
+        if index == 0 && was_primary {
             self.break_connection();
         }
     }
@@ -262,7 +268,7 @@
         self.commands.clear();
         self.replies.clear();
         if std::mem::replace(&mut self.connected, false) {
-            self.feed(RequestEvent::ConnectionLost);
+            self.request_event(RequestEvent::ConnectionLost);
         }
     }
 
@@ -274,25 +280,28 @@
         replica.last_term = leader.last_term;
         replica.holds_write = leader.holds_write;
         replica.timeline = leader.timeline;
-        replica.promised = leader.timeline;
+        replica.current_term = leader.timeline;
     }
 
     fn can_elect(&self, candidate: usize, voter: usize) -> bool {
-        let (one, other) = (self.replicas[candidate], self.replicas[voter]);
-        let term = one.promised.max(other.promised) + 1;
+        let (first, second) = (self.replicas[candidate], self.replicas[voter]);
+        let term = first.current_term.max(second.current_term) + 1;
         candidate != voter
-            && !one.leads
-            && term <= LAST_TERM
-            && (one.last_term, one.length) >= (other.last_term, other.length)
+            && !first.is_primary
+            && term <= MAX_TERM
+            && (first.last_term, first.length) >= (second.last_term, second.length)
     }
 
     fn can_follow(&self, index: usize, primary: usize) -> bool {
-        let (one, leader) = (self.replicas[index], self.replicas[primary]);
-        index != primary && leader.leads && leader.timeline > 1 && leader.timeline >= one.promised
+        let (follower, leader) = (self.replicas[index], self.replicas[primary]);
+        index != primary
+            && leader.is_primary
+            && leader.timeline > 1
+            && leader.timeline >= follower.current_term
     }
 
-    fn first_primary_leads(&self) -> bool {
-        self.replicas[0].leads && self.replicas[0].timeline == 1
+    fn first_primary_is_active(&self) -> bool {
+        self.replicas[0].is_primary && self.replicas[0].timeline == 1
     }
 }
 
@@ -308,13 +317,13 @@
             draining: false,
         });
         table.configure(&group(), ReadPreference::Replica, members);
-        let replica = |leads| Replica {
-            length: START,
+        let replica = |is_primary| Replica {
+            length: INITIAL_LENGTH,
             last_term: 1,
             holds_write: false,
             timeline: 1,
-            promised: 1,
-            leads,
+            current_term: 1,
+            is_primary,
         };
         let profile = RequestProfile {
             session: SessionId(1),
@@ -325,7 +334,7 @@
                 access: Access::Write,
                 may_commit: true,
             },
-            required: Some(Position::new(1, u64::from(START))),
+            required: Some(Position::new(1, u64::from(INITIAL_LENGTH))),
             deadline: Timestamp(30_000_000),
         };
         let within = Duration::from_secs(5);
@@ -338,16 +347,16 @@
             commands: VecDeque::new(),
             replies: VecDeque::new(),
             connected: true,
-            late: false,
-            told: Told::Nothing,
+            deadlines_passed: false,
+            caller_outcome: CallerOutcome::Pending,
         };
         let status = state.status();
         let database = DatabaseName::new(NAMES[0]);
         state
             .table
             .observe(Timestamp(1), &group(), &database, &status);
-        state.feed(RequestEvent::Begin);
-        state.feed(RequestEvent::LeaseGranted { database });
+        state.request_event(RequestEvent::Begin);
+        state.request_event(RequestEvent::LeaseGranted { database });
         state
     }
 
@@ -358,34 +367,34 @@
     fn steps(&self, state: &State) -> Vec<Step> {
         let mut steps = Vec::new();
         let work = !state.commands.is_empty();
-        steps.extend(work.then_some(Step::Work));
+        steps.extend(work.then_some(Step::RunCommand));
         let deliver = state.connected && !state.replies.is_empty();
         steps.extend(deliver.then_some(Step::Deliver));
         steps.extend(state.connected.then_some(Step::Break));
-        steps.extend((!state.late).then_some(Step::Wait));
-        steps.push(Step::Learn);
+        steps.extend((!state.deadlines_passed).then_some(Step::PassDeadlines));
+        steps.push(Step::LearnTerm);
         for index in 1..3 {
             let replica = state.replicas[index];
-            let may_flush = state.first_primary_leads()
+            let may_flush = state.first_primary_is_active()
                 && state.replicas[0].holds_write
-                && replica.promised == 1
+                && replica.current_term == 1
                 && !replica.holds_write;
             steps.extend(may_flush.then_some(Step::Flush(index)));
             let may_confirm =
-                state.first_primary_leads() && state.flushed[index] && !state.confirmed[index];
+                state.first_primary_is_active() && state.flushed[index] && !state.confirmed[index];
             steps.extend(may_confirm.then_some(Step::Confirm(index)));
         }
-        for one in 0..3 {
-            for other in 0..3 {
+        for first in 0..3 {
+            for second in 0..3 {
                 steps.extend(
                     state
-                        .can_elect(one, other)
-                        .then_some(Step::Elect(one, other)),
+                        .can_elect(first, second)
+                        .then_some(Step::Elect(first, second)),
                 );
                 steps.extend(
                     state
-                        .can_follow(one, other)
-                        .then_some(Step::Follow(one, other)),
+                        .can_follow(first, second)
+                        .then_some(Step::Follow(first, second)),
                 );
             }
         }
@@ -394,7 +403,7 @@
 
     fn apply(&self, state: &mut State, step: &Step) {
         match *step {
-            Step::Work => state.work(),
+            Step::RunCommand => state.run_command(),
             Step::Deliver => state.deliver(),
             Step::Flush(index) => {
                 let primary = state.replicas[0];
@@ -408,30 +417,32 @@
             Step::Elect(candidate, voter) => state.elect(candidate, voter),
             Step::Follow(index, primary) => state.follow(index, primary),
             Step::Break => state.break_connection(),
-            Step::Learn => {
+            Step::LearnTerm => {
                 let latest = state.replicas.iter().map(|replica| replica.timeline).max();
                 let term = Term(u32::from(latest.unwrap_or(1)));
                 if state.table.learn_term(&group(), term) {
-                    state.feed(RequestEvent::ViewChanged);
+                    state.request_event(RequestEvent::ViewChanged);
                 }
             }
-            Step::Wait => state.late = true,
+            Step::PassDeadlines => state.deadlines_passed = true,
         }
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
-        let leaders = state.replicas.iter().filter(|replica| replica.leads);
-        let latest = leaders.max_by_key(|replica| replica.timeline);
-        if state.told == Told::Acknowledged && latest.is_some_and(|replica| !replica.holds_write) {
+    fn violation(&self, state: &State) -> Option<String> {
+        let primaries = state.replicas.iter().filter(|replica| replica.is_primary);
+        let latest = primaries.max_by_key(|replica| replica.timeline);
+        if state.caller_outcome == CallerOutcome::Acknowledged
+            && latest.is_some_and(|replica| !replica.holds_write)
+        {
             return Some("an acknowledged write is not held by the latest primary".to_owned());
         }
         let held = state.replicas.iter().any(|replica| replica.holds_write);
-        let coming = state
+        let queued = state
             .commands
             .iter()
             .any(|command| matches!(command, Command::Write));
-        if state.told == Told::NotRun && (held || coming) {
-            return Some("a write told as \"not run\" is held or still to come".to_owned());
+        if state.caller_outcome == CallerOutcome::NotRun && (held || queued) {
+            return Some("a write reported as \"not run\" is held or still queued".to_owned());
         }
         None
     }
--- a/lab/sim/src/models/explore.rs
+++ b/lab/sim/src/models/explore.rs
@@ -5,57 +5,59 @@
 
 /// A model with finitely many steps from each state.
 pub trait Model {
-    /// A state.
+    /// State of the model.
     type State: Clone;
     /// A step from one state to another.
     type Step: Clone + Debug;
 
-    /// Where the exploration starts.
+    /// Returns the state from which the exploration starts.
     fn initial(&self) -> Self::State;
-    /// What tells states apart; equal keys count as one state.
+    /// Returns the key that identifies a state; states with equal keys are visited once.
     fn key(&self, state: &Self::State) -> String;
-    /// The steps that `state` allows.
+    /// Returns the steps that are possible in `state`.
     fn steps(&self, state: &Self::State) -> Vec<Self::Step>;
-    /// Takes a step.
+    /// Applies a step to `state`.
     fn apply(&self, state: &mut Self::State, step: &Self::Step);
-    /// What is wrong with `state`, if anything.
-    fn broken(&self, state: &Self::State) -> Option<String>;
+    /// Returns a description of the invariant that `state` violates, if any.
+    fn violation(&self, state: &Self::State) -> Option<String>;
 }
 
-/// The shortest way to a broken state.
+/// A shortest path to a state that violates an invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Counterexample {
-    /// The steps.
+    /// Debug forms of the steps from the initial state.
     pub steps: Vec<String>,
-    /// What is wrong at their end.
+    /// Description of the violation in the last state.
     pub detail: String,
 }
 
-/// What an exploration found.
+/// Result of an exploration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Exploration {
-    /// Different states reached.
+    /// Number of distinct states reached.
     pub states: usize,
-    /// Steps of the longest shortest way.
+    /// Largest number of steps on a shortest path to a visited state.
     pub depth: usize,
-    /// Whether all states were reached within the bounds.
+    /// Whether no state was left out because of the bounds.
     pub complete: bool,
-    /// The first broken state.
+    /// Path to the first violation found, if any; the exploration stops there.
     pub counterexample: Option<Counterexample>,
 }
 
 struct Visit<S> {
     state: S,
     depth: usize,
-    /// Index of the visit it came from, and the step.
+    /// Index of the preceding visit and the step taken from there; `None` for the initial
+    /// state.
     origin: Option<(usize, String)>,
 }
 
-/// Explores at most `maximum_states` states, at most `maximum_depth` steps away.
+/// Explores a model breadth first, up to `maximum_states` states and `maximum_depth` steps from
+/// the initial state.
 pub fn explore<M: Model>(model: &M, maximum_depth: usize, maximum_states: usize) -> Exploration {
     let initial = model.initial();
     let mut known = BTreeSet::from([model.key(&initial)]);
-    let mut ways: Vec<Option<(usize, String)>> = Vec::new();
+    let mut origins: Vec<Option<(usize, String)>> = Vec::new();
     let mut queue = VecDeque::from([Visit {
         state: initial,
         depth: 0,
@@ -68,11 +70,11 @@
         counterexample: None,
     };
     while let Some(visit) = queue.pop_front() {
-        let index = ways.len();
-        ways.push(visit.origin);
+        let index = origins.len();
+        origins.push(visit.origin);
         result.depth = result.depth.max(visit.depth);
-        if let Some(detail) = model.broken(&visit.state) {
-            let steps = way_to(&ways, index);
+        if let Some(detail) = model.violation(&visit.state) {
+            let steps = path_to(&origins, index);
             result.counterexample = Some(Counterexample { steps, detail });
             return result;
         }
@@ -99,10 +101,10 @@
     result
 }
 
-fn way_to(ways: &[Option<(usize, String)>], end: usize) -> Vec<String> {
+fn path_to(origins: &[Option<(usize, String)>], end: usize) -> Vec<String> {
     let mut steps = Vec::new();
     let mut index = end;
-    while let Some((origin, step)) = &ways[index] {
+    while let Some((origin, step)) = &origins[index] {
         steps.push(step.clone());
         index = *origin;
     }
--- a/lab/sim/src/models/mod.rs
+++ b/lab/sim/src/models/mod.rs
@@ -1,5 +1,4 @@
-//! Small models that are explored exhaustively, breadth first, around the shipped
-//! machines.
+//! Small models built around the production state machines and explored breadth first.
 
 pub mod acknowledge;
 pub mod explore;
--- a/lab/sim/src/models/primary_lease.rs
+++ b/lab/sim/src/models/primary_lease.rs
@@ -1,7 +1,7 @@
-//! Leases on primaries where promotions are not fenced, with three nodes: one that
-//! coordinates and loses the store, one that takes over and replaces a primary, and one
-//! more voter. Messages between them are delayed at will or lost, so a node may be cut off
-//! or frozen at any moment. What grants and holds leases are the shipped machines.
+//! Leases on primaries whose promotion is not fenced. Of the three nodes, the first coordinates
+//! and loses the store, the second takes over as coordinator and replaces a primary, and the
+//! third only votes. Messages may be delayed arbitrarily or lost, so a node may be partitioned
+//! or frozen at any time. The production state machines grant and hold the leases.
 
 use std::time::Duration;
 
@@ -15,46 +15,48 @@
 
 use super::explore::Model;
 
-/// Nodes of the model.
+/// Number of nodes in the model.
 const NODES: usize = 3;
-/// The node that coordinates first.
+/// Index of the first coordinator.
 const FIRST: usize = 0;
-/// The node that takes over.
+/// Index of the node that takes over as coordinator.
 const SECOND: usize = 1;
-/// Revisions of their records.
+/// Store revisions of the first and the second coordinator's records.
 const REVISIONS: [StoreRevision; 2] = [
     StoreRevision::new(StoreEra::new(0), 1),
     StoreRevision::new(StoreEra::new(0), 2),
 ];
-/// Names of the nodes as voters.
+/// Names of the nodes, under which they vote.
 const NAMES: [&str; NODES] = ["first", "second", "third"];
-/// Order in which the nodes stand in.
-const STAND_INS: [usize; NODES] = [0, 2, 1];
-/// How far one step moves the time.
+/// Order in which the nodes stand in for a coordinator that does not answer.
+const STAND_IN_ORDER: [usize; NODES] = [0, 2, 1];
+/// Time by which one `Tick` advances the clock.
 const TICK: Duration = Duration::from_millis(500);
-/// Ticks after which the time stands still.
-const MOST_TICKS: u32 = 8;
+/// Maximum number of ticks; the clock stops after them.
+const MAX_TICKS: u32 = 8;
 
-/// A protection that is taken out.
+/// Protection that is removed from the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// An acknowledgement does not wait for votes to run out.
-    VotesDoNotBind,
-    /// A majority's acknowledgement is enough, whatever leases the others may hold.
-    NoWaiting,
-    /// A vote does not carry what the voter knows of announcements.
-    VotesTellNothing,
-    /// The second coordinator does not wait for what the first may have granted.
-    NoPredecessor,
+    /// A node acknowledges regardless of its votes, and the withdrawal does not wait for these
+    /// to expire.
+    AcknowledgeDespiteVotes,
+    /// Acknowledgement by a majority suffices, regardless of leases that the remaining nodes
+    /// may hold.
+    MajoritySuffices,
+    /// A lease request and its answer do not carry the announcement that their sender has received.
+    NoAnnouncementsInVotes,
+    /// The second coordinator does not wait for leases that the first may have granted.
+    IgnorePredecessor,
 }
 
-/// The model.
+/// Model of primary leases under a change of coordinator.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PrimaryLeaseModel {
-    /// What is taken out, if anything.
+    /// Protection that is removed, if any.
     pub mutation: Option<Mutation>,
-    /// Whether the second coordinator took over long ago, and the others, who have lost
-    /// the store, have asked the first one lately.
+    /// Whether the exploration starts long after the second coordinator took over, while the
+    /// other nodes have lost the store and still address the first coordinator.
     pub taken_over: bool,
 }
 
@@ -62,43 +64,43 @@
 struct Node {
     lease: PrimaryLease,
     grantor: LeaseGrantor,
-    /// Whether it knows that the primary is to be replaced.
+    /// Whether the announcement that the primary is to be replaced has reached the node.
     informed: bool,
-    /// A request on its way: to whom, and whether the sender was informed.
+    /// Lease request in flight: the receiver, the request, and whether the sender was informed.
     request: Option<(usize, LeaseRequest, bool)>,
-    /// An answer on its way, and whether who answered was informed.
+    /// Answer in flight, and whether the answering node was informed.
     answer: Option<(LeaseAnswer, bool)>,
 }
 
-/// A state of the model.
+/// State of the model.
 #[derive(Clone, Debug)]
 pub struct State {
     now: Timestamp,
     ticks: u32,
     nodes: [Node; NODES],
     withdrawal: Option<Withdrawal>,
-    ordered: bool,
+    promotion_ordered: bool,
 }
 
 /// A step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Time passes.
+    /// The clock advances.
     Tick,
-    /// The node asks for a lease, if a request is due.
-    Ask(usize),
-    /// Its request arrives and is answered.
-    Serve(usize),
-    /// The answer arrives.
-    Take(usize),
-    /// The store takes the first coordinator's record away and the second one claims it.
+    /// The node sends a lease request, if one is due.
+    SendRequest(usize),
+    /// The node's request arrives and is answered.
+    AnswerRequest(usize),
+    /// The answer arrives at the node.
+    ReceiveAnswer(usize),
+    /// The store drops the first coordinator's record and the second coordinator claims it.
     Claim,
     /// The second coordinator announces that the primary is to be replaced.
     Announce,
-    /// The announcement arrives at the node, and its answer at the coordinator.
+    /// The announcement arrives at the node, and the node's answer at the coordinator.
     Inform(usize),
     /// The second coordinator orders the promotion.
-    Order,
+    OrderPromotion,
 }
 
 fn electorate(now: Timestamp) -> Electorate {
@@ -113,42 +115,43 @@
 }
 
 impl PrimaryLeaseModel {
-    fn is(&self, mutation: Mutation) -> bool {
+    fn removes(&self, mutation: Mutation) -> bool {
         self.mutation == Some(mutation)
     }
 
-    fn ask(&self, state: &mut State, node: usize) {
+    fn send_request(&self, state: &mut State, node: usize) {
         let now = state.now;
         let own = &mut state.nodes[node];
         if let Some((grantor, request)) = own.lease.request(now) {
             let to = match grantor {
                 Grantor::Coordinator if own.lease.coordinator() == REVISIONS[1] => SECOND,
                 Grantor::Coordinator => FIRST,
-                Grantor::StandIn(place) => STAND_INS[place % NODES],
+                Grantor::StandIn(place) => STAND_IN_ORDER[place % NODES],
             };
             own.request = Some((to, request, own.informed));
         }
     }
 
-    fn serve(&self, state: &mut State, node: usize) {
+    fn answer_request(&self, state: &mut State, node: usize) {
         let now = state.now;
         let Some((to, request, informed)) = state.nodes[node].request.take() else {
             return;
         };
-        let asked = &mut state.nodes[to];
-        if !self.is(Mutation::VotesTellNothing) {
-            asked.informed |= informed;
+        let receiver = &mut state.nodes[to];
+        if !self.removes(Mutation::NoAnnouncementsInVotes) {
+            receiver.informed |= informed;
         }
-        asked.lease.follow(request.coordinator, now);
-        let coordinator = asked.lease.coordinator();
-        let answer = asked
-            .grantor
-            .answer(NAMES[node], &request, coordinator, electorate(now), now);
-        let informed = asked.informed;
+        receiver.lease.follow(request.coordinator, now);
+        let coordinator = receiver.lease.coordinator();
+        let answer =
+            receiver
+                .grantor
+                .answer(NAMES[node], &request, coordinator, electorate(now), now);
+        let informed = receiver.informed;
         state.nodes[node].answer = Some((answer, informed));
     }
 
-    fn take(&self, state: &mut State, node: usize) {
+    fn receive_answer(&self, state: &mut State, node: usize) {
         let now = state.now;
         let own = &mut state.nodes[node];
         if let Some((answer, informed)) = own.answer.take() {
@@ -158,7 +161,7 @@
     }
 
     fn claim(&self, state: &mut State) {
-        let claimed_at = if self.is(Mutation::NoPredecessor) {
+        let claimed_at = if self.removes(Mutation::IgnorePredecessor) {
             Timestamp::default()
         } else {
             state.now
@@ -176,7 +179,7 @@
         let own = &mut state.nodes[node];
         own.informed = true;
         let acknowledges = own.lease.acknowledge(REVISIONS[1], now);
-        let unbound = self.is(Mutation::VotesDoNotBind);
+        let unbound = self.removes(Mutation::AcknowledgeDespiteVotes);
         let voted = own.lease.voted_for_others(now) && !unbound;
         if (acknowledges || unbound)
             && let Some(withdrawal) = &mut state.withdrawal
@@ -190,7 +193,7 @@
             return false;
         };
         let acknowledged = NODES - withdrawal.missing(&voters()).len();
-        let enough = self.is(Mutation::NoWaiting) && acknowledged > NODES / 2;
+        let enough = self.removes(Mutation::MajoritySuffices) && acknowledged > NODES / 2;
         enough || withdrawal.is_complete(&voters(), state.now)
     }
 }
@@ -203,12 +206,12 @@
         let started = Timestamp::from_millis(60_000);
         let now = Timestamp::from_millis(120_000);
         let node = |number: usize| {
-            let life = number as u64 + 1;
-            let mut lease = PrimaryLease::new(life, started);
+            let incarnation = number as u64 + 1;
+            let mut lease = PrimaryLease::new(incarnation, started);
             lease.follow(REVISIONS[0], started);
             Node {
                 lease,
-                grantor: LeaseGrantor::new(life),
+                grantor: LeaseGrantor::new(incarnation),
                 informed: false,
                 request: None,
                 answer: None,
@@ -226,7 +229,7 @@
             ticks: 0,
             nodes,
             withdrawal: None,
-            ordered: false,
+            promotion_ordered: false,
         };
         if self.taken_over {
             let second = &mut state.nodes[SECOND];
@@ -243,26 +246,27 @@
         format!("{state:?}")
     }
 
-    /// The second coordinator's own leases play no part, so it does not ask.
+    /// Returns the possible steps. The second coordinator requests no leases, since its own are
+    /// irrelevant to the invariant.
     fn steps(&self, state: &State) -> Vec<Step> {
         let mut steps = Vec::new();
-        if state.ticks < MOST_TICKS {
+        if state.ticks < MAX_TICKS {
             steps.push(Step::Tick);
         }
         for (node, own) in state.nodes.iter().enumerate() {
             let may_ask = node != SECOND && own.lease.clone().request(state.now).is_some();
-            steps.extend(may_ask.then_some(Step::Ask(node)));
-            steps.extend(own.request.is_some().then_some(Step::Serve(node)));
-            steps.extend(own.answer.is_some().then_some(Step::Take(node)));
+            steps.extend(may_ask.then_some(Step::SendRequest(node)));
+            steps.extend(own.request.is_some().then_some(Step::AnswerRequest(node)));
+            steps.extend(own.answer.is_some().then_some(Step::ReceiveAnswer(node)));
         }
         let claimed = state.nodes[SECOND].lease.coordinator() == REVISIONS[1];
         if !claimed {
             steps.push(Step::Claim);
         } else if state.withdrawal.is_none() {
             steps.push(Step::Announce);
-        } else if !state.ordered {
+        } else if !state.promotion_ordered {
             steps.extend((0..NODES).map(Step::Inform));
-            steps.extend(self.may_order(state).then_some(Step::Order));
+            steps.extend(self.may_order(state).then_some(Step::OrderPromotion));
         }
         steps
     }
@@ -274,26 +278,26 @@
                 state.ticks += 1;
                 state.nodes[SECOND].grantor.note_renewed(state.now);
             }
-            Step::Ask(node) => self.ask(state, node),
-            Step::Serve(node) => self.serve(state, node),
-            Step::Take(node) => self.take(state, node),
+            Step::SendRequest(node) => self.send_request(state, node),
+            Step::AnswerRequest(node) => self.answer_request(state, node),
+            Step::ReceiveAnswer(node) => self.receive_answer(state, node),
             Step::Claim => self.claim(state),
             Step::Announce => {
                 state.nodes[SECOND].informed = true;
                 state.withdrawal = state.nodes[SECOND].grantor.withdraw();
             }
             Step::Inform(node) => self.inform(state, node),
-            Step::Order => state.ordered = true,
+            Step::OrderPromotion => state.promotion_ordered = true,
         }
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         let uses = |node: &Node| node.lease.covers(state.now) && !node.informed;
         let node = state
             .nodes
             .iter()
             .position(uses)
-            .filter(|_| state.ordered)?;
+            .filter(|_| state.promotion_ordered)?;
         Some(format!("the {} node uses a replaced primary", NAMES[node]))
     }
 }
--- a/lab/sim/src/models/quota.rs
+++ b/lab/sim/src/models/quota.rs
@@ -1,6 +1,6 @@
-//! A tenant's limit divided between two token holders, each of which may be killed, started
-//! again or never asked (cut off, frozen), while whoever asked uses its tokens as late as may
-//! be, and the limit changes. What grants are the shipped machines.
+//! A tenant's operation limit divided between two token holders. Each holder may be killed,
+//! restarted or never asked (as if partitioned or frozen), granted tokens may be used as late as
+//! allowed, and the limit changes. The production token buckets grant the tokens.
 
 use std::time::Duration;
 
@@ -11,21 +11,21 @@
 
 use super::explore::Model;
 
-/// Holders of the model.
+/// Number of token holders in the model.
 const HOLDERS: usize = 2;
-/// How far one step moves the time: half of a token's life.
+/// Time by which one `Tick` advances the clock: half of a token's lifetime.
 const TICK: Duration = Duration::from_millis(200);
-/// Ticks after which the time stands still.
-const MOST_TICKS: u32 = 12;
-/// Tokens in hand at the most.
-const MOST_TOKENS: usize = 6;
-/// The window, and what may run in it beyond the limit.
+/// Maximum number of ticks; the clock stops after them.
+const MAX_TICKS: u32 = 12;
+/// Maximum number of granted, unused tokens.
+const MAX_TOKENS: usize = 6;
+/// The window in which operations are counted, and the allowed excess over the limit.
 const BOUNDS: QuotaBounds = QuotaBounds {
     window: Duration::from_secs(1),
     overshoot_milli: 100,
     slack: 1,
 };
-/// The limits that the configuration changes between.
+/// The limit in force at first and the limit after a change of configuration.
 const LIMITS: [OperationLimit; 2] = [
     OperationLimit {
         rate_milli: 2_000,
@@ -36,86 +36,87 @@
         burst: 1,
     },
 ];
-/// Long before the exploration, so that buckets are full.
-const FILLING_SINCE: Timestamp = Timestamp(1_000_000);
-/// When the exploration begins.
-const BEGIN: Timestamp = Timestamp(60_000_000);
+/// Creation time of buckets that are full when the exploration starts.
+const FULL_BUCKET_CREATED: Timestamp = Timestamp(1_000_000);
+/// Time at which the exploration starts.
+const START_TIME: Timestamp = Timestamp(60_000_000);
 
-/// A protection that is taken out.
+/// Protection that is removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// Each holder grants the whole limit.
-    Undivided,
-    /// A token may be used at any time.
-    TokensStay,
-    /// A process begins with a full bucket.
-    BeginsFull,
+    /// Each holder grants the whole limit instead of its share.
+    WholeLimitPerHolder,
+    /// Tokens never expire.
+    TokensNeverExpire,
+    /// A new process starts with a full bucket.
+    NewBucketFull,
 }
 
-/// The model.
+/// Model of a divided operation limit.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct QuotaModel {
-    /// What is taken out, if anything.
+    /// Protection that is removed, if any.
     pub mutation: Option<Mutation>,
 }
 
-/// A state of the model.
+/// State of the model.
 #[derive(Clone, Debug)]
 pub struct State {
     now: Timestamp,
     ticks: u32,
-    /// The limit in force, and the other one if it was in the last window.
+    /// Index in [`LIMITS`] of the limit in force.
     limit: usize,
+    /// Time of the change of limit, which happens once at most.
     changed_at: Option<Timestamp>,
-    /// The buckets; a holder that is down has none, but a time since when.
+    /// Bucket of each holder; `Err` holds the time since which the holder is down.
     holders: [Result<TokenBucket, Timestamp>; HOLDERS],
-    /// Until when each token in hand may be used.
+    /// Expiry times of the granted, unused tokens.
     tokens: Vec<Timestamp>,
-    /// When operations ran.
+    /// Times at which operations ran, within the last window.
     ran: Vec<Timestamp>,
 }
 
 /// A step of the model.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Time passes.
+    /// The clock advances.
     Tick,
-    /// Somebody asks a holder for a token.
-    Ask(usize),
-    /// The tokens in hand are used.
-    Use,
+    /// A node requests a token from a holder.
+    RequestToken(usize),
+    /// All granted tokens are used.
+    UseTokens,
     /// A holder's process ends.
     Kill(usize),
-    /// The process that replaces it begins.
+    /// The process that replaces a killed holder starts.
     Start(usize),
     /// The operator changes the limit.
-    Change,
+    ChangeLimit,
 }
 
 impl QuotaModel {
-    fn part(&self, limit: usize) -> GrantLimit {
+    fn holder_share(&self, limit: usize) -> GrantLimit {
         let whole = BOUNDS.grant_limit(LIMITS[limit]);
         match self.mutation {
-            Some(Mutation::Undivided) => whole,
+            Some(Mutation::WholeLimitPerHolder) => whole,
             _ => whole.part(HOLDERS),
         }
     }
 
-    fn bucket_of_new_process(&self, limit: usize, now: Timestamp) -> TokenBucket {
+    fn new_bucket(&self, limit: usize, now: Timestamp) -> TokenBucket {
         let from = match self.mutation {
-            Some(Mutation::BeginsFull) => FILLING_SINCE,
+            Some(Mutation::NewBucketFull) => FULL_BUCKET_CREATED,
             _ => now,
         };
-        TokenBucket::new(self.part(limit), from)
+        TokenBucket::new(self.holder_share(limit), from)
     }
 
-    fn ask(&self, state: &mut State, holder: usize) {
-        let part = self.part(state.limit);
+    fn request_token(&self, state: &mut State, holder: usize) {
+        let share = self.holder_share(state.limit);
         let now = state.now;
         let Ok(bucket) = &mut state.holders[holder] else {
             return;
         };
-        bucket.set_limit(now, part);
+        bucket.set_limit(now, share);
         if let TokenAnswer::Granted { .. } = bucket.take(now, Duration::ZERO) {
             state.tokens.push(now + TOKEN_LIFE);
         }
@@ -123,22 +124,23 @@
 }
 
 impl State {
-    /// Operations that may run in a window under the larger limit that was in force in it.
+    /// Returns the number of operations that may run in the last window under the larger of the
+    /// limits that were in force in it.
     fn allowed(&self) -> u64 {
-        let lately = |changed: Timestamp| self.now.since(changed) < BOUNDS.window + TOKEN_LIFE;
-        let both = self.changed_at.is_some_and(lately);
+        let recent = |changed: Timestamp| self.now.since(changed) < BOUNDS.window + TOKEN_LIFE;
+        let both = self.changed_at.is_some_and(recent);
         let limit = if both { 0 } else { self.limit };
         let OperationLimit { rate_milli, burst } = LIMITS[limit];
-        let owed = rate_milli * BOUNDS.window.as_secs() + burst * 1_000;
-        owed * (1_000 + BOUNDS.overshoot_milli) / 1_000_000 + BOUNDS.slack
+        let limit_milli = rate_milli * BOUNDS.window.as_secs() + burst * 1_000;
+        limit_milli * (1_000 + BOUNDS.overshoot_milli) / 1_000_000 + BOUNDS.slack
     }
 
-    fn ran_lately(&self) -> u64 {
-        let lately = self
+    fn recent_operations(&self) -> u64 {
+        let recent = self
             .ran
             .iter()
             .filter(|moment| self.now.since(**moment) <= BOUNDS.window);
-        u64::try_from(lately.count()).unwrap_or(u64::MAX)
+        u64::try_from(recent.count()).unwrap_or(u64::MAX)
     }
 }
 
@@ -147,9 +149,9 @@
     type Step = Step;
 
     fn initial(&self) -> State {
-        let full = TokenBucket::new(self.part(0), FILLING_SINCE);
+        let full = TokenBucket::new(self.holder_share(0), FULL_BUCKET_CREATED);
         State {
-            now: BEGIN,
+            now: START_TIME,
             ticks: 0,
             limit: 0,
             changed_at: None,
@@ -165,21 +167,21 @@
 
     fn steps(&self, state: &State) -> Vec<Step> {
         let mut steps = Vec::new();
-        if state.ticks < MOST_TICKS {
+        if state.ticks < MAX_TICKS {
             steps.push(Step::Tick);
         }
         if !state.tokens.is_empty() {
-            steps.push(Step::Use);
+            steps.push(Step::UseTokens);
         }
         if state.changed_at.is_none() {
-            steps.push(Step::Change);
+            steps.push(Step::ChangeLimit);
         }
         for (holder, bucket) in state.holders.iter().enumerate() {
             match bucket {
                 Ok(_) => {
                     steps.push(Step::Kill(holder));
-                    if state.tokens.len() < MOST_TOKENS {
-                        steps.push(Step::Ask(holder));
+                    if state.tokens.len() < MAX_TOKENS {
+                        steps.push(Step::RequestToken(holder));
                     }
                 }
                 Err(since) if state.now.since(*since) >= LEAST_RESTART => {
@@ -197,31 +199,31 @@
                 state.ticks += 1;
                 state.now = state.now + TICK;
                 let now = state.now;
-                if self.mutation != Some(Mutation::TokensStay) {
+                if self.mutation != Some(Mutation::TokensNeverExpire) {
                     state.tokens.retain(|until| now <= *until);
                 }
                 state
                     .ran
                     .retain(|moment| now.since(*moment) <= BOUNDS.window);
             }
-            Step::Ask(holder) => self.ask(state, holder),
-            Step::Use => {
+            Step::RequestToken(holder) => self.request_token(state, holder),
+            Step::UseTokens => {
                 let used = state.tokens.drain(..).count();
                 state.ran.extend(std::iter::repeat_n(state.now, used));
             }
             Step::Kill(holder) => state.holders[holder] = Err(state.now),
             Step::Start(holder) => {
-                state.holders[holder] = Ok(self.bucket_of_new_process(state.limit, state.now));
+                state.holders[holder] = Ok(self.new_bucket(state.limit, state.now));
             }
-            Step::Change => {
+            Step::ChangeLimit => {
                 state.limit = 1 - state.limit;
                 state.changed_at = Some(state.now);
             }
         }
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
-        let (ran, allowed) = (state.ran_lately(), state.allowed());
+    fn violation(&self, state: &State) -> Option<String> {
+        let (ran, allowed) = (state.recent_operations(), state.allowed());
         (ran > allowed).then(|| format!("{ran} operations in a window that allows {allowed}"))
     }
 }
--- a/lab/sim/src/models/rollout.rs
+++ b/lab/sim/src/models/rollout.rs
@@ -1,6 +1,5 @@
-//! The roll-out of bundles with two nodes, two operators who race, a platform that gives
-//! old answers and loses some, and one node that may start anew. The nodes are the
-//! shipped rollout machines.
+//! Rollout of bundles with two nodes, two concurrent operators, a platform whose answers may be
+//! stale or lost, and one node that may restart. The nodes run the production rollout machine.
 
 use hookpoint_coordination::rollout::{
     RolloutAction, RolloutEvent, RolloutMachine, RolloutMessage,
@@ -10,40 +9,41 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::explore::Model;
-use crate::platform::NumberStore;
+use crate::platform::VersionStore;
 
-/// Messages on the way to one node at most.
+/// Maximum number of messages in flight to one node; further messages are dropped.
 const MAXIMUM_MESSAGES: usize = 2;
 
 #[derive(Clone, Debug)]
 struct Node {
-    machine: RolloutMachine<NumberStore>,
-    /// The highest version it has had in force in this life.
+    machine: RolloutMachine<VersionStore>,
+    /// Highest version in force since the node's process started.
     highest: BundleVersion,
-    fell_back: bool,
+    regressed: bool,
     fetching: bool,
     messages: Vec<RolloutMessage>,
     restarted: bool,
 }
 
-/// An operator who prepared a version and wants to roll it.
+/// An operator who has prepared a version and rolls it out.
 #[derive(Clone, Debug)]
 struct Operator {
     version: u64,
-    seen: Option<u64>,
-    /// How often the roll took effect.
+    read_version: Option<u64>,
+    /// Number of times the rollout took effect.
     applied: u8,
-    /// What the operator believes in the end.
-    believes: Option<bool>,
+    /// Final result as known to the operator: whether the rollout took effect.
+    known_result: Option<bool>,
 }
 
-/// A state of the model.
+/// State of the model.
 #[derive(Clone, Debug)]
 pub struct State {
     now: Timestamp,
     nodes: [Node; 2],
     operators: [Operator; 2],
-    /// Pointers the platform has had, the active one last, with the operator that set it.
+    /// History of the platform's pointer, the active version last, each with the operator who
+    /// set it.
     pointers: Vec<(u64, Option<usize>)>,
 }
 
@@ -52,88 +52,89 @@
 pub enum Step {
     /// An operator reads the pointer.
     Read(usize),
-    /// An operator moves the pointer if it is still as seen; the answer may be lost.
-    Roll {
-        /// The operator.
+    /// An operator moves the pointer, provided that it is unchanged since the operator read it;
+    /// the answer may be lost.
+    RollOut {
+        /// Index of the operator.
         operator: usize,
-        /// Whether the answer is lost.
+        /// Whether the platform's answer is lost.
         lost: bool,
     },
-    /// A node is told a pointer that the platform has had, perhaps an old one.
+    /// A node receives a current or former pointer of the platform.
     Pointer {
-        /// The node.
+        /// Index of the node.
         node: usize,
-        /// Index of the pointer.
+        /// Index in the history of pointers.
         pointer: usize,
     },
-    /// A node's fetch is answered, perhaps with an old bundle, or fails.
+    /// A node's fetch returns the bundle of a current or former pointer, or fails.
     Fetched {
-        /// The node.
+        /// Index of the node.
         node: usize,
-        /// Index of the pointer, if it does not fail.
+        /// Index in the history of pointers; `None` if the fetch fails.
         pointer: Option<usize>,
     },
-    /// A node hears which version the other has in force.
-    Hear(usize),
+    /// A node receives the version that the other node has in force.
+    PeerVersion(usize),
     /// A message from the other node arrives, or is lost.
     Message {
-        /// The receiver.
+        /// Index of the receiving node.
         node: usize,
-        /// Whether it is lost.
+        /// Whether the message is lost.
         lost: bool,
     },
     /// A node's timer is due.
     Timer(usize),
-    /// The first node's process is replaced.
+    /// The first node's process is replaced by a new one.
     Restart,
 }
 
-/// The model.
+/// Model of bundle rollouts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RolloutModel {
-    /// Mutation: nodes take older bundles for newer ones.
-    pub forgetful: bool,
-    /// Mutation: an operator whose answer was lost rolls again without reading back.
-    pub careless: bool,
+    /// Mutation: nodes accept older bundles as if they were newer.
+    pub accept_older: bool,
+    /// Mutation: an operator whose answer was lost rolls out again without reading the pointer.
+    pub retry_without_reading: bool,
 }
 
 impl RolloutModel {
     fn node(&self, now: Timestamp, number: u64) -> Node {
         let random = ChaCha8Rng::seed_from_u64(number);
-        let store = NumberStore::new(self.forgetful);
+        let store = VersionStore::new(self.accept_older);
         Node {
             machine: RolloutMachine::new(now, store, random),
             highest: BundleVersion(0),
-            fell_back: false,
+            regressed: false,
             fetching: false,
             messages: Vec::new(),
             restarted: false,
         }
     }
 
-    fn roll(&self, state: &mut State, operator: usize, lost: bool) {
+    fn roll_out(&self, state: &mut State, operator: usize, lost: bool) {
         let active = state.pointers.last().map_or(0, |(version, _)| *version);
         let own = &mut state.operators[operator];
-        let moved =
-            own.seen == Some(active) && own.version > active || self.careless && own.applied == 1;
+        let moved = own.read_version == Some(active) && own.version > active
+            || self.retry_without_reading && own.applied == 1;
         if moved {
             own.applied += 1;
             state.pointers.push((own.version, Some(operator)));
         }
         if !lost {
-            own.believes = Some(moved);
-        } else if !self.careless {
-            // The answer is lost: the operator reads back who set the pointer.
+            own.known_result = Some(moved);
+        } else if !self.retry_without_reading {
+            // After a lost answer the operator reads which operator set the pointer.
             let mine = state
                 .pointers
                 .iter()
                 .any(|(_, setter)| *setter == Some(operator));
-            own.believes = Some(mine);
+            own.known_result = Some(mine);
         }
     }
 }
 
-fn feed(state: &mut State, node: usize, event: RolloutEvent) {
+fn node_event(state: &mut State, node: usize, event: RolloutEvent) {
     let mut actions = Vec::new();
     state.nodes[node]
         .machine
@@ -149,8 +150,8 @@
             }
             RolloutAction::Install(_) => {
                 let own = &mut state.nodes[node];
-                let held = own.machine.store().held();
-                own.fell_back |= held <= own.highest;
+                let held = own.machine.store().actual_version();
+                own.regressed |= held <= own.highest;
                 own.highest = own.highest.max(held);
             }
             _ => {}
@@ -166,9 +167,9 @@
         let now = Timestamp(1);
         let operator = |version| Operator {
             version,
-            seen: None,
+            read_version: None,
             applied: 0,
-            believes: None,
+            known_result: None,
         };
         let mut state = State {
             now,
@@ -176,13 +177,13 @@
             operators: [operator(2), operator(3)],
             pointers: vec![(1, None)],
         };
-        feed(&mut state, 0, RolloutEvent::ZoneRank(0));
-        feed(&mut state, 1, RolloutEvent::ZoneRank(1));
+        node_event(&mut state, 0, RolloutEvent::ZoneRank(0));
+        node_event(&mut state, 1, RolloutEvent::ZoneRank(1));
         state
     }
 
-    /// Times and the state of the random generators are left out: they only choose when
-    /// a timer fires, and a timer may fire at any step here.
+    /// Omits times and the state of the random generators: they only determine when a timer
+    /// fires, and in this model a timer may fire at any step.
     fn key(&self, state: &State) -> String {
         let text = format!("{:?}{:?}{:?}", state.nodes, state.operators, state.pointers);
         without_numbers_after(&without_numbers_after(&text, "Timestamp("), "index: ")
@@ -191,11 +192,11 @@
     fn steps(&self, state: &State) -> Vec<Step> {
         let mut steps = Vec::new();
         for (operator, own) in state.operators.iter().enumerate() {
-            let open = own.believes.is_none();
-            steps.extend((open && own.seen.is_none()).then_some(Step::Read(operator)));
-            if open && own.seen.is_some() && own.applied < 2 {
-                let roll = |lost| Step::Roll { operator, lost };
-                steps.extend([roll(false), roll(true)]);
+            let open = own.known_result.is_none();
+            steps.extend((open && own.read_version.is_none()).then_some(Step::Read(operator)));
+            if open && own.read_version.is_some() && own.applied < 2 {
+                let roll_out = |lost| Step::RollOut { operator, lost };
+                steps.extend([roll_out(false), roll_out(true)]);
             }
         }
         for (node, own) in state.nodes.iter().enumerate() {
@@ -206,8 +207,8 @@
             }
             let pointer = None;
             steps.extend(own.fetching.then_some(Step::Fetched { node, pointer }));
-            let other = state.nodes[1 - node].machine.store().held();
-            steps.extend((other.0 > 0).then_some(Step::Hear(node)));
+            let other = state.nodes[1 - node].machine.store().actual_version();
+            steps.extend((other.0 > 0).then_some(Step::PeerVersion(node)));
             if !own.messages.is_empty() {
                 let message = |lost| Step::Message { node, lost };
                 steps.extend([message(false), message(true)]);
@@ -223,28 +224,28 @@
         match *step {
             Step::Read(operator) => {
                 let active = state.pointers.last().map(|(version, _)| *version);
-                state.operators[operator].seen = active;
+                state.operators[operator].read_version = active;
             }
-            Step::Roll { operator, lost } => self.roll(state, operator, lost),
+            Step::RollOut { operator, lost } => self.roll_out(state, operator, lost),
             Step::Pointer { node, pointer } => {
                 let version = BundleVersion(state.pointers[pointer].0);
-                feed(state, node, RolloutEvent::PlatformVersion(version));
+                node_event(state, node, RolloutEvent::PlatformVersion(version));
             }
             Step::Fetched { node, pointer } => {
                 state.nodes[node].fetching = false;
                 let event = match pointer {
                     Some(pointer) => {
                         let version = BundleVersion(state.pointers[pointer].0);
-                        RolloutEvent::PlatformChange(NumberStore::change(version))
+                        RolloutEvent::PlatformChange(VersionStore::encode_change(version))
                     }
                     None => RolloutEvent::PlatformFailed,
                 };
-                feed(state, node, event);
+                node_event(state, node, event);
             }
-            Step::Hear(node) => {
-                let version = state.nodes[1 - node].machine.store().held();
+            Step::PeerVersion(node) => {
+                let version = state.nodes[1 - node].machine.store().actual_version();
                 let other = NodeId(1 - node as u64);
-                feed(
+                node_event(
                     state,
                     node,
                     RolloutEvent::PeerVersion {
@@ -257,46 +258,47 @@
                 let message = state.nodes[node].messages.remove(0);
                 let from = NodeId(1 - node as u64);
                 if !lost {
-                    feed(state, node, RolloutEvent::PeerMessage { from, message });
+                    node_event(state, node, RolloutEvent::PeerMessage { from, message });
                 }
             }
             Step::Timer(node) => {
                 let wake = state.nodes[node].machine.next_wake();
                 state.now = state.now.max(wake.unwrap_or(state.now));
-                feed(state, node, RolloutEvent::Timer);
+                node_event(state, node, RolloutEvent::Timer);
             }
             Step::Restart => {
                 state.nodes[0] = Node {
                     restarted: true,
                     ..self.node(state.now, 3)
                 };
-                feed(state, 0, RolloutEvent::ZoneRank(0));
+                node_event(state, 0, RolloutEvent::ZoneRank(0));
             }
         }
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
-        if state.nodes.iter().any(|node| node.fell_back) {
+    fn violation(&self, state: &State) -> Option<String> {
+        if state.nodes.iter().any(|node| node.regressed) {
             return Some("a node put a version in force that was not newer".to_owned());
         }
         for operator in &state.operators {
             if operator.applied > 1 {
-                return Some(format!("version {} was rolled twice", operator.version));
+                return Some(format!("version {} was rolled out twice", operator.version));
             }
             let wrong = operator
-                .believes
+                .known_result
                 .is_some_and(|done| done != (operator.applied == 1));
             if wrong {
-                return Some(format!("{operator:?} was told wrongly"));
+                return Some(format!("{operator:?} received a wrong result"));
             }
         }
         let versions = state.pointers.iter().map(|(version, _)| *version);
         let versions: Vec<u64> = versions.collect();
-        (!versions.is_sorted()).then(|| format!("the pointer went back: {versions:?}"))
+        (!versions.is_sorted())
+            .then(|| format!("the pointer returned to an older version: {versions:?}"))
     }
 }
 
-/// `text` with the digits behind each `mark` left out.
+/// Returns `text` without the digits that directly follow each occurrence of `mark`.
 fn without_numbers_after(text: &str, mark: &str) -> String {
     let mut parts = text.split(mark);
     let mut result = parts.next().unwrap_or_default().to_owned();
--- a/lab/sim/src/network.rs
+++ b/lab/sim/src/network.rs
@@ -1,4 +1,4 @@
-//! Links: latencies and cuts.
+//! Network links: latencies and partitions.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,18 +7,20 @@
 
 use crate::settings::SimDeployment;
 
-/// How long a link may be cut before both ends take their connection for broken.
-pub(crate) const KEEPALIVE: Duration = Duration::from_secs(2);
-/// Time between two looks at a cut link.
-pub(crate) const CUT_POLL: Duration = Duration::from_millis(20);
+/// Duration of a partition after which both ends close a connection that has a message
+/// waiting.
+pub(crate) const KEEPALIVE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Interval at which a partitioned link is checked again.
+pub(crate) const PARTITION_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// State of all links.
+/// Latencies and current partitions of all links.
 #[derive(Debug)]
 pub(crate) struct Network {
     deployment: SimDeployment,
-    /// Zones cut off from all other zones.
-    cut_zones: Vec<usize>,
-    /// Databases cut off from the other databases, but not from proxies.
+    /// Zones partitioned from all other zones. A zone is listed once per fault that affects it.
+    partitioned_zones: Vec<usize>,
+    /// Databases partitioned from the other databases, but not from proxies. Listed once per
+    /// fault.
     isolated: Vec<usize>,
 }
 
@@ -26,7 +28,7 @@
     pub(crate) fn new(deployment: SimDeployment) -> Self {
         Self {
             deployment,
-            cut_zones: Vec::new(),
+            partitioned_zones: Vec::new(),
             isolated: Vec::new(),
         }
     }
@@ -35,23 +37,25 @@
         self.deployment.latency(from_zone, to_zone)
     }
 
-    /// Whether anything passes between two zones.
-    pub(crate) fn zones_joined(&self, from: usize, to: usize) -> bool {
-        from == to || !(self.cut_zones.contains(&from) || self.cut_zones.contains(&to))
+    /// Returns whether messages pass between two zones.
+    pub(crate) fn zones_connected(&self, from: usize, to: usize) -> bool {
+        from == to
+            || !(self.partitioned_zones.contains(&from) || self.partitioned_zones.contains(&to))
     }
 
-    /// Whether replication passes between two databases.
-    pub(crate) fn replicates(&self, from: (usize, usize), to: (usize, usize)) -> bool {
+    /// Returns whether replication passes between two databases, each given as its index and
+    /// zone.
+    pub(crate) fn replication_passes(&self, from: (usize, usize), to: (usize, usize)) -> bool {
         let isolated = self.isolated.contains(&from.0) || self.isolated.contains(&to.0);
-        !isolated && self.zones_joined(from.1, to.1)
+        !isolated && self.zones_connected(from.1, to.1)
     }
 
-    pub(crate) fn cut_zone(&mut self, zone: usize) {
-        self.cut_zones.push(zone);
+    pub(crate) fn partition_zone(&mut self, zone: usize) {
+        self.partitioned_zones.push(zone);
     }
 
-    pub(crate) fn join_zone(&mut self, zone: usize) {
-        remove_one(&mut self.cut_zones, zone);
+    pub(crate) fn heal_zone(&mut self, zone: usize) {
+        remove_one(&mut self.partitioned_zones, zone);
     }
 
     pub(crate) fn isolate(&mut self, database: usize) {
@@ -63,22 +67,22 @@
     }
 }
 
-/// Removes one of possibly several equal entries: faults may overlap.
+/// Removes a single entry equal to `value`. Overlapping faults add several equal entries.
 fn remove_one(list: &mut Vec<usize>, value: usize) {
     if let Some(index) = list.iter().position(|entry| *entry == value) {
         list.swap_remove(index);
     }
 }
 
-/// One direction of a connection: messages in order, each with the earliest time at
-/// which it can arrive. A cut holds them back.
+/// One direction of a connection: an ordered queue of messages, each with its earliest
+/// arrival time. A partition delays them.
 #[derive(Debug)]
 pub(crate) struct Channel<T> {
     queue: VecDeque<(Timestamp, T)>,
-    last: Timestamp,
-    /// Whether a wake-up is scheduled.
-    pub(crate) awake: bool,
-    /// Since when a message has been held back.
+    last_arrival: Timestamp,
+    /// Whether an event that reads the channel is scheduled.
+    pub(crate) read_scheduled: bool,
+    /// Time at which the partition was first noticed; `None` while messages pass.
     pub(crate) blocked_since: Option<Timestamp>,
 }
 
@@ -86,20 +90,20 @@
     pub(crate) fn new() -> Self {
         Self {
             queue: VecDeque::new(),
-            last: Timestamp::default(),
-            awake: false,
+            last_arrival: Timestamp::default(),
+            read_scheduled: false,
             blocked_since: None,
         }
     }
 
-    /// Adds a message; returns when to wake, if no wake-up is scheduled.
+    /// Adds a message. Returns the time at which to schedule a read, if none is scheduled yet.
     pub(crate) fn push(&mut self, arrival: Timestamp, message: T) -> Option<Timestamp> {
-        self.last = self.last.max(arrival);
-        self.queue.push_back((self.last, message));
-        (!std::mem::replace(&mut self.awake, true)).then_some(self.last)
+        self.last_arrival = self.last_arrival.max(arrival);
+        self.queue.push_back((self.last_arrival, message));
+        (!std::mem::replace(&mut self.read_scheduled, true)).then_some(self.last_arrival)
     }
 
-    /// The next message that has arrived.
+    /// Removes and returns the next message that has arrived by `now`.
     pub(crate) fn pop(&mut self, now: Timestamp) -> Option<T> {
         self.blocked_since = None;
         if self.queue.front().is_some_and(|(at, _)| *at <= now) {
@@ -108,18 +112,19 @@
         None
     }
 
-    /// When the next message arrives.
+    /// Returns the arrival time of the next message.
     pub(crate) fn next_at(&self) -> Option<Timestamp> {
         self.queue.front().map(|(at, _)| *at)
     }
 
-    /// Notes that the link is cut; returns whether it has been for too long.
-    pub(crate) fn blocked(&mut self, now: Timestamp) -> bool {
+    /// Records that the link is partitioned. Returns whether that has lasted for at least
+    /// [`KEEPALIVE_TIMEOUT`].
+    pub(crate) fn blocked_too_long(&mut self, now: Timestamp) -> bool {
         let since = *self.blocked_since.get_or_insert(now);
-        now.since(since) >= KEEPALIVE
+        now.since(since) >= KEEPALIVE_TIMEOUT
     }
 
-    /// Drops what is on the way.
+    /// Drops all messages in flight.
     pub(crate) fn clear(&mut self) {
         self.queue.clear();
     }
--- a/lab/sim/src/platform.rs
+++ b/lab/sim/src/platform.rs
@@ -1,86 +1,87 @@
-//! The model platform: a pointer to the active bundle, with outages and old answers.
+//! Model of the platform: a pointer to the active bundle, with outages and stale answers.
 
 use bytes::Bytes;
 use hookpoint_coordination::rollout::{BundleStore, ChangeError};
 use hookpoint_state::{BundleVersion, Timestamp};
 
-/// The platform's service.
+/// The platform's bundle service.
 #[derive(Debug, Default)]
 pub(crate) struct Platform {
     active: u64,
-    down_until: Timestamp,
-    old_answers_until: Timestamp,
-    /// Requests it has answered.
+    outage_until: Timestamp,
+    stale_until: Timestamp,
+    /// Number of requests answered.
     pub(crate) requests: u64,
 }
 
 impl Platform {
-    /// Moves the pointer to the next version.
-    pub(crate) fn roll(&mut self) -> BundleVersion {
+    /// Advances the pointer to the next version and returns that version.
+    pub(crate) fn advance(&mut self) -> BundleVersion {
         self.active += 1;
         BundleVersion(self.active)
     }
 
-    /// The version it would answer with, if it is reachable and has one.
+    /// Answers a request for the active version: `None` during an outage or before the first
+    /// version, and every other time the previous version while answers are stale.
     pub(crate) fn read(&mut self, now: Timestamp) -> Option<BundleVersion> {
-        if now < self.down_until || self.active == 0 {
+        if now < self.outage_until || self.active == 0 {
             return None;
         }
         self.requests += 1;
-        let old = now < self.old_answers_until && self.requests.is_multiple_of(2);
-        let version = self.active - u64::from(old && self.active > 1);
+        let stale = now < self.stale_until && self.requests.is_multiple_of(2);
+        let version = self.active - u64::from(stale && self.active > 1);
         Some(BundleVersion(version))
     }
 
-    pub(crate) fn fail_until(&mut self, until: Timestamp) {
-        self.down_until = self.down_until.max(until);
+    pub(crate) fn set_outage_until(&mut self, until: Timestamp) {
+        self.outage_until = self.outage_until.max(until);
     }
 
-    pub(crate) fn answer_old_until(&mut self, until: Timestamp) {
-        self.old_answers_until = self.old_answers_until.max(until);
+    pub(crate) fn serve_stale_until(&mut self, until: Timestamp) {
+        self.stale_until = self.stale_until.max(until);
     }
 }
 
-/// A store of bare version numbers, whose changes are eight bytes.
+/// Bundle store that holds only a version number; a change is its eight bytes, little-endian.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct NumberStore {
+pub(crate) struct VersionStore {
     version: u64,
-    /// Mutation: it forgets what it has and takes whatever comes.
-    forgetful: bool,
+    /// Mutation: reports version 0 and accepts any different version, also an older one.
+    accept_older: bool,
 }
 
-impl NumberStore {
-    pub(crate) fn new(forgetful: bool) -> Self {
+impl VersionStore {
+    pub(crate) fn new(accept_older: bool) -> Self {
         Self {
             version: 0,
-            forgetful,
+            accept_older,
         }
     }
 
-    /// What it really holds.
-    pub(crate) fn held(&self) -> BundleVersion {
+    /// Returns the version last applied, also when the mutation makes `version` report 0.
+    pub(crate) fn actual_version(&self) -> BundleVersion {
         BundleVersion(self.version)
     }
 
-    /// The encoded change to `version`.
-    pub(crate) fn change(version: BundleVersion) -> Bytes {
+    /// Encodes the change to `version`.
+    pub(crate) fn encode_change(version: BundleVersion) -> Bytes {
         Bytes::copy_from_slice(&version.0.to_le_bytes())
     }
 }
 
-impl BundleStore for NumberStore {
+impl BundleStore for VersionStore {
     fn version(&self) -> BundleVersion {
-        BundleVersion(if self.forgetful { 0 } else { self.version })
+        BundleVersion(if self.accept_older { 0 } else { self.version })
     }
 
     fn change_since(&self, have: BundleVersion) -> Option<Bytes> {
-        (have.0 < self.version).then(|| Self::change(BundleVersion(self.version)))
+        (have.0 < self.version).then(|| Self::encode_change(BundleVersion(self.version)))
     }
 
     fn apply(&mut self, change: &[u8]) -> Result<Option<BundleVersion>, ChangeError> {
         let bytes: [u8; 8] = change.try_into().map_err(|_| ChangeError::Malformed)?;
         let version = u64::from_le_bytes(bytes);
-        let newer = version > self.version || (self.forgetful && version != self.version);
+        let newer = version > self.version || (self.accept_older && version != self.version);
         if newer {
             self.version = version;
         }
--- a/lab/sim/src/report.rs
+++ b/lab/sim/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run found.
+//! Reports of simulation runs.
 
 use std::collections::BTreeMap;
 
@@ -7,49 +7,50 @@
 use crate::faults::Fault;
 use crate::settings::{Mutation, SimSettings};
 
-/// Something that must always hold.
+/// Invariant that must hold throughout a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Invariant {
-    /// A session sees its own acknowledged writes.
+    /// A client's reads return all of its own acknowledged writes.
     OwnWritesVisible,
     /// An acknowledged write is never lost.
     AcknowledgedWriteKept,
-    /// A primary that has been replaced acknowledges nothing.
+    /// A replaced primary acknowledges no write that the later primary lacks.
     NoAcknowledgementByReplaced,
-    /// Transactions are whole and hold no stranger's statements.
+    /// A transaction is atomic and contains no statements of another session.
     TransactionsUnmixed,
-    /// Callers get the whole answer to their own request.
+    /// A caller receives the answer to its own request and no other.
     OwnAnswer,
-    /// What was told as "not run" did not run.
+    /// A request reported as "not run" did not run.
     NotRunIsTrue,
-    /// Nothing runs twice.
+    /// No request is executed twice.
     AtMostOnce,
-    /// A leaving database gets no new work after the allowed time.
+    /// A draining database receives no new work after the allowed time.
     DrainHonoured,
-    /// A planned stop cuts nothing in flight.
+    /// A planned stop interrupts no request in flight.
     StopCutsNothing,
-    /// Bundles never go back and are in force in time.
+    /// A proxy never returns to an older bundle, and a new bundle is in force in time.
     BundleInForce,
-    /// No database sees more connections than it allows, and every request ends.
+    /// Every request ends and every group has a primary at the end of the run, although no
+    /// database accepts more connections than it allows.
     Progress,
 }
 
-/// A broken invariant.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Violation {
-    /// Which one.
+    /// The violated invariant.
     pub invariant: Invariant,
     /// Virtual time in microseconds.
     pub at_us: u64,
-    /// What was seen.
+    /// Description of the observed state.
     pub detail: String,
 }
 
-/// Counts of one run.
+/// Event and request counts of a run, or sums over several runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Events of the simulation.
+    /// Simulation events processed.
     pub events: u64,
     /// Requests sent by clients.
     pub requests: u64,
@@ -57,13 +58,13 @@
     pub reads: u64,
     /// Reads answered by a replica.
     pub replica_reads: u64,
-    /// Writes acknowledged, transactions included.
+    /// Writing requests acknowledged, transactions included.
     pub acknowledged: u64,
-    /// Requests told as "not run".
+    /// Requests reported as "not run".
     pub not_run: u64,
     /// Requests of unknown outcome.
     pub unknown: u64,
-    /// Requests whose session broke.
+    /// Requests whose session ended before the answer.
     pub broken: u64,
     /// Changes of primary.
     pub elections: u64,
@@ -84,21 +85,21 @@
     }
 }
 
-/// Result of one seed.
+/// Result of running one seed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SimReport {
-    /// The seed.
+    /// Seed of the run's random generators.
     pub seed: u64,
     /// Digest of the whole run.
     pub trace: u64,
-    /// Counts.
+    /// Counts of the run.
     pub counts: Counts,
-    /// Broken invariants, at most 20.
+    /// Violated invariants, at most 20.
     pub violations: Vec<Violation>,
-    /// Faults of the run; after shrinking, the fewest that still break the same
+    /// Faults of the run; after shrinking, only those still needed to violate the same
     /// invariant.
     pub faults: Vec<Fault>,
-    /// The last decisions before the first violation, from the explain record.
+    /// Last decisions before the first violation, from the explain ring.
     pub decisions: Vec<String>,
 }
 
@@ -109,25 +110,26 @@
     pub settings: SimSettings,
     /// First seed.
     pub first_seed: u64,
-    /// Seeds run.
+    /// Number of seeds run.
     pub seeds: u64,
     /// Sums over all runs.
     pub counts: Counts,
-    /// Runs with a violation, shrunk if the settings say so.
+    /// Runs with a violation, in order of their seeds; shrunk if the settings ask for it.
     pub failures: Vec<SimReport>,
 }
 
-/// How soon a search finds a mutation.
+/// Result of searching for a seed that detects a mutation.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MutationReport {
-    /// The mutation.
+    /// Mutation that was switched on.
     pub mutation: Mutation,
-    /// Seeds until the first that finds it, that one included.
+    /// Number of seeds up to and including the first that detects the mutation; `None` if
+    /// none does.
     pub seeds_to_find: Option<u64>,
-    /// Seeds that find it.
+    /// Number of seeds that detect the mutation.
     pub found_by: u64,
-    /// Seeds run.
+    /// Number of seeds run.
     pub seeds: u64,
-    /// Invariants seen broken first, and by how many seeds.
+    /// Invariants that were violated first in a run, with the number of such runs.
     pub invariants: BTreeMap<Invariant, u64>,
 }
--- a/lab/sim/src/runner.rs
+++ b/lab/sim/src/runner.rs
@@ -1,4 +1,4 @@
-//! Runs of single seeds and of ranges, and the shrinking of failures.
+//! Runs single seeds and ranges of seeds, and shrinks failing runs.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -12,13 +12,14 @@
 use crate::settings::{Mutation, SimSettings};
 use crate::world::World;
 
-/// Keeps the faults' random numbers apart from those of the run.
-const FAULT_STREAM: u64 = 0x6661_756c_7473;
+/// XORed into the seed of the fault schedule, so that its random numbers differ from those of
+/// the run.
+const FAULT_SEED_MASK: u64 = 0x6661_756c_7473;
 
-/// Runs one seed with the faults it draws. A failing run is shrunk if the settings say
-/// so.
+/// Runs one seed with the faults drawn from it. A failing run is shrunk if the settings ask
+/// for it.
 pub fn run_seed(settings: &SimSettings, seed: u64) -> SimReport {
-    let mut random = ChaCha8Rng::seed_from_u64(seed ^ FAULT_STREAM);
+    let mut random = ChaCha8Rng::seed_from_u64(seed ^ FAULT_SEED_MASK);
     let faults = faults::draw(settings, &mut random);
     let report = replay(settings, seed, &faults);
     match report.violations.first() {
@@ -27,20 +28,20 @@
     }
 }
 
-/// Runs one seed with exactly these faults.
+/// Runs one seed with exactly the given faults.
 pub fn replay(settings: &SimSettings, seed: u64, faults: &[Fault]) -> SimReport {
-    let aftermath = World::new(settings, seed, faults.to_vec()).run();
+    let result = World::new(settings, seed, faults.to_vec()).run();
     SimReport {
         seed,
-        trace: aftermath.trace,
-        counts: aftermath.counts,
-        violations: aftermath.violations,
+        trace: result.trace,
+        counts: result.counts,
+        violations: result.violations,
         faults: faults.to_vec(),
-        decisions: aftermath.decisions,
+        decisions: result.decisions,
     }
 }
 
-/// Leaves out faults one by one as long as the same invariant still breaks.
+/// Removes faults one at a time as long as the same invariant is still violated.
 fn shrink(settings: &SimSettings, failure: &SimReport, invariant: Invariant) -> SimReport {
     let mut smallest = failure.clone();
     let mut index = 0;
@@ -59,8 +60,9 @@
     smallest
 }
 
-/// Runs `seeds` seeds from `first` on up to `threads` threads. The report does not
-/// depend on the number of threads. `progress` is told how many seeds are done.
+/// Runs `seeds` consecutive seeds, starting with `first`, on up to `threads` threads. The
+/// report does not depend on the number of threads. `progress` is called with the number of
+/// seeds done so far.
 pub fn run_range(
     settings: &SimSettings,
     first: u64,
@@ -104,7 +106,8 @@
     }
 }
 
-/// Searches `seeds` seeds for one that finds `mutation`.
+/// Runs `seeds` consecutive seeds, starting with `first`, with `mutation` switched on and
+/// reports which of them detect it.
 pub fn search_mutation(
     settings: &SimSettings,
     mutation: Mutation,
--- a/lab/sim/src/schedule.rs
+++ b/lab/sim/src/schedule.rs
@@ -1,12 +1,11 @@
-//! Virtual time: events in the order of their times, and of their arrival where the
-//! times are equal.
+//! Virtual time: a queue of events ordered by time and, at equal times, by insertion.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
 use hookpoint_state::Timestamp;
 
-/// A queue of events.
+/// Event queue that also holds the current virtual time.
 #[derive(Debug)]
 pub struct Schedule<E> {
     heap: BinaryHeap<Reverse<Entry<E>>>,
@@ -42,7 +41,7 @@
 }
 
 impl<E> Schedule<E> {
-    /// An empty queue at time zero.
+    /// Creates an empty queue at time zero.
     pub fn new() -> Self {
         Self {
             heap: BinaryHeap::new(),
@@ -51,12 +50,12 @@
         }
     }
 
-    /// The time of the latest event taken.
+    /// Returns the current time: that of the last event taken.
     pub fn now(&self) -> Timestamp {
         self.now
     }
 
-    /// Adds an event; one in the past happens now.
+    /// Schedules an event. An event in the past is scheduled for the current time.
     pub fn at(&mut self, at: Timestamp, event: E) {
         self.next_number += 1;
         self.heap.push(Reverse(Entry {
@@ -66,7 +65,7 @@
         }));
     }
 
-    /// Takes the next event that is due before `end`.
+    /// Removes and returns the next event due before `end`, and advances the time to it.
     pub fn next_before(&mut self, end: Timestamp) -> Option<E> {
         if self
             .heap
--- a/lab/sim/src/settings.rs
+++ b/lab/sim/src/settings.rs
@@ -1,21 +1,21 @@
-//! What a run of the request path simulates.
+//! Settings of a simulated run of the request path.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Zones, latencies and sizes of one of the deployments.
+/// Deployment whose zones, latencies and sizes a run uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SimDeployment {
-    /// Three zones in three regions, 20 ms apart, 5 slots a database.
+    /// Three zones in three regions, 20 ms apart, 5 connection slots per database.
     CostaRica,
-    /// Three zones in three regions, 10 ms apart, 10 slots a database.
+    /// Three zones in three regions, 10 ms apart, 10 connection slots per database.
     Greece,
 }
 
 impl SimDeployment {
-    /// Zones and their regions.
+    /// Returns the zones, each with its region.
     pub fn zones(self) -> [(&'static str, &'static str); 3] {
         match self {
             SimDeployment::CostaRica => [
@@ -31,7 +31,7 @@
         }
     }
 
-    /// One-way latency between machines of two zones.
+    /// Returns the one-way latency between machines of two zones.
     pub fn latency(self, from: usize, to: usize) -> Duration {
         match (from == to, self) {
             (true, _) => Duration::from_micros(100),
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Connections a database allows.
+    /// Returns the number of connections that a database allows.
     pub fn slots(self) -> usize {
         match self {
             SimDeployment::CostaRica => 5,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Sessions of each group in an ordinary run.
+    /// Returns the number of client sessions per group in a run of standard size.
     pub fn sessions_per_group(self) -> usize {
         match self {
             SimDeployment::CostaRica => 40,
@@ -57,31 +57,31 @@
     }
 }
 
-/// A deliberate fault of the code under test, to show that the checker would notice.
+/// Deliberate defect in the code under test, which shows that the checker detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mutation {
-    /// Reads take whatever a replica holds.
+    /// Reads skip the check that the replica has replayed the required position.
     SkipPositionCheck,
-    /// Commits are acknowledged without the evidence of a majority.
+    /// Commits are acknowledged without evidence of replication to a majority.
     SkipEvidence,
-    /// A token claims that nothing was ever written.
+    /// A session token is replaced by the initial position, which requires no writes.
     EmptyToken,
-    /// A session without a token reads before any term is verified.
+    /// A session without a token reads before a majority has verified the term.
     SkipVerification,
-    /// A leased connection is granted to the next session too.
+    /// A leased connection is also granted to the next session.
     DoubleGrant,
-    /// Requests that are not repeatable run without their ledger row.
+    /// Non-repeatable requests run without their ledger row.
     NoLedger,
-    /// Unknown outcomes are told as "not run".
+    /// Unknown outcomes are reported as "not run".
     FalseNotRun,
-    /// A connection with answers still to come serves the next session.
+    /// A connection with outstanding answers is reused by the next session.
     ReuseUndrained,
-    /// A connection with an open transaction serves the next session.
+    /// A connection with an open transaction is reused by the next session.
     ReuseOpenTransaction,
-    /// Draining marks are ignored.
+    /// Drain marks in bundles are ignored.
     IgnoreDrain,
-    /// A stopping proxy cuts what is in flight.
+    /// A stopping proxy exits without waiting for requests in flight.
     CutOnStop,
     /// An older bundle replaces a newer one.
     AcceptOlderBundle,
@@ -90,7 +90,7 @@
 }
 
 impl Mutation {
-    /// All of them.
+    /// All mutations.
     pub const ALL: [Mutation; 13] = [
         Mutation::SkipPositionCheck,
         Mutation::SkipEvidence,
@@ -114,21 +114,21 @@
 pub struct SimSettings {
     /// Zones, latencies and slots.
     pub deployment: SimDeployment,
-    /// Database groups, three databases each.
+    /// Number of database groups, of three databases each.
     pub groups: usize,
-    /// Proxies in each zone.
+    /// Number of proxies in each zone.
     pub proxies_per_zone: usize,
-    /// Client sessions of each group.
+    /// Number of client sessions per group.
     pub sessions_per_group: usize,
-    /// Virtual time under load, in milliseconds.
+    /// Duration of the load in virtual milliseconds.
     pub load_ms: u64,
-    /// Longest pause of a client between requests, in milliseconds.
+    /// Maximum pause of a client between requests, in milliseconds.
     pub think_ms: u64,
-    /// Faults of a run at most; 0 for none.
+    /// Maximum number of faults in a run; 0 disables faults.
     pub faults: usize,
-    /// A deliberate fault of the code under test.
+    /// Deliberate defect in the code under test, if any.
     pub mutation: Option<Mutation>,
-    /// Whether a failing run is shrunk to the fewest faults that still fail.
+    /// Whether the faults of a failing run are reduced to those needed for the failure.
     pub shrink: bool,
 }
 
@@ -139,7 +139,7 @@
 }
 
 impl SimSettings {
-    /// One group at today's sizes of `deployment`, with one proxy a zone.
+    /// Returns the standard settings of `deployment`: one group and one proxy per zone.
     pub fn today(deployment: SimDeployment) -> Self {
         Self {
             deployment,
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Whether `mutation` is switched on.
+    /// Returns whether `mutation` is switched on.
     pub fn mutated(&self, mutation: Mutation) -> bool {
         self.mutation == Some(mutation)
     }
--- a/lab/sim/src/trace.rs
+++ b/lab/sim/src/trace.rs
@@ -1,8 +1,10 @@
-//! A digest of everything that happened, to show that a seed replays exactly.
+//! A digest of all events of a run, which shows whether a seed replays exactly.
 
 use std::fmt::{self, Write as _};
 
+/// Offset basis of 64-bit FNV-1a.
 const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of 64-bit FNV-1a.
 const PRIME: u64 = 0x0100_0000_01b3;
 
 /// A running FNV-1a hash.
@@ -12,7 +14,7 @@
 }
 
 impl Trace {
-    /// The digest of nothing.
+    /// Creates a digest of empty input.
     pub fn new() -> Self {
         Self { hash: OFFSET }
     }
@@ -24,13 +26,13 @@
         }
     }
 
-    /// Adds the debug form of `value`.
+    /// Adds the `Debug` form of `value`.
     pub fn value(&mut self, value: &impl fmt::Debug) {
         // Writing to the hash cannot fail.
         let _ = write!(self, "{value:?}");
     }
 
-    /// The digest so far.
+    /// Returns the digest of everything added so far.
     pub fn digest(&self) -> u64 {
         self.hash
     }
--- a/lab/sim/src/world/client.rs
+++ b/lab/sim/src/world/client.rs
@@ -1,4 +1,4 @@
-//! Clients: what they ask for and what they make of the answers.
+//! Clients: the requests they send and how they handle the answers.
 
 use std::time::Duration;
 
@@ -6,41 +6,42 @@
 use rand::Rng as _;
 
 use super::World;
-use super::event::{ClientNews, Event, ProxyEvent, SessionNumber};
-use crate::checker::{Attempt, Fate};
+use super::event::{ClientMessage, Event, ProxyEvent, SessionNumber};
+use crate::checker::{Attempt, ReportedOutcome};
 use crate::database::unit::{Answer, AnswerBody, AttemptId, Key, UnitCall, Work};
 
-/// First key that all clients of a group write to.
-const SHARED_KEYS: u32 = 1_000_000;
-/// Attempts at a request that is not repeatable.
-const ONCE_ATTEMPTS: u32 = 6;
+/// Keys from this number on are shared by all clients of a group; each group has one.
+const FIRST_SHARED_KEY: u32 = 1_000_000;
+/// Maximum number of attempts at a request that is not repeatable.
+const MAX_NON_REPEATABLE_ATTEMPTS: u32 = 6;
 /// One-way latency between a client and the proxies of its zone.
 const CLIENT_LATENCY: Duration = Duration::from_millis(3);
-/// Pause before a client connects anew.
+/// Pause before a client reconnects.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(40);
 
-/// A client.
+/// A simulated client.
 #[derive(Debug)]
 pub(crate) struct Client {
     pub(crate) group: usize,
     pub(crate) zone: usize,
     pub(crate) place: usize,
-    /// Its session, while it has one.
+    /// Number and proxy of the current session.
     pub(crate) session: Option<(SessionNumber, usize)>,
     token: Option<Position>,
     pub(crate) request: Option<Request>,
-    /// A request that is not repeatable and whose end is not known.
-    unsettled: Option<(u64, u32)>,
+    /// Identifier of a non-repeatable request whose outcome is not known, and the number of
+    /// failed attempts so far.
+    unresolved: Option<(u64, u32)>,
 }
 
-/// A request under way.
+/// A request in progress.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub(crate) attempt: AttemptId,
     units: Vec<Work>,
     next: usize,
     failed: bool,
-    once: Option<u64>,
+    non_repeatable_id: Option<u64>,
 }
 
 impl Client {
@@ -52,7 +53,7 @@
             session: None,
             token: None,
             request: None,
-            unsettled: None,
+            unresolved: None,
         }
     }
 
@@ -78,22 +79,22 @@
         }
     }
 
-    /// Tells a client something after the latency.
-    pub(crate) fn tell_client(&mut self, session: SessionNumber, news: ClientNews) {
+    /// Sends a message to the client of a session.
+    pub(crate) fn send_to_client(&mut self, session: SessionNumber, message: ClientMessage) {
         let Some(state) = self.sessions.get(&session) else {
             return;
         };
         let (client, proxy) = (state.client, state.proxy);
         let at = self.now() + self.client_latency(client, proxy);
-        let event = Event::ClientHears {
+        let event = Event::ClientReceives {
             client,
             session,
-            news,
+            message,
         };
         self.schedule.at(at, event);
     }
 
-    pub(crate) fn client_wakes(&mut self, client: usize, session: SessionNumber) {
+    pub(crate) fn client_timer(&mut self, client: usize, session: SessionNumber) {
         let current = self.clients[client].session.map_or(0, |(number, _)| number);
         let stale = current != session || self.clients[client].request.is_some();
         if stale || self.now() >= self.load_end {
@@ -146,13 +147,13 @@
     fn new_request(&mut self, client: usize) {
         let group = self.clients[client].group;
         let own = Key(client as u32);
-        let shared = Key(SHARED_KEYS + group as u32);
+        let shared = Key(FIRST_SHARED_KEY + group as u32);
         self.attempt_count += 1;
         let attempt = AttemptId(self.attempt_count);
-        let mut once = None;
-        let units = match self.clients[client].unsettled {
+        let mut non_repeatable_id = None;
+        let units = match self.clients[client].unresolved {
             Some((request, _)) => {
-                once = Some(request);
+                non_repeatable_id = Some(request);
                 vec![Work::AppendOnce(own, request)]
             }
             None => match self.random.random_range(0..20) {
@@ -162,8 +163,8 @@
                 13 => vec![Work::Append(shared)],
                 14..16 => {
                     let request = attempt.0;
-                    self.clients[client].unsettled = Some((request, 0));
-                    once = Some(request);
+                    self.clients[client].unresolved = Some((request, 0));
+                    non_repeatable_id = Some(request);
                     vec![Work::AppendOnce(own, request)]
                 }
                 16 => vec![
@@ -187,18 +188,18 @@
         });
         let record = Attempt {
             client,
-            once,
+            non_repeatable_id,
             appends: appends.collect(),
-            fate: Fate::Open,
+            outcome: ReportedOutcome::Open,
         };
-        self.checker.begin(attempt, record);
+        self.checker.begin_attempt(attempt, record);
         self.counts.requests += 1;
         self.clients[client].request = Some(Request {
             attempt,
             units,
             next: 0,
             failed: false,
-            once,
+            non_repeatable_id,
         });
     }
 
@@ -214,16 +215,21 @@
         self.schedule.at(at, Event::Proxy { proxy, event });
     }
 
-    pub(crate) fn client_hears(&mut self, client: usize, session: SessionNumber, news: ClientNews) {
+    pub(crate) fn client_receives(
+        &mut self,
+        client: usize,
+        session: SessionNumber,
+        message: ClientMessage,
+    ) {
         if self.clients[client]
             .session
             .is_none_or(|(number, _)| number != session)
         {
             return;
         }
-        match news {
-            ClientNews::Answer { answer, token } => self.client_answered(client, &answer, token),
-            ClientNews::NotRun(refusal) => {
+        match message {
+            ClientMessage::Answer { answer, token } => self.client_answered(client, &answer, token),
+            ClientMessage::NotRun(refusal) => {
                 self.counts.not_run += 1;
                 let attempt = self.clients[client]
                     .request
@@ -232,16 +238,16 @@
                 if let Some(attempt) = attempt {
                     self.checker.not_run(attempt);
                 }
-                self.request_over(client, refusal == Refusal::AlreadyRan);
+                self.end_request(client, refusal == Refusal::AlreadyRan);
             }
-            ClientNews::Unknown => {
+            ClientMessage::Unknown => {
                 self.counts.unknown += 1;
-                self.request_over(client, false);
+                self.end_request(client, false);
             }
-            ClientNews::Goodbye | ClientNews::Broken => {
+            ClientMessage::SessionClosed | ClientMessage::ConnectionBroken => {
                 self.counts.broken += u64::from(self.clients[client].request.is_some());
                 self.clients[client].session = None;
-                self.request_over(client, false);
+                self.end_request(client, false);
             }
         }
     }
@@ -252,9 +258,12 @@
             self.clients[client].token = token;
         }
         let Some(call) = self.clients[client].call() else {
-            let detail = format!("client {client} got {:?} unasked", answer.call);
+            let detail = format!(
+                "client {client} received an answer to {:?} without a request",
+                answer.call
+            );
             let invariant = crate::report::Invariant::OwnAnswer;
-            return self.checker.violate(now, invariant, detail);
+            return self.checker.add_violation(now, invariant, detail);
         };
         self.checker.answered(now, client, call, answer);
         if matches!(answer.body, AnswerBody::Rows(..)) {
@@ -277,21 +286,23 @@
             let wrote = self.checker.acknowledged(attempt);
             self.counts.acknowledged += u64::from(wrote);
         }
-        self.request_over(client, !failed);
+        self.end_request(client, !failed);
     }
 
-    /// Ends the client's request and plans its next one.
-    pub(crate) fn request_over(&mut self, client: usize, settled: bool) {
+    /// Ends the client's request and schedules the next one. `resolved` is true if the outcome
+    /// of a non-repeatable request is now known; otherwise the client tries it again, up to
+    /// [`MAX_NON_REPEATABLE_ATTEMPTS`] times.
+    pub(crate) fn end_request(&mut self, client: usize, resolved: bool) {
         let request = self.clients[client].request.take();
-        if request.is_some_and(|request| request.once.is_some()) {
+        if request.is_some_and(|request| request.non_repeatable_id.is_some()) {
             let tries = self.clients[client]
-                .unsettled
+                .unresolved
                 .map_or(0, |(_, tries)| tries + 1);
-            let done = settled || tries >= ONCE_ATTEMPTS;
-            let unsettled = self.clients[client].unsettled.as_mut().filter(|_| !done);
-            match unsettled {
+            let done = resolved || tries >= MAX_NON_REPEATABLE_ATTEMPTS;
+            let unresolved = self.clients[client].unresolved.as_mut().filter(|_| !done);
+            match unresolved {
                 Some((_, count)) => *count = tries,
-                None => self.clients[client].unsettled = None,
+                None => self.clients[client].unresolved = None,
             }
         }
         let think = self.random.random_range(1..=self.settings.think_ms.max(1));
@@ -301,6 +312,6 @@
         };
         let session = self.clients[client].session.map_or(0, |(number, _)| number);
         let at = self.now() + pause;
-        self.schedule.at(at, Event::ClientWakes { client, session });
+        self.schedule.at(at, Event::ClientTimer { client, session });
     }
 }
--- a/lab/sim/src/world/connection.rs
+++ b/lab/sim/src/world/connection.rs
@@ -7,18 +7,18 @@
     BackendAnswer, BackendWork, ConnectionNumber, LeaseCommand, LeaseNumber, LeaseReply,
     ProxyIndex, SessionNumber,
 };
-use crate::database::execute::Block;
+use crate::database::execute::TransactionBlock;
 use crate::network::Channel;
 
-/// Where a connection stands with its holder.
+/// State of a connection on its holder's side.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ConnectionState {
     Opening,
     Idle,
     Leased(LeaseNumber),
-    /// Released, with answers still to come.
+    /// Released by the session, with answers still outstanding.
     Draining,
-    Gone,
+    Closed,
 }
 
 /// A connection from a holder to a database.
@@ -26,22 +26,23 @@
 pub(crate) struct Connection {
     pub(crate) holder: ProxyIndex,
     pub(crate) database: usize,
-    /// Its number in the holder's slot table.
+    /// Number of the connection in the holder's slot table.
     pub(crate) slot: SlotNumber,
     pub(crate) state: ConnectionState,
     pub(crate) commands: Channel<BackendWork>,
     pub(crate) answers: Channel<BackendAnswer>,
-    /// Answers that the holder still expects.
+    /// Number of answers that the holder still expects.
     pub(crate) outstanding: usize,
-    /// Refreshing questions under way; their answers come before all later ones.
+    /// Number of status queries in flight that refresh the idle connection. Their answers
+    /// arrive before those of all later commands.
     pub(crate) refreshes: usize,
-    /// When the holder last heard from the database on it.
-    pub(crate) heard_at: Timestamp,
-    /// When the holder last had it idle.
+    /// Time at which the holder last received an answer on the connection.
+    pub(crate) last_answer_at: Timestamp,
+    /// Time at which the connection last became idle on the holder's side.
     pub(crate) idle_since: Timestamp,
-    /// The database's side.
+    /// Whether the connection is open on the database's side.
     pub(crate) open: bool,
-    pub(crate) block: Option<Block>,
+    pub(crate) block: Option<TransactionBlock>,
     pub(crate) busy_until: Timestamp,
     pub(crate) last_used: Timestamp,
 }
@@ -62,7 +63,7 @@
             answers: Channel::new(),
             outstanding: 0,
             refreshes: 0,
-            heard_at: now,
+            last_answer_at: now,
             idle_since: now,
             open: false,
             block: None,
@@ -72,7 +73,7 @@
     }
 }
 
-/// A lease, or the wait for one.
+/// A lease, or a pending request for one.
 #[derive(Debug)]
 pub(crate) struct Lease {
     pub(crate) session: SessionNumber,
@@ -80,10 +81,10 @@
     pub(crate) holder: ProxyIndex,
     pub(crate) database: usize,
     pub(crate) connection: Option<ConnectionNumber>,
-    pub(crate) up: Channel<LeaseCommand>,
-    pub(crate) down: Channel<LeaseReply>,
-    /// Whether the session's side has given it up.
+    pub(crate) commands: Channel<LeaseCommand>,
+    pub(crate) replies: Channel<LeaseReply>,
+    /// Whether the session's side has released the lease.
     pub(crate) released: bool,
-    /// Whether the holder's side has.
+    /// Whether the holder's side has closed the lease.
     pub(crate) closed: bool,
 }
--- a/lab/sim/src/world/databases.rs
+++ b/lab/sim/src/world/databases.rs
@@ -1,4 +1,4 @@
-//! The databases' side: timers, replication and the work on connections.
+//! The databases' side: timers, replication and the execution of work on connections.
 
 use std::time::Duration;
 
@@ -7,43 +7,44 @@
 
 use super::World;
 use super::event::{BackendAnswer, BackendWork, ConnectionNumber, Event, ProxyEvent};
-use crate::database::replicate::{Outbox, Replication, Upheaval};
+use crate::database::replicate::{Outbox, Replication, RoleChange};
 use crate::database::unit::{Answer, UnitCall};
-use crate::database::{ELECTION_SPREAD_MS, ELECTION_TIMEOUT, TICK};
-use crate::network::CUT_POLL;
+use crate::database::{ELECTION_JITTER_MS, ELECTION_TIMEOUT, TICK_INTERVAL};
+use crate::network::PARTITION_POLL_INTERVAL;
 use crate::report::Invariant;
 
-/// Time a new connection takes.
+/// Time that opening a connection takes.
 const CONNECT_TIME: Duration = Duration::from_millis(10);
-/// Time a unit takes.
+/// Time that executing a unit takes.
 const SERVICE_TIME: Duration = Duration::from_micros(200);
 /// `idle_session_timeout` of the connections.
 pub(crate) const IDLE_SESSION_TIMEOUT: Duration = Duration::from_secs(10);
 /// `idle_in_transaction_session_timeout` of the connections.
 const IDLE_TRANSACTION_TIMEOUT: Duration = Duration::from_secs(3);
-/// How long a draining database may still get new work.
+/// Time for which a draining database may still receive new work.
 const DRAIN_ALLOWANCE: Duration = Duration::from_secs(3);
 
 impl World {
     pub(crate) fn database_tick(&mut self, id: usize) {
         let now = self.now();
-        self.schedule.at(now + TICK, Event::DatabaseTick(id));
-        if !self.databases[id].answers(now) {
+        self.schedule
+            .at(now + TICK_INTERVAL, Event::DatabaseTick(id));
+        if !self.databases[id].is_responsive(now) {
             return;
         }
-        let patience = self.draw_patience();
-        let others = self.others(id);
+        let election_delay = self.draw_election_delay();
+        let others = self.other_members(id);
         let mut outbox = Outbox::new();
-        self.databases[id].tick(now, &others, patience, &mut outbox);
+        self.databases[id].tick(now, &others, election_delay, &mut outbox);
         self.send_replication(id, outbox);
         self.close_idle(id);
     }
 
-    fn draw_patience(&mut self) -> Duration {
-        ELECTION_TIMEOUT + Duration::from_millis(self.random.random_range(0..ELECTION_SPREAD_MS))
+    fn draw_election_delay(&mut self) -> Duration {
+        ELECTION_TIMEOUT + Duration::from_millis(self.random.random_range(0..ELECTION_JITTER_MS))
     }
 
-    fn others(&self, id: usize) -> Vec<usize> {
+    fn other_members(&self, id: usize) -> Vec<usize> {
         let members = &self.groups[self.databases[id].group].members;
         members
             .iter()
@@ -69,7 +70,7 @@
         let ends = (&self.databases[from], &self.databases[to]);
         let passes = self
             .network
-            .replicates((from, ends.0.zone), (to, ends.1.zone));
+            .replication_passes((from, ends.0.zone), (to, ends.1.zone));
         if !passes || !ends.1.up {
             return;
         }
@@ -79,18 +80,18 @@
                 .schedule
                 .at(at, Event::Replication { from, to, message });
         }
-        let others = self.others(to);
+        let others = self.other_members(to);
         let mut outbox = Outbox::new();
-        let upheaval = self.databases[to].receive(now, from, message, &others, &mut outbox);
+        let role_change = self.databases[to].receive(now, from, message, &others, &mut outbox);
         self.send_replication(to, outbox);
-        match upheaval {
-            Upheaval::None => {}
-            Upheaval::Promoted => self.counts.elections += 1,
-            Upheaval::Restarted => self.close_all(to),
+        match role_change {
+            RoleChange::None => {}
+            RoleChange::Promoted => self.counts.elections += 1,
+            RoleChange::Restarted => self.close_all(to),
         }
     }
 
-    /// Ends all connections of a database on its side.
+    /// Closes all connections of a database from the database's side.
     pub(crate) fn close_all(&mut self, id: usize) {
         let open: Vec<ConnectionNumber> = self.databases[id].connections.iter().copied().collect();
         for number in open {
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Ends a connection on the database's side and tells its holder.
+    /// Closes a connection from the database's side and notifies its holder.
     fn close_on_database(&mut self, number: ConnectionNumber) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Sends an answer that is ready at `ready`.
+    /// Sends an answer that leaves the database at `ready`.
     fn answer(&mut self, number: ConnectionNumber, answer: BackendAnswer, ready: Timestamp) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
@@ -142,32 +143,32 @@
         }
     }
 
-    /// Whether a connection's link passes; if not, when to look again, unless it has
-    /// been cut for so long that the connection is broken.
-    fn link_of(&self, number: ConnectionNumber) -> Option<bool> {
+    /// Returns whether messages pass between a connection's database and its holder; `None` if
+    /// the connection no longer exists.
+    fn link_connected(&self, number: ConnectionNumber) -> Option<bool> {
         let connection = self.connections.get(&number)?;
         let database = self.databases[connection.database].zone;
         Some(
             self.network
-                .zones_joined(database, self.proxies[connection.holder].zone),
+                .zones_connected(database, self.proxies[connection.holder].zone),
         )
     }
 
     pub(crate) fn connection_commands(&mut self, number: ConnectionNumber) {
         let now = self.now();
-        let Some(joined) = self.link_of(number) else {
+        let Some(connected) = self.link_connected(number) else {
             return;
         };
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        connection.commands.awake = false;
+        connection.commands.read_scheduled = false;
         let database = &self.databases[connection.database];
-        if !joined {
-            let broken = connection.commands.blocked(now);
-            self.wake_commands(number, now + CUT_POLL);
+        if !connected {
+            let broken = connection.commands.blocked_too_long(now);
+            self.wake_commands(number, now + PARTITION_POLL_INTERVAL);
             if broken {
-                self.break_for_holder(number);
+                self.handle_connection_loss(number);
             }
             return;
         }
@@ -180,7 +181,7 @@
             return self.wake_commands(number, at);
         }
         if let Some(work) = connection.commands.pop(now) {
-            self.work(number, work);
+            self.execute_work(number, work);
         }
         let next = self.connections.get(&number).and_then(|connection| {
             let at = connection.commands.next_at()?;
@@ -193,13 +194,13 @@
 
     fn wake_commands(&mut self, number: ConnectionNumber, at: Timestamp) {
         if let Some(connection) = self.connections.get_mut(&number)
-            && !std::mem::replace(&mut connection.commands.awake, true)
+            && !std::mem::replace(&mut connection.commands.read_scheduled, true)
         {
             self.schedule.at(at, Event::ConnectionCommands(number));
         }
     }
 
-    fn work(&mut self, number: ConnectionNumber, work: BackendWork) {
+    fn execute_work(&mut self, number: ConnectionNumber, work: BackendWork) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
@@ -252,16 +253,16 @@
         self.trace.value(&(id, &answer));
         self.answer(number, BackendAnswer::Unit(answer), now + SERVICE_TIME);
         if self.databases[id].log.len() > length {
-            let others = self.others(id);
+            let others = self.other_members(id);
             let mut outbox = Outbox::new();
             self.databases[id].send_log(now, &others, &mut outbox);
             self.send_replication(id, outbox);
         }
     }
 
-    /// New work, as opposed to a later statement of a transaction under way, may not
-    /// reach a database that has been draining for a while. Proxies that stood still
-    /// or could not hear of it meanwhile are left out.
+    /// Checks that no new work reaches a database that has been draining for longer than
+    /// [`DRAIN_ALLOWANCE`]. Later units of a transaction in progress are allowed. The check is
+    /// skipped if a fault may have frozen proxies or delayed the drain mark's delivery.
     fn check_drain(&mut self, id: usize, call: UnitCall) {
         let now = self.now();
         let Some(since) = self.checker.draining_since(id) else {
@@ -271,39 +272,40 @@
         let disturbed = self.disturbed_until + DRAIN_ALLOWANCE > since;
         if call.index == 0 && late && !disturbed {
             let detail = format!("database {id} got {call:?} while draining since {since:?}");
-            self.checker.violate(now, Invariant::DrainHonoured, detail);
+            self.checker
+                .add_violation(now, Invariant::DrainHonoured, detail);
         }
     }
 
-    /// A status question outside of any slot.
-    pub(crate) fn control_question(&mut self, proxy: usize, id: usize, question: u64) {
+    /// Answers a status query that uses no connection slot.
+    pub(crate) fn control_query(&mut self, proxy: usize, id: usize, query: u64) {
         let now = self.now();
         let zones = (self.databases[id].zone, self.proxies[proxy].zone);
-        let joined = self.network.zones_joined(zones.0, zones.1);
-        if !joined || !self.databases[id].up {
+        let connected = self.network.zones_connected(zones.0, zones.1);
+        if !connected || !self.databases[id].up {
             return;
         }
         if self.databases[id].is_paused(now) {
             let at = self.databases[id].paused_until;
-            let event = Event::ControlQuestion {
+            let event = Event::ControlQuery {
                 proxy,
                 database: id,
-                question,
+                query,
             };
             return self.schedule.at(at, event);
         }
         let status = self.databases[id].status(now, &self.database_names);
         let event = ProxyEvent::ControlAnswer {
             database: id,
-            question,
+            query,
             status,
         };
         let at = now + self.network.latency(zones.0, zones.1);
         self.schedule.at(at, Event::Proxy { proxy, event });
     }
 
-    /// Whether a primary of a later term than `term` lacks the transaction.
-    pub(crate) fn replaced_without(&self, group: usize, term: u32, answer: &Answer) -> bool {
+    /// Returns whether a primary of a later term than `term` lacks the transaction.
+    pub(crate) fn later_primary_lacks(&self, group: usize, term: u32, answer: &Answer) -> bool {
         let members = self.groups[group].members.iter();
         let mut later = members
             .map(|id| &self.databases[*id])
--- a/lab/sim/src/world/event.rs
+++ b/lab/sim/src/world/event.rs
@@ -1,4 +1,4 @@
-//! Everything that can happen in a run.
+//! Events and messages of a run.
 
 use hookpoint_coordination::membership::Datagram;
 use hookpoint_coordination::node::PeerMessage;
@@ -9,61 +9,61 @@
 use crate::database::replicate::Replication;
 use crate::database::unit::{Answer, UnitCall};
 
-/// Number of a session of a client with a proxy.
+/// Identifier of a client's session with a proxy.
 pub(crate) type SessionNumber = u64;
-/// Number of a lease.
+/// Identifier of a lease.
 pub(crate) type LeaseNumber = u64;
-/// Number of a connection to a database.
+/// Identifier of a connection to a database, unique in the run.
 pub(crate) type ConnectionNumber = u64;
-/// Index of a proxy; a restarted one has a new index.
+/// Index of a proxy process; the replacement of a dead or stopped proxy has a new index.
 pub(crate) type ProxyIndex = usize;
 
-/// From a session's proxy to a lease's holder.
+/// Message from a session's proxy to the proxy that holds the leased connection.
 #[derive(Clone, Debug)]
 pub(crate) enum LeaseCommand {
-    /// Asks for a connection.
+    /// Requests a connection.
     Acquire {
-        /// Longest wait until this time.
+        /// Time until which the request may wait.
         deadline: Timestamp,
     },
-    /// Something for the database.
+    /// Work to forward to the database.
     Work(BackendWork),
-    /// Gives the connection back.
+    /// Returns the connection.
     Release {
-        /// Whether it may serve another session.
+        /// Whether the connection may serve another session.
         reusable: bool,
     },
 }
 
-/// From a lease's holder to the session's proxy.
+/// Message from the proxy that holds the leased connection to the session's proxy.
 #[derive(Clone, Debug)]
 pub(crate) enum LeaseReply {
     /// The connection is granted.
     Granted,
-    /// It is not.
+    /// The request for a connection is refused.
     Refused(Refusal),
-    /// The holder takes no new leases; ask another node.
+    /// The holder accepts no new leases; the session's proxy tries another node.
     Moved,
-    /// An answer of the database.
+    /// An answer from the database.
     Answer(BackendAnswer),
-    /// The connection is gone.
+    /// The connection was lost.
     Lost,
 }
 
-/// From a holder to a database.
+/// Command from a holder to a database.
 #[derive(Clone, Debug)]
 pub(crate) enum BackendWork {
     /// Opens the connection.
     Open,
-    /// The status query.
+    /// Queries the status.
     Status,
-    /// A unit.
+    /// Executes a unit.
     Unit(UnitCall),
     /// Closes the connection.
     Close,
 }
 
-/// From a database to a holder.
+/// Answer from a database to a holder.
 #[derive(Clone, Debug)]
 pub(crate) enum BackendAnswer {
     /// The connection is open.
@@ -74,34 +74,34 @@
     Status(BackendStatus),
     /// Answer to a unit.
     Unit(Answer),
-    /// The connection is closed by the database.
+    /// The database closed the connection.
     Closed,
 }
 
-/// What a client hears.
+/// Message from a proxy to a client.
 #[derive(Clone, Debug)]
-pub(crate) enum ClientNews {
-    /// Answer to a unit, and the session's token if it has moved.
+pub(crate) enum ClientMessage {
+    /// Answer to a unit, with the session's token.
     Answer {
         /// The answer.
         answer: Answer,
-        /// Position in the token.
+        /// Position in the token; `None` while the session has none.
         token: Option<hookpoint_state::Position>,
     },
     /// The request did not run.
     NotRun(Refusal),
-    /// Its outcome is unknown.
+    /// The outcome of the request is unknown.
     Unknown,
-    /// The session ended cleanly.
-    Goodbye,
+    /// The proxy ended the session cleanly.
+    SessionClosed,
     /// The connection broke.
-    Broken,
+    ConnectionBroken,
 }
 
-/// An event.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 pub(crate) enum Event {
-    /// Timers of a database.
+    /// A database checks its timers.
     DatabaseTick(usize),
     /// A message between databases.
     Replication {
@@ -109,108 +109,102 @@
         to: usize,
         message: Replication,
     },
-    /// Commands on a connection may have arrived at its database.
+    /// Reads the commands that have arrived at a connection's database.
     ConnectionCommands(ConnectionNumber),
-    /// Answers on a connection may have arrived at its holder.
+    /// Reads the answers that have arrived at a connection's holder.
     ConnectionAnswers(ConnectionNumber),
-    /// Commands of a lease may have arrived at its holder.
+    /// Reads the commands that have arrived at a lease's holder.
     LeaseCommands(LeaseNumber),
-    /// Replies of a lease may have arrived at its session's proxy.
+    /// Reads the replies that have arrived at the proxy of a lease's session.
     LeaseReplies(LeaseNumber),
-    /// Something on a proxy.
+    /// An event on a proxy.
     Proxy {
         proxy: ProxyIndex,
         event: ProxyEvent,
     },
-    /// A status question outside of any slot arrives at a database.
-    ControlQuestion {
+    /// A status query arrives at a database; it uses no connection slot.
+    ControlQuery {
         proxy: ProxyIndex,
         database: usize,
-        question: u64,
+        query: u64,
     },
-    /// A client does its next thing.
-    ClientWakes {
+    /// A client's pause is over.
+    ClientTimer {
         client: usize,
         session: SessionNumber,
     },
-    /// News arrive at a client.
-    ClientHears {
+    /// A message arrives at a client.
+    ClientReceives {
         client: usize,
         session: SessionNumber,
-        news: ClientNews,
+        message: ClientMessage,
     },
-    /// A bundle is rolled.
-    BundleRolls,
-    /// A bundle should be in force everywhere by now.
+    /// The next bundle is rolled out.
+    RollOutBundle,
+    /// The allowed time for putting a bundle in force on every proxy has passed.
     BundleDue {
         version: BundleVersion,
-        rolled: Timestamp,
+        rolled_out_at: Timestamp,
     },
-    /// A fault strikes.
-    FaultStrikes(usize),
+    /// A fault starts.
+    FaultStarts(usize),
     /// A fault ends.
     FaultEnds(usize),
 }
 
-/// An event on a proxy. A paused proxy takes them when it goes on.
+/// An event on a proxy. A paused proxy handles its events when it resumes.
 #[derive(Clone, Debug)]
 pub(crate) enum ProxyEvent {
-    /// The node machine's timer.
+    /// The node machine's timer is due.
     NodeTimer,
     /// A datagram from another node.
     Datagram(Box<Datagram>),
     /// A message from another node.
     Peer { from: NodeId, message: PeerMessage },
-    /// Ask all databases for their status.
+    /// The proxy queries the status of all databases.
     Observe,
-    /// Answer to a control question.
+    /// Answer to a status query that used no connection slot.
     ControlAnswer {
         database: usize,
-        question: u64,
+        query: u64,
         status: BackendStatus,
     },
-    /// A verification has taken too long.
-    VerifyTimeout {
-        session: SessionNumber,
-        question: u64,
-    },
-    /// A request machine's timer.
+    /// A term verification has timed out.
+    VerifyTimeout { session: SessionNumber, query: u64 },
+    /// A request machine's timer is due.
     RequestTimer {
         session: SessionNumber,
         request: u64,
     },
-    /// A pause before another probe is over.
+    /// The delay before the next probe is over.
     ProbeDue {
         session: SessionNumber,
         request: u64,
     },
-    /// A pause before a status query for evidence is over.
+    /// The delay before a status query for evidence is over.
     EvidenceDue {
         session: SessionNumber,
-        question: u64,
+        query: u64,
         database: usize,
     },
-    /// A status query for evidence has taken too long.
-    EvidenceTimeout {
-        session: SessionNumber,
-        question: u64,
-    },
+    /// A status query for evidence has timed out.
+    EvidenceTimeout { session: SessionNumber, query: u64 },
     /// A client opens a session.
     SessionOpens {
         client: usize,
         session: SessionNumber,
         token: Option<hookpoint_state::Position>,
     },
-    /// A client sends a unit.
+    /// A unit arrives from a client.
     UnitArrives {
         session: SessionNumber,
         call: UnitCall,
     },
-    /// A client is gone.
+    /// A client has closed its session.
     ClientGone { session: SessionNumber },
-    /// The timer of a slot table.
+    /// A slot table's timer is due.
     SlotTimer {
-        /// Its database.
+        /// Database of the slot table.
         database: usize,
     },
     /// A message about bundles from another node.
@@ -218,13 +212,13 @@
         from: NodeId,
         message: RolloutMessage,
     },
-    /// The rollout machine's timer.
+    /// The rollout machine's timer is due.
     RolloutTimer,
-    /// A watching proxy looks at the platform's pointer.
+    /// A proxy that watches the platform polls its pointer.
     PlatformPoll,
-    /// The platform's pointer.
+    /// The platform's pointer arrives.
     PlatformPointer { version: BundleVersion },
-    /// Answer to a fetch; none when the platform does not answer.
+    /// Answer to a fetch; `None` if the platform did not answer.
     PlatformFetched { version: Option<BundleVersion> },
     /// A message to a node could not be delivered.
     PeerLost { node: NodeId },
--- a/lab/sim/src/world/evidence.rs
+++ b/lab/sim/src/world/evidence.rs
@@ -1,4 +1,4 @@
-//! Asking for the evidence of a commit whose connection was given back.
+//! Status queries that collect evidence of a commit after its connection was returned.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use super::World;
 use super::event::{Event, ProxyEvent, SessionNumber};
 
-/// Longest wait for an answer.
+/// Longest wait for the answer to a status query.
 const EVIDENCE_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl World {
-    /// Asks `name` for its status after a pause.
-    pub(crate) fn ask_evidence(
+    /// Schedules a status query to `name` after the delay `after`.
+    pub(crate) fn query_evidence(
         &mut self,
         number: SessionNumber,
         name: &DatabaseName,
@@ -23,24 +23,24 @@
         let Some(database) = self.database_names.iter().position(|other| other == name) else {
             return;
         };
-        self.question_count += 1;
-        let question = self.question_count;
+        self.query_count += 1;
+        let query = self.query_count;
         let due = self.now() + after;
         let Some(session) = self.sessions.get_mut(&number) else {
             return;
         };
-        session.evidence = Some(question);
+        session.evidence_query = Some(query);
         let proxy = session.proxy;
-        self.questions.insert(question, number);
+        self.queries.insert(query, number);
         let event = ProxyEvent::EvidenceDue {
             session: number,
-            question,
+            query,
             database,
         };
         self.schedule.at(due, Event::Proxy { proxy, event });
         let event = ProxyEvent::EvidenceTimeout {
             session: number,
-            question,
+            query,
         };
         self.schedule
             .at(due + EVIDENCE_TIMEOUT, Event::Proxy { proxy, event });
@@ -50,46 +50,46 @@
         &mut self,
         proxy: usize,
         number: SessionNumber,
-        question: u64,
+        query: u64,
         database: usize,
     ) {
-        if self.awaits_evidence(number, question) {
-            self.ask(proxy, database, question);
+        if self.awaits_evidence(number, query) {
+            self.send_status_query(proxy, database, query);
         }
     }
 
-    /// Takes a status if the session waits for it as evidence.
+    /// Handles a status that the session awaits as evidence. Returns whether it did await it.
     pub(crate) fn evidence_answer(
         &mut self,
         number: SessionNumber,
-        question: u64,
+        query: u64,
         status: &BackendStatus,
     ) -> bool {
-        if !self.end_evidence(number, question) {
+        if !self.end_evidence(number, query) {
             return false;
         }
         let status = status.clone();
-        self.feed(number, RequestEvent::ProbeAnswered { status });
+        self.request_event(number, RequestEvent::ProbeAnswered { status });
         true
     }
 
-    pub(crate) fn evidence_timeout(&mut self, number: SessionNumber, question: u64) {
-        if self.end_evidence(number, question) {
-            self.feed(number, RequestEvent::ProbeFailed);
+    pub(crate) fn evidence_timeout(&mut self, number: SessionNumber, query: u64) {
+        if self.end_evidence(number, query) {
+            self.request_event(number, RequestEvent::ProbeFailed);
         }
     }
 
-    fn awaits_evidence(&self, number: SessionNumber, question: u64) -> bool {
+    fn awaits_evidence(&self, number: SessionNumber, query: u64) -> bool {
         let session = self.sessions.get(&number);
-        session.is_some_and(|session| session.evidence == Some(question))
+        session.is_some_and(|session| session.evidence_query == Some(query))
     }
 
-    fn end_evidence(&mut self, number: SessionNumber, question: u64) -> bool {
-        let awaited = self.awaits_evidence(number, question);
+    fn end_evidence(&mut self, number: SessionNumber, query: u64) -> bool {
+        let awaited = self.awaits_evidence(number, query);
         if awaited {
-            self.questions.remove(&question);
+            self.queries.remove(&query);
             if let Some(session) = self.sessions.get_mut(&number) {
-                session.evidence = None;
+                session.evidence_query = None;
             }
         }
         awaited
--- a/lab/sim/src/world/lease.rs
+++ b/lab/sim/src/world/lease.rs
@@ -1,11 +1,11 @@
-//! The session's side of leases, and what happens when a link or an end of one breaks.
+//! The session's side of leases, and the handling of broken links between its two proxies.
 
 use hookpoint_state::Timestamp;
 
 use super::World;
 use super::connection::Lease;
 use super::event::{Event, LeaseNumber, LeaseReply, ProxyIndex, SessionNumber};
-use crate::network::{CUT_POLL, Channel};
+use crate::network::{Channel, PARTITION_POLL_INTERVAL};
 
 impl World {
     pub(crate) fn new_lease(
@@ -23,8 +23,8 @@
             holder,
             database,
             connection: None,
-            up: Channel::new(),
-            down: Channel::new(),
+            commands: Channel::new(),
+            replies: Channel::new(),
             released: false,
             closed: false,
         };
@@ -37,17 +37,17 @@
         let Some(lease) = self.leases.get_mut(&number) else {
             return;
         };
-        lease.down.awake = false;
+        lease.replies.read_scheduled = false;
         let proxy = &self.proxies[lease.proxy];
         let holder = &self.proxies[lease.holder];
         if !proxy.up {
-            return lease.down.clear();
+            return lease.replies.clear();
         }
-        if !self.network.zones_joined(proxy.zone, holder.zone) {
-            if lease.down.blocked(now) {
+        if !self.network.zones_connected(proxy.zone, holder.zone) {
+            if lease.replies.blocked_too_long(now) {
                 return self.break_lease(number);
             }
-            return self.wake_lease_replies(number, now + CUT_POLL);
+            return self.wake_lease_replies(number, now + PARTITION_POLL_INTERVAL);
         }
         if proxy.is_paused(now) {
             let at = proxy.paused_until;
@@ -56,14 +56,14 @@
         while let Some(reply) = self
             .leases
             .get_mut(&number)
-            .and_then(|lease| lease.down.pop(now))
+            .and_then(|lease| lease.replies.pop(now))
         {
-            self.pass_reply(number, reply);
+            self.deliver_reply(number, reply);
         }
         let next = self
             .leases
             .get(&number)
-            .and_then(|lease| lease.down.next_at());
+            .and_then(|lease| lease.replies.next_at());
         if let Some(at) = next {
             self.wake_lease_replies(number, at);
         }
@@ -71,14 +71,14 @@
 
     fn wake_lease_replies(&mut self, number: LeaseNumber, at: Timestamp) {
         if let Some(lease) = self.leases.get_mut(&number)
-            && !std::mem::replace(&mut lease.down.awake, true)
+            && !std::mem::replace(&mut lease.replies.read_scheduled, true)
         {
             self.schedule.at(at, Event::LeaseReplies(number));
         }
     }
 
-    /// Hands a reply to the session, if it still holds the lease.
-    fn pass_reply(&mut self, number: LeaseNumber, reply: LeaseReply) {
+    /// Delivers a reply to the session, if it still uses this lease.
+    fn deliver_reply(&mut self, number: LeaseNumber, reply: LeaseReply) {
         let Some(lease) = self.leases.get(&number) else {
             return;
         };
@@ -94,30 +94,30 @@
             reply,
             LeaseReply::Refused(_) | LeaseReply::Moved | LeaseReply::Lost
         );
-        self.take_reply(session, holder, reply);
+        self.handle_lease_reply(session, holder, reply);
         if last {
             self.leases.remove(&number);
         }
     }
 
-    /// The link between both ends is taken for broken, by both.
+    /// Ends a lease on both sides after the link between its proxies broke.
     pub(crate) fn break_lease(&mut self, number: LeaseNumber) {
         let Some(lease) = self.leases.get(&number) else {
             return;
         };
         let granted = lease.connection.is_some();
-        self.end_for_holder(number);
+        self.close_holder_side(number);
         let reply = if granted {
             LeaseReply::Lost
         } else {
             LeaseReply::Moved
         };
-        self.pass_reply(number, reply);
+        self.deliver_reply(number, reply);
         self.leases.remove(&number);
     }
 
-    /// The holder takes the session for gone.
-    fn end_for_holder(&mut self, number: LeaseNumber) {
+    /// Ends the lease on the holder's side and closes its connection.
+    fn close_holder_side(&mut self, number: LeaseNumber) {
         let Some(lease) = self.leases.get_mut(&number) else {
             return;
         };
--- a/lab/sim/src/world/mod.rs
+++ b/lab/sim/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The simulated world of the request path.
+//! The simulated world of the request path: databases, proxies, clients, platform and network.
 
 mod client;
 mod connection;
@@ -35,7 +35,7 @@
 use crate::database::log::Entry;
 use crate::faults::Fault;
 use crate::network::Network;
-use crate::platform::{NumberStore, Platform};
+use crate::platform::{Platform, VersionStore};
 use crate::report::{Counts, Invariant};
 use crate::schedule::Schedule;
 use crate::settings::{Mutation, SimSettings};
@@ -44,19 +44,20 @@
 use client::Client;
 use connection::{Connection, Lease};
 use event::{
-    ClientNews, ConnectionNumber, Event, LeaseNumber, ProxyEvent, ProxyIndex, SessionNumber,
+    ClientMessage, ConnectionNumber, Event, LeaseNumber, ProxyEvent, ProxyIndex, SessionNumber,
 };
 use proxy::{Proxy, Session};
 
-/// Decisions kept for the report of a failure.
+/// Number of decisions kept for the report of a failure.
 const EXPLAIN_ENTRIES: usize = 60;
-/// When clients begin.
+/// Time at which the clients start to send requests, in milliseconds.
 const LOAD_START_MS: u64 = 1_200;
-/// Quiet time at the end, in which everything has to settle.
-const QUIET: Duration = Duration::from_secs(8);
-/// Time between two bundles.
-const ROLL_PERIOD_MS: u64 = 1_700;
-/// Port of a proxy's peers.
+/// Time without new load or faults at the end of a run, by the end of which every request
+/// must have ended.
+const SETTLE_TIME: Duration = Duration::from_secs(8);
+/// Interval between bundles, in milliseconds.
+const ROLLOUT_INTERVAL_MS: u64 = 1_700;
+/// Port on which a proxy receives datagrams from its peers.
 const PEER_PORT: u16 = 7_000;
 
 struct GroupState {
@@ -64,7 +65,7 @@
     members: Vec<usize>,
 }
 
-/// Everything in a run.
+/// State of a whole run.
 pub(crate) struct World {
     settings: SimSettings,
     schedule: Schedule<Event>,
@@ -76,14 +77,15 @@
     database_names: Vec<DatabaseName>,
     groups: Vec<GroupState>,
     proxies: Vec<Proxy>,
-    /// The proxy now in each place.
+    /// Current proxy of each place in the fleet. A proxy that dies or stops is replaced in its
+    /// place by a new process.
     places: Vec<ProxyIndex>,
     addresses: BTreeMap<SocketAddr, ProxyIndex>,
     nodes: BTreeMap<NodeId, ProxyIndex>,
     sessions: BTreeMap<SessionNumber, Session>,
     leases: BTreeMap<LeaseNumber, Lease>,
     connections: BTreeMap<ConnectionNumber, Connection>,
-    questions: BTreeMap<u64, SessionNumber>,
+    queries: BTreeMap<u64, SessionNumber>,
     clients: Vec<Client>,
     bundles: Vec<Arc<Bundle>>,
     draining: BTreeSet<usize>,
@@ -97,12 +99,12 @@
     session_count: u64,
     lease_count: u64,
     connection_count: u64,
-    question_count: u64,
+    query_count: u64,
     attempt_count: u64,
 }
 
-/// What a run leaves behind.
-pub(crate) struct Aftermath {
+/// Result of a run.
+pub(crate) struct RunResult {
     pub(crate) trace: u64,
     pub(crate) counts: Counts,
     pub(crate) violations: Vec<crate::report::Violation>,
@@ -110,7 +112,7 @@
 }
 
 impl World {
-    /// A world that has not begun.
+    /// Creates a world at time zero, with its proxies started and its first events scheduled.
     pub(crate) fn new(settings: &SimSettings, seed: u64, faults: Vec<Fault>) -> Self {
         let mut world = Self {
             settings: settings.clone(),
@@ -129,7 +131,7 @@
             sessions: BTreeMap::new(),
             leases: BTreeMap::new(),
             connections: BTreeMap::new(),
-            questions: BTreeMap::new(),
+            queries: BTreeMap::new(),
             clients: Vec::new(),
             bundles: Vec::new(),
             draining: BTreeSet::new(),
@@ -143,21 +145,21 @@
             session_count: 0,
             lease_count: 0,
             connection_count: 0,
-            question_count: 0,
+            query_count: 0,
             attempt_count: 0,
         };
-        world.place_databases();
-        world.roll_bundle();
+        world.create_databases();
+        world.roll_out_bundle();
         for place in 0..settings.proxies_per_zone * 3 {
             world.places.push(0);
             world.start_proxy(place);
         }
-        world.place_clients();
-        world.plan();
+        world.create_clients();
+        world.schedule_initial_events();
         world
     }
 
-    fn place_databases(&mut self) {
+    fn create_databases(&mut self) {
         for group in 0..self.settings.groups {
             let mut members = Vec::new();
             for zone in 0..3 {
@@ -176,7 +178,7 @@
         }
     }
 
-    fn place_clients(&mut self) {
+    fn create_clients(&mut self) {
         let total = self.settings.sessions_per_group * self.settings.groups;
         for number in 0..total {
             let group = number % self.settings.groups;
@@ -185,7 +187,7 @@
             self.clients.push(Client::new(group, zone, place));
             let delay = self.random.random_range(0..self.settings.think_ms.max(1));
             let at = Timestamp::from_millis(LOAD_START_MS + delay);
-            let event = Event::ClientWakes {
+            let event = Event::ClientTimer {
                 client: number,
                 session: 0,
             };
@@ -193,16 +195,16 @@
         }
     }
 
-    fn plan(&mut self) {
+    fn schedule_initial_events(&mut self) {
         for index in 0..self.faults.len() {
             let at = Timestamp::from_millis(self.faults[index].at_ms);
-            self.schedule.at(at, Event::FaultStrikes(index));
+            self.schedule.at(at, Event::FaultStarts(index));
         }
-        let at = Timestamp::from_millis(ROLL_PERIOD_MS);
-        self.schedule.at(at, Event::BundleRolls);
+        let at = Timestamp::from_millis(ROLLOUT_INTERVAL_MS);
+        self.schedule.at(at, Event::RollOutBundle);
     }
 
-    /// Starts a proxy in `place`.
+    /// Starts a new proxy process in `place`.
     fn start_proxy(&mut self, place: usize) {
         let now = self.now();
         let index = self.proxies.len();
@@ -220,7 +222,7 @@
         let node_random = ChaCha8Rng::from_rng(&mut self.random);
         let rollout_random = ChaCha8Rng::from_rng(&mut self.random);
         let settings = MembershipSettings::default();
-        let forgetful = self.settings.mutated(Mutation::AcceptOlderBundle);
+        let accept_older = self.settings.mutated(Mutation::AcceptOlderBundle);
         let proxy = Proxy {
             node,
             address,
@@ -230,7 +232,7 @@
             paused_until: Timestamp::default(),
             machine: NodeMachine::new(now, settings, info, node_random),
             timer_at: None,
-            rollout: RolloutMachine::new(now, NumberStore::new(forgetful), rollout_random),
+            rollout: RolloutMachine::new(now, VersionStore::new(accept_older), rollout_random),
             rollout_timer_at: None,
             watching: false,
             terms: TermTable::new(),
@@ -270,18 +272,19 @@
         self.nodes.get(&node).copied()
     }
 
-    /// Runs to the end and looks at what is left.
-    pub(crate) fn run(mut self) -> Aftermath {
+    /// Runs until the settle time after the load and the last fault has passed, then makes the
+    /// final checks.
+    pub(crate) fn run(mut self) -> RunResult {
         let fault_ends = self.faults.iter().map(|fault| fault.at_ms + fault.lasts_ms);
         let last = Timestamp::from_millis(fault_ends.max().unwrap_or(0)).max(self.load_end);
-        let end = last + QUIET;
+        let end = last + SETTLE_TIME;
         while let Some(event) = self.schedule.next_before(end) {
             self.counts.events += 1;
             self.trace.number(self.schedule.now().0);
             self.dispatch(event);
         }
         self.finish(end);
-        Aftermath {
+        RunResult {
             trace: self.trace.digest(),
             counts: self.counts,
             decisions: self
@@ -302,30 +305,33 @@
             Event::LeaseCommands(number) => self.lease_commands(number),
             Event::LeaseReplies(number) => self.lease_replies(number),
             Event::Proxy { proxy, event } => self.proxy_event(proxy, event),
-            Event::ControlQuestion {
+            Event::ControlQuery {
                 proxy,
                 database,
-                question,
-            } => self.control_question(proxy, database, question),
-            Event::ClientWakes { client, session } => self.client_wakes(client, session),
-            Event::ClientHears {
+                query,
+            } => self.control_query(proxy, database, query),
+            Event::ClientTimer { client, session } => self.client_timer(client, session),
+            Event::ClientReceives {
                 client,
                 session,
-                news,
-            } => self.client_hears(client, session, news),
-            Event::BundleRolls => self.bundle_rolls(),
-            Event::BundleDue { version, rolled } => self.bundle_due(version, rolled),
-            Event::FaultStrikes(index) => self.fault_strikes(index),
+                message,
+            } => self.client_receives(client, session, message),
+            Event::RollOutBundle => self.roll_out_periodically(),
+            Event::BundleDue {
+                version,
+                rolled_out_at,
+            } => self.bundle_due(version, rolled_out_at),
+            Event::FaultStarts(index) => self.fault_starts(index),
             Event::FaultEnds(index) => self.fault_ends(index),
         }
     }
 
-    fn bundle_rolls(&mut self) {
+    fn roll_out_periodically(&mut self) {
         let now = self.now();
         if now < self.load_end {
-            self.roll_bundle();
-            let pause = Duration::from_millis(ROLL_PERIOD_MS);
-            self.schedule.at(now + pause, Event::BundleRolls);
+            self.roll_out_bundle();
+            let pause = Duration::from_millis(ROLLOUT_INTERVAL_MS);
+            self.schedule.at(now + pause, Event::RollOutBundle);
         }
     }
 
@@ -358,25 +364,25 @@
             ProxyEvent::PeerLost { node } => self.peer_lost(proxy, node),
             ProxyEvent::Observe => {
                 self.observe_all(proxy);
-                self.exit_if_done(proxy);
+                self.exit_if_idle(proxy);
             }
             ProxyEvent::ControlAnswer {
                 database,
-                question,
+                query,
                 status,
-            } => self.control_answer(proxy, database, question, status),
-            ProxyEvent::VerifyTimeout { session, question } => {
-                self.verify_timeout(session, question);
+            } => self.control_answer(proxy, database, query, status),
+            ProxyEvent::VerifyTimeout { session, query } => {
+                self.verify_timeout(session, query);
             }
             ProxyEvent::RequestTimer { session, request } => self.request_timer(session, request),
             ProxyEvent::ProbeDue { session, request } => self.probe_due(session, request),
             ProxyEvent::EvidenceDue {
                 session,
-                question,
+                query,
                 database,
-            } => self.evidence_due(proxy, session, question, database),
-            ProxyEvent::EvidenceTimeout { session, question } => {
-                self.evidence_timeout(session, question);
+            } => self.evidence_due(proxy, session, query, database),
+            ProxyEvent::EvidenceTimeout { session, query } => {
+                self.evidence_timeout(session, query);
             }
             ProxyEvent::SessionOpens {
                 client,
@@ -389,48 +395,53 @@
         }
     }
 
-    /// A client that connects to a dead proxy hears so.
+    /// Reports a broken connection to a client that connects to a dead proxy; other events on a
+    /// dead proxy have no effect.
     fn refuse_connection(&mut self, proxy: ProxyIndex, event: &ProxyEvent) {
         if let ProxyEvent::SessionOpens {
             client, session, ..
         } = event
         {
             let at = self.now() + self.client_latency(*client, proxy);
-            let event = Event::ClientHears {
+            let event = Event::ClientReceives {
                 client: *client,
                 session: *session,
-                news: ClientNews::Broken,
+                message: ClientMessage::ConnectionBroken,
             };
             self.schedule.at(at, event);
         }
     }
 
-    fn describe_stuck(&self, client: usize, attempt: crate::database::unit::AttemptId) -> String {
+    fn describe_unfinished(
+        &self,
+        client: usize,
+        attempt: crate::database::unit::AttemptId,
+    ) -> String {
         let number = self.clients[client].session.map_or(0, |(number, _)| number);
         let session = self.sessions.get(&number);
         let lease = session.and_then(|session| session.lease);
         format!(
-            "client {client} still waits for {attempt:?}: expected {:?}, lease {:?}, machine {:?}",
+            "request of client {client} has not ended, {attempt:?}: expected {:?}, lease {:?}, machine {:?}",
             session.map(|session| &session.expected),
             lease.and_then(|lease| self.leases.get(&lease)),
             session.map(|session| &session.machine),
         )
     }
 
-    /// Checks what can only be told in the end.
+    /// Makes the checks that are possible only at the end of a run.
     fn finish(&mut self, end: Timestamp) {
         let version = BundleVersion(self.bundles.len() as u64);
         self.check_bundle(version);
         for client in 0..self.clients.len() {
             if let Some(request) = &self.clients[client].request {
-                let detail = self.describe_stuck(client, request.attempt);
-                self.checker.violate(end, Invariant::Progress, detail);
+                let detail = self.describe_unfinished(client, request.attempt);
+                self.checker.add_violation(end, Invariant::Progress, detail);
             }
         }
         for group in 0..self.groups.len() {
             let Some(primary) = self.primary_of(group) else {
-                let detail = format!("group {group} has no primary in the end");
-                self.checker.violate(end, Invariant::Progress, detail);
+                let detail = format!("group {group} has no primary at the end of the run");
+                self.checker.add_violation(end, Invariant::Progress, detail);
                 continue;
             };
             let clients = self.clients.iter().enumerate();
@@ -438,7 +449,7 @@
             let clients: BTreeSet<usize> = clients.map(|(index, _)| index).collect();
             let entries = self.databases[primary].log.entries().iter();
             let entries: Vec<&Entry> = entries.map(|entry| &**entry).collect();
-            self.checker.finish(end, &clients, &entries);
+            self.checker.check_final_log(end, &clients, &entries);
         }
     }
 }
