--- a/lab/sim/src/world/nodes.rs
+++ b/lab/sim/src/world/nodes.rs
@@ -1,4 +1,5 @@
-//! The fleet's side of a proxy: membership, homes, spread of terms and bundles.
+//! A proxy's part in the fleet: membership, home assignment, and the distribution of terms and
+//! bundles.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -17,18 +18,18 @@
 
 use super::World;
 use super::event::{Event, ProxyEvent, ProxyIndex};
-use crate::platform::NumberStore;
+use crate::platform::VersionStore;
 use crate::report::Invariant;
 use crate::settings::Mutation;
 
 /// One-way latency to the platform.
 const PLATFORM_LATENCY: Duration = Duration::from_millis(8);
-/// Time between two looks at the pointer by a proxy that watches it.
-const PLATFORM_POLL: Duration = Duration::from_millis(500);
-/// Datagrams lost, one of so many.
-const LOSS: u32 = 200;
-/// How soon a bundle has to be in force on every proxy while nothing is amiss.
-const BUNDLE_ALLOWANCE: Duration = Duration::from_secs(4);
+/// Interval at which a watching proxy polls the platform's pointer.
+const PLATFORM_POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// One in this many datagrams is lost.
+const DATAGRAM_LOSS_ONE_IN: u32 = 200;
+/// Time within which a bundle must be in force on every proxy while no fault delays it.
+const MAX_BUNDLE_DELAY: Duration = Duration::from_secs(4);
 
 impl World {
     pub(crate) fn node_event(&mut self, proxy: ProxyIndex, event: NodeEvent) {
@@ -50,7 +51,9 @@
                     let from = self.proxies[proxy].node;
                     self.send_peer(proxy, to, ProxyEvent::Peer { from, message });
                 }
-                NodeAction::LeadershipLearned(news) => self.leadership_learned(proxy, &news),
+                NodeAction::LeadershipLearned(leadership) => {
+                    self.leadership_learned(proxy, &leadership)
+                }
                 NodeAction::MemberChanged { info, state } => {
                     self.member_changed(proxy, info.node, state);
                 }
@@ -66,7 +69,7 @@
                 NodeAction::HomeChanged(change) => self.home_changed(proxy, &change),
             }
         }
-        self.plan_node_timer(proxy);
+        self.schedule_node_timer(proxy);
     }
 
     fn home_changed(&mut self, proxy: ProxyIndex, change: &HomeChange) {
@@ -79,10 +82,10 @@
         }
     }
 
-    fn plan_node_timer(&mut self, proxy: ProxyIndex) {
+    fn schedule_node_timer(&mut self, proxy: ProxyIndex) {
         let wake = self.proxies[proxy].machine.next_wake().max(self.now());
-        let planned = self.proxies[proxy].timer_at;
-        if planned.is_none_or(|at| wake < at) {
+        let scheduled = self.proxies[proxy].timer_at;
+        if scheduled.is_none_or(|at| wake < at) {
             self.proxies[proxy].timer_at = Some(wake);
             let event = ProxyEvent::NodeTimer;
             self.schedule.at(wake, Event::Proxy { proxy, event });
@@ -96,8 +99,8 @@
 
     fn send_datagram(&mut self, from: ProxyIndex, to: ProxyIndex, datagram: Box<Datagram>) {
         let zones = (self.proxies[from].zone, self.proxies[to].zone);
-        let lost = self.random.random_range(0..LOSS) == 0;
-        if lost || !self.network.zones_joined(zones.0, zones.1) {
+        let lost = self.random.random_range(0..DATAGRAM_LOSS_ONE_IN) == 0;
+        if lost || !self.network.zones_connected(zones.0, zones.1) {
             return;
         }
         let jitter = Duration::from_micros(self.random.random_range(0..1_000));
@@ -113,7 +116,7 @@
         let zones = (self.proxies[from].zone, self.proxies[to].zone);
         let latency = self.network.latency(zones.0, zones.1);
         let now = self.now();
-        if self.proxies[to].up && self.network.zones_joined(zones.0, zones.1) {
+        if self.proxies[to].up && self.network.zones_connected(zones.0, zones.1) {
             self.schedule
                 .at(now + latency, Event::Proxy { proxy: to, event });
         } else {
@@ -123,7 +126,7 @@
         }
     }
 
-    /// A link to a node broke.
+    /// Notifies the machines of a proxy that its link to a node broke.
     pub(crate) fn peer_lost(&mut self, proxy: ProxyIndex, node: NodeId) {
         self.node_event(proxy, NodeEvent::PeerLost(node));
         self.rollout_event(proxy, RolloutEvent::PeerGone(node));
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Place among the members of the zone that take work.
+    /// Returns the proxy's rank among the members of its zone that accept work.
     pub(crate) fn zone_rank(&self, proxy: ProxyIndex) -> usize {
         self.proxies[proxy].machine.zone_rank()
     }
@@ -145,7 +148,7 @@
         let place = view
             .and_then(|view| view.primary())
             .map(|primary| primary.place);
-        let news = LeadershipNews {
+        let leadership = LeadershipNews {
             group: change.group,
             term: change.term,
             primary: change.primary,
@@ -154,28 +157,31 @@
                 ..Position::default()
             }),
         };
-        self.node_event(proxy, NodeEvent::LeadershipObserved(news));
+        self.node_event(proxy, NodeEvent::LeadershipObserved(leadership));
     }
 
-    fn leadership_learned(&mut self, proxy: ProxyIndex, news: &LeadershipNews) {
+    fn leadership_learned(&mut self, proxy: ProxyIndex, leadership: &LeadershipNews) {
         let Some(group) = self
             .groups
             .iter()
-            .position(|group| group.name == news.group)
+            .position(|group| group.name == leadership.group)
         else {
             return;
         };
-        if self.proxies[proxy].terms.learn_term(&news.group, news.term) {
+        if self.proxies[proxy]
+            .terms
+            .learn_term(&leadership.group, leadership.term)
+        {
             self.view_changed(proxy);
         }
         let names = &self.database_names;
-        let primary = news.primary.as_ref();
+        let primary = leadership.primary.as_ref();
         let database = primary.and_then(|primary| names.iter().position(|name| name == primary));
         if let Some(database) = database {
             let status = BackendStatus {
                 role: Role::Primary,
-                term: news.term,
-                position: news.place.lsn,
+                term: leadership.term,
+                position: leadership.place.lsn,
                 flushed: Vec::new(),
             };
             self.observe(proxy, group, database, &status);
@@ -192,8 +198,8 @@
         let Some(wake) = self.proxies[proxy].rollout.next_wake() else {
             return;
         };
-        let planned = self.proxies[proxy].rollout_timer_at;
-        if planned.is_none_or(|at| wake < at) {
+        let scheduled = self.proxies[proxy].rollout_timer_at;
+        if scheduled.is_none_or(|at| wake < at) {
             self.proxies[proxy].rollout_timer_at = Some(wake);
             let event = ProxyEvent::RolloutTimer;
             self.schedule.at(wake, Event::Proxy { proxy, event });
@@ -226,7 +232,8 @@
                 self.send_peer(proxy, to, ProxyEvent::RolloutPeer { from, message });
             }
             RolloutAction::Install(_) => self.install(proxy),
-            // The simulated platform has no list of machines that databases could leave.
+            // The simulated platform keeps no list of machines from which a database could be
+            // removed.
             RolloutAction::TellZone(_) | RolloutAction::DrainLeaving(_) => {}
             RolloutAction::Rejected { .. } => {}
         }
@@ -239,11 +246,11 @@
         let now = self.now();
         let event = ProxyEvent::PlatformPoll;
         self.schedule
-            .at(now + PLATFORM_POLL, Event::Proxy { proxy, event });
-        self.tell_pointer(proxy);
+            .at(now + PLATFORM_POLL_INTERVAL, Event::Proxy { proxy, event });
+        self.send_pointer(proxy);
     }
 
-    fn tell_pointer(&mut self, proxy: ProxyIndex) {
+    fn send_pointer(&mut self, proxy: ProxyIndex) {
         let now = self.now();
         if let Some(version) = self.platform.read(now) {
             let event = ProxyEvent::PlatformPointer { version };
@@ -254,16 +261,16 @@
 
     pub(crate) fn platform_fetched(&mut self, proxy: ProxyIndex, version: Option<BundleVersion>) {
         let event = match version {
-            Some(version) => RolloutEvent::PlatformChange(NumberStore::change(version)),
+            Some(version) => RolloutEvent::PlatformChange(VersionStore::encode_change(version)),
             None => RolloutEvent::PlatformFailed,
         };
         self.rollout_event(proxy, event);
     }
 
-    /// Puts the bundle that the store holds in force.
+    /// Puts the bundle version held by the proxy's store in force.
     fn install(&mut self, proxy: ProxyIndex) {
         let now = self.now();
-        let version = self.proxies[proxy].rollout.store().held();
+        let version = self.proxies[proxy].rollout.store().actual_version();
         let Some(bundle) = version
             .0
             .checked_sub(1)
@@ -272,7 +279,7 @@
             return;
         };
         let bundle = Arc::clone(bundle);
-        self.checker.installed(now, proxy, version);
+        self.checker.bundle_installed(now, proxy, version);
         self.configure_terms(proxy, &bundle);
         self.proxies[proxy].bundle = (*bundle).clone();
         self.node_event(proxy, NodeEvent::BundleInstalled(bundle));
@@ -299,29 +306,29 @@
         }
     }
 
-    /// Whether a proxy has a database marked as draining.
+    /// Returns whether the proxy's bundle marks a database as draining.
     pub(crate) fn is_draining(&self, proxy: ProxyIndex, database: usize) -> bool {
         let ignored = self.settings.mutated(Mutation::IgnoreDrain);
         let drain = &self.proxies[proxy].bundle.drain;
         !ignored && drain.contains(&self.database_names[database])
     }
 
-    /// Rolls a bundle with the current drain marks.
-    pub(crate) fn roll_bundle(&mut self) {
+    /// Rolls out a new bundle with the current drain marks.
+    pub(crate) fn roll_out_bundle(&mut self) {
         let now = self.now();
-        let version = self.platform.roll();
+        let version = self.platform.advance();
         let bundle = self.make_bundle(version);
         self.bundles.push(Arc::new(bundle));
         for proxy in 0..self.proxies.len() {
             if self.proxies[proxy].watching && self.proxies[proxy].up {
-                self.tell_pointer(proxy);
+                self.send_pointer(proxy);
             }
         }
         let due = Event::BundleDue {
             version,
-            rolled: now,
+            rolled_out_at: now,
         };
-        self.schedule.at(now + BUNDLE_ALLOWANCE, due);
+        self.schedule.at(now + MAX_BUNDLE_DELAY, due);
     }
 
     fn make_bundle(&self, version: BundleVersion) -> Bundle {
@@ -361,28 +368,30 @@
         bundle
     }
 
-    /// A bundle should be in force by now, unless something was amiss meanwhile.
+    /// Checks that a bundle is in force when its allowed time has passed, unless a fault may
+    /// have delayed it.
     pub(crate) fn bundle_due(
         &mut self,
         version: BundleVersion,
-        rolled: hookpoint_state::Timestamp,
+        rolled_out_at: hookpoint_state::Timestamp,
     ) {
-        if self.disturbed_until + BUNDLE_ALLOWANCE / 4 < rolled {
+        if self.disturbed_until + MAX_BUNDLE_DELAY / 4 < rolled_out_at {
             self.check_bundle(version);
         }
     }
 
-    /// Every proxy that is up has `version` or a newer one.
+    /// Checks that every proxy that is running and not stopping has `version` or a newer one in
+    /// force.
     pub(crate) fn check_bundle(&mut self, version: BundleVersion) {
         let now = self.now();
-        let behind = self
-            .proxies
-            .iter()
-            .find(|proxy| proxy.answers(now) && !proxy.stopping && proxy.bundle.version < version);
+        let behind = self.proxies.iter().find(|proxy| {
+            proxy.is_responsive(now) && !proxy.stopping && proxy.bundle.version < version
+        });
         if let Some(proxy) = behind {
             let held = proxy.bundle.version;
             let detail = format!("proxy {} has {held:?} and not {version:?}", proxy.node);
-            self.checker.violate(now, Invariant::BundleInForce, detail);
+            self.checker
+                .add_violation(now, Invariant::BundleInForce, detail);
         }
     }
 }
--- a/lab/sim/src/world/pool.rs
+++ b/lab/sim/src/world/pool.rs
@@ -1,4 +1,5 @@
-//! The holder's side of leases: drives the shipped slot tables, and relays.
+//! The holder's side of leases: drives the production slot tables and relays messages between
+//! leases and connections.
 
 use std::time::Duration;
 
@@ -15,17 +16,17 @@
     ProxyEvent, ProxyIndex,
 };
 use super::proxy::Pool;
-use crate::network::CUT_POLL;
+use crate::network::PARTITION_POLL_INTERVAL;
 use crate::settings::Mutation;
 
-/// How long a connection may be idle before its holder refreshes it: a third of the
-/// database's limit.
+/// Idle time after which the holder refreshes a connection: a third of the database's idle
+/// limit.
 const REFRESH_AFTER: Duration = Duration::from_millis(3_300);
-/// Silence after which a holder does not trust a connection any more.
-const TRUST: Duration = Duration::from_secs(8);
+/// Time without an answer after which a holder no longer grants a connection.
+const MAX_SILENCE: Duration = Duration::from_secs(8);
 
 impl World {
-    /// Sends a command over a lease.
+    /// Sends a command from the session's proxy to the holder.
     pub(crate) fn send_command(&mut self, number: LeaseNumber, command: LeaseCommand) {
         let Some(lease) = self.leases.get_mut(&number) else {
             return;
@@ -40,12 +41,13 @@
             self.network.latency(zones.0, zones.1)
         };
         let at = self.schedule.now() + latency;
-        if let Some(at) = lease.up.push(at, command) {
+        if let Some(at) = lease.commands.push(at, command) {
             self.schedule.at(at, Event::LeaseCommands(number));
         }
     }
 
-    pub(crate) fn reply(&mut self, number: LeaseNumber, reply: LeaseReply) {
+    /// Sends a reply from the holder to the session's proxy.
+    pub(crate) fn send_reply(&mut self, number: LeaseNumber, reply: LeaseReply) {
         let Some(lease) = self.leases.get_mut(&number) else {
             return;
         };
@@ -59,41 +61,41 @@
             self.network.latency(zones.0, zones.1)
         };
         let at = self.schedule.now() + latency;
-        if let Some(at) = lease.down.push(at, reply) {
+        if let Some(at) = lease.replies.push(at, reply) {
             self.schedule.at(at, Event::LeaseReplies(number));
         }
     }
 
-    fn lease_joined(&self, lease: &Lease) -> bool {
+    fn lease_connected(&self, lease: &Lease) -> bool {
         let zones = (
             self.proxies[lease.proxy].zone,
             self.proxies[lease.holder].zone,
         );
-        self.network.zones_joined(zones.0, zones.1)
+        self.network.zones_connected(zones.0, zones.1)
     }
 
     pub(crate) fn lease_commands(&mut self, number: LeaseNumber) {
         let now = self.now();
-        let Some(joined) = self
+        let Some(connected) = self
             .leases
             .get(&number)
-            .map(|lease| self.lease_joined(lease))
+            .map(|lease| self.lease_connected(lease))
         else {
             return;
         };
         let Some(lease) = self.leases.get_mut(&number) else {
             return;
         };
-        lease.up.awake = false;
+        lease.commands.read_scheduled = false;
         let holder = lease.holder;
         if !self.proxies[holder].up {
             return self.break_lease(number);
         }
-        if !joined {
-            if lease.up.blocked(now) {
+        if !connected {
+            if lease.commands.blocked_too_long(now) {
                 return self.break_lease(number);
             }
-            return self.wake_lease_commands(number, now + CUT_POLL);
+            return self.wake_lease_commands(number, now + PARTITION_POLL_INTERVAL);
         }
         if self.proxies[holder].is_paused(now) {
             let at = self.proxies[holder].paused_until;
@@ -102,14 +104,14 @@
         while let Some(command) = self
             .leases
             .get_mut(&number)
-            .and_then(|lease| lease.up.pop(now))
+            .and_then(|lease| lease.commands.pop(now))
         {
-            self.take_command(number, command);
+            self.handle_lease_command(number, command);
         }
         let next = self
             .leases
             .get(&number)
-            .and_then(|lease| lease.up.next_at());
+            .and_then(|lease| lease.commands.next_at());
         if let Some(at) = next {
             self.wake_lease_commands(number, at);
         }
@@ -117,13 +119,13 @@
 
     fn wake_lease_commands(&mut self, number: LeaseNumber, at: Timestamp) {
         if let Some(lease) = self.leases.get_mut(&number)
-            && !std::mem::replace(&mut lease.up.awake, true)
+            && !std::mem::replace(&mut lease.commands.read_scheduled, true)
         {
             self.schedule.at(at, Event::LeaseCommands(number));
         }
     }
 
-    fn take_command(&mut self, number: LeaseNumber, command: LeaseCommand) {
+    fn handle_lease_command(&mut self, number: LeaseNumber, command: LeaseCommand) {
         let Some(lease) = self.leases.get_mut(&number) else {
             return;
         };
@@ -131,7 +133,7 @@
         match command {
             LeaseCommand::Acquire { .. } if self.proxies[holder].stopping => {
                 lease.closed = true;
-                self.reply(number, LeaseReply::Moved);
+                self.send_reply(number, LeaseReply::Moved);
             }
             LeaseCommand::Acquire { .. } if self.proxies[holder].bundle.databases.is_empty() => {
                 self.refuse_lease(number, Refusal::NoBundle);
@@ -152,12 +154,13 @@
                     self.send_work(connection, work);
                 }
             }
-            LeaseCommand::Release { reusable } => self.released(number, reusable),
+            LeaseCommand::Release { reusable } => self.handle_release(number, reusable),
         }
     }
 
-    /// The session has given its lease back.
-    fn released(&mut self, number: LeaseNumber, reusable: bool) {
+    /// Handles the release of a lease: cancels a pending request, or returns the connection to
+    /// its slot table once its outstanding answers have arrived.
+    fn handle_release(&mut self, number: LeaseNumber, reusable: bool) {
         let Some(lease) = self.leases.get_mut(&number) else {
             return;
         };
@@ -172,18 +175,18 @@
         let Some(state) = self.connections.get_mut(&connection) else {
             return;
         };
-        if state.state == ConnectionState::Gone {
+        if state.state == ConnectionState::Closed {
             return;
         }
         if !keep || state.outstanding == 0 || undrained {
-            self.give_back(connection, keep);
+            self.return_connection(connection, keep);
         } else {
             state.state = ConnectionState::Draining;
         }
     }
 
-    /// Gives a connection back to its slot table.
-    fn give_back(&mut self, number: ConnectionNumber, reusable: bool) {
+    /// Returns a connection to its slot table.
+    fn return_connection(&mut self, number: ConnectionNumber, reusable: bool) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
@@ -198,7 +201,7 @@
         self.slot_event(holder, database, event);
     }
 
-    /// Sends work on a connection.
+    /// Sends a command to the database on a connection.
     pub(crate) fn send_work(&mut self, number: ConnectionNumber, work: BackendWork) {
         let now = self.schedule.now();
         let Some(connection) = self.connections.get_mut(&number) else {
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Feeds a slot table and carries out its actions.
+    /// Passes an event to a slot table and performs its actions.
     pub(crate) fn slot_event(&mut self, holder: ProxyIndex, database: usize, event: SlotEvent) {
         let now = self.now();
         self.ensure_pool(holder, database);
@@ -229,7 +232,7 @@
         for action in actions {
             self.slot_action(holder, database, action);
         }
-        self.plan_slot_timer(holder, database);
+        self.schedule_slot_timer(holder, database);
     }
 
     fn ensure_pool(&mut self, holder: ProxyIndex, database: usize) {
@@ -243,11 +246,15 @@
             return;
         };
         let mut table = SlotTable::new(policy, proxy.node.0 ^ database as u64);
-        let mut none = Vec::new();
+        let mut ignored_actions = Vec::new();
         let now = self.schedule.now();
-        table.handle(now, SlotEvent::Home(proxy.machine.is_home(name)), &mut none);
+        table.handle(
+            now,
+            SlotEvent::Home(proxy.machine.is_home(name)),
+            &mut ignored_actions,
+        );
         if self.is_draining(holder, database) {
-            table.handle(now, SlotEvent::Drain, &mut none);
+            table.handle(now, SlotEvent::Drain, &mut ignored_actions);
         }
         let pool = Pool {
             table,
@@ -259,14 +266,14 @@
 
     fn slot_action(&mut self, holder: ProxyIndex, database: usize, action: SlotAction) {
         match action {
-            SlotAction::OpenConnection(slot) => self.open(holder, database, slot),
+            SlotAction::OpenConnection(slot) => self.start_connection(holder, database, slot),
             SlotAction::Grant {
                 request,
                 connection,
             } => self.grant(holder, database, request.0, connection),
             SlotAction::Refuse { request, refusal } => self.refuse_lease(request.0, refusal),
             SlotAction::CloseConnection(slot) => {
-                if let Some(number) = self.number_of(holder, database, slot) {
+                if let Some(number) = self.connection_number(holder, database, slot) {
                     self.close_connection(number);
                 }
                 self.slot_event(holder, database, SlotEvent::ConnectionClosed(slot));
@@ -274,7 +281,7 @@
         }
     }
 
-    fn number_of(
+    fn connection_number(
         &self,
         holder: ProxyIndex,
         database: usize,
@@ -284,7 +291,7 @@
         pool.numbers.get(&slot).copied()
     }
 
-    fn plan_slot_timer(&mut self, holder: ProxyIndex, database: usize) {
+    fn schedule_slot_timer(&mut self, holder: ProxyIndex, database: usize) {
         let now = self.now();
         let Some(pool) = self.proxies[holder].pools.get_mut(&database) else {
             return;
@@ -292,7 +299,7 @@
         let Some(at) = pool.table.next_timer().map(|at| at.max(now)) else {
             return;
         };
-        if pool.timer_at.is_none_or(|planned| at < planned) {
+        if pool.timer_at.is_none_or(|scheduled| at < scheduled) {
             pool.timer_at = Some(at);
             let event = ProxyEvent::SlotTimer { database };
             self.schedule.at(
@@ -312,7 +319,7 @@
         }
     }
 
-    /// Tells the slot tables of a proxy what a new bundle says.
+    /// Applies the policies and drain marks of a new bundle to a proxy's slot tables.
     pub(crate) fn reconfigure_pools(&mut self, holder: ProxyIndex) {
         let databases: Vec<usize> = self.proxies[holder].pools.keys().copied().collect();
         for database in databases {
@@ -330,7 +337,7 @@
         }
     }
 
-    /// Requests that wait for the databases of a group look for one again.
+    /// Reroutes the requests that wait for connections to the databases of a group.
     pub(crate) fn reroute(&mut self, holder: ProxyIndex, group: usize) {
         for database in self.groups[group].members.clone() {
             if self.proxies[holder].pools.contains_key(&database) {
@@ -342,11 +349,11 @@
     fn refuse_lease(&mut self, number: LeaseNumber, refusal: Refusal) {
         if let Some(lease) = self.leases.get_mut(&number) {
             lease.closed = true;
-            self.reply(number, LeaseReply::Refused(refusal));
+            self.send_reply(number, LeaseReply::Refused(refusal));
         }
     }
 
-    fn open(&mut self, holder: ProxyIndex, database: usize, slot: SlotNumber) {
+    fn start_connection(&mut self, holder: ProxyIndex, database: usize, slot: SlotNumber) {
         self.connection_count += 1;
         let number = self.connection_count;
         let connection = Connection::new(holder, database, slot, self.now());
@@ -359,21 +366,21 @@
 
     fn grant(&mut self, holder: ProxyIndex, database: usize, lease: LeaseNumber, slot: SlotNumber) {
         let now = self.now();
-        let number = self.number_of(holder, database, slot);
+        let number = self.connection_number(holder, database, slot);
         let connection = number.and_then(|number| self.connections.get_mut(&number));
         let (Some(number), Some(connection)) = (number, connection) else {
             return self.grant_failed(holder, database, lease, slot);
         };
-        if now.since(connection.heard_at) >= TRUST {
+        if now.since(connection.last_answer_at) >= MAX_SILENCE {
             self.close_connection(number);
             return self.grant_failed(holder, database, lease, slot);
         }
         connection.state = ConnectionState::Leased(lease);
         match self.leases.get_mut(&lease).filter(|state| !state.closed) {
             Some(state) => state.connection = Some(number),
-            None => return self.give_back(number, true),
+            None => return self.return_connection(number, true),
         }
-        self.reply(lease, LeaseReply::Granted);
+        self.send_reply(lease, LeaseReply::Granted);
         if self.settings.mutated(Mutation::DoubleGrant) {
             let event = SlotEvent::ConnectionReturned {
                 connection: slot,
@@ -383,7 +390,8 @@
         }
     }
 
-    /// The connection cannot be trusted; the request goes to the front of the queue.
+    /// Reports to the slot table that a granted connection is unusable; the request goes to the
+    /// front of the queue.
     fn grant_failed(
         &mut self,
         holder: ProxyIndex,
@@ -415,12 +423,12 @@
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        connection.state = ConnectionState::Gone;
-        self.forget(number);
+        connection.state = ConnectionState::Closed;
+        self.remove_from_pool(number);
         self.send_work(number, BackendWork::Close);
     }
 
-    fn forget(&mut self, number: ConnectionNumber) {
+    fn remove_from_pool(&mut self, number: ConnectionNumber) {
         let Some(connection) = self.connections.get(&number) else {
             return;
         };
@@ -430,7 +438,7 @@
         }
     }
 
-    /// Asks something harmless on connections that have been idle for a while, so that
+    /// Sends a status query on connections that have been idle for [`REFRESH_AFTER`], so that
     /// the database does not close them.
     pub(crate) fn refresh_idle(&mut self, holder: ProxyIndex) {
         let now = self.now();
@@ -443,7 +451,7 @@
             connections.get(number).is_some_and(|connection| {
                 connection.state == ConnectionState::Idle
                     && connection.refreshes == 0
-                    && now.since(connection.heard_at) >= REFRESH_AFTER
+                    && now.since(connection.last_answer_at) >= REFRESH_AFTER
             })
         });
         let stale: Vec<ConnectionNumber> = stale.copied().collect();
@@ -460,23 +468,23 @@
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
-        connection.answers.awake = false;
+        connection.answers.read_scheduled = false;
         let holder = &self.proxies[connection.holder];
-        if !holder.up || connection.state == ConnectionState::Gone {
+        if !holder.up || connection.state == ConnectionState::Closed {
             connection.answers.clear();
             if !connection.open {
                 self.connections.remove(&number);
             }
             return;
         }
-        let joined = self
+        let connected = self
             .network
-            .zones_joined(holder.zone, self.databases[connection.database].zone);
-        if !joined {
-            if connection.answers.blocked(now) {
-                return self.break_for_holder(number);
+            .zones_connected(holder.zone, self.databases[connection.database].zone);
+        if !connected {
+            if connection.answers.blocked_too_long(now) {
+                return self.handle_connection_loss(number);
             }
-            return self.wake_answers(number, now + CUT_POLL);
+            return self.wake_answers(number, now + PARTITION_POLL_INTERVAL);
         }
         if holder.is_paused(now) {
             let at = holder.paused_until;
@@ -487,7 +495,7 @@
             .get_mut(&number)
             .and_then(|c| c.answers.pop(now))
         {
-            self.take_answer(number, answer);
+            self.handle_answer(number, answer);
         }
         let next = self
             .connections
@@ -500,20 +508,20 @@
 
     fn wake_answers(&mut self, number: ConnectionNumber, at: Timestamp) {
         if let Some(connection) = self.connections.get_mut(&number)
-            && !std::mem::replace(&mut connection.answers.awake, true)
+            && !std::mem::replace(&mut connection.answers.read_scheduled, true)
         {
             self.schedule.at(at, Event::ConnectionAnswers(number));
         }
     }
 
-    fn take_answer(&mut self, number: ConnectionNumber, answer: BackendAnswer) {
+    fn handle_answer(&mut self, number: ConnectionNumber, answer: BackendAnswer) {
         let now = self.now();
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
         let (holder, database) = (connection.holder, connection.database);
         let slot = connection.slot;
-        connection.heard_at = now;
+        connection.last_answer_at = now;
         match answer {
             BackendAnswer::Opened if connection.state == ConnectionState::Opening => {
                 connection.state = ConnectionState::Idle;
@@ -523,12 +531,12 @@
             }
             BackendAnswer::Opened => {}
             BackendAnswer::NoSlot => {
-                connection.state = ConnectionState::Gone;
-                self.forget(number);
+                connection.state = ConnectionState::Closed;
+                self.remove_from_pool(number);
                 self.connections.remove(&number);
                 self.open_failed(holder, database, slot, OpenFailure::SlotsTaken);
             }
-            BackendAnswer::Closed => self.break_for_holder(number),
+            BackendAnswer::Closed => self.handle_connection_loss(number),
             BackendAnswer::Status(_) if connection.refreshes > 0 => {
                 connection.refreshes -= 1;
                 connection.outstanding = connection.outstanding.saturating_sub(1);
@@ -537,8 +545,10 @@
                 connection.outstanding = connection.outstanding.saturating_sub(1);
                 let drained = connection.outstanding == 0;
                 match connection.state {
-                    ConnectionState::Leased(lease) => self.reply(lease, LeaseReply::Answer(answer)),
-                    ConnectionState::Draining if drained => self.give_back(number, true),
+                    ConnectionState::Leased(lease) => {
+                        self.send_reply(lease, LeaseReply::Answer(answer))
+                    }
+                    ConnectionState::Draining if drained => self.return_connection(number, true),
                     _ => {}
                 }
             }
@@ -559,21 +569,21 @@
         self.slot_event(holder, database, event);
     }
 
-    /// The connection is gone as far as its holder can tell.
-    pub(crate) fn break_for_holder(&mut self, number: ConnectionNumber) {
+    /// Handles the loss of a connection on its holder's side.
+    pub(crate) fn handle_connection_loss(&mut self, number: ConnectionNumber) {
         let Some(connection) = self.connections.get_mut(&number) else {
             return;
         };
         let (holder, database) = (connection.holder, connection.database);
         let slot = connection.slot;
-        let state = std::mem::replace(&mut connection.state, ConnectionState::Gone);
-        self.forget(number);
+        let state = std::mem::replace(&mut connection.state, ConnectionState::Closed);
+        self.remove_from_pool(number);
         if let ConnectionState::Leased(lease) = state {
             if let Some(state) = self.leases.get_mut(&lease) {
                 state.connection = None;
                 state.closed = true;
             }
-            self.reply(lease, LeaseReply::Lost);
+            self.send_reply(lease, LeaseReply::Lost);
         }
         match self
             .connections
@@ -581,13 +591,13 @@
             .map(|connection| connection.open)
         {
             Some(false) => drop(self.connections.remove(&number)),
-            Some(true) if state != ConnectionState::Gone => {
+            Some(true) if state != ConnectionState::Closed => {
                 self.send_work(number, BackendWork::Close);
             }
             _ => {}
         }
         match state {
-            ConnectionState::Gone => {}
+            ConnectionState::Closed => {}
             ConnectionState::Opening => {
                 self.open_failed(holder, database, slot, OpenFailure::Unreachable);
             }
--- a/lab/sim/src/world/proxy.rs
+++ b/lab/sim/src/world/proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy of the run: the shipped machines, and the state that transport would hold.
+//! A simulated proxy: the production state machines and the state that the transport layer
+//! holds in a real process.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -13,9 +14,9 @@
 
 use super::event::{ConnectionNumber, LeaseNumber, SessionNumber};
 use crate::database::unit::{Answer, UnitCall};
-use crate::platform::NumberStore;
+use crate::platform::VersionStore;
 
-/// A proxy process.
+/// A simulated proxy process.
 pub(crate) struct Proxy {
     pub(crate) node: NodeId,
     pub(crate) address: SocketAddr,
@@ -25,16 +26,16 @@
     pub(crate) paused_until: Timestamp,
     pub(crate) machine: NodeMachine,
     pub(crate) timer_at: Option<Timestamp>,
-    pub(crate) rollout: RolloutMachine<NumberStore>,
+    pub(crate) rollout: RolloutMachine<VersionStore>,
     pub(crate) rollout_timer_at: Option<Timestamp>,
-    /// Whether it polls the platform.
+    /// Whether the proxy polls the platform.
     pub(crate) watching: bool,
     pub(crate) terms: TermTable,
     pub(crate) bundle: Bundle,
     pub(crate) sessions: BTreeSet<SessionNumber>,
-    /// Connections held, by database.
+    /// Slot tables and connections held, by database.
     pub(crate) pools: BTreeMap<usize, Pool>,
-    /// When each database last answered a control question.
+    /// Time at which each database last answered a status query outside of any slot.
     pub(crate) answered_at: BTreeMap<usize, Timestamp>,
 }
 
@@ -43,65 +44,69 @@
         self.paused_until > now
     }
 
-    pub(crate) fn answers(&self, now: Timestamp) -> bool {
+    pub(crate) fn is_responsive(&self, now: Timestamp) -> bool {
         self.up && !self.is_paused(now)
     }
 }
 
-/// A slot table of a proxy, and the connections it numbers.
+/// A proxy's slot table for one database, and the connections behind its slot numbers.
 pub(crate) struct Pool {
     pub(crate) table: SlotTable,
     pub(crate) numbers: BTreeMap<SlotNumber, ConnectionNumber>,
     pub(crate) timer_at: Option<Timestamp>,
 }
 
-/// What a session expects next on its lease.
+/// Kind of the next answer that a session expects on its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Expected {
+    /// Answer to the status query before a unit.
     Check,
+    /// Answer to the unit.
     Unit,
+    /// Answer to a status query after a unit, as evidence of its commit.
     Probe,
 }
 
-/// A verification under way.
+/// A term verification in progress.
 #[derive(Debug)]
-pub(crate) struct RunningVerification {
-    pub(crate) question: u64,
+pub(crate) struct PendingVerification {
+    pub(crate) query: u64,
     pub(crate) round: Verification,
 }
 
-/// A session of a client.
+/// A client's session on a proxy.
 pub(crate) struct Session {
     pub(crate) client: usize,
     pub(crate) proxy: usize,
     pub(crate) group: usize,
     pub(crate) required: Option<Position>,
     pub(crate) machine: Option<RequestMachine>,
-    /// Number of the request, for timers that are late.
+    /// Number of the current request, by which timers of earlier requests are recognised.
     pub(crate) request: u64,
-    /// Whether the client marked the request as not repeatable.
-    pub(crate) once: bool,
+    /// Whether the current request is not repeatable.
+    pub(crate) non_repeatable: bool,
     pub(crate) call: Option<UnitCall>,
     pub(crate) lease: Option<LeaseNumber>,
     pub(crate) failed_homes: Vec<NodeId>,
     pub(crate) deadline: Timestamp,
-    pub(crate) wanted: Option<usize>,
-    /// Question whose answer is to prove its commit.
-    pub(crate) evidence: Option<u64>,
+    pub(crate) target_database: Option<usize>,
+    /// Status query whose answer is awaited as evidence of the commit.
+    pub(crate) evidence_query: Option<u64>,
     pub(crate) expected: VecDeque<Expected>,
-    pub(crate) verification: Option<RunningVerification>,
-    /// Answer that may not be delivered yet.
+    pub(crate) verification: Option<PendingVerification>,
+    /// Answer that may not be delivered to the client yet.
     pub(crate) held_answer: Option<Answer>,
-    /// Whether the unit's answer may flow.
-    pub(crate) delivering: bool,
-    /// Whether the end of the answer waits for an acknowledgement.
+    /// Whether the unit's answer may be delivered.
+    pub(crate) may_deliver: bool,
+    /// Whether the answer is held back until the commit is acknowledged.
     pub(crate) awaiting_evidence: bool,
     /// Whether the lease has been granted.
     pub(crate) granted: bool,
     /// Whether the client waits for an answer.
-    pub(crate) asked: bool,
-    /// A transaction was lost between two of its units: the answer to the next one.
+    pub(crate) awaiting_answer: bool,
+    /// Refusal with which to answer the next unit, after the transaction was lost between two
+    /// units.
     pub(crate) lost_transaction: Option<Refusal>,
-    /// Mutation: the request is to be sent again.
+    /// Mutation: the request is sent again after it finishes.
     pub(crate) resend: bool,
 }
--- a/lab/sim/src/world/session.rs
+++ b/lab/sim/src/world/session.rs
@@ -1,4 +1,4 @@
-//! Sessions: drives the shipped request machine as the transport layer does.
+//! Sessions: drives the production request machine as the transport layer does.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 
 use super::World;
 use super::event::{
-    BackendAnswer, BackendWork, ClientNews, Event, LeaseCommand, LeaseReply, ProxyEvent,
+    BackendAnswer, BackendWork, ClientMessage, Event, LeaseCommand, LeaseReply, ProxyEvent,
     SessionNumber,
 };
 use super::proxy::{Expected, Session};
@@ -24,10 +24,10 @@
 use crate::report::Invariant;
 use crate::settings::Mutation;
 
-/// Longest wait for a connection or a primary.
-const WAIT: Duration = Duration::from_secs(3);
-/// Longest search for the evidence of a commit.
-const ACKNOWLEDGE_WITHIN: Duration = Duration::from_secs(2);
+/// Longest time that a request waits for a connection or a primary.
+const MAX_WAIT: Duration = Duration::from_secs(3);
+/// Longest time to collect evidence of a commit.
+const ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl World {
     pub(crate) fn session_opens(
@@ -48,8 +48,8 @@
         let group = self.clients[client].group;
         if let Some(position) = required {
             let name = self.groups[group].name.clone();
-            let news = self.proxies[proxy].terms.learn_term(&name, position.term);
-            if news {
+            let term_is_new = self.proxies[proxy].terms.learn_term(&name, position.term);
+            if term_is_new {
                 self.view_changed(proxy);
             }
         }
@@ -60,20 +60,20 @@
             required,
             machine: None,
             request: 0,
-            once: false,
+            non_repeatable: false,
             call: None,
             lease: None,
             failed_homes: Vec::new(),
             deadline: Timestamp::default(),
-            wanted: None,
-            evidence: None,
+            target_database: None,
+            evidence_query: None,
             expected: VecDeque::new(),
             verification: None,
             held_answer: None,
-            delivering: false,
+            may_deliver: false,
             awaiting_evidence: false,
             granted: false,
-            asked: false,
+            awaiting_answer: false,
             lost_transaction: None,
             resend: false,
         };
@@ -86,29 +86,29 @@
             return;
         };
         session.call = Some(call);
-        session.asked = true;
+        session.awaiting_answer = true;
         if let Some(refusal) = session.lost_transaction.take() {
             return self.refuse(number, refusal);
         }
         if session.machine.is_some() {
-            let unit = unit_of(call.work, true);
-            return self.feed(number, RequestEvent::NextUnit { unit });
+            let unit = unit_properties(call.work, true);
+            return self.request_event(number, RequestEvent::NextUnit { unit });
         }
         let proxy = session.proxy;
         if self.proxies[proxy].stopping {
             self.refuse(number, Refusal::Stopping);
-            return self.say_goodbye(number);
+            return self.close_session(number);
         }
         self.begin_request(number, call);
     }
 
     fn begin_request(&mut self, number: SessionNumber, call: UnitCall) {
-        let deadline = self.now() + WAIT;
+        let deadline = self.now() + MAX_WAIT;
         let Some(session) = self.sessions.get_mut(&number) else {
             return;
         };
         session.request += 1;
-        session.once = matches!(call.work, Work::AppendOnce(..));
+        session.non_repeatable = matches!(call.work, Work::AppendOnce(..));
         session.failed_homes.clear();
         let unverified = self.settings.mutated(Mutation::SkipVerification);
         let required = session.required.or(unverified.then(Position::default));
@@ -119,7 +119,7 @@
             zone: ZoneName::new(
                 self.settings.deployment.zones()[self.proxies[session.proxy].zone].0,
             ),
-            unit: unit_of(call.work, false),
+            unit: unit_properties(call.work, false),
             required,
             deadline,
         };
@@ -128,13 +128,13 @@
             evidence: !self.settings.mutated(Mutation::SkipEvidence),
             ..SafetyChecks::default()
         };
-        let machine = RequestMachine::with_checks(profile, ACKNOWLEDGE_WITHIN, checks);
+        let machine = RequestMachine::with_checks(profile, ACKNOWLEDGE_TIMEOUT, checks);
         session.machine = Some(machine);
-        self.feed(number, RequestEvent::Begin);
+        self.request_event(number, RequestEvent::Begin);
     }
 
-    /// Feeds the machine and carries out its actions.
-    pub(crate) fn feed(&mut self, number: SessionNumber, event: RequestEvent) {
+    /// Passes an event to the session's request machine and performs its actions.
+    pub(crate) fn request_event(&mut self, number: SessionNumber, event: RequestEvent) {
         let now = self.now();
         let Some(session) = self.sessions.get_mut(&number) else {
             return;
@@ -149,12 +149,12 @@
         let mut actions = Vec::new();
         machine.handle(now, view, event, &mut actions);
         for action in actions {
-            self.carry_out(number, action);
+            self.request_action(number, action);
         }
         self.deliver(number);
     }
 
-    fn carry_out(&mut self, number: SessionNumber, action: RequestAction) {
+    fn request_action(&mut self, number: SessionNumber, action: RequestAction) {
         self.trace.value(&(number, &action));
         let now = self.now();
         let Some(session) = self.sessions.get_mut(&number) else {
@@ -169,10 +169,10 @@
             RequestAction::Send { check, probe } => {
                 self.send_unit_to_database(number, check, probe)
             }
-            RequestAction::Deliver => session.delivering = true,
+            RequestAction::Deliver => session.may_deliver = true,
             RequestAction::Discard => {
                 session.held_answer = None;
-                session.delivering = false;
+                session.may_deliver = false;
             }
             RequestAction::Probe { after } => {
                 let event = ProxyEvent::ProbeDue {
@@ -188,10 +188,10 @@
                 terms.doubt(&group, &database, position);
             }
             RequestAction::AskStatus { database, after } => {
-                self.ask_evidence(number, &database, after);
+                self.query_evidence(number, &database, after);
             }
             RequestAction::Acknowledge { position } => self.acknowledge(number, position),
-            RequestAction::Require { position } => require(session, position),
+            RequestAction::Require { position } => raise_required(session, position),
             RequestAction::Release { reusable } => self.release(number, reusable),
             RequestAction::Wait { until } => {
                 let event = ProxyEvent::RequestTimer {
@@ -207,14 +207,14 @@
         }
     }
 
-    /// Tells the client that its request did not run; while it has asked nothing, the
-    /// protocol has no place for an error, so the next unit gets it.
+    /// Reports to the client that its request did not run. While the client awaits no answer,
+    /// the protocol allows no error, so the refusal becomes the answer to the next unit.
     fn refuse(&mut self, number: SessionNumber, refusal: Refusal) {
         let Some(session) = self.sessions.get_mut(&number) else {
             return;
         };
-        if std::mem::replace(&mut session.asked, false) {
-            self.tell_client(number, ClientNews::NotRun(refusal));
+        if std::mem::replace(&mut session.awaiting_answer, false) {
+            self.send_to_client(number, ClientMessage::NotRun(refusal));
         } else {
             session.lost_transaction = Some(refusal);
         }
@@ -239,9 +239,9 @@
         if resend {
             session.resend = true;
         } else if self.settings.mutated(Mutation::FalseNotRun) {
-            self.tell_client(number, ClientNews::NotRun(Refusal::WaitDeadline));
+            self.send_to_client(number, ClientMessage::NotRun(Refusal::WaitDeadline));
         } else {
-            self.tell_client(number, ClientNews::Unknown);
+            self.send_to_client(number, ClientMessage::Unknown);
         }
     }
 
@@ -252,7 +252,7 @@
         };
         session.machine = None;
         session.held_answer = None;
-        session.delivering = false;
+        session.may_deliver = false;
         session.awaiting_evidence = false;
         let proxy = session.proxy;
         let resend = std::mem::take(&mut session.resend);
@@ -260,31 +260,31 @@
             return self.begin_request(number, call);
         }
         if self.proxies[proxy].stopping {
-            self.say_goodbye(number);
+            self.close_session(number);
         }
     }
 
-    /// Ends a session cleanly.
-    pub(crate) fn say_goodbye(&mut self, number: SessionNumber) {
-        self.tell_client(number, ClientNews::Goodbye);
+    /// Ends a session cleanly and notifies its client.
+    pub(crate) fn close_session(&mut self, number: SessionNumber) {
+        self.send_to_client(number, ClientMessage::SessionClosed);
         self.drop_session(number);
     }
 
-    /// Forgets a session, giving back what it holds.
+    /// Removes a session and releases its lease.
     pub(crate) fn drop_session(&mut self, number: SessionNumber) {
-        self.feed_gone(number);
+        self.abort_request(number);
         if let Some(session) = self.sessions.remove(&number) {
             self.proxies[session.proxy].sessions.remove(&number);
         }
     }
 
-    fn feed_gone(&mut self, number: SessionNumber) {
+    fn abort_request(&mut self, number: SessionNumber) {
         let active = self
             .sessions
             .get(&number)
             .is_some_and(|session| session.machine.is_some());
         if active {
-            self.feed(number, RequestEvent::CallerGone);
+            self.request_event(number, RequestEvent::CallerGone);
         }
         self.release(number, false);
     }
@@ -296,7 +296,7 @@
         let (Some(lease), Some(call)) = (session.lease, session.call) else {
             return;
         };
-        session.delivering = false;
+        session.may_deliver = false;
         session.held_answer = None;
         session.awaiting_evidence = probe;
         let mut work = Vec::new();
@@ -336,67 +336,73 @@
     pub(crate) fn request_timer(&mut self, number: SessionNumber, request: u64) {
         let current = self.sessions.get(&number).map(|session| session.request);
         if current == Some(request) {
-            self.feed(number, RequestEvent::TimerFired);
+            self.request_event(number, RequestEvent::TimerFired);
         }
     }
 
-    /// A reply has come over the session's lease.
-    pub(crate) fn take_reply(&mut self, number: SessionNumber, holder: usize, reply: LeaseReply) {
+    /// Handles a reply received over the session's lease.
+    pub(crate) fn handle_lease_reply(
+        &mut self,
+        number: SessionNumber,
+        holder: usize,
+        reply: LeaseReply,
+    ) {
         let Some(session) = self.sessions.get_mut(&number) else {
             return;
         };
-        let wanted = session
-            .wanted
+        let target_database = session
+            .target_database
             .map(|database| self.database_names[database].clone());
-        let database = wanted.unwrap_or_default();
+        let database = target_database.unwrap_or_default();
         match reply {
             LeaseReply::Granted => {
                 session.granted = true;
-                self.feed(number, RequestEvent::LeaseGranted { database });
+                self.request_event(number, RequestEvent::LeaseGranted { database });
             }
             LeaseReply::Refused(refusal) => {
                 session.lease = None;
-                self.feed(number, RequestEvent::LeaseRefused { database, refusal });
+                self.request_event(number, RequestEvent::LeaseRefused { database, refusal });
             }
-            // The grant itself may have been lost on the way.
+            // The grant itself may have been lost in transit.
             LeaseReply::Moved | LeaseReply::Lost if !session.granted => {
                 self.try_next_home(number, holder);
             }
             LeaseReply::Moved | LeaseReply::Lost => {
                 session.lease = None;
                 session.expected.clear();
-                self.feed(number, RequestEvent::ConnectionLost);
+                self.request_event(number, RequestEvent::ConnectionLost);
             }
-            LeaseReply::Answer(answer) => self.take_backend_answer(number, answer),
+            LeaseReply::Answer(answer) => self.handle_backend_answer(number, answer),
         }
     }
 
-    fn take_backend_answer(&mut self, number: SessionNumber, answer: BackendAnswer) {
+    fn handle_backend_answer(&mut self, number: SessionNumber, answer: BackendAnswer) {
         let Some(session) = self.sessions.get_mut(&number) else {
             return;
         };
         let expected = session.expected.pop_front();
         let (proxy, group) = (session.proxy, session.group);
-        let database = session.wanted.unwrap_or_default();
+        let database = session.target_database.unwrap_or_default();
         match (expected, answer) {
             (Some(Expected::Check), BackendAnswer::Status(status)) => {
                 self.observe(proxy, group, database, &status);
-                self.feed(number, RequestEvent::CheckAnswered { status });
+                self.request_event(number, RequestEvent::CheckAnswered { status });
             }
             (Some(Expected::Probe), BackendAnswer::Status(status)) => {
                 self.observe(proxy, group, database, &status);
-                self.feed(number, RequestEvent::ProbeAnswered { status });
+                self.request_event(number, RequestEvent::ProbeAnswered { status });
             }
             (Some(Expected::Unit), BackendAnswer::Unit(answer)) => {
                 self.unit_answered(number, answer)
             }
             (expected, answer) => {
-                // A real connection would have shifted messages here; the caller would
-                // see an answer that is not its own.
+                // On a real connection the answers would now be out of step with the requests,
+                // and the caller would receive another request's answer.
                 let now = self.now();
                 let detail = format!("session {number} expected {expected:?}, got {answer:?}");
-                self.checker.violate(now, Invariant::OwnAnswer, detail);
-                self.feed(number, RequestEvent::ConnectionLost);
+                self.checker
+                    .add_violation(now, Invariant::OwnAnswer, detail);
+                self.request_event(number, RequestEvent::ConnectionLost);
             }
         }
     }
@@ -418,7 +424,7 @@
             result,
             in_transaction,
         };
-        self.feed(number, event);
+        self.request_event(number, event);
     }
 
     fn acknowledge(&mut self, number: SessionNumber, position: Option<Position>) {
@@ -430,44 +436,44 @@
         let Some(position) = position else {
             return;
         };
-        require(session, position);
+        raise_required(session, position);
         let (group, answer) = (session.group, session.held_answer.clone());
         let wrote = |answer: &Answer| {
             answer.body == AnswerBody::Done
                 && matches!(answer.call.work, Work::Append(_) | Work::AppendOnce(..))
         };
         if let Some(answer) = answer.filter(wrote)
-            && self.replaced_without(group, position.term.0, &answer)
+            && self.later_primary_lacks(group, position.term.0, &answer)
         {
             let detail = format!("{:?} acknowledged on {position:?}", answer.call);
             self.checker
-                .violate(now, Invariant::NoAcknowledgementByReplaced, detail);
+                .add_violation(now, Invariant::NoAcknowledgementByReplaced, detail);
         }
     }
 
-    /// Delivers an answer that may be delivered.
+    /// Delivers the held answer to the client, if it may be delivered.
     fn deliver(&mut self, number: SessionNumber) {
         let Some(session) = self.sessions.get_mut(&number) else {
             return;
         };
-        if !session.delivering || session.awaiting_evidence {
+        if !session.may_deliver || session.awaiting_evidence {
             return;
         }
         let Some(answer) = session.held_answer.take() else {
             return;
         };
-        session.asked = false;
+        session.awaiting_answer = false;
         let token = session.required;
-        let repeated = session.once && answer.body == AnswerBody::Error(UNIQUE_VIOLATION);
-        let news = if repeated {
-            ClientNews::NotRun(Refusal::AlreadyRan)
+        let repeated = session.non_repeatable && answer.body == AnswerBody::Error(UNIQUE_VIOLATION);
+        let message = if repeated {
+            ClientMessage::NotRun(Refusal::AlreadyRan)
         } else {
-            ClientNews::Answer { answer, token }
+            ClientMessage::Answer { answer, token }
         };
-        self.tell_client(number, news);
+        self.send_to_client(number, message);
     }
 
-    /// Takes a status answer into a proxy's view.
+    /// Updates a proxy's view of a group with a status answer.
     pub(crate) fn observe(
         &mut self,
         proxy: usize,
@@ -488,29 +494,31 @@
         }
     }
 
-    /// Wakes the requests that are held on a proxy.
+    /// Notifies all requests on a proxy that its view of a group has changed.
     pub(crate) fn view_changed(&mut self, proxy: usize) {
         let sessions: Vec<SessionNumber> = self.proxies[proxy].sessions.iter().copied().collect();
         for session in sessions {
-            self.feed(session, RequestEvent::ViewChanged);
+            self.request_event(session, RequestEvent::ViewChanged);
         }
     }
 
-    /// Name of a group.
+    /// Returns the name of a group.
     pub(crate) fn group_name(&self, group: usize) -> GroupName {
         self.groups[group].name.clone()
     }
 }
 
-fn require(session: &mut Session, position: Position) {
+/// Raises the session's required position to include `position`.
+fn raise_required(session: &mut Session, position: Position) {
     session.required = Some(match session.required {
         Some(required) => required.join(position),
         None => position,
     });
 }
 
-/// What the classifier would have proved.
-fn unit_of(work: Work, in_block: bool) -> Unit {
+/// Returns the unit's properties that the statement classifier would determine in a real
+/// proxy.
+fn unit_properties(work: Work, in_block: bool) -> Unit {
     let (access, may_commit) = match work {
         Work::Read(_) | Work::BeginReadOnly => (Access::Read, false),
         Work::Begin => (Access::Write, false),
--- a/lab/sim/src/world/session_lease.rs
+++ b/lab/sim/src/world/session_lease.rs
@@ -1,4 +1,4 @@
-//! How a session comes by a lease of a connection and gives it back.
+//! How a session acquires a lease on a connection and releases it.
 
 use hookpoint_coordination::node::Route;
 use hookpoint_coordination::request::RequestEvent;
@@ -31,14 +31,14 @@
         let Some(database) = self.database_names.iter().position(|other| other == name) else {
             return;
         };
-        // A lease that was asked for earlier and never granted is given up.
+        // Gives up a lease that was requested earlier and never granted.
         self.release(number, false);
         let now = self.now();
         let Some(session) = self.sessions.get_mut(&number) else {
             return;
         };
         session.deadline = deadline;
-        session.wanted = Some(database);
+        session.target_database = Some(database);
         session.failed_homes.clear();
         let (proxy, group) = (session.proxy, self.groups[session.group].name.clone());
         let mut actions = Vec::new();
@@ -54,7 +54,7 @@
             return;
         };
         let (proxy, deadline) = (session.proxy, session.deadline);
-        let Some(database) = session.wanted else {
+        let Some(database) = session.target_database else {
             return;
         };
         let holder = match route {
@@ -69,7 +69,7 @@
         self.send_command(lease, LeaseCommand::Acquire { deadline });
     }
 
-    /// The holder that was asked cannot take the request: the next choice is asked.
+    /// Requests a lease from the next candidate after `holder` could not serve the request.
     pub(super) fn try_next_home(&mut self, number: SessionNumber, holder: usize) {
         let node = self.proxies[holder].node;
         let Some(session) = self.sessions.get_mut(&number) else {
@@ -77,7 +77,7 @@
         };
         session.lease = None;
         session.failed_homes.push(node);
-        let Some(database) = session.wanted else {
+        let Some(database) = session.target_database else {
             return;
         };
         let proxy = session.proxy;
@@ -92,7 +92,7 @@
                 database: name,
                 refusal,
             };
-            return self.feed(number, event);
+            return self.request_event(number, event);
         }
         let route = self.proxies[proxy].machine.route_after(&name, &tried);
         self.start_lease(number, route);
--- a/lab/sim/src/world/upheaval.rs
+++ b/lab/sim/src/world/upheaval.rs
@@ -1,4 +1,4 @@
-//! Faults striking and ending; proxies that die, stop and are replaced.
+//! Start and end of faults, and the death, planned stop and replacement of proxies.
 
 use std::time::Duration;
 
@@ -8,28 +8,28 @@
 use super::World;
 use super::connection::ConnectionState;
 use super::event::{
-    BackendWork, ClientNews, ConnectionNumber, Event, LeaseCommand, LeaseNumber, LeaseReply,
+    BackendWork, ClientMessage, ConnectionNumber, Event, LeaseCommand, LeaseNumber, LeaseReply,
     ProxyIndex, SessionNumber,
 };
-use crate::database::{ORDINARY_LAG, Standing};
+use crate::database::{DEFAULT_REPLAY_LAG, ElectionState};
 use crate::faults::{Fault, FaultKind};
 use crate::report::Invariant;
 use crate::settings::Mutation;
 
 impl World {
-    pub(crate) fn fault_strikes(&mut self, index: usize) {
+    pub(crate) fn fault_starts(&mut self, index: usize) {
         let now = self.now();
         let fault = self.faults[index];
         let lasts = Duration::from_millis(fault.lasts_ms);
-        if fault.kind.delays_bundles() {
+        if fault.kind.may_delay_bundles() {
             self.disturbed_until = self.disturbed_until.max(now + lasts);
         }
-        let target = self.strike(fault, now + lasts);
+        let target = self.inject_fault(fault, now + lasts);
         self.fault_targets[index] = target;
         self.schedule.at(now + lasts, Event::FaultEnds(index));
     }
 
-    fn strike(&mut self, fault: Fault, until: hookpoint_state::Timestamp) -> Option<usize> {
+    fn inject_fault(&mut self, fault: Fault, until: hookpoint_state::Timestamp) -> Option<usize> {
         let now = self.now();
         match fault.kind {
             FaultKind::KillPrimary { group } => {
@@ -49,7 +49,7 @@
             }
             FaultKind::Switchover { group } => {
                 let id = self.primary_of(group)?;
-                self.databases[id].resign(now);
+                self.databases[id].step_down(now);
                 self.close_all(id);
                 Some(id)
             }
@@ -62,7 +62,7 @@
                 Some(database)
             }
             FaultKind::CutZone { zone } => {
-                self.network.cut_zone(zone);
+                self.network.partition_zone(zone);
                 Some(zone)
             }
             FaultKind::KillProxy { place } => {
@@ -81,11 +81,11 @@
             }
             FaultKind::Drain { database } => self.drain(database),
             FaultKind::PlatformOutage => {
-                self.platform.fail_until(until);
+                self.platform.set_outage_until(until);
                 None
             }
             FaultKind::PlatformOldAnswers => {
-                self.platform.answer_old_until(until);
+                self.platform.serve_stale_until(until);
                 None
             }
             FaultKind::DropClients { one_of } => {
@@ -104,19 +104,19 @@
                 let now = self.now();
                 let database = &mut self.databases[target];
                 database.up = true;
-                database.heard_at = now;
+                database.election_timer_start = now;
             }
             FaultKind::IsolatePrimary { .. } => self.network.rejoin(target),
-            FaultKind::Lag { .. } => self.databases[target].lag = ORDINARY_LAG,
-            FaultKind::CutZone { .. } => self.network.join_zone(target),
+            FaultKind::Lag { .. } => self.databases[target].lag = DEFAULT_REPLAY_LAG,
+            FaultKind::CutZone { .. } => self.network.heal_zone(target),
             FaultKind::KillProxy { place } | FaultKind::StopProxy { place } => {
                 self.replace_proxy(place);
             }
             FaultKind::Drain { .. } => {
                 let now = self.now();
                 self.draining.remove(&target);
-                self.checker.drain(now, target, false);
-                self.roll_bundle();
+                self.checker.set_draining(now, target, false);
+                self.roll_out_bundle();
             }
             _ => {}
         }
@@ -126,17 +126,18 @@
         let now = self.now();
         let members = self.groups[group].members.iter().copied();
         members
-            .filter(|id| self.databases[*id].is_primary() && self.databases[*id].answers(now))
+            .filter(|id| self.databases[*id].is_primary() && self.databases[*id].is_responsive(now))
             .max_by_key(|id| self.databases[*id].timeline)
     }
 
     fn kill_database(&mut self, id: usize) {
         self.databases[id].up = false;
-        self.databases[id].standing = Standing::Replica;
+        self.databases[id].election_state = ElectionState::Replica;
         self.close_all(id);
     }
 
-    /// Drains a database; a primary hands its lead over.
+    /// Drains a database, unless another member of its group is draining. A primary also steps
+    /// down. Returns the database if it drains now.
     fn drain(&mut self, database: usize) -> Option<usize> {
         let now = self.now();
         let group = self.databases[database].group;
@@ -145,10 +146,10 @@
             return None;
         }
         self.draining.insert(database);
-        self.checker.drain(now, database, true);
-        self.roll_bundle();
+        self.checker.set_draining(now, database, true);
+        self.roll_out_bundle();
         if self.databases[database].is_primary() {
-            self.databases[database].resign(now);
+            self.databases[database].step_down(now);
             self.close_all(database);
         }
         Some(database)
@@ -159,13 +160,13 @@
             if self.random.random_range(0..one_of) == 0 {
                 self.leave_session(client);
                 if self.clients[client].request.is_some() {
-                    self.request_over(client, false);
+                    self.end_request(client, false);
                 }
             }
         }
     }
 
-    /// A proxy's process ends without warning.
+    /// Ends a proxy's process abruptly.
     pub(crate) fn kill_proxy(&mut self, proxy: ProxyIndex) {
         if !self.proxies[proxy].up {
             return;
@@ -173,7 +174,7 @@
         self.proxies[proxy].up = false;
         let sessions: Vec<SessionNumber> = self.proxies[proxy].sessions.iter().copied().collect();
         for session in sessions {
-            self.tell_client(session, ClientNews::Broken);
+            self.send_to_client(session, ClientMessage::ConnectionBroken);
             self.sessions.remove(&session);
         }
         self.proxies[proxy].sessions.clear();
@@ -181,7 +182,7 @@
         self.end_connections(proxy);
     }
 
-    /// What the other ends of a dead proxy's leases see.
+    /// Ends the leases of a dead proxy for the proxies at their other ends.
     fn end_leases(&mut self, proxy: ProxyIndex) {
         let touched = |(number, lease): (&LeaseNumber, &super::connection::Lease)| {
             (lease.proxy == proxy || lease.holder == proxy).then_some(*number)
@@ -202,7 +203,7 @@
                 } else {
                     LeaseReply::Moved
                 };
-                self.reply(number, reply);
+                self.send_reply(number, reply);
             }
         }
     }
@@ -214,14 +215,14 @@
         let connections: Vec<ConnectionNumber> = self.connections.iter().filter_map(held).collect();
         for number in connections {
             if let Some(connection) = self.connections.get_mut(&number) {
-                connection.state = ConnectionState::Gone;
+                connection.state = ConnectionState::Closed;
             }
             self.send_work(number, BackendWork::Close);
         }
         self.proxies[proxy].pools.clear();
     }
 
-    /// A planned stop.
+    /// Starts the planned stop of a proxy.
     fn stop_proxy(&mut self, proxy: ProxyIndex) {
         if !self.proxies[proxy].up || self.proxies[proxy].stopping {
             return;
@@ -235,7 +236,7 @@
                 .get(&session)
                 .is_some_and(|s| s.machine.is_none());
             if idle {
-                self.say_goodbye(session);
+                self.close_session(session);
             }
         }
         if self.settings.mutated(Mutation::CutOnStop) {
@@ -243,8 +244,8 @@
         }
     }
 
-    /// Exits a stopping proxy once nothing is in flight on it.
-    pub(crate) fn exit_if_done(&mut self, proxy: ProxyIndex) {
+    /// Ends a stopping proxy's process once no request and no lease is in flight on it.
+    pub(crate) fn exit_if_idle(&mut self, proxy: ProxyIndex) {
         let busy = self.proxies[proxy].sessions.iter().any(|number| {
             self.sessions
                 .get(number)
@@ -261,14 +262,17 @@
 
     fn exit(&mut self, proxy: ProxyIndex) {
         let now = self.now();
-        let cut = self
+        let interrupted = self
             .sessions
             .values()
             .find(|session| session.proxy == proxy && session.machine.is_some());
-        if let Some(session) = cut {
-            let detail = format!("client {} was cut off by a planned stop", session.client);
+        if let Some(session) = interrupted {
+            let detail = format!(
+                "a planned stop interrupted the request of client {}",
+                session.client
+            );
             self.checker
-                .violate(now, Invariant::StopCutsNothing, detail);
+                .add_violation(now, Invariant::StopCutsNothing, detail);
         }
         let leased = self.leases.values().any(|lease| {
             lease.holder == proxy && !lease.closed && !lease.released && lease.connection.is_some()
@@ -276,19 +280,20 @@
         if leased {
             let detail = format!("proxy {proxy} stopped while it held a lease");
             self.checker
-                .violate(now, Invariant::StopCutsNothing, detail);
+                .add_violation(now, Invariant::StopCutsNothing, detail);
         }
         self.kill_proxy(proxy);
     }
 
-    /// Starts a new proxy in the place of one that died or was stopped.
+    /// Starts a new proxy in the place of one that died or is stopping.
     fn replace_proxy(&mut self, place: usize) {
         let old = self.places[place];
         if self.proxies[old].up && !self.proxies[old].stopping {
             return;
         }
         if self.proxies[old].up {
-            // It still finishes what is in flight; the newcomer takes its place.
+            // The old proxy still finishes its requests in flight; the new one takes over its
+            // place and address.
             self.proxies[old].address.set_port(1);
         }
         self.start_proxy(place);
--- a/lab/sim/src/world/verify.rs
+++ b/lab/sim/src/world/verify.rs
@@ -1,4 +1,4 @@
-//! Asking a majority of a group for its term.
+//! Verification of a group's term by a majority, and the periodic status queries.
 
 use std::time::Duration;
 
@@ -8,52 +8,53 @@
 
 use super::World;
 use super::event::{Event, ProxyEvent, SessionNumber};
-use super::proxy::RunningVerification;
+use super::proxy::PendingVerification;
 
-/// Longest wait for a majority.
+/// Longest wait for the answers of a majority.
 const VERIFY_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time between two questions to all databases.
+/// Interval between status queries to all databases.
 const OBSERVE_PERIOD: Duration = Duration::from_millis(100);
-/// Silence after which a database counts as unreachable.
+/// Time without an answer after which a database counts as unreachable.
 const UNREACHABLE_AFTER: Duration = Duration::from_millis(450);
 
 impl World {
-    /// Asks all databases of the session's group, from now on.
+    /// Starts a term verification: queries all databases of the session's group.
     pub(crate) fn verify(&mut self, number: SessionNumber) {
-        self.question_count += 1;
-        let question = self.question_count;
+        self.query_count += 1;
+        let query = self.query_count;
         let at = self.now() + VERIFY_TIMEOUT;
         let Some(session) = self.sessions.get_mut(&number) else {
             return;
         };
         let (proxy, group) = (session.proxy, session.group);
-        session.verification = Some(RunningVerification {
-            question,
+        session.verification = Some(PendingVerification {
+            query,
             round: Verification::new(self.groups[group].members.len()),
         });
         let event = ProxyEvent::VerifyTimeout {
             session: number,
-            question,
+            query,
         };
         self.schedule.at(at, Event::Proxy { proxy, event });
-        self.questions.insert(question, number);
+        self.queries.insert(query, number);
         for database in self.groups[group].members.clone() {
-            self.ask(proxy, database, question);
+            self.send_status_query(proxy, database, query);
         }
     }
 
-    pub(crate) fn ask(&mut self, proxy: usize, database: usize, question: u64) {
+    pub(crate) fn send_status_query(&mut self, proxy: usize, database: usize, query: u64) {
         let zones = (self.proxies[proxy].zone, self.databases[database].zone);
         let at = self.now() + self.network.latency(zones.0, zones.1);
-        let event = Event::ControlQuestion {
+        let event = Event::ControlQuery {
             proxy,
             database,
-            question,
+            query,
         };
         self.schedule.at(at, event);
     }
 
-    /// Asks all databases for their status, and marks those that are silent.
+    /// Queries the status of all databases and marks those that have not answered for
+    /// [`UNREACHABLE_AFTER`] as unreachable.
     pub(crate) fn observe_all(&mut self, proxy: usize) {
         let now = self.now();
         let event = ProxyEvent::Observe;
@@ -61,7 +62,7 @@
             .at(now + OBSERVE_PERIOD, Event::Proxy { proxy, event });
         self.refresh_idle(proxy);
         for database in 0..self.databases.len() {
-            self.ask(proxy, database, 0);
+            self.send_status_query(proxy, database, 0);
             let group = self.group_name(self.databases[database].group);
             let answered = self.proxies[proxy].answered_at.get(&database).copied();
             if now.since(answered.unwrap_or_default()) > UNREACHABLE_AFTER {
@@ -75,17 +76,17 @@
         &mut self,
         proxy: usize,
         database: usize,
-        question: u64,
+        query: u64,
         status: BackendStatus,
     ) {
         let now = self.now();
         self.proxies[proxy].answered_at.insert(database, now);
         let group = self.databases[database].group;
         self.observe(proxy, group, database, &status);
-        let Some(number) = self.questions.get(&question).copied() else {
+        let Some(number) = self.queries.get(&query).copied() else {
             return;
         };
-        if self.evidence_answer(number, question, &status) {
+        if self.evidence_answer(number, query, &status) {
             return;
         }
         let Some(session) = self.sessions.get_mut(&number) else {
@@ -94,7 +95,7 @@
         let Some(verification) = session.verification.as_mut() else {
             return;
         };
-        if verification.question != question {
+        if verification.query != query {
             return;
         }
         let name = self.database_names[database].clone();
@@ -105,22 +106,22 @@
             VerificationState::Failed => RequestEvent::VerifyFailed,
         };
         session.verification = None;
-        self.questions.remove(&question);
-        self.feed(number, event);
+        self.queries.remove(&query);
+        self.request_event(number, event);
     }
 
-    pub(crate) fn verify_timeout(&mut self, number: SessionNumber, question: u64) {
-        self.questions.remove(&question);
+    pub(crate) fn verify_timeout(&mut self, number: SessionNumber, query: u64) {
+        self.queries.remove(&query);
         let Some(session) = self.sessions.get_mut(&number) else {
             return;
         };
         let current = session
             .verification
             .as_ref()
-            .map(|verification| verification.question);
-        if current == Some(question) {
+            .map(|verification| verification.query);
+        if current == Some(query) {
             session.verification = None;
-            self.feed(number, RequestEvent::VerifyFailed);
+            self.request_event(number, RequestEvent::VerifyFailed);
         }
     }
 }
--- a/lab/sim/tests/models.rs
+++ b/lab/sim/tests/models.rs
@@ -1,4 +1,5 @@
-//! The small models hold in all their states, and notice what is switched off.
+//! The invariants of the small models hold in all explored states, and removing a safety check
+//! is detected.
 
 use hookpoint_coordination::request::SafetyChecks;
 use hookpoint_sim::models::acknowledge::{AcknowledgeModel, State, Step};
@@ -25,33 +26,34 @@
 }
 
 #[test]
-fn versions_never_fall_and_rolls_are_told_rightly() {
+fn versions_increase_and_operators_get_correct_results() {
     let result = explore(&RolloutModel::default(), 7, 60_000);
     assert_eq!(result.counterexample, None, "{result:#?}");
     assert!(result.states > 5_000, "{result:?}");
 }
 
 #[test]
-fn forgetful_nodes_and_careless_operators_are_noticed() {
-    let forgetful = RolloutModel {
-        forgetful: true,
+fn accepting_older_bundles_and_retrying_without_reading_are_detected() {
+    let accept_older = RolloutModel {
+        accept_older: true,
         ..RolloutModel::default()
     };
-    let careless = RolloutModel {
-        careless: true,
+    let retry_without_reading = RolloutModel {
+        retry_without_reading: true,
         ..RolloutModel::default()
     };
-    for (model, word) in [(forgetful, "newer"), (careless, "twice")] {
+    for (model, word) in [(accept_older, "newer"), (retry_without_reading, "twice")] {
         let result = explore(&model, 9, 60_000);
         let found = result.counterexample.expect(word);
         assert!(found.detail.contains(word), "{found:#?}");
     }
 }
 
-/// Looks for an acknowledged write, so that the model above is not empty.
-struct Reaches(AcknowledgeModel);
+/// Model that reports an acknowledged write as a violation, to show that such a state is
+/// reachable and the invariant of [`AcknowledgeModel`] is not vacuous.
+struct AcknowledgementReached(AcknowledgeModel);
 
-impl Model for Reaches {
+impl Model for AcknowledgementReached {
     type State = State;
     type Step = Step;
 
@@ -71,17 +73,21 @@
         self.0.apply(state, step);
     }
 
-    fn broken(&self, state: &State) -> Option<String> {
+    fn violation(&self, state: &State) -> Option<String> {
         state.is_acknowledged().then(|| "acknowledged".to_owned())
     }
 }
 
 #[test]
 fn a_write_can_be_acknowledged() {
-    let result = explore(&Reaches(AcknowledgeModel::default()), 60, 400_000);
-    let way = result.counterexample.expect("a way to an acknowledgement");
+    let result = explore(
+        &AcknowledgementReached(AcknowledgeModel::default()),
+        60,
+        400_000,
+    );
+    let path = result.counterexample.expect("a path to an acknowledgement");
     assert!(
-        way.steps.iter().any(|step| step.starts_with("Confirm")),
-        "{way:#?}"
+        path.steps.iter().any(|step| step.starts_with("Confirm")),
+        "{path:#?}"
     );
 }
--- a/lab/sim/tests/primary_lease.rs
+++ b/lab/sim/tests/primary_lease.rs
@@ -1,12 +1,12 @@
-//! A replaced primary is used no more, in every state of a small model; each protection
-//! taken out is noticed.
+//! No explored state of the primary lease model uses a replaced primary, and removing any of its
+//! protections is detected.
 
 use hookpoint_sim::models::explore::{Exploration, Model, explore};
 use hookpoint_sim::models::primary_lease::{Mutation, PrimaryLeaseModel, Step};
 
-/// Steps explored: more than the counterexamples of the controls take.
+/// Maximum number of steps explored: more than the counterexamples of the controls need.
 const DEPTH: usize = 12;
-/// States explored at the most.
+/// Maximum number of states explored.
 const STATES: usize = 30_000;
 
 fn explored(mutation: Option<Mutation>, taken_over: bool) -> Exploration {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn nobody_uses_a_replaced_primary() {
+fn no_node_uses_a_replaced_primary() {
     for taken_over in [false, true] {
         let result = explored(None, taken_over);
         assert_eq!(result.counterexample, None, "{result:#?}");
@@ -27,10 +27,10 @@
 }
 
 #[test]
-fn a_protection_taken_out_is_noticed() {
+fn removing_a_protection_is_detected() {
     let controls = [
-        (Mutation::NoWaiting, false),
-        (Mutation::NoPredecessor, false),
+        (Mutation::MajoritySuffices, false),
+        (Mutation::IgnorePredecessor, false),
     ];
     for (mutation, taken_over) in controls {
         let result = explored(Some(mutation), taken_over);
@@ -39,16 +39,21 @@
     }
 }
 
-/// The nodes.
+/// Indices of the model's nodes.
 const FIRST: usize = 0;
 const SECOND: usize = 1;
 const THIRD: usize = 2;
 
 fn exchange(node: usize) -> [Step; 3] {
-    [Step::Ask(node), Step::Serve(node), Step::Take(node)]
+    [
+        Step::SendRequest(node),
+        Step::AnswerRequest(node),
+        Step::ReceiveAnswer(node),
+    ]
 }
 
-/// The first node gets a lease by the third one's vote, which then acknowledges at once.
+/// The first node gets a lease by the vote of the third node, which then acknowledges the
+/// withdrawal at once.
 fn acknowledged_just_after_a_vote() -> Vec<Step> {
     let mut steps = Vec::new();
     for node in [THIRD, THIRD, FIRST, FIRST] {
@@ -58,27 +63,27 @@
         Step::Announce,
         Step::Inform(SECOND),
         Step::Inform(THIRD),
-        Step::Order,
+        Step::OrderPromotion,
     ]);
     steps
 }
 
-/// After the order the third node, which acknowledged, turns to the first one, which knows
-/// nothing, and votes for it.
+/// After the promotion was ordered, the third node, which acknowledged it, sends its lease
+/// requests to the first node, which has not received the announcement, and votes for it.
 fn voted_after_the_order() -> Vec<Step> {
     let mut steps = vec![
         Step::Announce,
         Step::Inform(SECOND),
         Step::Inform(THIRD),
-        Step::Order,
+        Step::OrderPromotion,
     ];
     for _ in 0..2 {
-        steps.extend([Step::Ask(THIRD), Step::Tick]);
+        steps.extend([Step::SendRequest(THIRD), Step::Tick]);
     }
     steps.extend(exchange(THIRD));
     steps.extend(exchange(THIRD));
     for _ in 0..2 {
-        steps.extend([Step::Ask(FIRST), Step::Tick]);
+        steps.extend([Step::SendRequest(FIRST), Step::Tick]);
         steps.extend(exchange(THIRD));
     }
     steps.extend(exchange(FIRST));
@@ -86,33 +91,37 @@
     steps
 }
 
-/// Takes those of the steps that the model allows. Says whether a state was broken.
-fn breaks(model: &PrimaryLeaseModel, steps: &[Step]) -> bool {
+/// Applies those of the steps that the model allows. Returns whether a state violated the
+/// invariant.
+fn violates(model: &PrimaryLeaseModel, steps: &[Step]) -> bool {
     let mut state = model.initial();
-    let mut broken = false;
+    let mut violated = false;
     for step in steps {
         if model.steps(&state).contains(step) {
             model.apply(&mut state, step);
-            broken |= model.broken(&state).is_some();
+            violated |= model.violation(&state).is_some();
         }
     }
-    broken
+    violated
 }
 
-/// Ways too long for the exploration.
+/// Checks fixed paths that are too long for the exploration.
 #[test]
-fn votes_bind_and_tell_of_announcements() {
+fn votes_delay_acknowledgements_and_carry_announcements() {
     let controls = [
-        (Mutation::VotesDoNotBind, acknowledged_just_after_a_vote()),
-        (Mutation::VotesTellNothing, voted_after_the_order()),
+        (
+            Mutation::AcknowledgeDespiteVotes,
+            acknowledged_just_after_a_vote(),
+        ),
+        (Mutation::NoAnnouncementsInVotes, voted_after_the_order()),
     ];
     for (mutation, steps) in controls {
-        for (mutation, broken) in [(None, false), (Some(mutation), true)] {
+        for (mutation, violated) in [(None, false), (Some(mutation), true)] {
             let model = PrimaryLeaseModel {
                 mutation,
                 taken_over: true,
             };
-            assert_eq!(breaks(&model, &steps), broken, "{mutation:?}");
+            assert_eq!(violates(&model, &steps), violated, "{mutation:?}");
         }
     }
 }
--- a/lab/sim/tests/request_path.rs
+++ b/lab/sim/tests/request_path.rs
@@ -1,15 +1,15 @@
-//! The request path in the simulator: it replays exactly, keeps its promises, and the
-//! checker notices when one is broken on purpose.
+//! The request path in the simulator: runs replay exactly, invariants hold, and the checker
+//! detects every deliberate defect.
 
 use hookpoint_sim::{
     Invariant, Mutation, SimDeployment, SimSettings, replay, run_range, run_seed, search_mutation,
 };
 
 const THREADS: usize = 4;
-/// Seeds within which each mutation has to be found.
-const SEARCH: u64 = 60;
+/// Number of seeds within which each mutation must be detected.
+const MAX_SEARCH_SEEDS: u64 = 60;
 
-/// A run of a size that an unoptimised build can do in a fraction of a second.
+/// Settings of a run that an unoptimised build completes in a fraction of a second.
 fn small(deployment: SimDeployment) -> SimSettings {
     SimSettings {
         sessions_per_group: 24,
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn the_report_does_not_depend_on_the_threads() {
+fn the_report_does_not_depend_on_the_number_of_threads() {
     let settings = SimSettings {
         mutation: Some(Mutation::FalseNotRun),
         shrink: false,
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_quiet_run_serves_everything() {
+fn a_run_without_faults_serves_every_request() {
     let settings = SimSettings {
         faults: 0,
         ..small(SimDeployment::Greece)
@@ -95,14 +95,17 @@
     let settings = small(SimDeployment::Greece);
     for (mutation, invariant) in expected {
         let mut found = false;
-        for first in (1..=SEARCH).step_by(6) {
+        for first in (1..=MAX_SEARCH_SEEDS).step_by(6) {
             let report = search_mutation(&settings, mutation, first, 6, THREADS);
             found |= report.invariants.contains_key(&invariant);
             if found {
                 break;
             }
         }
-        assert!(found, "{mutation:?} was not noticed as {invariant:?}");
+        assert!(
+            found,
+            "{mutation:?} was not detected as a violation of {invariant:?}"
+        );
     }
 }
 
