--- a/lab/sim/src/database/mod.rs
+++ b/lab/sim/src/database/mod.rs
@@ -1,5 +1,5 @@
 //! Model databases: a replicated log, majority elections, lagging replicas and stale
-//! primaries that have not yet learned of their replacement.
+//! primaries that have not yet received a message of a later term.
 //!
 //! The model follows the rules that commit acknowledgement relies on: a database votes only
 //! for a candidate whose log is at least as up to date as its own, a replica that follows a
@@ -60,7 +60,8 @@
     pub(crate) slots: usize,
     pub(crate) up: bool,
     pub(crate) paused_until: Timestamp,
-    /// Highest term that the database has taken part in; messages of lower terms are refused.
+    /// Highest term that the database has promised to follow. Messages of lower terms are
+    /// refused or ignored.
     pub(crate) current_term: u32,
     pub(crate) voted_for: Option<usize>,
     /// Term under which log entries were last received or written.
--- a/lab/sim/src/world/connection.rs
+++ b/lab/sim/src/world/connection.rs
@@ -42,8 +42,11 @@
     pub(crate) idle_since: Timestamp,
     /// Whether the connection is open on the database's side.
     pub(crate) open: bool,
+    /// Open transaction block on the database's side.
     pub(crate) block: Option<TransactionBlock>,
+    /// Time until which the database executes earlier work on the connection.
     pub(crate) busy_until: Timestamp,
+    /// Time at which the database last received a command on the connection.
     pub(crate) last_used: Timestamp,
 }
 
