--- a/crates/protocol/benches/classify.rs
+++ b/crates/protocol/benches/classify.rs
@@ -1,4 +1,4 @@
-//! Time to classify a statement, seen before and not.
+//! Time to classify a statement that is cached and one that is not.
 
 use std::hint::black_box;
 
--- a/crates/protocol/src/backend_command.rs
+++ b/crates/protocol/src/backend_command.rs
@@ -1,5 +1,5 @@
-//! What a session says to the connection it holds, and what it hears from it. The same
-//! messages travel through a local channel or, between proxies, over a peer link.
+//! Messages between a session and the backend connection leased to it. They are passed
+//! through a local channel or, between proxies, over a peer link.
 
 use std::collections::BTreeMap;
 
@@ -8,42 +8,44 @@
 
 use crate::frame::Frame;
 
-/// From the session to the connection.
+/// A message from the session to the connection.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackendCommand {
-    /// Frontend messages, relayed as they are.
+    /// Frontend messages, relayed to the database unchanged.
     Frames(Vec<Frame>),
-    /// Put a `Parse` of this statement here unless the connection already has it under
-    /// `name`. Its `ParseComplete` is not relayed; its error is.
+    /// Sends a `Parse` of this statement unless the connection already has the statement
+    /// under `name`. The `ParseComplete` is not relayed to the session; an error is.
     EnsurePrepared {
-        /// Name of the statement on the connection, derived from its text and types.
+        /// Name of the statement on the connection, derived from its text and parameter types.
         name: String,
-        /// Text of the statement.
+        /// SQL text of the statement.
         query: String,
-        /// Parameter type identifiers.
+        /// Type OIDs of the parameters; 0 where the database infers the type.
         parameter_types: Vec<u32>,
     },
-    /// Make the session's run-time parameters those of the connection: what differs is
-    /// set, what the connection has besides is reset. Answers are not relayed.
+    /// Applies the session's run-time parameters to the connection: parameters that
+    /// differ are set, parameters that only the connection has are reset. The responses
+    /// are not relayed to the session.
     EnsureSettings(BTreeMap<String, String>),
-    /// Cancel what runs on the connection now, if it still runs.
+    /// Cancels the request that is running on the connection, if any.
     Cancel,
-    /// The session is done with the connection.
+    /// Returns the connection; the session no longer uses it.
     Release {
-        /// Whether the connection may serve another session. If not it is closed.
+        /// Whether the connection may serve another session; otherwise it is closed.
         reusable: bool,
-        /// Whether session state may have been left that only `DISCARD ALL` clears.
+        /// Whether the session may have left state that only `DISCARD ALL` clears.
         discard: bool,
     },
 }
 
-/// From the connection to the session.
+/// A message from the connection to the session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackendReply {
-    /// Backend messages in order.
+    /// Backend messages, in order.
     Frames(Vec<Frame>),
-    /// The lease was not granted after all. Nothing sent on it ran. Nothing follows.
+    /// The lease was not granted. Nothing that was sent on it ran, and no further reply
+    /// follows.
     Refused(Refusal),
-    /// The connection is gone. Nothing follows.
+    /// The connection was lost; no further reply follows.
     Lost,
 }
--- a/crates/protocol/src/classify/cache.rs
+++ b/crates/protocol/src/classify/cache.rs
@@ -1,78 +1,83 @@
-//! A bounded cache of classifications, least recently used first out.
+//! A bounded cache of classifications that evicts the least recently used text.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
 
 use super::UnitClass;
 
-/// Texts the cache holds at most.
-pub(super) const CACHED_TEXTS: usize = 2_048;
-/// Longest text the cache takes, in bytes. With [`CACHED_TEXTS`] it bounds the memory
-/// to about 8 MB, and to far less with ordinary statements.
-pub(super) const CACHED_TEXT_BYTES: usize = 4_096;
+/// Largest number of texts in the cache.
+pub(super) const MAXIMUM_CACHED_TEXTS: usize = 2_048;
+/// Longest text that is cached, in bytes. Together with [`MAXIMUM_CACHED_TEXTS`] it bounds
+/// the memory of the cache to about 8 MB; ordinary statements need far less.
+pub(super) const MAXIMUM_CACHED_TEXT_BYTES: usize = 4_096;
 
 #[derive(Debug)]
-struct Slot {
+struct Entry {
     class: UnitClass,
-    used: u64,
+    /// Value of the cache's clock at the last use; key into `recency`.
+    last_used: u64,
 }
 
-/// The cache. The whole text is the key, so no two texts can be confused.
+/// Classifications keyed by the whole text, so that two texts cannot be mistaken for each
+/// other.
 #[derive(Debug)]
 pub(super) struct Cache {
-    slots: HashMap<Arc<str>, Slot>,
-    order: BTreeMap<u64, Arc<str>>,
+    entries: HashMap<Arc<str>, Entry>,
+    /// Cached texts by the clock value of their last use, least recent first.
+    recency: BTreeMap<u64, Arc<str>>,
+    /// Logical clock, advanced by every use.
     clock: u64,
 }
 
 impl Cache {
-    /// An empty cache.
+    /// Creates an empty cache.
     pub(super) fn new() -> Self {
         Self {
-            slots: HashMap::new(),
-            order: BTreeMap::new(),
+            entries: HashMap::new(),
+            recency: BTreeMap::new(),
             clock: 0,
         }
     }
 
-    /// Whether `sql` is short enough to be kept.
-    pub(super) fn admits(sql: &str) -> bool {
-        sql.len() <= CACHED_TEXT_BYTES
+    /// Returns whether `sql` is short enough to be cached.
+    pub(super) fn is_cacheable(sql: &str) -> bool {
+        sql.len() <= MAXIMUM_CACHED_TEXT_BYTES
     }
 
-    /// The classification of `sql`, which becomes the most recently used.
+    /// Returns the classification of `sql` and marks the text as most recently used.
     pub(super) fn get(&mut self, sql: &str) -> Option<UnitClass> {
-        let slot = self.slots.get_mut(sql)?;
+        let entry = self.entries.get_mut(sql)?;
         self.clock += 1;
-        if let Some(text) = self.order.remove(&slot.used) {
-            self.order.insert(self.clock, text);
+        if let Some(text) = self.recency.remove(&entry.last_used) {
+            self.recency.insert(self.clock, text);
         }
-        slot.used = self.clock;
-        Some(slot.class.clone())
+        entry.last_used = self.clock;
+        Some(entry.class.clone())
     }
 
-    /// Keeps `class`; the least recently used text makes room.
+    /// Caches `class` as the classification of `sql`. A full cache evicts the least recently
+    /// used text.
     pub(super) fn insert(&mut self, sql: &str, class: &UnitClass) {
-        if self.slots.contains_key(sql) {
+        if self.entries.contains_key(sql) {
             return;
         }
-        if self.slots.len() == CACHED_TEXTS
-            && let Some((_, oldest)) = self.order.pop_first()
+        if self.entries.len() == MAXIMUM_CACHED_TEXTS
+            && let Some((_, oldest)) = self.recency.pop_first()
         {
-            self.slots.remove(&oldest);
+            self.entries.remove(&oldest);
         }
         self.clock += 1;
         let text: Arc<str> = Arc::from(sql);
-        self.order.insert(self.clock, Arc::clone(&text));
-        let slot = Slot {
+        self.recency.insert(self.clock, Arc::clone(&text));
+        let entry = Entry {
             class: class.clone(),
-            used: self.clock,
+            last_used: self.clock,
         };
-        self.slots.insert(text, slot);
+        self.entries.insert(text, entry);
     }
 
-    /// Texts held.
+    /// Returns the number of cached texts.
     pub(super) fn len(&self) -> usize {
-        self.slots.len()
+        self.entries.len()
     }
 }
--- a/crates/protocol/src/classify/comment.rs
+++ b/crates/protocol/src/classify/comment.rs
@@ -1,21 +1,22 @@
-//! Request identifiers in sqlcommenter comments: `/*request_id='order%2F17'*/`.
+//! Request identifiers in sqlcommenter comments, such as
+//! `/*request_id='order%2F17'*/`.
 
 use hookpoint_state::RequestId;
 
-/// Key of the identifier inside a comment.
+/// Key of the request identifier in a comment.
 const REQUEST_ID_KEY: &str = "request_id";
-/// Longest identifier accepted, in bytes after decoding.
+/// Longest request identifier accepted, in bytes after percent-decoding.
 pub(super) const MAXIMUM_REQUEST_ID_BYTES: usize = 1_024;
 
-/// The identifier in the body of one comment, if it has one.
+/// Returns the request identifier in the body of one comment, if there is one.
 pub(super) fn request_id_of(comment: &str) -> Option<RequestId> {
     pairs(comment)
         .find(|(key, _)| *key == REQUEST_ID_KEY)
         .map(|(_, value)| RequestId::new(percent_decode(&value)))
 }
 
-/// Looks for an identifier in anything that looks like a comment, for texts that do not
-/// split into tokens.
+/// Finds a request identifier in anything that looks like a block comment. Used for texts
+/// that are not split into tokens.
 pub(super) fn request_id_in_raw(sql: &str) -> Option<RequestId> {
     let mut rest = sql;
     while let Some((_, after)) = rest.split_once("/*") {
@@ -28,20 +29,22 @@
     None
 }
 
-/// Pairs `key='value'`, parted by commas. A quote inside a value is written `\'`.
+/// Iterates over the comma-separated pairs `key='value'`. A quote inside a value is
+/// written `\'`.
 fn pairs(comment: &str) -> impl Iterator<Item = (&str, String)> {
     let mut rest = comment;
     std::iter::from_fn(move || {
         let (key, after) = rest.split_once('=')?;
         let after = after.trim_start().strip_prefix('\'')?;
-        let (value, length) = quoted(after)?;
+        let (value, length) = parse_quoted(after)?;
         rest = after.get(length..)?;
         Some((key.trim_matches([' ', ',', '\t', '\n', '\r']), value))
     })
 }
 
-/// The text up to the closing quote, and how many bytes it and the quote take.
-fn quoted(text: &str) -> Option<(String, usize)> {
+/// Returns the unescaped text up to the closing quote, and the number of bytes that the
+/// text and the quote occupy.
+fn parse_quoted(text: &str) -> Option<(String, usize)> {
     let mut value = String::new();
     let mut characters = text.char_indices();
     while let Some((index, character)) = characters.next() {
--- a/crates/protocol/src/classify/functions.rs
+++ b/crates/protocol/src/classify/functions.rs
@@ -1,10 +1,11 @@
-//! Built-in functions that are stable or immutable and touch nothing outside the answer.
+//! Built-in functions, grouped by whether a call is a read and whether it leaves session
+//! state behind.
 
 use std::collections::HashSet;
 use std::sync::LazyLock;
 
-/// Functions that take or give session advisory locks. The forms that end with the
-/// transaction (`pg_advisory_xact_lock` and kin) are not among them.
+/// Functions that acquire or release session-level advisory locks. The variants whose lock
+/// ends with the transaction (such as `pg_advisory_xact_lock`) are not included.
 pub(super) const SESSION_LOCK_FUNCTIONS: &[&str] = &[
     "pg_advisory_lock",
     "pg_advisory_lock_shared",
@@ -14,7 +15,7 @@
     "pg_advisory_unlock_shared",
 ];
 
-/// Volatile functions that leave nothing behind in the session after the transaction.
+/// Volatile functions that leave no session state behind after the transaction.
 const VOLATILE_WITHOUT_SESSION_STATE: &[&str] = &[
     "clock_timestamp",
     "gen_random_uuid",
@@ -34,7 +35,7 @@
     "uuidv7",
 ];
 
-/// Functions of which the answer is all there is.
+/// Stable or immutable functions that have no effect besides their result.
 const READ_FUNCTION_NAMES: &[&str] = &[
     "abs",
     "acos",
@@ -336,22 +337,24 @@
 static READ_FUNCTIONS: LazyLock<HashSet<&str>> =
     LazyLock::new(|| READ_FUNCTION_NAMES.iter().copied().collect());
 
-/// Functions that answer from what this connection did earlier, which in a pool may have
-/// been another session's doing.
-pub(super) const CONNECTION_MEMORY_FUNCTIONS: &[&str] = &["currval", "lastval"];
+/// Functions whose result depends on earlier calls on the same connection. In a pool, those
+/// calls may have been made by another session.
+pub(super) const CONNECTION_STATE_FUNCTIONS: &[&str] = &["currval", "lastval"];
 
-/// Whether `name`, in lower case, is proved to have no effect outside its answer.
+/// Returns whether the function `name`, given in lower case, has no effect besides its
+/// result.
 pub(super) fn is_read(name: &str) -> bool {
     READ_FUNCTIONS.contains(name)
 }
 
-/// Whether a call of `name` leaves nothing behind that a later session could notice.
+/// Returns whether a call of `name` leaves nothing on the connection that a later session
+/// could observe.
 pub(super) fn leaves_no_session_state(name: &str) -> bool {
     is_read(name) || VOLATILE_WITHOUT_SESSION_STATE.contains(&name) || is_sequence(name)
 }
 
-/// Functions on sequences write to the sequence. What the connection remembers of them
-/// is only read by [`CONNECTION_MEMORY_FUNCTIONS`], which are refused.
+/// Returns whether `name` is a function that writes to a sequence. The last value, which the
+/// connection keeps, is only read by [`CONNECTION_STATE_FUNCTIONS`], which are refused.
 fn is_sequence(name: &str) -> bool {
     matches!(name, "nextval" | "setval")
 }
--- a/crates/protocol/src/classify/mod.rs
+++ b/crates/protocol/src/classify/mod.rs
@@ -1,8 +1,9 @@
-//! Classification of statements: what a unit provably is, what it leaves behind in the
-//! session, and which features transaction pooling cannot carry.
+//! Classification of statements: whether a unit is provably a read, what it changes in the
+//! session, and which features it uses that transaction pooling does not support. A unit
+//! is the text of one simple query or one `Parse` message and may hold several statements.
 //!
-//! What cannot be proved to be a read is a write. The reasons stand in
-//! `docs/design/read-classification.md`.
+//! What cannot be proved to be a read counts as a write. See
+//! `docs/design/read-classification.md` for the reasons.
 
 mod cache;
 mod comment;
@@ -22,10 +23,11 @@
 
 use cache::Cache;
 
-/// Texts longer than this are not analysed: they count as writes with unknown effects.
+/// Longest text that is analysed, in bytes. Longer texts count as writes with unknown
+/// session effects.
 pub const MAXIMUM_ANALYSED_BYTES: usize = 256 * 1024;
 
-/// What a statement is, by its leading words.
+/// Kind of a statement, determined by its leading words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum StatementKind {
     /// `SELECT`, `VALUES` or `WITH`.
@@ -36,7 +38,7 @@
     Begin,
     /// `COMMIT` or `END`.
     Commit,
-    /// `ROLLBACK` or `ABORT` of the whole transaction.
+    /// `ROLLBACK` or `ABORT` of the whole transaction, not to a savepoint.
     Rollback,
     /// `SAVEPOINT`, `RELEASE` or `ROLLBACK TO`.
     Savepoint,
@@ -44,7 +46,7 @@
     PrepareTransaction,
     /// `COMMIT PREPARED` or `ROLLBACK PREPARED`.
     FinishPrepared,
-    /// `SET`, `RESET` or `DISCARD`.
+    /// `SET`, `RESET`, `DISCARD` or `DEALLOCATE`.
     Set,
     /// `SHOW`.
     Show,
@@ -54,16 +56,16 @@
     Copy,
     /// `DECLARE`, `FETCH`, `MOVE` or `CLOSE`.
     Cursor,
-    /// A statement that defines or alters objects.
+    /// `CREATE`, `ALTER`, `DROP`, `TRUNCATE`, `GRANT`, `REVOKE` or `COMMENT`.
     Definition,
-    /// Anything else, also what does not parse.
+    /// Any other statement, and text that cannot be split into tokens.
     Other,
 }
 
-/// How a transaction block was opened.
+/// Mode in which a transaction block was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TransactionMode {
-    /// Whether it was opened as `READ ONLY`.
+    /// Whether the block was opened as `READ ONLY`.
     pub read_only: bool,
 }
 
@@ -76,14 +78,15 @@
     Rollback,
 }
 
-/// What a unit leaves behind on the connection after its transaction.
+/// Session state that a unit leaves on the connection after its transaction. Ordered by
+/// increasing severity; a unit has the greatest effect of its statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum SessionEffect {
-    /// Provably nothing.
+    /// Provably no session state.
     None,
-    /// Only what [`UnitClass::settings`] lists.
+    /// Only the parameter changes listed in [`UnitClass::settings`].
     Tracked,
-    /// Nobody can tell; the connection needs `DISCARD ALL`.
+    /// Possibly other session state; the connection needs `DISCARD ALL`.
     Unknown,
 }
 
@@ -92,64 +95,67 @@
 pub enum SettingChange {
     /// `SET name = value`.
     Set {
-        /// Name in lower case.
+        /// Parameter name in lower case.
         name: String,
-        /// Value in the form that `set_config` takes.
+        /// Value in the form that `set_config` accepts.
         value: String,
-        /// Whether it ends with the transaction (`SET LOCAL`).
+        /// Whether the change ends with the transaction (`SET LOCAL`).
         local: bool,
     },
     /// `RESET name` or `SET name TO DEFAULT`.
     Reset {
-        /// Name in lower case.
+        /// Parameter name in lower case.
         name: String,
     },
     /// `RESET ALL`.
     ResetAll,
 }
 
-/// Which way the data of a `COPY` flows.
+/// Direction in which the data of a `COPY` flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum CopyDirection {
-    /// From the caller to the database (`COPY … FROM STDIN`).
+    /// From the client to the database (`COPY … FROM STDIN`).
     FromCaller,
-    /// From the database to the caller (`COPY … TO STDOUT`).
+    /// From the database to the client (`COPY … TO STDOUT`).
     ToCaller,
 }
 
-/// What has been proved of one unit.
+/// Classification of one unit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UnitClass {
-    /// Its statements in order; empty for an empty query.
+    /// Kinds of its statements, in order; empty for an empty query.
     pub statements: Vec<StatementKind>,
-    /// Whether it is provably a read. `BEGIN READ ONLY`, `COMMIT`, `ROLLBACK`, `SET` and
-    /// `SHOW` write nothing and count as reads; plain `BEGIN` counts as a write, because
-    /// the transaction it opens may write.
+    /// Read if the unit is provably a read, else write. `BEGIN READ ONLY`, `COMMIT`,
+    /// `ROLLBACK`, `SET` and `SHOW` write nothing and count as reads; plain `BEGIN` counts as
+    /// a write, because the transaction that it opens may write.
     pub access: Access,
-    /// Whether its end may commit something, when it starts outside a transaction block.
+    /// Whether running the unit may commit changes, when it starts outside a transaction
+    /// block.
     pub may_commit: bool,
-    /// The same, when it starts inside a transaction block.
+    /// Whether running the unit may commit changes, when it starts inside a transaction
+    /// block.
     pub may_commit_in_block: bool,
-    /// The mode of the last transaction block the unit opens.
+    /// Mode of the last transaction block that the unit opens; `None` if it opens none.
     pub opens_transaction: Option<TransactionMode>,
-    /// The last end of a transaction block in the unit.
+    /// How the unit last ends a transaction block; `None` if it ends none.
     pub ends_transaction: Option<TransactionEnd>,
-    /// What it leaves behind.
+    /// Session state that the unit leaves on the connection.
     pub session_effect: SessionEffect,
-    /// Changes of run-time parameters in order.
+    /// Changes of run-time parameters, in order.
     pub settings: Vec<SettingChange>,
-    /// Name of the parameter when the unit is a single `SHOW`, in lower case.
+    /// Name of the shown parameter in lower case; `None` unless the unit is a single `SHOW`.
     pub show: Option<String>,
-    /// First feature that transaction pooling cannot carry.
+    /// First feature used by the unit that transaction pooling does not support.
     pub unsupported: Option<String>,
-    /// Identifier of a request that is not repeatable, from an sqlcommenter comment.
+    /// Identifier of a non-repeatable request, from an sqlcommenter comment.
     pub request_id: Option<RequestId>,
-    /// Direction of the last `COPY` through the connection.
+    /// Direction of the last `COPY` whose data passes through the connection.
     pub copy: Option<CopyDirection>,
 }
 
 impl UnitClass {
-    /// A unit of which nothing is known.
+    /// Returns the classification of a unit that could not be analysed: a write with an
+    /// unknown session effect.
     fn unknown() -> Self {
         Self {
             statements: vec![StatementKind::Other],
@@ -167,8 +173,8 @@
         }
     }
 
-    /// The unit as the request machine takes it. `in_block` says whether a transaction
-    /// block is open before the unit.
+    /// Returns the unit in the form that the request state machine uses. `in_block` states
+    /// whether a transaction block is open before the unit.
     pub fn unit(&self, in_block: bool) -> Unit {
         Unit {
             access: self.access,
@@ -181,15 +187,15 @@
     }
 }
 
-/// Classifies statement texts and remembers the latest ones in bounded memory. It may
-/// be shared by threads.
+/// Classifies statement texts and caches the classifications of recently used texts in
+/// bounded memory. It can be shared between threads.
 #[derive(Debug)]
 pub struct Classifier {
     cache: Mutex<Cache>,
 }
 
 impl Classifier {
-    /// A classifier with an empty cache.
+    /// Creates a classifier with an empty cache.
     pub fn new() -> Self {
         Self {
             cache: Mutex::new(Cache::new()),
@@ -198,19 +204,19 @@
 
     /// Classifies the text of a simple query or of a `Parse` message.
     pub fn classify(&self, sql: &str) -> UnitClass {
-        if !Cache::admits(sql) {
-            return unit::analyse(sql);
+        if !Cache::is_cacheable(sql) {
+            return unit::classify(sql);
         }
-        if let Some(found) = self.lock().get(sql) {
-            return found;
+        if let Some(class) = self.lock().get(sql) {
+            return class;
         }
-        let class = unit::analyse(sql);
+        let class = unit::classify(sql);
         self.lock().insert(sql, &class);
         class
     }
 
-    /// How many texts the cache holds.
-    pub fn cached(&self) -> usize {
+    /// Returns the number of texts in the cache.
+    pub fn cached_texts(&self) -> usize {
         self.lock().len()
     }
 
--- a/crates/protocol/src/classify/query.rs
+++ b/crates/protocol/src/classify/query.rs
@@ -1,4 +1,5 @@
-//! Proof that a parsed query is a read, and that it leaves nothing in the session.
+//! Determines whether a parsed statement is provably a read and whether it leaves session
+//! state behind.
 
 use std::ops::ControlFlow;
 
@@ -10,9 +11,9 @@
 use super::SessionEffect;
 use super::functions;
 
-/// Schema of the built-in functions and operators.
+/// Schema of the built-in functions, types and operators.
 const BUILT_IN_SCHEMA: &str = "pg_catalog";
-/// Built-in types that the parser does not know by name.
+/// Built-in types that `sqlparser` reports as custom types.
 const BUILT_IN_TYPES: &[&str] = &[
     "box",
     "cidr",
@@ -61,59 +62,61 @@
     "float8",
 ];
 
-/// What is known of a parsed statement.
+/// Result of the analysis of a parsed statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct QueryFacts {
-    /// Whether it is provably a read.
+    /// Whether the statement is provably a read.
     pub(super) read: bool,
-    /// What it leaves in the session.
+    /// Session state that the statement leaves on the connection.
     pub(super) effect: SessionEffect,
 }
 
-/// Walks `statement` and everything in it.
+/// Analyses `statement` and everything nested in it.
 pub(super) fn facts_of(statement: &Statement) -> QueryFacts {
-    let mut walk = Walk {
+    let mut visitor = FactsVisitor {
         facts: QueryFacts {
             read: matches!(statement, Statement::Query(_)),
             effect: SessionEffect::None,
         },
     };
-    let _ = statement.visit(&mut walk);
-    walk.facts
+    let _ = statement.visit(&mut visitor);
+    visitor.facts
 }
 
-struct Walk {
+/// Starts from the assumption that the statement is a read without effect; every construct
+/// that is not provably so lowers the facts.
+struct FactsVisitor {
     facts: QueryFacts,
 }
 
-impl Walk {
-    fn not_a_read(&mut self) {
+impl FactsVisitor {
+    fn mark_not_read(&mut self) {
         self.facts.read = false;
     }
 
-    fn unknown_effect(&mut self) {
+    fn mark_unknown_effect(&mut self) {
         self.facts.read = false;
         self.facts.effect = SessionEffect::Unknown;
     }
 
-    fn call(&mut self, name: &ObjectName) {
+    fn check_call(&mut self, name: &ObjectName) {
         let Some(name) = built_in_name(name) else {
-            return self.unknown_effect();
+            return self.mark_unknown_effect();
         };
         if !functions::leaves_no_session_state(&name) {
-            self.unknown_effect();
+            self.mark_unknown_effect();
         } else if !functions::is_read(&name) {
-            self.not_a_read();
+            self.mark_not_read();
         }
     }
 
-    fn cast_to(&mut self, data_type: &DataType) {
+    fn check_cast(&mut self, data_type: &DataType) {
         match data_type {
             DataType::Custom(name, _) => {
                 let known =
                     built_in_name(name).is_some_and(|name| BUILT_IN_TYPES.contains(&&*name));
                 if !known {
-                    self.unknown_effect();
+                    self.mark_unknown_effect();
                 }
             }
             DataType::Array(element) => {
@@ -122,63 +125,63 @@
                     Element::None => {}
                     Element::AngleBracket(inner)
                     | Element::SquareBracket(inner, _)
-                    | Element::Parenthesis(inner) => self.cast_to(inner),
+                    | Element::Parenthesis(inner) => self.check_cast(inner),
                 }
             }
             _ => {}
         }
     }
 
-    fn operator(&mut self, operator: &BinaryOperator) {
+    fn check_operator(&mut self, operator: &BinaryOperator) {
         match operator {
-            BinaryOperator::Custom(_) => self.unknown_effect(),
+            BinaryOperator::Custom(_) => self.mark_unknown_effect(),
             BinaryOperator::PGCustomBinaryOperator(parts)
                 if parts.len() != 2 || parts[0] != BUILT_IN_SCHEMA =>
             {
-                self.unknown_effect();
+                self.mark_unknown_effect();
             }
             _ => {}
         }
     }
 
-    fn body(&mut self, body: &SetExpr) {
+    fn check_body(&mut self, body: &SetExpr) {
         match body {
             SetExpr::Select(select) => {
                 if select.into.is_some() {
-                    self.not_a_read();
+                    self.mark_not_read();
                 }
             }
             SetExpr::SetOperation { left, right, .. } => {
-                self.body(left);
-                self.body(right);
+                self.check_body(left);
+                self.check_body(right);
             }
             SetExpr::Query(_) | SetExpr::Values(_) | SetExpr::Table(_) => {}
             SetExpr::Insert(_) | SetExpr::Update(_) | SetExpr::Delete(_) | SetExpr::Merge(_) => {
-                self.not_a_read();
+                self.mark_not_read();
             }
         }
     }
 }
 
-impl Visitor for Walk {
+impl Visitor for FactsVisitor {
     type Break = ();
 
     fn pre_visit_statement(&mut self, statement: &Statement) -> ControlFlow<()> {
         if !matches!(statement, Statement::Query(_)) {
-            self.not_a_read();
+            self.mark_not_read();
         }
         ControlFlow::Continue(())
     }
 
     fn pre_visit_query(&mut self, query: &Query) -> ControlFlow<()> {
-        let foreign_clause = query.for_clause.is_some()
+        let other_dialect_clause = query.for_clause.is_some()
             || query.settings.is_some()
             || query.format_clause.is_some()
             || !query.pipe_operators.is_empty();
-        if !query.locks.is_empty() || foreign_clause {
-            self.not_a_read();
+        if !query.locks.is_empty() || other_dialect_clause {
+            self.mark_not_read();
         }
-        self.body(&query.body);
+        self.check_body(&query.body);
         ControlFlow::Continue(())
     }
 
@@ -189,31 +192,32 @@
             | TableFactor::UNNEST { .. }
             | TableFactor::NestedJoin { .. } => {}
             TableFactor::Table { name, .. } | TableFactor::Function { name, .. } => {
-                self.call(name);
+                self.check_call(name);
             }
-            _ => self.unknown_effect(),
+            _ => self.mark_unknown_effect(),
         }
         ControlFlow::Continue(())
     }
 
     fn pre_visit_expr(&mut self, expression: &Expr) -> ControlFlow<()> {
         match expression {
-            Expr::Function(function) => self.call(&function.name),
-            Expr::BinaryOp { op, .. } => self.operator(op),
+            Expr::Function(function) => self.check_call(&function.name),
+            Expr::BinaryOp { op, .. } => self.check_operator(op),
             Expr::AnyOp { compare_op, .. } | Expr::AllOp { compare_op, .. } => {
-                self.operator(compare_op);
+                self.check_operator(compare_op);
             }
-            Expr::Cast { data_type, .. } => self.cast_to(data_type),
-            Expr::TypedString(typed) => self.cast_to(&typed.data_type),
+            Expr::Cast { data_type, .. } => self.check_cast(data_type),
+            Expr::TypedString(typed) => self.check_cast(&typed.data_type),
             _ => {}
         }
         ControlFlow::Continue(())
     }
 }
 
-/// The name in lower case, if it is unqualified or in the built-in schema.
+/// Returns the unqualified name after case folding if `name` is unqualified or in the
+/// built-in schema, else `None`.
 fn built_in_name(name: &ObjectName) -> Option<String> {
-    let parts: Option<Vec<String>> = name.0.iter().map(lower_case).collect();
+    let parts: Option<Vec<String>> = name.0.iter().map(fold_case).collect();
     match parts?.as_slice() {
         [name] => Some(name.clone()),
         [schema, name] if schema == BUILT_IN_SCHEMA => Some(name.clone()),
@@ -221,8 +225,9 @@
     }
 }
 
-/// Unquoted parts fold to lower case. A quoted part in capitals is no built-in one.
-fn lower_case(part: &ObjectNamePart) -> Option<String> {
+/// Folds an unquoted identifier to lower case and leaves a quoted one as it is, so that a
+/// quoted name with capitals does not match a built-in name.
+fn fold_case(part: &ObjectNamePart) -> Option<String> {
     let ident = part.as_ident()?;
     match ident.quote_style {
         None => Some(ident.value.to_lowercase()),
--- a/crates/protocol/src/classify/settings.rs
+++ b/crates/protocol/src/classify/settings.rs
@@ -1,32 +1,33 @@
-//! `SET`, `RESET`, `SHOW` and `DISCARD`, read from their tokens.
+//! Parsing of `SET`, `RESET` and `SHOW` from their tokens.
 
 use sqlparser::tokenizer::Token;
 
 use super::SettingChange;
 use super::text::StatementTokens;
 
-/// Parameters whose value is a list of names, in which a quoted string is one name.
-const NAME_LISTS: &[&str] = &[
+/// Parameters whose value is a list of names. A quoted string in such a list is one name.
+const NAME_LIST_PARAMETERS: &[&str] = &[
     "local_preload_libraries",
     "search_path",
     "session_preload_libraries",
     "temp_tablespaces",
 ];
 
-/// What a `SET` or `RESET` statement says.
+/// Meaning of a `SET` or `RESET` statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum SettingStatement {
-    /// Changes to track.
+    /// Changes of run-time parameters, which are tracked.
     Changes(Vec<SettingChange>),
-    /// It concerns the current transaction only (`SET TRANSACTION`, `SET CONSTRAINTS`).
+    /// The statement affects only the current transaction (`SET TRANSACTION`,
+    /// `SET CONSTRAINTS`).
     TransactionOnly,
-    /// It changes who the session is.
+    /// The statement changes the session user (`SET SESSION AUTHORIZATION`).
     SessionAuthorization,
-    /// It is not understood.
+    /// The statement could not be parsed.
     Unknown,
 }
 
-/// Reads a statement that starts with `SET`.
+/// Parses a statement that starts with `SET`.
 pub(super) fn set_statement(statement: &StatementTokens) -> SettingStatement {
     let (start, local) = match &*statement.word(1) {
         "local" => (2, true),
@@ -45,14 +46,14 @@
     }
     let change = match &*first {
         "time" if statement.word(start + 1) == "zone" => {
-            assignment("timezone", &statement.tokens[start + 2..], local)
+            parse_assignment("timezone", &statement.tokens[start + 2..], local)
         }
-        "role" if !is_assignment(statement.tokens.get(start + 1)) => {
-            assignment("role", &statement.tokens[start + 1..], local)
+        "role" if !is_assignment_operator(statement.tokens.get(start + 1)) => {
+            parse_assignment("role", &statement.tokens[start + 1..], local)
         }
-        "names" => assignment("client_encoding", &statement.tokens[start + 1..], local),
-        "schema" => assignment("search_path", &statement.tokens[start + 1..], local),
-        _ => plain_assignment(statement, start, local),
+        "names" => parse_assignment("client_encoding", &statement.tokens[start + 1..], local),
+        "schema" => parse_assignment("search_path", &statement.tokens[start + 1..], local),
+        _ => parse_plain_assignment(statement, start, local),
     };
     match change {
         Some(change) => SettingStatement::Changes(vec![change]),
@@ -60,7 +61,7 @@
     }
 }
 
-/// Reads a statement that starts with `RESET`.
+/// Parses a statement that starts with `RESET`.
 pub(super) fn reset_statement(statement: &StatementTokens) -> SettingStatement {
     if statement.starts_with(&["reset", "session", "authorization"]) {
         return SettingStatement::SessionAuthorization;
@@ -72,13 +73,13 @@
         let name = "timezone".to_owned();
         return SettingStatement::Changes(vec![SettingChange::Reset { name }]);
     }
-    match parameter_name(&statement.tokens[1..]) {
+    match split_parameter_name(&statement.tokens[1..]) {
         Some((name, [])) => SettingStatement::Changes(vec![SettingChange::Reset { name }]),
         _ => SettingStatement::Unknown,
     }
 }
 
-/// The parameter a `SHOW` statement names, in lower case.
+/// Returns the lower-case name of the parameter that a `SHOW` statement names.
 pub(super) fn shown_parameter(statement: &StatementTokens) -> Option<String> {
     if statement.starts_with(&["show", "time", "zone"]) {
         return Some("timezone".to_owned());
@@ -86,24 +87,25 @@
     if statement.starts_with(&["show", "transaction", "isolation", "level"]) {
         return Some("transaction_isolation".to_owned());
     }
-    parameter_name(statement.tokens.get(1..)?)
+    split_parameter_name(statement.tokens.get(1..)?)
         .filter(|(_, rest)| rest.is_empty())
         .map(|(name, _)| name)
 }
 
-fn plain_assignment(
+/// Parses `name = value` or `name TO value`, starting at token `start`.
+fn parse_plain_assignment(
     statement: &StatementTokens,
     start: usize,
     local: bool,
 ) -> Option<SettingChange> {
-    let (name, rest) = parameter_name(statement.tokens.get(start..)?)?;
-    let (sign, value) = rest.split_first()?;
-    is_assignment(Some(sign))
-        .then(|| assignment(&name, value, local))
+    let (name, rest) = split_parameter_name(statement.tokens.get(start..)?)?;
+    let (operator, value) = rest.split_first()?;
+    is_assignment_operator(Some(operator))
+        .then(|| parse_assignment(&name, value, local))
         .flatten()
 }
 
-fn is_assignment(token: Option<&Token>) -> bool {
+fn is_assignment_operator(token: Option<&Token>) -> bool {
     match token {
         Some(Token::Eq) => true,
         Some(Token::Word(word)) => {
@@ -113,7 +115,7 @@
     }
 }
 
-fn assignment(name: &str, value: &[Token], local: bool) -> Option<SettingChange> {
+fn parse_assignment(name: &str, value: &[Token], local: bool) -> Option<SettingChange> {
     if let [Token::Word(word)] = value
         && word.quote_style.is_none()
         && is_default(name, &word.value)
@@ -123,7 +125,7 @@
     }
     Some(SettingChange::Set {
         name: name.to_owned(),
-        value: rendered(name, value)?,
+        value: render_value(name, value)?,
         local,
     })
 }
@@ -132,8 +134,9 @@
     word.eq_ignore_ascii_case("default") || name == "timezone" && word.eq_ignore_ascii_case("local")
 }
 
-/// A name of one or more parts, in lower case, and the tokens behind it.
-fn parameter_name(tokens: &[Token]) -> Option<(String, &[Token])> {
+/// Splits a parameter name of one or more parts off `tokens`. Returns the name in lower
+/// case and the tokens that follow it.
+fn split_parameter_name(tokens: &[Token]) -> Option<(String, &[Token])> {
     let mut name = String::new();
     let mut rest = tokens;
     loop {
@@ -152,8 +155,9 @@
     }
 }
 
-/// The value as `set_config` takes it.
-fn rendered(name: &str, tokens: &[Token]) -> Option<String> {
+/// Renders the tokens of a value in the form that `set_config` accepts; `None` when there
+/// are no tokens or one that cannot be part of a value.
+fn render_value(name: &str, tokens: &[Token]) -> Option<String> {
     let mut value = String::new();
     let mut sign = "";
     for token in tokens {
@@ -166,10 +170,10 @@
                 value.push_str(number);
             }
             Token::SingleQuotedString(text) | Token::EscapedStringLiteral(text) => {
-                value.push_str(&quoted_item(name, text));
+                value.push_str(&render_quoted_item(name, text));
             }
             Token::Word(word) if word.quote_style.is_some() => {
-                value.push_str(&quoted_item(name, &word.value));
+                value.push_str(&render_quoted_item(name, &word.value));
             }
             Token::Word(word) => value.push_str(&word.value.to_lowercase()),
             _ => return None,
@@ -178,15 +182,16 @@
     (!tokens.is_empty()).then_some(value)
 }
 
-fn quoted_item(name: &str, text: &str) -> String {
-    if NAME_LISTS.contains(&name) {
+fn render_quoted_item(name: &str, text: &str) -> String {
+    if NAME_LIST_PARAMETERS.contains(&name) {
         format!("\"{}\"", text.replace('"', "\"\""))
     } else {
         text.to_owned()
     }
 }
 
-/// `SET SESSION CHARACTERISTICS AS TRANSACTION …` in terms of the parameters it sets.
+/// Converts `SET SESSION CHARACTERISTICS AS TRANSACTION …` into changes of the parameters
+/// that it sets.
 fn session_characteristics(statement: &StatementTokens) -> SettingStatement {
     let mut changes = Vec::new();
     let mut set = |name: &str, value: &str| {
--- a/crates/protocol/src/classify/statement.rs
+++ b/crates/protocol/src/classify/statement.rs
@@ -1,43 +1,44 @@
-//! One statement.
+//! Classification of one statement.
 
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::parser::Parser;
 use sqlparser::tokenizer::Token;
 
-use super::functions::{CONNECTION_MEMORY_FUNCTIONS, SESSION_LOCK_FUNCTIONS};
+use super::functions::{CONNECTION_STATE_FUNCTIONS, SESSION_LOCK_FUNCTIONS};
 use super::query::{self, QueryFacts};
 use super::settings::{self, SettingStatement};
 use super::text::StatementTokens;
 use super::{CopyDirection, SessionEffect, SettingChange, StatementKind, TransactionMode};
 
-/// Run-time parameters that callers may not change. With the old string syntax a text
-/// could hide a statement from this classifier; without a local flush the position
-/// behind a commit would not cover it.
+/// Run-time parameters that clients must not change. With `standard_conforming_strings`
+/// off, a text could hide a statement from the classifier. Without the local flush that
+/// `synchronous_commit` ensures, the position read after a commit would not cover the
+/// commit.
 pub const FIXED_PARAMETERS: [&str; 2] = ["standard_conforming_strings", "synchronous_commit"];
-/// Function that sets a run-time parameter.
+/// Name of the function that sets a run-time parameter.
 const SET_CONFIG: &str = "set_config";
 
-/// Deepest nesting that is parsed.
+/// Recursion limit of the parser; statements nested deeper count as unparsable.
 const RECURSION_LIMIT: usize = 64;
 
-/// What has been proved of one statement.
+/// Classification of one statement.
 #[derive(Clone, Debug)]
 pub(super) struct StatementClass {
-    /// What it is.
+    /// Kind of the statement.
     pub(super) kind: StatementKind,
-    /// Whether it provably writes nothing.
+    /// Whether the statement provably writes nothing.
     pub(super) read: bool,
-    /// What it leaves in the session.
+    /// Session state that the statement leaves on the connection.
     pub(super) effect: SessionEffect,
-    /// Its changes of run-time parameters.
+    /// Changes of run-time parameters made by the statement.
     pub(super) settings: Vec<SettingChange>,
-    /// Mode of the block it opens.
+    /// Mode of the transaction block that the statement opens, if any.
     pub(super) opens: Option<TransactionMode>,
-    /// Parameter it shows.
+    /// Name of the parameter that the statement shows, if any.
     pub(super) show: Option<String>,
-    /// Feature that cannot be carried.
+    /// Feature used by the statement that transaction pooling does not support.
     pub(super) unsupported: Option<String>,
-    /// Direction of its data.
+    /// Direction of the data when the statement is a `COPY` through the connection.
     pub(super) copy: Option<CopyDirection>,
 }
 
@@ -55,14 +56,16 @@
         }
     }
 
-    fn harmless(kind: StatementKind) -> Self {
+    /// A statement that writes nothing and leaves no session state.
+    fn without_effect(kind: StatementKind) -> Self {
         Self::new(kind, true, SessionEffect::None)
     }
 
-    fn of_facts(kind: StatementKind, facts: QueryFacts) -> Self {
+    fn from_facts(kind: StatementKind, facts: QueryFacts) -> Self {
         Self::new(kind, facts.read, facts.effect)
     }
 
+    /// A statement that may write and may leave any session state.
     fn unknown(kind: StatementKind) -> Self {
         Self::new(kind, false, SessionEffect::Unknown)
     }
@@ -70,19 +73,19 @@
 
 /// Classifies one statement.
 pub(super) fn classify(statement: &StatementTokens) -> StatementClass {
-    let mut class = by_leading_word(statement);
+    let mut class = classify_by_leading_word(statement);
     class.unsupported = unsupported_feature(statement);
     class
 }
 
-fn by_leading_word(statement: &StatementTokens) -> StatementClass {
+fn classify_by_leading_word(statement: &StatementTokens) -> StatementClass {
     let second = statement.word(1);
     match &*statement.word(0) {
         "begin" | "start" => begin(statement),
         "commit" | "end" if second == "prepared" => finish_prepared(),
-        "commit" | "end" => StatementClass::harmless(StatementKind::Commit),
+        "commit" | "end" => StatementClass::without_effect(StatementKind::Commit),
         "rollback" | "abort" => rollback(statement),
-        "savepoint" | "release" => StatementClass::harmless(StatementKind::Savepoint),
+        "savepoint" | "release" => StatementClass::without_effect(StatementKind::Savepoint),
         "prepare" if second == "transaction" => StatementClass::new(
             StatementKind::PrepareTransaction,
             false,
@@ -93,22 +96,22 @@
         "discard" | "deallocate" => {
             StatementClass::new(StatementKind::Set, true, SessionEffect::Unknown)
         }
-        "unlisten" => StatementClass::harmless(StatementKind::Other),
+        "unlisten" => StatementClass::without_effect(StatementKind::Other),
         "notify" => StatementClass::new(StatementKind::Other, false, SessionEffect::None),
         "show" => show(statement),
         "explain" => explain(statement),
         "copy" => copy(statement),
         "declare" => declare(statement),
-        "fetch" | "move" | "close" => StatementClass::harmless(StatementKind::Cursor),
-        "select" | "with" | "values" => parsed(StatementKind::Query, &statement.tokens),
+        "fetch" | "move" | "close" => StatementClass::without_effect(StatementKind::Cursor),
+        "select" | "with" | "values" => classify_parsed(StatementKind::Query, &statement.tokens),
         "insert" | "update" | "delete" | "merge" => {
-            parsed(StatementKind::Modify, &statement.tokens)
+            classify_parsed(StatementKind::Modify, &statement.tokens)
         }
         "create" | "alter" | "drop" | "truncate" | "grant" | "revoke" | "comment" => {
-            parsed(StatementKind::Definition, &statement.tokens)
+            classify_parsed(StatementKind::Definition, &statement.tokens)
         }
         _ if statement.tokens.first() == Some(&Token::LParen) => {
-            parsed(StatementKind::Query, &statement.tokens)
+            classify_parsed(StatementKind::Query, &statement.tokens)
         }
         _ => StatementClass::unknown(StatementKind::Other),
     }
@@ -131,7 +134,7 @@
     } else {
         StatementKind::Rollback
     };
-    StatementClass::harmless(kind)
+    StatementClass::without_effect(kind)
 }
 
 fn finish_prepared() -> StatementClass {
@@ -140,7 +143,7 @@
 
 fn set(statement: SettingStatement) -> StatementClass {
     match statement {
-        SettingStatement::TransactionOnly => StatementClass::harmless(StatementKind::Set),
+        SettingStatement::TransactionOnly => StatementClass::without_effect(StatementKind::Set),
         SettingStatement::SessionAuthorization | SettingStatement::Unknown => {
             StatementClass::new(StatementKind::Set, true, SessionEffect::Unknown)
         }
@@ -161,20 +164,21 @@
 }
 
 fn show(statement: &StatementTokens) -> StatementClass {
-    let mut class = StatementClass::harmless(StatementKind::Show);
+    let mut class = StatementClass::without_effect(StatementKind::Show);
     class.show = settings::shown_parameter(statement);
     class
 }
 
-fn parsed(kind: StatementKind, tokens: &[Token]) -> StatementClass {
-    match facts(tokens) {
-        Some(facts) => StatementClass::of_facts(kind, facts),
+/// Classifies `tokens` by parsing them; tokens that do not parse get the unknown class.
+fn classify_parsed(kind: StatementKind, tokens: &[Token]) -> StatementClass {
+    match parse_facts(tokens) {
+        Some(facts) => StatementClass::from_facts(kind, facts),
         None => StatementClass::unknown(kind),
     }
 }
 
-/// Parses exactly one statement.
-fn facts(tokens: &[Token]) -> Option<QueryFacts> {
+/// Parses and analyses exactly one statement; `None` when `tokens` are not one.
+fn parse_facts(tokens: &[Token]) -> Option<QueryFacts> {
     let mut parser = Parser::new(&PostgreSqlDialect {})
         .with_recursion_limit(RECURSION_LIMIT)
         .with_tokens(tokens.to_vec());
@@ -182,21 +186,22 @@
     (parser.peek_token().token == Token::EOF).then(|| query::facts_of(&statement))
 }
 
-/// `EXPLAIN` alone plans and writes nothing; with `ANALYZE` it runs its statement.
+/// `EXPLAIN` only plans the statement and writes nothing; with `ANALYZE` it also runs the
+/// statement and is classified like it.
 fn explain(statement: &StatementTokens) -> StatementClass {
-    let options = explain_options(statement);
-    let runs = statement.tokens[..options]
+    let inner_start = explained_statement_index(statement);
+    let is_run = statement.tokens[..inner_start]
         .iter()
         .any(|token| matches!(token, Token::Word(word) if is_analyze(&word.value)));
-    let inner = &statement.tokens[options..];
-    if runs {
-        let inner = by_leading_word(&StatementTokens {
+    let inner = &statement.tokens[inner_start..];
+    if is_run {
+        let inner = classify_by_leading_word(&StatementTokens {
             tokens: inner.to_vec(),
         });
         return StatementClass::new(StatementKind::Explain, inner.read, inner.effect);
     }
-    match facts(inner) {
-        Some(_) => StatementClass::harmless(StatementKind::Explain),
+    match parse_facts(inner) {
+        Some(_) => StatementClass::without_effect(StatementKind::Explain),
         None => StatementClass::unknown(StatementKind::Explain),
     }
 }
@@ -205,8 +210,9 @@
     word.eq_ignore_ascii_case("analyze") || word.eq_ignore_ascii_case("analyse")
 }
 
-/// Index of the explained statement's first token.
-fn explain_options(statement: &StatementTokens) -> usize {
+/// Returns the index of the first token of the explained statement, after the options of
+/// `EXPLAIN`.
+fn explained_statement_index(statement: &StatementTokens) -> usize {
     let mut index = 1;
     if statement.tokens.get(1) == Some(&Token::LParen) {
         let close = statement
@@ -221,11 +227,11 @@
     index.min(statement.tokens.len())
 }
 
-/// `COPY` through the connection; to or from files and programs it is never a read.
+/// Classifies `COPY`. A `COPY` to or from a file or program of the server is never a read.
 fn copy(statement: &StatementTokens) -> StatementClass {
-    let (source, after) = copy_source(statement);
-    let to = statement.word(after) == "to";
-    let through_connection = match &*statement.word(after + 1) {
+    let (source, direction) = copy_source(statement);
+    let to = statement.word(direction) == "to";
+    let through_connection = match &*statement.word(direction + 1) {
         "stdout" => to,
         "stdin" => !to,
         _ => false,
@@ -234,8 +240,8 @@
         return StatementClass::unknown(StatementKind::Copy);
     }
     let mut class = match (to, source) {
-        (true, Some(query)) => parsed(StatementKind::Copy, query),
-        (true, None) => StatementClass::harmless(StatementKind::Copy),
+        (true, Some(query)) => classify_parsed(StatementKind::Copy, query),
+        (true, None) => StatementClass::without_effect(StatementKind::Copy),
         (false, _) => StatementClass::new(StatementKind::Copy, false, SessionEffect::None),
     };
     class.copy = Some(if to {
@@ -246,11 +252,12 @@
     class
 }
 
-/// The query inside the parentheses, if there is one, and the index of `TO` or `FROM`.
+/// Returns the tokens of the parenthesized query, if there is one, and the index of the
+/// `TO` or `FROM` that gives the direction (the number of tokens when there is neither).
 fn copy_source(statement: &StatementTokens) -> (Option<&[Token]>, usize) {
     let tokens = &statement.tokens;
     let mut depth = 0_usize;
-    let direction = tokens.iter().enumerate().skip(1).find(|(index, token)| {
+    let found = tokens.iter().enumerate().skip(1).find(|(index, token)| {
         match token {
             Token::LParen => depth += 1,
             Token::RParen => depth = depth.saturating_sub(1),
@@ -258,19 +265,20 @@
         }
         depth == 0 && matches!(&*statement.word(*index), "to" | "from")
     });
-    let after = direction.map_or(tokens.len(), |(index, _)| index);
-    let starts_with_query = tokens.get(1) == Some(&Token::LParen) && after > 3;
-    let query = starts_with_query.then(|| &tokens[2..after - 1]);
-    (query, after)
+    let direction = found.map_or(tokens.len(), |(index, _)| index);
+    let starts_with_query = tokens.get(1) == Some(&Token::LParen) && direction > 3;
+    let query = starts_with_query.then(|| &tokens[2..direction - 1]);
+    (query, direction)
 }
 
-/// A cursor lives in its transaction, and its query decides what it is.
+/// Classifies `DECLARE` by the query of the cursor. A cursor ends with its transaction, so
+/// it leaves no session state.
 fn declare(statement: &StatementTokens) -> StatementClass {
-    let query = (1..statement.tokens.len()).find(|index| statement.word(*index) == "for");
-    let Some(query) = query else {
+    let for_index = (1..statement.tokens.len()).find(|index| statement.word(*index) == "for");
+    let Some(for_index) = for_index else {
         return StatementClass::unknown(StatementKind::Cursor);
     };
-    parsed(StatementKind::Cursor, &statement.tokens[query + 1..])
+    classify_parsed(StatementKind::Cursor, &statement.tokens[for_index + 1..])
 }
 
 fn unsupported_feature(statement: &StatementTokens) -> Option<String> {
@@ -324,14 +332,14 @@
     })
 }
 
-/// The fixed parameter that `statement` may change, by `SET` or by a function. A name
-/// that is no literal could be any.
+/// Returns the fixed parameter that `statement` may change with `SET` or `set_config`. A
+/// name that is not a literal could be the name of a fixed parameter.
 fn fixed_parameter(statement: &StatementTokens) -> Option<&'static str> {
     if statement.word(0) == "set"
         && let SettingStatement::Changes(changes) = settings::set_statement(statement)
     {
         return changes.iter().find_map(|change| match change {
-            SettingChange::Set { name, .. } => fixed(name),
+            SettingChange::Set { name, .. } => find_fixed_parameter(name),
             _ => None,
         });
     }
@@ -340,7 +348,7 @@
             if word.value.eq_ignore_ascii_case(SET_CONFIG) =>
         {
             match argument {
-                Token::SingleQuotedString(name) => fixed(name),
+                Token::SingleQuotedString(name) => find_fixed_parameter(name),
                 _ => Some("a parameter whose name is not a literal"),
             }
         }
@@ -348,7 +356,7 @@
     })
 }
 
-fn fixed(name: &str) -> Option<&'static str> {
+fn find_fixed_parameter(name: &str) -> Option<&'static str> {
     FIXED_PARAMETERS
         .into_iter()
         .find(|fixed| name.eq_ignore_ascii_case(fixed))
@@ -359,7 +367,7 @@
     names
         .find(|name| {
             SESSION_LOCK_FUNCTIONS.contains(&&**name)
-                || CONNECTION_MEMORY_FUNCTIONS.contains(&&**name)
+                || CONNECTION_STATE_FUNCTIONS.contains(&&**name)
         })
         .map(|name| format!("{name}()"))
 }
--- a/crates/protocol/src/classify/text.rs
+++ b/crates/protocol/src/classify/text.rs
@@ -1,21 +1,21 @@
-//! A text split into statements of tokens.
+//! Splitting of a text into statements, each a list of tokens.
 
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::tokenizer::{Token, Tokenizer, TokenizerError, Whitespace};
 
-/// One statement: its tokens without white space and comments.
+/// One statement.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StatementTokens {
-    /// The tokens.
+    /// Tokens of the statement, without white space, comments and the semicolon.
     pub(super) tokens: Vec<Token>,
 }
 
-/// A whole text.
+/// A text split into statements.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SplitText {
-    /// Statements in order; empty ones are left out.
+    /// Statements in order, without empty ones.
     pub(super) statements: Vec<StatementTokens>,
-    /// Bodies of its block comments.
+    /// Bodies of the block comments of the text.
     pub(super) comments: Vec<String>,
 }
 
@@ -45,7 +45,8 @@
 }
 
 impl StatementTokens {
-    /// The unquoted word at `index` in lower case; empty where there is none.
+    /// Returns the unquoted word at `index` in lower case; empty if the token at `index` is
+    /// anything else.
     pub(super) fn word(&self, index: usize) -> String {
         match self.tokens.get(index) {
             Some(Token::Word(word)) if word.quote_style.is_none() => word.value.to_lowercase(),
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Whether the statement starts with these words.
+    /// Returns whether the statement starts with these unquoted words.
     pub(super) fn starts_with(&self, words: &[&str]) -> bool {
         words
             .iter()
@@ -61,7 +62,7 @@
             .all(|(index, word)| self.word(index) == *word)
     }
 
-    /// Whether these words stand next to each other anywhere, outside quotes.
+    /// Returns whether these unquoted words occur anywhere next to each other.
     pub(super) fn contains(&self, words: &[&str]) -> bool {
         (0..self.tokens.len()).any(|start| {
             words
@@ -71,7 +72,8 @@
         })
     }
 
-    /// Names of everything written like a call, quoted or not, in lower case.
+    /// Iterates over the names that are followed by a parenthesis, as in a function call.
+    /// Quoted names are included; all are in lower case.
     pub(super) fn called_names(&self) -> impl Iterator<Item = String> {
         self.tokens.windows(2).filter_map(|pair| match pair {
             [Token::Word(word), Token::LParen] => Some(word.value.to_lowercase()),
--- a/crates/protocol/src/classify/unit.rs
+++ b/crates/protocol/src/classify/unit.rs
@@ -1,4 +1,4 @@
-//! A whole unit: its statements put together.
+//! Classification of a whole unit from the classes of its statements.
 
 use hookpoint_coordination::request::Access;
 
@@ -7,10 +7,10 @@
 use super::text;
 use super::{MAXIMUM_ANALYSED_BYTES, SessionEffect, StatementKind, TransactionEnd, UnitClass};
 
-/// Classifies `sql` without a cache.
-pub(super) fn analyse(sql: &str) -> UnitClass {
+/// Classifies `sql` without using the cache.
+pub(super) fn classify(sql: &str) -> UnitClass {
     let mut class = if sql.len() > MAXIMUM_ANALYSED_BYTES {
-        opaque(sql)
+        unanalysed(sql)
     } else {
         match text::split(sql) {
             Ok(split) => {
@@ -23,20 +23,22 @@
                     .find_map(|body| comment::request_id_of(body));
                 class
             }
-            Err(_) => opaque(sql),
+            Err(_) => unanalysed(sql),
         }
     };
     refuse_bad_request_id(&mut class);
     class
 }
 
-fn opaque(sql: &str) -> UnitClass {
+/// Returns the class of a unit that is not split into tokens.
+fn unanalysed(sql: &str) -> UnitClass {
     let mut class = UnitClass::unknown();
     class.request_id = comment::request_id_in_raw(sql);
     class
 }
 
-/// An identifier that cannot be honoured must not be dropped silently.
+/// Marks a unit with an empty or too long request identifier as unsupported, because an
+/// identifier that cannot be honoured must not be ignored silently.
 fn refuse_bad_request_id(class: &mut UnitClass) {
     let Some(id) = &class.request_id else {
         return;
@@ -61,7 +63,7 @@
             .iter()
             .rev()
             .find_map(|statement| statement.opens),
-        ends_transaction: statements.iter().rev().find_map(end_of),
+        ends_transaction: statements.iter().rev().find_map(transaction_end),
         session_effect: statements
             .iter()
             .map(|statement| statement.effect)
@@ -80,7 +82,7 @@
     }
 }
 
-fn end_of(statement: &StatementClass) -> Option<TransactionEnd> {
+fn transaction_end(statement: &StatementClass) -> Option<TransactionEnd> {
     match statement.kind {
         StatementKind::Commit | StatementKind::PrepareTransaction => Some(TransactionEnd::Commit),
         StatementKind::Rollback => Some(TransactionEnd::Rollback),
@@ -88,8 +90,9 @@
     }
 }
 
-/// Whether running the unit may make something durable, given whether a block is open
-/// before it. An open block may hold earlier writes, so its commit always counts.
+/// Returns whether running the unit may commit changes, given whether a transaction block
+/// is open before it. A block that is already open may hold earlier writes, so its commit
+/// always counts.
 fn may_commit(statements: &[StatementClass], starts_in_block: bool) -> bool {
     let mut in_block = starts_in_block;
     let mut pending_writes = starts_in_block;
--- a/crates/protocol/src/errors/backend.rs
+++ b/crates/protocol/src/errors/backend.rs
@@ -1,33 +1,33 @@
-//! Errors from databases.
+//! Parsing of errors received from databases.
 
 use pgwire::messages::response::MESSAGE_TYPE_BYTE_ERROR_RESPONSE;
 use thiserror::Error;
 
 use crate::frame::Frame;
 
-/// SQLSTATE used where the message carries none (`internal_error`).
+/// SQLSTATE used when the message carries none (`internal_error`).
 const MISSING_SQLSTATE: &str = "XX000";
 
-/// What a database's `ErrorResponse` says. Missing fields are empty; a truncated message
-/// gives the fields before the cut.
+/// Main fields of an `ErrorResponse`. Missing fields are empty, except the SQLSTATE, which
+/// is then `XX000`. Of a truncated message, the complete fields are kept.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{severity} {sqlstate}: {message}")]
 pub struct BackendError {
-    /// Severity, unlocalised where the database sends it so.
+    /// Severity; the unlocalised form when the database sends it, else the localised one.
     pub severity: String,
-    /// SQLSTATE.
+    /// SQLSTATE code of five characters.
     pub sqlstate: String,
-    /// Primary message.
+    /// Primary human-readable message.
     pub message: String,
 }
 
 impl BackendError {
-    /// Reads an `ErrorResponse`; `None` for any other message.
+    /// Parses an `ErrorResponse`; `None` for any other message.
     pub fn from_frame(frame: &Frame) -> Option<Self> {
         (frame.tag == MESSAGE_TYPE_BYTE_ERROR_RESPONSE).then(|| Self::from_body(&frame.body))
     }
 
-    /// Whether the connection ends with this error.
+    /// Returns whether the database ends the connection with this error.
     pub fn is_fatal(&self) -> bool {
         matches!(&*self.severity, "FATAL" | "PANIC")
     }
@@ -38,10 +38,10 @@
             sqlstate: MISSING_SQLSTATE.to_owned(),
             message: String::new(),
         };
-        let mut localised = String::new();
+        let mut localised_severity = String::new();
         for (code, text) in fields(body) {
             match code {
-                b'S' => localised = text,
+                b'S' => localised_severity = text,
                 b'V' => error.severity = text,
                 b'C' => error.sqlstate = text,
                 b'M' => error.message = text,
@@ -49,14 +49,14 @@
             }
         }
         if error.severity.is_empty() {
-            error.severity = localised;
+            error.severity = localised_severity;
         }
         error
     }
 }
 
-/// The fields of the message, each a code and a text ended by a zero byte. The reading
-/// is done here because the codec library panics on a truncated body.
+/// Iterates over the fields of the message, each a code and a zero-terminated text. The
+/// body is parsed here because `pgwire` panics on a truncated body.
 fn fields(body: &[u8]) -> impl Iterator<Item = (u8, String)> {
     let mut rest = body;
     std::iter::from_fn(move || {
--- a/crates/protocol/src/errors/mod.rs
+++ b/crates/protocol/src/errors/mod.rs
@@ -1,5 +1,5 @@
-//! Error messages: those that hookpoint makes for callers, and those that it reads from
-//! databases.
+//! Error messages: those that hookpoint sends to clients, and those that it receives
+//! from databases.
 
 mod backend;
 mod report;
--- a/crates/protocol/src/errors/report.rs
+++ b/crates/protocol/src/errors/report.rs
@@ -1,4 +1,4 @@
-//! Errors towards callers.
+//! Errors reported to clients.
 
 use std::time::Duration;
 
@@ -17,17 +17,17 @@
 /// SQLSTATE `admin_shutdown`.
 const ADMIN_SHUTDOWN: &str = "57P01";
 
-/// How bad an error is.
+/// Severity of an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// The session goes on.
+    /// The request fails and the session continues.
     Error,
     /// The session ends.
     Fatal,
 }
 
 impl Severity {
-    /// The text in the message, the same in every language.
+    /// Returns the unlocalised text of the severity field.
     pub fn as_str(self) -> &'static str {
         match self {
             Severity::Error => "ERROR",
@@ -36,25 +36,25 @@
     }
 }
 
-/// An error to tell a caller.
+/// An error reported to a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ErrorReport {
-    /// How bad it is.
+    /// Whether the session ends with the error.
     pub severity: Severity,
-    /// SQLSTATE.
+    /// SQLSTATE code of five characters.
     pub sqlstate: String,
-    /// One sentence for people.
+    /// Human-readable message of one sentence.
     pub message: String,
-    /// Whether the request ran, where the error speaks of a request.
+    /// Whether the request ran; `None` when the error does not concern a request.
     pub outcome: Option<Outcome>,
-    /// Why, in words that programs may read.
+    /// Machine-readable reason.
     pub reason: Option<String>,
-    /// When asking again can help.
+    /// Time after which a retry can succeed; `None` when a retry is not suggested.
     pub retry_after: Option<Duration>,
 }
 
 impl ErrorReport {
-    /// An error that speaks of no request.
+    /// Creates an error that does not concern a request.
     pub fn new(severity: Severity, sqlstate: &str, message: impl Into<String>) -> Self {
         Self {
             severity,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// The request did not run.
+    /// Creates the error for a request that was refused and did not run.
     pub fn refusal(refusal: &Refusal) -> Self {
         Self {
             outcome: Some(refusal.outcome()),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Nobody can tell whether the request ran.
+    /// Creates the error for a request whose outcome cannot be determined.
     pub fn unknown(cause: UnknownCause) -> Self {
         Self {
             outcome: Some(Outcome::Unknown),
@@ -85,19 +85,19 @@
         }
     }
 
-    /// The caller broke the protocol; the session ends.
+    /// Creates the error for a protocol violation by the client; the session ends.
     pub fn protocol(message: impl Into<String>) -> Self {
         Self::new(Severity::Fatal, PROTOCOL_VIOLATION, message)
     }
 
-    /// The caller's credentials were not accepted; the session ends.
+    /// Creates the error for credentials that were not accepted; the session ends.
     pub fn authentication(user: &str) -> Self {
         let message = format!("password authentication failed for user \"{user}\"");
         Self::new(Severity::Fatal, INVALID_PASSWORD, message)
     }
 
-    /// The proxy is stopping and the idle session ends. A request that the caller was
-    /// sending at that moment is not read and does not run.
+    /// Creates the error that ends an idle session because the proxy is stopping. A request
+    /// that the client was sending at that moment is not read and does not run.
     pub fn shutdown() -> Self {
         let message = "terminating connection because the proxy is stopping";
         Self {
@@ -108,13 +108,13 @@
         }
     }
 
-    /// The same error, ending the session.
+    /// Returns the same error with a severity that ends the session.
     pub fn fatal(mut self) -> Self {
         self.severity = Severity::Fatal;
         self
     }
 
-    /// The `ErrorResponse` message.
+    /// Encodes the error as an `ErrorResponse` message.
     pub fn to_frame(&self) -> Frame {
         let severity = self.severity.as_str().to_owned();
         let mut fields = vec![
@@ -129,12 +129,13 @@
             text.retain(|character| character != '\0');
         }
         let mut body = BytesMut::new();
-        // Encoding the body only appends to a growing buffer and has no failing case.
+        // Encoding the body only appends to a growing buffer and cannot fail.
         let _ = ErrorResponse::new(fields).encode_body(&mut body);
         Frame::new(MESSAGE_TYPE_BYTE_ERROR_RESPONSE, body)
     }
 
-    /// The `DETAIL` field: the outcome and the reason, parted by a blank.
+    /// Returns the `DETAIL` field: the outcome and the reason, separated by a space. `None`
+    /// when the error has no outcome.
     pub fn detail(&self) -> Option<String> {
         let outcome = self.outcome?.as_field();
         Some(match &self.reason {
@@ -143,7 +144,7 @@
         })
     }
 
-    /// The `HINT` field.
+    /// Returns the `HINT` field: the retry time in milliseconds, if there is one.
     pub fn hint(&self) -> Option<String> {
         self.retry_after
             .map(|after| format!("retry_after_ms={}", after.as_millis()))
--- a/crates/protocol/src/extended.rs
+++ b/crates/protocol/src/extended.rs
@@ -1,5 +1,5 @@
-//! Bodies of the extended-query messages, as far as a proxy has to read and rewrite
-//! them: names are rewritten, values are left alone.
+//! Bodies of the extended-query messages. They are parsed only as far as the proxy needs
+//! in order to rewrite statement names; parameter values are passed on unchanged.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use thiserror::Error;
@@ -7,7 +7,7 @@
 use crate::frame::Frame;
 use crate::tags::frontend;
 
-/// A message body that does not have the form its tag asks for.
+/// Error for a message body that does not have the layout required by its tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("a message of tag `{}` is malformed", char::from(*tag))]
 pub struct MalformedMessage {
@@ -15,7 +15,7 @@
     pub tag: u8,
 }
 
-/// What a `Describe` or `Close` speaks of.
+/// Kind of object that a `Describe` or `Close` message refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target {
     /// A prepared statement.
@@ -27,35 +27,39 @@
 /// A `Parse` message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Parse {
-    /// Name of the statement; empty for the unnamed one.
+    /// Name of the statement; empty for the unnamed statement.
     pub name: String,
-    /// Its text.
+    /// SQL text of the statement.
     pub query: String,
-    /// Parameter type identifiers, 0 where the server is to choose.
+    /// Type OIDs of the parameters; 0 where the server infers the type.
     pub parameter_types: Vec<u32>,
 }
 
-/// A `Bind` message: the two names and the rest as it came.
+/// A `Bind` message: the portal and statement names, and the rest of the body unparsed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Bind {
-    /// Name of the portal.
+    /// Name of the portal; empty for the unnamed portal.
     pub portal: String,
-    /// Name of the statement.
+    /// Name of the statement; empty for the unnamed statement.
     pub statement: String,
-    /// Formats, values and result formats.
+    /// Parameter formats, parameter values and result formats, as received.
     pub rest: Bytes,
 }
 
 /// A `Describe` or `Close` message.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Named {
-    /// Kind of thing.
+    /// Whether `name` names a statement or a portal.
     pub target: Target,
-    /// Its name.
+    /// Name of the statement or portal; empty for the unnamed one.
     pub name: String,
 }
 
-/// Takes a string that ends with a zero byte off the front of `body`.
+/// Removes a zero-terminated string from the front of `body` and returns it. `tag` is
+/// used for the error only.
+///
+/// # Errors
+/// [`MalformedMessage`] when there is no terminator or the string is not UTF-8.
 pub fn take_string(tag: u8, body: &mut Bytes) -> Result<String, MalformedMessage> {
     let malformed = MalformedMessage { tag };
     let end = body.iter().position(|byte| *byte == 0).ok_or(malformed)?;
@@ -69,10 +73,10 @@
     body.put_u8(0);
 }
 
-/// Text of a `Query` message.
+/// Returns the SQL text of a `Query` message.
 ///
 /// # Errors
-/// When it is not one UTF-8 string that ends with a zero byte.
+/// [`MalformedMessage`] when the body is not exactly one zero-terminated UTF-8 string.
 pub fn query_text(frame: &Frame) -> Result<String, MalformedMessage> {
     let mut body = frame.body.clone();
     let text = take_string(frame.tag, &mut body)?;
@@ -83,23 +87,23 @@
     }
 }
 
-/// A `Query` message of `text`.
+/// Builds a `Query` message with the SQL text `text`.
 pub fn query(text: &str) -> Frame {
     let mut body = BytesMut::with_capacity(text.len() + 1);
     put_string(&mut body, text);
     Frame::new(frontend::QUERY, body.freeze())
 }
 
-/// A `Sync` message.
+/// Builds a `Sync` message.
 pub fn sync() -> Frame {
     Frame::new(frontend::SYNC, Bytes::new())
 }
 
 impl Parse {
-    /// Reads a `Parse` body.
+    /// Parses the body of a `Parse` message.
     ///
     /// # Errors
-    /// When it is malformed.
+    /// [`MalformedMessage`] when the body does not have the expected layout.
     pub fn read(frame: &Frame) -> Result<Self, MalformedMessage> {
         let malformed = MalformedMessage { tag: frame.tag };
         let mut body = frame.body.clone();
@@ -126,10 +130,10 @@
 }
 
 impl Bind {
-    /// Reads a `Bind` body.
+    /// Parses the names in the body of a `Bind` message.
     ///
     /// # Errors
-    /// When its names are malformed.
+    /// [`MalformedMessage`] when one of the names is not a zero-terminated UTF-8 string.
     pub fn read(frame: &Frame) -> Result<Self, MalformedMessage> {
         let mut rest = frame.body.clone();
         let portal = take_string(frame.tag, &mut rest)?;
@@ -141,7 +145,7 @@
         })
     }
 
-    /// The message with the statement called `statement`.
+    /// Builds the message with the statement name replaced by `statement`.
     pub fn with_statement(&self, statement: &str) -> Frame {
         let length = self.portal.len() + statement.len() + 2 + self.rest.len();
         let mut body = BytesMut::with_capacity(length);
@@ -153,10 +157,10 @@
 }
 
 impl Named {
-    /// Reads a `Describe` or `Close` body.
+    /// Parses the body of a `Describe` or `Close` message.
     ///
     /// # Errors
-    /// When it is malformed.
+    /// [`MalformedMessage`] when the body does not have the expected layout.
     pub fn read(frame: &Frame) -> Result<Self, MalformedMessage> {
         let malformed = MalformedMessage { tag: frame.tag };
         let target = match frame.body.first() {
@@ -173,7 +177,7 @@
         }
     }
 
-    /// The message of `tag` with the name `name`.
+    /// Builds a message of `tag` for the same target, with the name replaced by `name`.
     pub fn renamed(&self, tag: u8, name: &str) -> Frame {
         let mut body = BytesMut::with_capacity(name.len() + 2);
         body.put_u8(match self.target {
@@ -185,10 +189,10 @@
     }
 }
 
-/// Name of the portal of an `Execute` message.
+/// Returns the portal name of an `Execute` message.
 ///
 /// # Errors
-/// When it is malformed.
+/// [`MalformedMessage`] when the body is not a portal name and a row limit of four bytes.
 pub fn execute_portal(frame: &Frame) -> Result<String, MalformedMessage> {
     let mut body = frame.body.clone();
     let portal = take_string(frame.tag, &mut body)?;
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -1,24 +1,24 @@
-//! Raw PostgreSQL messages: a tag and a body, relayed without decoding.
+//! PostgreSQL messages as a tag and an undecoded body, which is how they are relayed.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 use tokio_util::codec::{Decoder, Encoder};
 
-/// Bytes of a message header: one tag and a length of four bytes.
+/// Length of a message header in bytes: a one-byte tag and a four-byte length field.
 const HEADER_LENGTH: usize = 5;
 
-/// One message after start-up. The body excludes tag and length.
+/// A message of the phase after start-up.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame {
     /// Message tag, such as `b'Q'`.
     pub tag: u8,
-    /// Body of the message.
+    /// Body of the message, without tag and length field.
     pub body: Bytes,
 }
 
 impl Frame {
-    /// A frame of `tag` and `body`.
+    /// Creates a frame from `tag` and `body`.
     pub fn new(tag: u8, body: impl Into<Bytes>) -> Self {
         Self {
             tag,
@@ -26,12 +26,12 @@
         }
     }
 
-    /// Bytes this frame takes on the wire.
+    /// Returns the encoded length of the frame in bytes, header included.
     pub fn wire_length(&self) -> usize {
         HEADER_LENGTH + self.body.len()
     }
 
-    /// Appends the frame in wire form.
+    /// Appends the encoded frame to `output`.
     pub fn write_to(&self, output: &mut BytesMut) {
         output.reserve(self.wire_length());
         output.put_u8(self.tag);
@@ -40,10 +40,10 @@
     }
 }
 
-/// A stream of bytes that is no sequence of messages, or one past the limit.
+/// Why a byte stream could not be split into frames.
 #[derive(Debug, Error)]
 pub enum FrameError {
-    /// The length field is below its minimum.
+    /// The length field is below 4, although it counts its own four bytes.
     #[error("a message of tag {tag} has the impossible length {length}")]
     BadLength {
         /// Tag of the message.
@@ -51,12 +51,12 @@
         /// Length field as received.
         length: u32,
     },
-    /// The message is larger than allowed.
+    /// The body of a message is larger than the limit.
     #[error("a message of {length} bytes is over the limit of {limit}")]
     TooLarge {
-        /// Length of the message in bytes.
+        /// Length of the body in bytes.
         length: usize,
-        /// The limit in bytes.
+        /// Largest body accepted, in bytes.
         limit: usize,
     },
     /// The connection failed.
@@ -64,14 +64,14 @@
     Io(#[from] std::io::Error),
 }
 
-/// Splits a byte stream into frames, with a limit on the size of one.
+/// Splits a byte stream into frames and limits the body size of a frame.
 #[derive(Clone, Debug)]
 pub struct FrameCodec {
     limit: usize,
 }
 
 impl FrameCodec {
-    /// A codec that refuses bodies of more than `limit` bytes.
+    /// Creates a codec that refuses bodies of more than `limit` bytes.
     pub fn new(limit: usize) -> Self {
         Self { limit }
     }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,6 +1,6 @@
-//! Wire formats of hookpoint: PostgreSQL frames and messages (through `pgwire`'s
-//! codec), statement classification, authentication, the platform's JSON bodies and
-//! the messages between proxies.
+//! Wire formats of hookpoint: PostgreSQL frames and messages (partly through `pgwire`'s
+//! codec), statement classification, authentication, the JSON bodies of the platform's
+//! key-value service and the messages between proxies.
 #![forbid(unsafe_code)]
 
 pub mod backend_command;
--- a/crates/protocol/src/peer/datagram.rs
+++ b/crates/protocol/src/peer/datagram.rs
@@ -1,9 +1,9 @@
-//! Sealing datagrams: XChaCha20-Poly1305 under the fleet key, with a random nonce and a
-//! sequence number inside.
+//! Authenticated encryption of datagrams: XChaCha20-Poly1305 with a key derived from the
+//! fleet key, a random nonce and an encrypted sequence number.
 //!
 //! Layout: format (1 byte), key number (4 bytes, big endian), nonce (24 bytes), then the
-//! sealed sequence number (8 bytes, big endian) and `postcard` message, then the tag
-//! (16 bytes). Format and key number are authenticated too.
+//! encrypted sequence number (8 bytes, big endian) and `postcard` message, then the
+//! authentication tag (16 bytes). Format and key number are authenticated but not encrypted.
 
 use chacha20poly1305::aead::{Aead, AeadCore, KeyInit, OsRng, Payload};
 use chacha20poly1305::{XChaCha20Poly1305, XNonce};
@@ -12,10 +12,12 @@
 
 use super::key::{FleetKey, FleetKeys};
 
-/// Largest datagram sent or accepted, in bytes; it fits one Ethernet frame.
+/// Largest datagram sent or accepted, in bytes; it fits into one Ethernet frame.
 pub const MAXIMUM_DATAGRAM_BYTES: usize = 1_400;
 
+/// Version of the datagram layout.
 const FORMAT: u8 = 1;
+/// Length of format and key number.
 const HEADER_BYTES: usize = 5;
 const NONCE_BYTES: usize = 24;
 const SEQUENCE_BYTES: usize = 8;
@@ -24,21 +26,21 @@
 /// Why a datagram was not sent or not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DatagramError {
-    /// Larger than [`MAXIMUM_DATAGRAM_BYTES`].
+    /// The datagram is larger than [`MAXIMUM_DATAGRAM_BYTES`].
     #[error("the datagram is too large")]
     TooLarge,
-    /// Too short, or of an unknown format.
+    /// The datagram is too short, has an unknown format or a message that cannot be decoded.
     #[error("the datagram is malformed")]
     Malformed,
-    /// Made with a key that is not accepted.
+    /// The datagram names a key that is not accepted.
     #[error("the datagram was made with an unknown key")]
     UnknownKey,
-    /// Not made with the key it names, or changed on the way.
+    /// The datagram was not encrypted with the key that it names, or was changed in transit.
     #[error("the datagram is not authentic")]
     Forged,
 }
 
-/// Seals datagrams with ascending sequence numbers.
+/// Encrypts datagrams and gives them ascending sequence numbers, starting at 1.
 #[derive(Debug)]
 pub struct DatagramSealer {
     next_sequence: u64,
@@ -51,10 +53,11 @@
 }
 
 impl DatagramSealer {
-    /// Seals `datagram` with `key`.
+    /// Encrypts `datagram` with `key` and the next sequence number.
     ///
     /// # Errors
-    /// [`DatagramError::TooLarge`].
+    /// [`DatagramError::TooLarge`], or [`DatagramError::Malformed`] when the message cannot be
+    /// encoded.
     pub fn seal(&mut self, key: &FleetKey, datagram: &Datagram) -> Result<Vec<u8>, DatagramError> {
         let mut plain = self.next_sequence.to_be_bytes().to_vec();
         self.next_sequence += 1;
@@ -78,17 +81,17 @@
     }
 }
 
-/// Opens a datagram made with any of `keys`. Returns it with its sequence number, which
-/// the caller checks against a [`super::ReplayGuard`].
+/// Decrypts a datagram that was encrypted with any of `keys`. Returns it with its sequence
+/// number, which the calling code must check with a [`super::ReplayGuard`].
 ///
 /// # Errors
 /// Any [`DatagramError`].
 pub fn open_datagram(keys: &FleetKeys, sealed: &[u8]) -> Result<(u64, Datagram), DatagramError> {
-    const SHORTEST: usize = HEADER_BYTES + NONCE_BYTES + SEQUENCE_BYTES + TAG_BYTES;
+    const MINIMUM_DATAGRAM_BYTES: usize = HEADER_BYTES + NONCE_BYTES + SEQUENCE_BYTES + TAG_BYTES;
     if sealed.len() > MAXIMUM_DATAGRAM_BYTES {
         return Err(DatagramError::TooLarge);
     }
-    if sealed.len() < SHORTEST || sealed[0] != FORMAT {
+    if sealed.len() < MINIMUM_DATAGRAM_BYTES || sealed[0] != FORMAT {
         return Err(DatagramError::Malformed);
     }
     let (header, rest) = sealed.split_at(HEADER_BYTES);
--- a/crates/protocol/src/peer/frame.rs
+++ b/crates/protocol/src/peer/frame.rs
@@ -1,4 +1,4 @@
-//! Frames of a link. A record of the link holds whole frames, one behind the other.
+//! Frames of a link. Each record of the link holds a sequence of whole frames.
 
 use bytes::Bytes;
 use hookpoint_coordination::membership::MemberInfo;
@@ -6,106 +6,107 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// A request for a connection, as it travels to the home node.
+/// A request for a database connection, as sent to the home node of the database.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenRequest {
-    /// Group of the database.
+    /// Group that the database belongs to.
     pub group: GroupName,
-    /// Database to reach.
+    /// Database to connect to.
     pub database: DatabaseName,
-    /// Session that asks, as numbered by its own node.
+    /// Requesting session, identified by the number that its own node gave it.
     pub session: SessionId,
-    /// Tenant of the session.
+    /// Tenant that the session belongs to.
     pub tenant: TenantName,
     /// Zone of the session's node.
     pub zone: ZoneName,
-    /// What is left of the time the request may wait, in microseconds.
+    /// Remaining time that the request may wait, in microseconds.
     pub wait_micros: u64,
 }
 
-/// One frame. The node that dialled numbers the streams it opens oddly, the other
-/// evenly.
+/// One frame. The node that dialled the link uses odd numbers for the streams that it opens,
+/// the accepting node even numbers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LinkFrame {
-    /// Who speaks; the first frame in each direction.
+    /// Identifies the sending node; the first frame in each direction.
     Hello(MemberInfo),
-    /// Asks for a `Pong`.
+    /// Requests a `Pong`.
     Ping,
-    /// Answers a `Ping`.
+    /// Response to a `Ping`.
     Pong,
-    /// Opens a stream and asks for a connection.
+    /// Opens a stream and requests a connection.
     Open {
-        /// Number of the stream, not used before on this link.
+        /// Number of the stream; it was not used before on this link.
         stream: u32,
-        /// What is asked for.
+        /// The requested connection.
         request: OpenRequest,
     },
-    /// The connection is there: commands go to it from now on, also those that came
-    /// before.
+    /// The connection is available. Commands on the stream are passed to it from now on,
+    /// including those that arrived before.
     Granted {
-        /// The stream.
+        /// Number of the stream.
         stream: u32,
     },
-    /// No connection; nothing ran. The stream is closed.
+    /// No connection is available and nothing ran. The stream is closed.
     Refused {
-        /// The stream.
+        /// Number of the stream.
         stream: u32,
-        /// Why.
+        /// Reason for the refusal.
         refusal: Refusal,
     },
-    /// A piece of a command or a reply.
+    /// A fragment of a command or a reply.
     Data {
-        /// The stream.
+        /// Number of the stream.
         stream: u32,
-        /// Whether the message ends here.
+        /// Whether this is the last fragment of the message.
         last: bool,
-        /// The piece.
+        /// Bytes of the fragment.
         bytes: Bytes,
     },
-    /// The receiver has room for so many more bytes of data.
+    /// Flow control: allows the peer to send this many more bytes of data on the stream.
     Credit {
-        /// The stream.
+        /// Number of the stream.
         stream: u32,
-        /// Bytes taken since the last credit.
+        /// Bytes consumed since the last credit.
         bytes: u32,
     },
-    /// The sender is done with the stream. Nothing follows on it from here.
+    /// The sender sends nothing more on this stream.
     Closed {
-        /// The stream.
+        /// Number of the stream.
         stream: u32,
     },
-    /// A piece of a `PeerMessage` between node machines. Pieces of one message follow
-    /// each other.
+    /// A fragment of a `PeerMessage` between the state machines of two nodes. The fragments
+    /// of a message are sent without other control fragments between them.
     Control {
-        /// Whether the message ends here.
+        /// Whether this is the last fragment of the message.
         last: bool,
-        /// The piece.
+        /// Bytes of the fragment.
         bytes: Bytes,
     },
-    /// Cancel what a session of the receiver runs.
+    /// Cancels the running request of a session on the receiving node.
     CancelSession {
-        /// Process number as told to the caller.
+        /// Process number that the client received in its `BackendKeyData`.
         process: u32,
-        /// Secret as told to the caller.
+        /// Secret that the client received in its `BackendKeyData`.
         secret: u32,
     },
 }
 
-/// A record that does not consist of frames.
+/// Error for a record that does not consist of whole frames.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the record does not consist of frames")]
 pub struct FrameDecodeError;
 
-/// Appends a frame to a record.
+/// Appends an encoded frame to a record and returns the record.
 pub fn encode_frame(frame: &LinkFrame, record: Vec<u8>) -> Vec<u8> {
-    // Frames hold nothing that postcard cannot encode, and a vector takes all.
+    // Every frame can be encoded by postcard, and a vector grows as needed, so this cannot
+    // fail.
     postcard::to_extend(frame, record).unwrap_or_default()
 }
 
-/// The frames of a record.
+/// Decodes all frames of a record.
 ///
 /// # Errors
-/// [`FrameDecodeError`] if it holds anything else.
+/// [`FrameDecodeError`] if the record holds anything else than whole frames.
 pub fn decode_frames(mut record: &[u8]) -> Result<Vec<LinkFrame>, FrameDecodeError> {
     let mut frames = Vec::new();
     while !record.is_empty() {
--- a/crates/protocol/src/peer/handshake.rs
+++ b/crates/protocol/src/peer/handshake.rs
@@ -1,46 +1,48 @@
-//! Securing a link: the Noise handshake `NNpsk0` with the fleet key as pre-shared key,
-//! then sealed records.
+//! Encryption of a link: the Noise handshake `NNpsk0` with a key derived from the fleet key
+//! as pre-shared key, then encrypted records.
 //!
-//! The node that dials sends a preamble (magic, format, key number) and the first Noise
-//! message; the other answers with the second. Each record is a length of two bytes
-//! (big endian) and that many sealed bytes; both sides count records, so one that is
-//! lost, repeated or out of order breaks the link.
+//! The dialling node sends a preamble (magic, format, key number) and the first Noise
+//! message; the accepting node responds with the second Noise message. Each record is a
+//! length of two bytes (big endian) and that many encrypted bytes. Both sides count the
+//! records, so a record that is lost, repeated or out of order breaks the link.
 
 use snow::{Builder, HandshakeState, StatelessTransportState};
 use thiserror::Error;
 
 use super::key::{FleetKey, FleetKeys};
 
-const PATTERN: &str = "Noise_NNpsk0_25519_ChaChaPoly_BLAKE2s";
+const NOISE_PROTOCOL: &str = "Noise_NNpsk0_25519_ChaChaPoly_BLAKE2s";
 const MAGIC: &[u8; 4] = b"hkpt";
+/// Version of the handshake and record format.
 const FORMAT: u8 = 1;
-/// Bytes of magic, format and key number.
+/// Length of magic, format and key number.
 const PREAMBLE_BYTES: usize = 9;
-/// Bytes of an ephemeral key and a tag.
+/// Length of an ephemeral public key and an authentication tag.
 const NOISE_MESSAGE_BYTES: usize = 48;
 const TAG_BYTES: usize = 16;
-const PSK_PLACE: u8 = 0;
+/// Position of the pre-shared key in the pattern (`psk0`).
+const PSK_POSITION: u8 = 0;
 
-/// Bytes that the dialling node sends first.
+/// Length of the first message of the dialling node, in bytes.
 pub const HANDSHAKE_BYTES: usize = PREAMBLE_BYTES + NOISE_MESSAGE_BYTES;
-/// Bytes of the answer.
+/// Length of the accepting node's response, in bytes.
 pub const HANDSHAKE_ANSWER_BYTES: usize = NOISE_MESSAGE_BYTES;
-/// Largest content of one record, in bytes.
+/// Largest plaintext of one record, in bytes.
 pub const MAXIMUM_RECORD_BYTES: usize = 65_535 - TAG_BYTES;
 
-/// Why a link was not made or was broken.
+/// Why a link could not be established or was broken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum LinkError {
-    /// The other side speaks something else.
+    /// The peer uses another protocol or format.
     #[error("the preamble is malformed")]
     Malformed,
-    /// The other side uses a key that is not accepted.
+    /// The peer names a key that is not accepted.
     #[error("the link was opened with an unknown key")]
     UnknownKey,
-    /// The other side does not have the key, or something was changed on the way.
+    /// The peer does not have the key, or data was changed, lost or reordered in transit.
     #[error("the link is not authentic")]
     Forged,
-    /// A record is larger than allowed.
+    /// A record is larger than [`MAXIMUM_RECORD_BYTES`].
     #[error("the record is too large")]
     TooLarge,
 }
@@ -53,10 +55,10 @@
     bytes
 }
 
-fn build(key: &FleetKey, initiator: bool) -> Result<HandshakeState, snow::Error> {
+fn build_handshake(key: &FleetKey, initiator: bool) -> Result<HandshakeState, snow::Error> {
     let preamble = preamble(key);
-    let builder = Builder::new(PATTERN.parse()?)
-        .psk(PSK_PLACE, key.link_key())?
+    let builder = Builder::new(NOISE_PROTOCOL.parse()?)
+        .psk(PSK_POSITION, key.link_key())?
         .prologue(&preamble)?;
     if initiator {
         builder.build_initiator()
@@ -65,18 +67,18 @@
     }
 }
 
-/// The dialling side of a handshake.
+/// State of a handshake on the dialling node.
 pub struct Dialler {
     state: HandshakeState,
 }
 
 impl Dialler {
-    /// Starts a handshake; returns what to send.
+    /// Starts a handshake and returns the message to send.
     ///
     /// # Errors
     /// [`LinkError::Forged`] if the cryptography fails.
     pub fn start(key: &FleetKey) -> Result<(Self, [u8; HANDSHAKE_BYTES]), LinkError> {
-        let mut state = build(key, true).map_err(|_| LinkError::Forged)?;
+        let mut state = build_handshake(key, true).map_err(|_| LinkError::Forged)?;
         let mut message = [0; HANDSHAKE_BYTES];
         message[..PREAMBLE_BYTES].copy_from_slice(&preamble(key));
         state
@@ -85,10 +87,10 @@
         Ok((Self { state }, message))
     }
 
-    /// Takes the answer.
+    /// Processes the response of the accepting node and completes the handshake.
     ///
     /// # Errors
-    /// [`LinkError::Forged`] if the other side does not have the key.
+    /// [`LinkError::Forged`] if the peer does not have the key.
     pub fn finish(
         mut self,
         answer: &[u8; HANDSHAKE_ANSWER_BYTES],
@@ -100,11 +102,11 @@
     }
 }
 
-/// The accepting side of a handshake: takes what the other side sent and returns what
-/// to answer.
+/// Performs the handshake on the accepting node: processes the message of the dialling node
+/// and returns the response to send.
 ///
 /// # Errors
-/// Any [`LinkError`]; then nothing is answered.
+/// Any [`LinkError`] except [`LinkError::TooLarge`]; no response must be sent then.
 pub fn accept_handshake(
     keys: &FleetKeys,
     message: &[u8; HANDSHAKE_BYTES],
@@ -114,7 +116,7 @@
     }
     let number = u32::from_be_bytes([message[5], message[6], message[7], message[8]]);
     let key = keys.find(number).ok_or(LinkError::UnknownKey)?;
-    let mut state = build(key, false).map_err(|_| LinkError::Forged)?;
+    let mut state = build_handshake(key, false).map_err(|_| LinkError::Forged)?;
     state
         .read_message(&message[PREAMBLE_BYTES..], &mut [])
         .map_err(|_| LinkError::Forged)?;
@@ -125,8 +127,8 @@
     Ok((LinkCipher::new(state)?, answer))
 }
 
-/// Seals and opens the records of one link. Reader and writer share it and count their
-/// own records from zero.
+/// Encrypts and decrypts the records of one link. It is shared by the reader and the writer
+/// of the link, each of which counts its own records from zero.
 pub struct LinkCipher {
     state: StatelessTransportState,
 }
@@ -139,10 +141,10 @@
         Ok(Self { state })
     }
 
-    /// Seals record `number` and puts its length in front.
+    /// Encrypts record `number` and prepends the length field.
     ///
     /// # Errors
-    /// [`LinkError::TooLarge`].
+    /// [`LinkError::TooLarge`] when `content` exceeds [`MAXIMUM_RECORD_BYTES`].
     pub fn seal(&self, number: u64, content: &[u8]) -> Result<Vec<u8>, LinkError> {
         if content.len() > MAXIMUM_RECORD_BYTES {
             return Err(LinkError::TooLarge);
@@ -156,10 +158,10 @@
         Ok(record)
     }
 
-    /// Opens record `number`, given without its length.
+    /// Decrypts record `number`, given without its length field.
     ///
     /// # Errors
-    /// [`LinkError::Forged`].
+    /// [`LinkError::Forged`] when the record is not authentic or has another number.
     pub fn open(&self, number: u64, sealed: &[u8]) -> Result<Vec<u8>, LinkError> {
         let length = sealed
             .len()
--- a/crates/protocol/src/peer/key.rs
+++ b/crates/protocol/src/peer/key.rs
@@ -1,4 +1,4 @@
-//! Fleet keys: secrets that every node of a fleet has.
+//! Fleet keys: secrets shared by all nodes of a fleet.
 
 use std::fmt;
 
@@ -8,13 +8,13 @@
 
 /// Shortest secret accepted, in bytes.
 const MINIMUM_SECRET_BYTES: usize = 16;
-/// Bytes of a derived key.
+/// Length of a derived key, in bytes.
 pub(super) const DERIVED_KEY_BYTES: usize = 32;
 
 const DATAGRAM_LABEL: &[u8] = b"hookpoint fleet datagram 1";
 const LINK_LABEL: &[u8] = b"hookpoint fleet link 1";
 
-/// One fleet key. Its number travels in clear, so that receivers know which to use.
+/// One fleet key. Its number is sent unencrypted, so that receivers know which key to use.
 #[derive(Clone, PartialEq, Eq)]
 pub struct FleetKey {
     number: u32,
@@ -31,7 +31,7 @@
     /// No key was given.
     #[error("a fleet needs at least one key")]
     NoKey,
-    /// Two keys have the same number.
+    /// Two keys have this number.
     #[error("two fleet keys have the number {0}")]
     SameNumber(u32),
 }
@@ -43,10 +43,10 @@
 }
 
 impl FleetKey {
-    /// Key `number` with a random `secret` of at least 16 bytes.
+    /// Creates key `number` from a random `secret` of at least 16 bytes.
     ///
     /// # Errors
-    /// [`FleetKeyError::TooShort`].
+    /// [`FleetKeyError::TooShort`] when the secret has fewer bytes.
     pub fn new(number: u32, secret: &[u8]) -> Result<Self, FleetKeyError> {
         if secret.len() < MINIMUM_SECRET_BYTES {
             return Err(FleetKeyError::TooShort);
@@ -58,7 +58,7 @@
         })
     }
 
-    /// Number of the key.
+    /// Returns the number of the key.
     pub fn number(&self) -> u32 {
         self.number
     }
@@ -78,15 +78,16 @@
     }
 }
 
-/// The keys of a node: it sends with the first and accepts all. To rotate, give every
-/// node the new key as a second one, then make it the first, then take the old one away.
+/// The fleet keys of a node, which encrypts with the first one and accepts all of them. To
+/// rotate the key, add the new key as the second one on every node, then make it the first
+/// one, then remove the old one.
 #[derive(Clone, Debug)]
 pub struct FleetKeys {
     keys: Vec<FleetKey>,
 }
 
 impl FleetKeys {
-    /// Keys in order, the one to send with first.
+    /// Creates the list of keys; the first one is used for encryption.
     ///
     /// # Errors
     /// [`FleetKeyError::NoKey`] or [`FleetKeyError::SameNumber`].
@@ -102,12 +103,12 @@
         Ok(Self { keys })
     }
 
-    /// The key to send with.
+    /// Returns the key to encrypt with.
     pub fn current(&self) -> &FleetKey {
         &self.keys[0]
     }
 
-    /// The accepted key with this number.
+    /// Returns the accepted key with this number, if there is one.
     pub fn find(&self, number: u32) -> Option<&FleetKey> {
         self.keys.iter().find(|key| key.number == number)
     }
--- a/crates/protocol/src/peer/mod.rs
+++ b/crates/protocol/src/peer/mod.rs
@@ -1,8 +1,8 @@
-//! Messages between the nodes of a fleet: sealed datagrams of the membership, and the
-//! frames of the links that carry leases and control messages.
+//! Messages between the nodes of a fleet: the encrypted datagrams of the membership
+//! protocol, and the frames of the links that carry leases and control messages.
 //!
-//! Everything is authenticated and encrypted with a fleet key. What was not made with
-//! one of the accepted keys is dropped and changes nothing.
+//! Everything is authenticated and encrypted with a fleet key. Data that was not encrypted
+//! with one of the accepted keys is dropped and has no effect.
 
 mod datagram;
 mod frame;
--- a/crates/protocol/src/peer/replay.rs
+++ b/crates/protocol/src/peer/replay.rs
@@ -1,18 +1,20 @@
-//! Telling a datagram that was already received from a new one.
+//! Replay protection: detection of datagrams that were already received.
 
 use std::collections::BTreeMap;
 
 use hookpoint_state::NodeId;
 
-/// Sequence numbers below the highest that may still arrive.
-const WINDOW: u64 = 128;
-/// Senders remembered.
+/// Number of sequence numbers, counted down from the highest one received, that are still
+/// accepted.
+const WINDOW_SIZE: u64 = 128;
+/// Largest number of senders for which a window is kept.
 const MAXIMUM_SENDERS: usize = 16_384;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Window {
+    /// Highest sequence number received.
     highest: u64,
-    /// Bit `n` is set when `highest - n` has been received.
+    /// Bit `n` is set when `highest - n` was received.
     received: u128,
 }
 
@@ -20,7 +22,7 @@
     fn accept(&mut self, sequence: u64) -> bool {
         if sequence > self.highest {
             let advance = sequence - self.highest;
-            self.received = if advance >= WINDOW {
+            self.received = if advance >= WINDOW_SIZE {
                 0
             } else {
                 self.received << advance
@@ -30,7 +32,7 @@
             return true;
         }
         let behind = self.highest - sequence;
-        if behind >= WINDOW {
+        if behind >= WINDOW_SIZE {
             return false;
         }
         let bit = 1u128 << behind;
@@ -40,14 +42,15 @@
     }
 }
 
-/// Windows of received sequence numbers, one per sender. Numbers start at 1.
+/// Windows of received sequence numbers, one per sender. Sequence numbers start at 1.
 #[derive(Clone, Debug, Default)]
 pub struct ReplayGuard {
     windows: BTreeMap<NodeId, Window>,
 }
 
 impl ReplayGuard {
-    /// Whether a datagram with this number is new; notes that it has been received.
+    /// Records a received sequence number and returns whether it is new. A number below the
+    /// window counts as already received.
     pub fn accept(&mut self, sender: NodeId, sequence: u64) -> bool {
         if sequence == 0 {
             return false;
--- a/crates/protocol/src/peer/stream.rs
+++ b/crates/protocol/src/peer/stream.rs
@@ -1,23 +1,23 @@
-//! Commands and replies as pieces of data on a stream, with bounded memory.
+//! Splitting of messages into fragments on a stream and their reassembly in bounded memory.
 
 use bytes::Bytes;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use thiserror::Error;
 
-/// Bytes that may be sent on a new stream before the first credit.
+/// Bytes that may be sent on a new stream before the first credit arrives.
 pub const INITIAL_CREDIT: u32 = 256 * 1024;
-/// Bytes taken before they are credited.
+/// Bytes that a receiver consumes before it grants credit for them.
 pub const CREDIT_STEP: u32 = 64 * 1024;
-/// Largest piece of data in one frame, in bytes.
+/// Largest fragment in one frame, in bytes.
 pub const MAXIMUM_FRAGMENT_BYTES: usize = 16 * 1024;
-/// Largest command or reply, in bytes: the largest message a bundle may allow, with
-/// room for what is batched with it.
+/// Largest command or reply, in bytes: the largest message that a bundle may allow, with
+/// room for the messages that are batched with it.
 const MAXIMUM_MESSAGE_BYTES: usize = 96 * 1024 * 1024;
-/// Largest message between node machines, in bytes: a whole bundle.
+/// Largest control message between nodes, in bytes; a whole bundle has to fit.
 const MAXIMUM_CONTROL_BYTES: usize = 16 * 1024 * 1024;
 
-/// A stream that carries something else than messages.
+/// Why data on a stream was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum StreamError {
     /// A message is larger than allowed.
@@ -26,31 +26,32 @@
     /// A message cannot be decoded.
     #[error("the message is malformed")]
     Malformed,
-    /// More was sent than there was credit for.
+    /// The peer sent more bytes than it had credit for.
     #[error("the stream was overrun")]
     Overrun,
 }
 
-/// Splits a message into pieces; the last one is marked.
+/// Encodes a message and splits it into fragments of at most [`MAXIMUM_FRAGMENT_BYTES`].
+/// Each fragment comes with a flag that marks the last one.
 ///
 /// # Errors
-/// [`StreamError::Malformed`] if it cannot be encoded.
+/// [`StreamError::Malformed`] if the message cannot be encoded.
 pub fn fragments<M: Serialize>(
     message: &M,
 ) -> Result<impl Iterator<Item = (bool, Bytes)>, StreamError> {
     let encoded = postcard::to_stdvec(message).map_err(|_| StreamError::Malformed)?;
     let mut rest = Some(Bytes::from(encoded));
     Ok(std::iter::from_fn(move || {
-        let mut piece = rest.take()?;
-        if piece.len() <= MAXIMUM_FRAGMENT_BYTES {
-            return Some((true, piece));
+        let mut fragment = rest.take()?;
+        if fragment.len() <= MAXIMUM_FRAGMENT_BYTES {
+            return Some((true, fragment));
         }
-        rest = Some(piece.split_off(MAXIMUM_FRAGMENT_BYTES));
-        Some((false, piece))
+        rest = Some(fragment.split_off(MAXIMUM_FRAGMENT_BYTES));
+        Some((false, fragment))
     }))
 }
 
-/// Puts pieces together again.
+/// Reassembles messages from their fragments.
 #[derive(Debug)]
 pub struct Assembler {
     partial: Vec<u8>,
@@ -67,7 +68,7 @@
 }
 
 impl Assembler {
-    /// Puts messages between node machines together.
+    /// Creates an assembler for control messages between nodes.
     pub fn for_control() -> Self {
         Self {
             partial: Vec::new(),
@@ -75,28 +76,28 @@
         }
     }
 
-    /// Takes a piece; returns the message if it is complete.
+    /// Adds a fragment and returns the message if the fragment completes it.
     ///
     /// # Errors
     /// [`StreamError::TooLarge`] or [`StreamError::Malformed`].
     pub fn push<M: DeserializeOwned>(
         &mut self,
         last: bool,
-        piece: &[u8],
+        fragment: &[u8],
     ) -> Result<Option<M>, StreamError> {
-        if self.partial.len() + piece.len() > self.limit {
+        if self.partial.len() + fragment.len() > self.limit {
             return Err(StreamError::TooLarge);
         }
         if !last {
-            self.partial.extend_from_slice(piece);
+            self.partial.extend_from_slice(fragment);
             return Ok(None);
         }
         if self.partial.is_empty() {
-            return decode(piece).map(Some);
+            return decode(fragment).map(Some);
         }
-        let mut whole = std::mem::take(&mut self.partial);
-        whole.extend_from_slice(piece);
-        decode(&whole).map(Some)
+        let mut message = std::mem::take(&mut self.partial);
+        message.extend_from_slice(fragment);
+        decode(&message).map(Some)
     }
 }
 
--- a/crates/protocol/src/platform/encoding.rs
+++ b/crates/protocol/src/platform/encoding.rs
@@ -1,4 +1,4 @@
-//! The mapping's encodings of integers and byte strings.
+//! Encodings of integers and byte strings in the JSON mapping.
 
 use std::fmt;
 
@@ -6,17 +6,17 @@
 use base64::engine::general_purpose::STANDARD;
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// A byte string, as standard base64 in JSON.
+/// A byte string, encoded as standard base64 in JSON.
 #[derive(Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Base64Bytes(pub Vec<u8>);
 
 impl Base64Bytes {
-    /// Whether there are no bytes, which is the default that answers leave out.
+    /// Returns whether there are no bytes, which is the default that is omitted in JSON.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The bytes as text, with whatever is no UTF-8 replaced.
+    /// Returns the bytes as text, with invalid UTF-8 replaced.
     pub fn to_text(&self) -> String {
         String::from_utf8_lossy(&self.0).into_owned()
     }
@@ -53,7 +53,7 @@
     }
 }
 
-/// 64-bit integers: written as strings, read as strings or numbers.
+/// 64-bit integers: serialized as strings, deserialized from strings or numbers.
 pub(super) mod int64 {
     use std::fmt;
 
--- a/crates/protocol/src/platform/error.rs
+++ b/crates/protocol/src/platform/error.rs
@@ -1,44 +1,44 @@
-//! Error answers of the API.
+//! Error responses of the API.
 
 use serde::{Deserialize, Serialize};
 
-/// Body of an error answer.
+/// Body of an error response.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// Short text, as older gateways send it.
+    /// Error text; sent by older gateways.
     #[serde(default)]
     pub error: String,
-    /// Status code of the underlying call.
+    /// gRPC status code of the underlying call.
     #[serde(default)]
     pub code: i32,
-    /// Text for people.
+    /// Human-readable error text.
     #[serde(default)]
     pub message: String,
 }
 
-/// Status codes of the underlying call that a client treats apart.
+/// gRPC status codes that clients of the API distinguish.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusCode {
-    /// The arguments are wrong; nothing ran.
+    /// The arguments are invalid; the call had no effect.
     InvalidArgument,
-    /// A deadline passed; the call may have run.
+    /// A deadline passed; the call may have taken effect.
     DeadlineExceeded,
-    /// The key or lease does not exist; nothing ran.
+    /// The key or lease does not exist; the call had no effect.
     NotFound,
-    /// Over the rate limit; nothing ran.
+    /// A rate limit was exceeded; the call had no effect.
     ResourceExhausted,
-    /// A precondition does not hold; nothing ran.
+    /// A precondition does not hold; the call had no effect.
     FailedPrecondition,
-    /// The revision asked for is gone; nothing ran.
+    /// The requested revision is no longer held; the call had no effect.
     OutOfRange,
-    /// The service is away; the call may have run.
+    /// The service is unavailable; the call may have taken effect.
     Unavailable,
-    /// Anything else; the call may have run.
+    /// Any other status; the call may have taken effect.
     Other,
 }
 
 impl StatusCode {
-    /// The code with this number.
+    /// Returns the status code with this number.
     pub fn from_number(number: i32) -> Self {
         match number {
             3 => Self::InvalidArgument,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether the call certainly had no effect.
+    /// Returns whether the call certainly had no effect.
     pub fn is_not_run(self) -> bool {
         !matches!(
             self,
--- a/crates/protocol/src/platform/kv.rs
+++ b/crates/protocol/src/platform/kv.rs
@@ -1,140 +1,140 @@
-//! Range, put, delete and transaction.
+//! Requests and responses for range, put, delete and transaction.
 
 use serde::{Deserialize, Serialize};
 
 use super::encoding::{Base64Bytes, int64, is_false, is_zero};
 
-/// Header of every answer.
+/// Header of every response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ResponseHeader {
-    /// Revision of the store when the answer was made.
+    /// Revision of the store when the response was created.
     #[serde(with = "int64")]
     pub revision: i64,
 }
 
-/// One key with its value.
+/// One key with its value and metadata.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct KeyValue {
     /// The key.
     pub key: Base64Bytes,
-    /// Revision that created the key.
+    /// Revision in which the key was created.
     #[serde(with = "int64")]
     pub create_revision: i64,
-    /// Revision of the latest change.
+    /// Revision of the latest change of the key.
     #[serde(with = "int64")]
     pub mod_revision: i64,
-    /// Changes since the key was created, itself counted.
+    /// Number of changes since the key was created, including its creation.
     #[serde(with = "int64")]
     pub version: i64,
     /// The value.
     pub value: Base64Bytes,
-    /// Lease the key is attached to; 0 for none.
+    /// Identifier of the lease that the key is attached to; 0 for none.
     #[serde(with = "int64", skip_serializing_if = "is_zero")]
     pub lease: i64,
 }
 
-/// Reads a key, or the keys from `key` up to `range_end`.
+/// Request to read a key, or the keys from `key` up to `range_end`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeRequest {
     /// First key.
     pub key: Base64Bytes,
-    /// First key past the range; empty for the one key.
+    /// First key past the range; empty for the single key `key`.
     #[serde(skip_serializing_if = "Base64Bytes::is_empty")]
     pub range_end: Base64Bytes,
-    /// Most keys to answer; 0 for all.
+    /// Largest number of keys to return; 0 for all.
     #[serde(with = "int64", skip_serializing_if = "is_zero")]
     pub limit: i64,
-    /// Whether to leave the values out.
+    /// Whether to omit the values.
     #[serde(skip_serializing_if = "is_false")]
     pub keys_only: bool,
 }
 
-/// Answer to [`RangeRequest`].
+/// Response to [`RangeRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeResponse {
-    /// Header.
+    /// Header of the response.
     pub header: ResponseHeader,
-    /// The keys, in order.
+    /// The keys with their values, in key order.
     pub kvs: Vec<KeyValue>,
-    /// Whether the limit left keys out.
+    /// Whether keys were omitted because of the limit.
     pub more: bool,
-    /// Keys in the range, whatever the limit.
+    /// Number of keys in the range, regardless of the limit.
     #[serde(with = "int64")]
     pub count: i64,
 }
 
-/// Writes a key.
+/// Request to write a key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PutRequest {
     /// The key.
     pub key: Base64Bytes,
-    /// Its new value.
+    /// The new value.
     pub value: Base64Bytes,
-    /// Lease to attach it to; 0 for none.
+    /// Identifier of the lease to attach the key to; 0 for none.
     #[serde(with = "int64", skip_serializing_if = "is_zero")]
     pub lease: i64,
 }
 
-/// Answer to [`PutRequest`].
+/// Response to [`PutRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PutResponse {
-    /// Header.
+    /// Header of the response.
     pub header: ResponseHeader,
 }
 
-/// Deletes a key or a range.
+/// Request to delete a key or a range of keys.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DeleteRangeRequest {
     /// First key.
     pub key: Base64Bytes,
-    /// First key past the range; empty for the one key.
+    /// First key past the range; empty for the single key `key`.
     #[serde(skip_serializing_if = "Base64Bytes::is_empty")]
     pub range_end: Base64Bytes,
 }
 
-/// Answer to [`DeleteRangeRequest`].
+/// Response to [`DeleteRangeRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DeleteRangeResponse {
-    /// Header.
+    /// Header of the response.
     pub header: ResponseHeader,
-    /// Keys deleted.
+    /// Number of keys deleted.
     #[serde(with = "int64")]
     pub deleted: i64,
 }
 
-/// What a comparison asks of the two sides.
+/// Relation that a comparison requires between the stored value and the given one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CompareResult {
-    /// Equal.
+    /// The stored value is equal.
     #[default]
     Equal,
-    /// The store's side is greater.
+    /// The stored value is greater.
     Greater,
-    /// The store's side is less.
+    /// The stored value is less.
     Less,
-    /// Not equal.
+    /// The stored value is not equal.
     NotEqual,
 }
 
-/// What a comparison looks at.
+/// Property of a key that a comparison checks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CompareTarget {
-    /// The count of changes.
+    /// Number of changes; see [`KeyValue::version`].
     #[default]
     Version,
-    /// The revision of creation; 0 for a key that does not exist.
+    /// Revision of creation; 0 for a key that does not exist.
     Create,
-    /// The revision of the latest change; 0 for a key that does not exist.
+    /// Revision of the latest change; 0 for a key that does not exist.
     Mod,
     /// The value.
     Value,
@@ -144,29 +144,29 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Compare {
-    /// What is asked of the two sides.
+    /// Required relation.
     pub result: CompareResult,
-    /// What is looked at.
+    /// Property of the key that is checked.
     pub target: CompareTarget,
     /// The key.
     pub key: Base64Bytes,
-    /// Right side for [`CompareTarget::Version`].
+    /// Value to compare with when `target` is [`CompareTarget::Version`].
     #[serde(with = "int64", skip_serializing_if = "is_zero")]
     pub version: i64,
-    /// Right side for [`CompareTarget::Create`].
+    /// Value to compare with when `target` is [`CompareTarget::Create`].
     #[serde(with = "int64", skip_serializing_if = "is_zero")]
     pub create_revision: i64,
-    /// Right side for [`CompareTarget::Mod`].
+    /// Value to compare with when `target` is [`CompareTarget::Mod`].
     #[serde(with = "int64", skip_serializing_if = "is_zero")]
     pub mod_revision: i64,
-    /// Right side for [`CompareTarget::Value`].
+    /// Value to compare with when `target` is [`CompareTarget::Value`].
     #[serde(skip_serializing_if = "Base64Bytes::is_empty")]
     pub value: Base64Bytes,
 }
 
 impl Compare {
-    /// Holds when the latest change of `key` has this revision; 0 when it does not
-    /// exist.
+    /// Creates a comparison that holds when the latest change of `key` has the revision
+    /// `mod_revision`; with 0 it holds when the key does not exist.
     pub fn unchanged_since(key: &str, mod_revision: i64) -> Self {
         Self {
             target: CompareTarget::Mod,
@@ -181,19 +181,19 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RequestOperation {
-    /// A read.
+    /// Reads a key or a range.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_range: Option<RangeRequest>,
-    /// A write.
+    /// Writes a key.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_put: Option<PutRequest>,
-    /// A deletion.
+    /// Deletes a key or a range.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_delete_range: Option<DeleteRangeRequest>,
 }
 
 impl RequestOperation {
-    /// Reads one key.
+    /// Creates an operation that reads one key.
     pub fn get(key: &str) -> Self {
         Self {
             request_range: Some(RangeRequest {
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Writes one key.
+    /// Creates an operation that writes one key, without a lease.
     pub fn put(key: &str, value: impl Into<Base64Bytes>) -> Self {
         Self {
             request_put: Some(PutRequest {
@@ -217,46 +217,47 @@
     }
 }
 
-/// Runs `success` when every comparison holds, else `failure`, as one change.
+/// Request to run the operations of `success` when every comparison holds, else those of
+/// `failure`, atomically.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TransactionRequest {
     /// The comparisons.
     pub compare: Vec<Compare>,
-    /// Operations when all hold.
+    /// Operations to run when all comparisons hold.
     pub success: Vec<RequestOperation>,
-    /// Operations otherwise.
+    /// Operations to run otherwise.
     pub failure: Vec<RequestOperation>,
 }
 
-/// Answer to one operation.
+/// Response to one operation of a transaction; one field is set.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ResponseOperation {
-    /// Of a read.
+    /// Response to a read.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub response_range: Option<RangeResponse>,
-    /// Of a write.
+    /// Response to a write.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub response_put: Option<PutResponse>,
-    /// Of a deletion.
+    /// Response to a deletion.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub response_delete_range: Option<DeleteRangeResponse>,
 }
 
-/// Answer to [`TransactionRequest`].
+/// Response to [`TransactionRequest`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TransactionResponse {
-    /// Header.
+    /// Header of the response.
     pub header: ResponseHeader,
     /// Whether every comparison held.
     pub succeeded: bool,
-    /// Answers to the operations that ran, in order.
+    /// Responses to the operations that ran, in order.
     pub responses: Vec<ResponseOperation>,
 }
 
-/// First key past all keys that start with `prefix`; empty when there is none.
+/// Returns the first key past all keys that start with `prefix`; empty when there is none.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
--- a/crates/protocol/src/platform/lease.rs
+++ b/crates/protocol/src/platform/lease.rs
@@ -1,37 +1,37 @@
-//! Leases.
+//! Requests and responses for leases.
 
 use serde::{Deserialize, Serialize};
 
 use super::encoding::int64;
 use super::kv::ResponseHeader;
 
-/// Asks for a lease.
+/// Request to grant a lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseGrantRequest {
-    /// Time to live, in seconds.
+    /// Requested time to live, in seconds.
     #[serde(rename = "TTL", with = "int64")]
     pub time_to_live: i64,
-    /// Identifier wanted; 0 lets the service choose.
+    /// Requested identifier; 0 lets the service choose one.
     #[serde(rename = "ID", with = "int64")]
     pub id: i64,
 }
 
-/// Answer to [`LeaseGrantRequest`].
+/// Response to [`LeaseGrantRequest`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseGrantResponse {
-    /// Header.
+    /// Header of the response.
     pub header: ResponseHeader,
     /// Identifier of the lease.
     #[serde(rename = "ID", with = "int64")]
     pub id: i64,
-    /// Time to live granted, in seconds.
+    /// Granted time to live, in seconds.
     #[serde(rename = "TTL", with = "int64")]
     pub time_to_live: i64,
 }
 
-/// Renews a lease once.
+/// Request to renew a lease once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseKeepAliveRequest {
@@ -40,21 +40,21 @@
     pub id: i64,
 }
 
-/// Answer to [`LeaseKeepAliveRequest`], inside a [`super::StreamItem`].
+/// Response to [`LeaseKeepAliveRequest`], inside a [`super::StreamItem`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseKeepAliveResponse {
-    /// Header.
+    /// Header of the response.
     pub header: ResponseHeader,
     /// Identifier of the lease.
     #[serde(rename = "ID", with = "int64")]
     pub id: i64,
-    /// Time left, in seconds; 0 when the lease has lapsed.
+    /// Remaining time to live, in seconds; 0 when the lease has expired.
     #[serde(rename = "TTL", with = "int64")]
     pub time_to_live: i64,
 }
 
-/// Gives a lease back; its keys go with it.
+/// Request to revoke a lease, which also deletes the keys attached to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseRevokeRequest {
@@ -63,10 +63,10 @@
     pub id: i64,
 }
 
-/// Answer to [`LeaseRevokeRequest`].
+/// Response to [`LeaseRevokeRequest`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseRevokeResponse {
-    /// Header.
+    /// Header of the response.
     pub header: ResponseHeader,
 }
--- a/crates/protocol/src/platform/mod.rs
+++ b/crates/protocol/src/platform/mod.rs
@@ -1,6 +1,6 @@
 //! Bodies of the etcd v3 API in its published JSON-over-HTTP mapping: 64-bit integers
-//! are decimal strings, byte strings are base64, and fields at their default are left
-//! out of answers.
+//! are decimal strings, byte strings are base64, and fields at their default are omitted
+//! from responses.
 
 mod encoding;
 mod error;
--- a/crates/protocol/src/platform/records.rs
+++ b/crates/protocol/src/platform/records.rs
@@ -1,4 +1,4 @@
-//! What hookpoint keeps in the key-value service, as JSON values.
+//! Records that hookpoint stores in the key-value service as JSON values, and their keys.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,35 +8,35 @@
 use hookpoint_state::{Bundle, BundleVersion};
 use serde::{Deserialize, Serialize};
 
-/// Key of the pointer to the bundle in force.
+/// Key of the pointer to the active bundle.
 pub const ACTIVE_KEY: &str = "/hookpoint/active";
-/// Key of the counter of versions.
+/// Key of the counter of bundle versions.
 pub const VERSION_COUNTER_KEY: &str = "/hookpoint/versions";
-/// Prefix of the keys of bundles, by version.
+/// Prefix of the keys of bundles, followed by the version.
 pub const BUNDLE_PREFIX: &str = "/hookpoint/bundles/";
-/// Prefix of the keys of past and present pointers, by version.
+/// Prefix of the keys of past and present pointers, followed by the version.
 pub const HISTORY_PREFIX: &str = "/hookpoint/history/";
-/// Prefix of the list of machines.
+/// Prefix of the keys of the machine list.
 pub const MACHINE_PREFIX: &str = "machines/";
 
-/// Key of the bundle of this version.
+/// Returns the key of the bundle with this version.
 pub fn bundle_key(version: BundleVersion) -> String {
     format!("{BUNDLE_PREFIX}{:020}", version.0)
 }
 
-/// Key of the pointer that put this version in force.
+/// Returns the key of the pointer that activated this version.
 pub fn history_key(version: BundleVersion) -> String {
     format!("{HISTORY_PREFIX}{:020}", version.0)
 }
 
-/// Identifier of one attempt to change something, drawn at random. Whoever lost the
-/// answer finds out by it whether the change took effect.
+/// Random identifier of one attempt to change a record. When the response to a change is
+/// lost, the identifier in the store shows whether the change took effect.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct AttemptId(String);
 
 impl AttemptId {
-    /// The identifier with these random bits.
+    /// Creates an identifier from random bits.
     pub fn new(bits: u128) -> Self {
         Self(format!("{bits:032x}"))
     }
@@ -54,33 +54,34 @@
     }
 }
 
-/// Who did something, and when.
+/// Records by whom, when and in which attempt a change was made.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stamp {
-    /// Operator's name.
+    /// Name of the operator.
     pub by: String,
-    /// Milliseconds since 1970-01-01 UTC, by the operator's clock. For people only.
+    /// Milliseconds since 1970-01-01 UTC by the clock of the operator's machine. For display
+    /// only.
     pub at_ms: u64,
-    /// The attempt.
+    /// Identifier of the attempt that made the change.
     pub attempt: AttemptId,
 }
 
 /// A prepared bundle with its approvals.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BundleRecord {
-    /// The bundle, its version included.
+    /// The bundle, including its version.
     pub bundle: Arc<Bundle>,
     /// Digest of the bundle.
     pub digest: BundleDigest,
-    /// Who prepared it.
+    /// By whom and when the bundle was prepared.
     pub prepared: Stamp,
-    /// Its approvals.
+    /// Signatures of the operators who approved the bundle.
     #[serde(default)]
     pub signatures: Vec<BundleSignature>,
 }
 
 impl BundleRecord {
-    /// The bundle with its approvals.
+    /// Returns the bundle with its approvals.
     pub fn signed(&self) -> SignedBundle {
         SignedBundle {
             bundle: Arc::clone(&self.bundle),
@@ -89,37 +90,37 @@
     }
 }
 
-/// The pointer to the bundle in force.
+/// The pointer to the active bundle.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ActivePointer {
-    /// Version in force.
+    /// Version of the active bundle.
     pub version: BundleVersion,
-    /// Digest of that bundle.
+    /// Digest of the active bundle.
     pub digest: BundleDigest,
-    /// Version that was in force before; 0 for the first.
+    /// Version that was active before; 0 for the first activation.
     pub previous: BundleVersion,
-    /// Who rolled it.
+    /// By whom and when the bundle was activated.
     pub rolled: Stamp,
 }
 
-/// The counter of versions.
+/// The counter of bundle versions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionCounter {
-    /// Highest version that was ever given out.
+    /// Highest version that was ever assigned.
     pub highest: BundleVersion,
 }
 
-/// Whether a machine stays.
+/// State of a machine in the machine list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
-    /// The machine runs.
+    /// The machine stays in service.
     Live,
-    /// The machine will be taken away.
+    /// The machine will be removed.
     Leaving,
 }
 
-/// One entry of the list of machines.
+/// One entry of the machine list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineRecord {
     /// Name of the node.
@@ -128,14 +129,15 @@
     pub zone: String,
     /// Region of the zone.
     pub region: String,
-    /// Where the node listens for its peers; of a database, its own address.
+    /// Address at which the node accepts connections of its peers; for a database, the address
+    /// of the database.
     pub peer_address: SocketAddr,
-    /// Whether it stays.
+    /// Whether the machine stays in service or will be removed.
     pub state: MachineState,
 }
 
 impl MachineRecord {
-    /// Key of the entry.
+    /// Returns the key of the entry.
     pub fn key(&self) -> String {
         format!("{MACHINE_PREFIX}{}/{}", self.zone, self.node)
     }
--- a/crates/protocol/src/platform/watch.rs
+++ b/crates/protocol/src/platform/watch.rs
@@ -1,4 +1,4 @@
-//! The streaming watch.
+//! Requests and responses for watches, which are streamed.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,27 +6,27 @@
 use super::error::ErrorBody;
 use super::kv::{KeyValue, ResponseHeader};
 
-/// Opens a watch; the only message a client sends on the stream.
+/// Request to open a watch; the only message that a client sends on the stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchRequest {
-    /// What to watch.
+    /// Parameters of the watch.
     pub create_request: WatchCreateRequest,
 }
 
-/// What to watch.
+/// Parameters of a watch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchCreateRequest {
     /// First key.
     pub key: Base64Bytes,
-    /// First key past the range; empty for the one key.
+    /// First key past the range; empty for the single key `key`.
     #[serde(skip_serializing_if = "Base64Bytes::is_empty")]
     pub range_end: Base64Bytes,
-    /// First revision of interest; 0 for changes from now on.
+    /// First revision whose changes are reported; 0 for changes from now on.
     #[serde(with = "int64", skip_serializing_if = "is_zero")]
     pub start_revision: i64,
-    /// Whether the service sends empty answers from time to time.
+    /// Whether the service periodically sends responses without events.
     #[serde(skip_serializing_if = "is_false")]
     pub progress_notify: bool,
 }
@@ -35,10 +35,10 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum EventType {
-    /// The key was written. The default, which answers leave out.
+    /// The key was written. The default, which is omitted from responses.
     #[default]
     Put,
-    /// The key was deleted, or its lease lapsed.
+    /// The key was deleted, or its lease expired.
     Delete,
 }
 
@@ -46,39 +46,39 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Event {
-    /// Its kind.
+    /// Kind of the change.
     #[serde(rename = "type")]
     pub kind: EventType,
-    /// The key after the change; without a value when it was deleted.
+    /// The key after the change; without a value when the key was deleted.
     pub kv: KeyValue,
 }
 
-/// One answer on a watch, inside a [`StreamItem`].
+/// One response on a watch, inside a [`StreamItem`].
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchResponse {
-    /// Header.
+    /// Header of the response.
     pub header: ResponseHeader,
-    /// Whether this answer says that the watch is open.
+    /// Whether this response confirms that the watch was opened.
     #[serde(skip_serializing_if = "is_false")]
     pub created: bool,
-    /// Whether the watch has been ended by the service.
+    /// Whether the service has ended the watch.
     #[serde(skip_serializing_if = "is_false")]
     pub canceled: bool,
-    /// Oldest revision still held, when the watch asked for an older one.
+    /// Oldest revision still held, when the watch requested an older one; else 0.
     #[serde(with = "int64", skip_serializing_if = "is_zero")]
     pub compact_revision: i64,
     /// The changes, in order.
     pub events: Vec<Event>,
 }
 
-/// One line of a streaming answer.
+/// One line of a streaming response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StreamItem<T> {
-    /// The answer, unless the stream failed.
+    /// The response, unless the stream failed.
     #[serde(skip_serializing_if = "Option::is_none", default = "Option::default")]
     pub result: Option<T>,
-    /// Why the stream failed.
+    /// The error, if the stream failed.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub error: Option<ErrorBody>,
 }
--- a/crates/protocol/src/prepared.rs
+++ b/crates/protocol/src/prepared.rs
@@ -1,15 +1,15 @@
-//! Names of prepared statements on shared connections.
+//! Names under which prepared statements exist on shared connections.
 
 use sha2::{Digest, Sha256};
 
-/// Bytes of the digest that make the name.
+/// Number of leading digest bytes that are written into the name.
 const NAME_BYTES: usize = 16;
-/// What a statement is called that the session does not have, so that the database
-/// itself answers with its error for a missing statement.
+/// Name sent to the database for a statement that the session has not prepared, so that
+/// the database itself reports the statement as missing.
 pub const MISSING_STATEMENT: &str = "hookpoint_missing";
 
-/// The name of the statement of this text and these types on every connection. Equal
-/// statements of different sessions share it.
+/// Returns the name that a statement with this SQL text and these parameter type OIDs has
+/// on every connection. Equal statements of different sessions share the name.
 pub fn shared_name(query: &str, parameter_types: &[u32]) -> String {
     let mut digest = Sha256::new();
     digest.update((query.len() as u64).to_be_bytes());
--- a/crates/protocol/src/scram/verifier.rs
+++ b/crates/protocol/src/scram/verifier.rs
@@ -1,4 +1,4 @@
-//! What is kept of a password.
+//! SCRAM verifiers, which are stored instead of passwords, and the key derivation.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,36 +8,36 @@
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
-use super::message::{decode, encode};
+use super::message::{decode_base64, encode_base64};
 
-/// Iterations that PostgreSQL takes unless told otherwise.
+/// Iteration count that PostgreSQL uses by default.
 pub const DEFAULT_ITERATIONS: u32 = 4_096;
-/// Most iterations accepted, so that a hostile server cannot keep a client busy.
+/// Largest iteration count accepted, so that a hostile server cannot keep a client busy.
 pub(super) const MAXIMUM_ITERATIONS: u32 = 1_000_000;
-/// Fewest iterations accepted from a server (RFC 7677).
+/// Smallest iteration count accepted from a server (RFC 7677).
 pub(super) const MINIMUM_ITERATIONS: u32 = 4_096;
 /// Longest salt accepted, in bytes.
 const MAXIMUM_SALT_BYTES: usize = 256;
 const SALT_BYTES: usize = 16;
-const PREFIX: &str = "SCRAM-SHA-256$";
+const VERIFIER_PREFIX: &str = "SCRAM-SHA-256$";
 const MD5_PREFIX: &str = "md5";
 
-/// A key or a signature.
+/// A SHA-256 or HMAC-SHA-256 value: a key, a signature or a proof.
 pub(super) type Key = [u8; 32];
 
-/// A text that is no verifier.
+/// Why a text is not accepted as a verifier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum VerifierError {
-    /// It is an MD5 hash, which is not accepted.
+    /// The text is an MD5 hash.
     #[error("MD5 passwords are not accepted; use a SCRAM-SHA-256 verifier")]
     Md5,
-    /// It is of no known form.
+    /// The text does not have the form of a SCRAM-SHA-256 verifier.
     #[error("the text is not of the form SCRAM-SHA-256$iterations:salt$stored:server")]
     Malformed,
 }
 
-/// Salt, iterations and the two keys from which a proof can be checked, and from which
-/// the password cannot be had.
+/// Salt, iteration count and the two keys with which a client's proof is checked. The
+/// password cannot be derived from them.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Verifier {
     pub(super) iterations: u32,
@@ -47,20 +47,21 @@
 }
 
 impl Verifier {
-    /// A verifier with a fresh salt. At least one iteration is made.
+    /// Creates a verifier for `password` with a random salt. The iteration count is clamped
+    /// to between 1 and 1,000,000.
     pub fn from_password(password: &str, iterations: u32) -> Self {
         let mut salt = vec![0; SALT_BYTES];
         rand::rng().fill_bytes(&mut salt);
         Self::with_salt(password, iterations, salt)
     }
 
-    /// A verifier with the given salt.
+    /// Creates a verifier for `password` with the given salt and the same clamping.
     pub fn with_salt(password: &str, iterations: u32, salt: Vec<u8>) -> Self {
         let iterations = iterations.clamp(1, MAXIMUM_ITERATIONS);
         let salted = salted_password(password, &salt, iterations);
         Self {
             iterations,
-            stored_key: hash(&client_key(&salted)),
+            stored_key: sha256(&client_key(&salted)),
             server_key: server_key(&salted),
             salt,
         }
@@ -79,17 +80,18 @@
 }
 
 fn parse(text: &str) -> Option<Verifier> {
-    let (head, keys) = text.strip_prefix(PREFIX)?.split_once('$')?;
+    let (head, keys) = text.strip_prefix(VERIFIER_PREFIX)?.split_once('$')?;
     let (iterations, salt) = head.split_once(':')?;
     let (stored_key, server_key) = keys.split_once(':')?;
     let iterations = iterations.parse().ok()?;
-    let salt = decode(salt).ok()?;
-    let sane = (1..=MAXIMUM_ITERATIONS).contains(&iterations) && salt.len() <= MAXIMUM_SALT_BYTES;
-    sane.then_some(Verifier {
+    let salt = decode_base64(salt).ok()?;
+    let in_bounds =
+        (1..=MAXIMUM_ITERATIONS).contains(&iterations) && salt.len() <= MAXIMUM_SALT_BYTES;
+    in_bounds.then_some(Verifier {
         iterations,
         salt,
-        stored_key: decode(stored_key).ok()?.try_into().ok()?,
-        server_key: decode(server_key).ok()?.try_into().ok()?,
+        stored_key: decode_base64(stored_key).ok()?.try_into().ok()?,
+        server_key: decode_base64(server_key).ok()?.try_into().ok()?,
     })
 }
 
@@ -97,11 +99,11 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
-            "{PREFIX}{}:{}${}:{}",
+            "{VERIFIER_PREFIX}{}:{}${}:{}",
             self.iterations,
-            encode(&self.salt),
-            encode(&self.stored_key),
-            encode(&self.server_key)
+            encode_base64(&self.salt),
+            encode_base64(&self.stored_key),
+            encode_base64(&self.server_key)
         )
     }
 }
@@ -117,52 +119,52 @@
 
 /// `Hi(password, salt, iterations)`: PBKDF2 with HMAC-SHA-256 and one block.
 pub(super) fn salted_password(password: &str, salt: &[u8], iterations: u32) -> Key {
-    // A password that cannot be normalised is taken as it stands, as PostgreSQL does.
-    let normal = stringprep::saslprep(password).unwrap_or(password.into());
-    let mac = keyed(normal.as_bytes());
-    let mut block = finish(mac.clone(), &[salt, &1_u32.to_be_bytes()]);
+    // A password that cannot be normalised is used unchanged, as PostgreSQL does.
+    let normalised = stringprep::saslprep(password).unwrap_or(password.into());
+    let mac = new_hmac(normalised.as_bytes());
+    let mut block = finalize_hmac(mac.clone(), &[salt, &1_u32.to_be_bytes()]);
     let mut result = block;
     for _ in 1..iterations {
-        block = finish(mac.clone(), &[&block]);
+        block = finalize_hmac(mac.clone(), &[&block]);
         result = xor(&result, &block);
     }
     result
 }
 
-/// Key of the client.
+/// Derives the client key from the salted password.
 pub(super) fn client_key(salted: &Key) -> Key {
-    sign(salted, b"Client Key")
+    hmac_sha256(salted, b"Client Key")
 }
 
-/// Key of the server.
+/// Derives the server key from the salted password.
 pub(super) fn server_key(salted: &Key) -> Key {
-    sign(salted, b"Server Key")
+    hmac_sha256(salted, b"Server Key")
 }
 
-/// SHA-256.
-pub(super) fn hash(bytes: &[u8]) -> Key {
+/// Computes the SHA-256 of `bytes`.
+pub(super) fn sha256(bytes: &[u8]) -> Key {
     Sha256::digest(bytes).into()
 }
 
-/// HMAC-SHA-256 of `message`.
-pub(super) fn sign(key: &[u8], message: &[u8]) -> Key {
-    finish(keyed(key), &[message])
+/// Computes the HMAC-SHA-256 of `message`.
+pub(super) fn hmac_sha256(key: &[u8], message: &[u8]) -> Key {
+    finalize_hmac(new_hmac(key), &[message])
 }
 
-/// Whether `tag` is the HMAC-SHA-256 of `message`, in constant time.
-pub(super) fn is_signed(key: &[u8], message: &[u8], tag: &[u8]) -> bool {
-    let mut mac = keyed(key);
+/// Returns whether `tag` is the HMAC-SHA-256 of `message`, in constant time.
+pub(super) fn verify_hmac_sha256(key: &[u8], message: &[u8], tag: &[u8]) -> bool {
+    let mut mac = new_hmac(key);
     mac.update(message);
     mac.verify_slice(tag).is_ok()
 }
 
-/// Bytes of both, one by one.
+/// Computes the bitwise XOR of both.
 pub(super) fn xor(left: &Key, right: &Key) -> Key {
     std::array::from_fn(|index| left[index] ^ right[index])
 }
 
-/// Whether both are the same, in a time that does not depend on where they differ.
-pub(super) fn same(left: &Key, right: &Key) -> bool {
+/// Returns whether both are equal, in a time that does not depend on where they differ.
+pub(super) fn constant_time_eq(left: &Key, right: &Key) -> bool {
     let difference = left
         .iter()
         .zip(right)
@@ -172,12 +174,12 @@
     std::hint::black_box(difference) == 0
 }
 
-fn keyed(key: &[u8]) -> Hmac<Sha256> {
-    // HMAC takes a key of any length, so the error has no occasion.
+fn new_hmac(key: &[u8]) -> Hmac<Sha256> {
+    // HMAC accepts keys of any length, so the error cannot occur.
     Hmac::new_from_slice(key).unwrap_or_else(|_| Hmac::new(&Default::default()))
 }
 
-fn finish(mut mac: Hmac<Sha256>, parts: &[&[u8]]) -> Key {
+fn finalize_hmac(mut mac: Hmac<Sha256>, parts: &[&[u8]]) -> Key {
     for part in parts {
         mac.update(part);
     }
--- a/crates/protocol/src/settings_tracking.rs
+++ b/crates/protocol/src/settings_tracking.rs
@@ -1,11 +1,12 @@
-//! Run-time parameters that belong to a session and follow it from connection to
-//! connection.
+//! Tracking of a session's run-time parameters, which are applied to every backend
+//! connection that the session uses.
 
 use std::collections::BTreeMap;
 
 use crate::classify::SettingChange;
 
-/// A session's run-time parameters by lower-case name.
+/// A session's run-time parameters, keyed by lower-case name, with the changes of the
+/// transaction that has not ended yet.
 #[derive(Clone, Debug, Default)]
 pub struct SettingsTracker {
     initial: BTreeMap<String, String>,
@@ -14,7 +15,8 @@
 }
 
 impl SettingsTracker {
-    /// Parameters as the start-up packet set them; `RESET` returns to these.
+    /// Creates a tracker with the parameters of the start-up packet, to which `RESET`
+    /// returns.
     pub fn new(initial: BTreeMap<String, String>) -> Self {
         Self {
             current: initial.clone(),
@@ -23,29 +25,30 @@
         }
     }
 
-    /// What a connection of this session has to have.
+    /// Returns the parameters that a connection must have before it serves this session.
     pub fn current(&self) -> &BTreeMap<String, String> {
         &self.current
     }
 
-    /// Notes changes made inside a transaction that may still be rolled back.
+    /// Records changes made inside a transaction; they take effect with
+    /// [`commit`](Self::commit).
     pub fn note(&mut self, changes: &[SettingChange]) {
         self.pending.extend_from_slice(changes);
     }
 
-    /// The transaction was committed.
+    /// Applies the recorded changes after the transaction was committed.
     pub fn commit(&mut self) {
         for change in std::mem::take(&mut self.pending) {
             self.apply(change);
         }
     }
 
-    /// The transaction was rolled back.
+    /// Drops the recorded changes after the transaction was rolled back.
     pub fn roll_back(&mut self) {
         self.pending.clear();
     }
 
-    /// Returns every parameter to its start-up value.
+    /// Returns every parameter to its start-up value and drops the recorded changes.
     pub fn reset(&mut self) {
         self.pending.clear();
         self.current.clone_from(&self.initial);
--- a/crates/protocol/src/startup.rs
+++ b/crates/protocol/src/startup.rs
@@ -1,4 +1,5 @@
-//! The messages before a session has begun: they have a length but no tag.
+//! Packets that a client sends before its session starts. They have a length field but
+//! no tag.
 
 use std::collections::BTreeMap;
 
@@ -12,81 +13,82 @@
 /// Protocol version 3.0.
 pub const PROTOCOL_3_0: u32 = 196_608;
 
-const CANCEL_CODE: u32 = 80_877_102;
-const TLS_CODE: u32 = 80_877_103;
-const GSS_CODE: u32 = 80_877_104;
-const OPTION_PREFIX: &str = "_pq_.";
+const CANCEL_REQUEST_CODE: u32 = 80_877_102;
+const TLS_REQUEST_CODE: u32 = 80_877_103;
+const GSS_REQUEST_CODE: u32 = 80_877_104;
+const PROTOCOL_OPTION_PREFIX: &str = "_pq_.";
 
-/// A packet at the beginning of a connection.
+/// A packet at the start of a client connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StartupPacket {
-    /// The client asks for TLS.
+    /// `SSLRequest`: the client requests TLS.
     Tls,
-    /// The client asks for GSSAPI encryption.
+    /// `GSSENCRequest`: the client requests GSSAPI encryption.
     Gss,
-    /// The client wants another session's request cancelled.
+    /// `CancelRequest`: the client requests that another session's statement is cancelled.
     Cancel {
-        /// Process number of that session.
+        /// Process number of the session to cancel, from its `BackendKeyData`.
         process: u32,
-        /// Its secret.
+        /// Secret of the session to cancel, from its `BackendKeyData`.
         secret: u32,
     },
-    /// The client begins a session.
+    /// `StartupMessage`: the client starts a session.
     Session(SessionParameters),
 }
 
-/// What a client says of the session it begins.
+/// Parameters of a session, as given in the start-up message.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionParameters {
-    /// Protocol version asked for.
+    /// Requested protocol version: major version in the upper 16 bits, minor in the lower.
     pub version: u32,
-    /// Protocol options asked for; none is known here.
+    /// Names of the requested protocol options (`_pq_.*`); none of them is supported.
     pub protocol_options: Vec<String>,
     /// User name.
     pub user: String,
-    /// Database name; the user name where none was given.
+    /// Database name; the user name when the client gave none.
     pub database: String,
-    /// Whether a replication connection was asked for.
+    /// Whether the client requested a replication connection.
     pub replication: bool,
-    /// Run-time parameters, those inside `options` included; names in lower case.
+    /// Run-time parameters, including those given in `options`, keyed by lower-case name.
     pub settings: BTreeMap<String, String>,
 }
 
 /// Why a start-up packet was not accepted.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StartupError {
-    /// The length field is impossible or over the limit.
+    /// The length field is below 8 or above [`MAXIMUM_STARTUP_LENGTH`].
     #[error("the start-up packet has the impossible length {length}")]
     BadLength {
         /// Length field as received.
         length: u32,
     },
-    /// The packet does not have the form its code asks for.
+    /// The packet does not have the layout required by its request code.
     #[error("the start-up packet is malformed")]
     Malformed,
     /// The protocol's major version is not 3.
     #[error("protocol version {major}.{minor} is not supported")]
     UnsupportedVersion {
-        /// Major version asked for.
+        /// Requested major version.
         major: u32,
-        /// Minor version asked for.
+        /// Requested minor version.
         minor: u32,
     },
-    /// No user name was given.
+    /// The packet has no user name.
     #[error("the start-up packet names no user")]
     NoUser,
     /// An `options` value holds something other than `-c name=value`.
     #[error("the start-up option `{option}` is not supported")]
     BadOption {
-        /// The option, shortened.
+        /// The option, cut to 64 characters.
         option: String,
     },
 }
 
-/// How many bytes follow a start-up packet's length field.
+/// Returns the number of bytes that follow the length field of a start-up packet, given
+/// the value of that field.
 ///
 /// # Errors
-/// [`StartupError::BadLength`].
+/// [`StartupError::BadLength`] when the length is out of bounds.
 pub fn body_length(length: u32) -> Result<usize, StartupError> {
     let total = length as usize;
     if (8..=MAXIMUM_STARTUP_LENGTH).contains(&total) {
@@ -97,18 +99,18 @@
 }
 
 impl StartupPacket {
-    /// Reads what follows the length field.
+    /// Parses a packet without its length field.
     ///
     /// # Errors
-    /// A [`StartupError`] that says what is wrong.
+    /// Any [`StartupError`] except [`StartupError::BadLength`].
     pub fn read(mut body: Bytes) -> Result<Self, StartupError> {
-        let code = take_number(&mut body)?;
+        let code = take_u32(&mut body)?;
         match code {
-            TLS_CODE => Ok(Self::Tls),
-            GSS_CODE => Ok(Self::Gss),
-            CANCEL_CODE => Ok(Self::Cancel {
-                process: take_number(&mut body)?,
-                secret: take_number(&mut body)?,
+            TLS_REQUEST_CODE => Ok(Self::Tls),
+            GSS_REQUEST_CODE => Ok(Self::Gss),
+            CANCEL_REQUEST_CODE => Ok(Self::Cancel {
+                process: take_u32(&mut body)?,
+                secret: take_u32(&mut body)?,
             }),
             version if version >> 16 == 3 => {
                 Ok(Self::Session(SessionParameters::read(version, body)?))
@@ -128,12 +130,12 @@
             ..Self::default()
         };
         loop {
-            let name = take_text(&mut body)?;
+            let name = take_startup_string(&mut body)?;
             if name.is_empty() {
                 break;
             }
-            let value = take_text(&mut body)?;
-            parameters.take(name, value)?;
+            let value = take_startup_string(&mut body)?;
+            parameters.set_parameter(name, value)?;
         }
         if parameters.user.is_empty() {
             return Err(StartupError::NoUser);
@@ -144,13 +146,13 @@
         Ok(parameters)
     }
 
-    fn take(&mut self, name: String, value: String) -> Result<(), StartupError> {
+    fn set_parameter(&mut self, name: String, value: String) -> Result<(), StartupError> {
         match name.as_str() {
             "user" => self.user = value,
             "database" => self.database = value,
             "replication" => self.replication = !is_false(&value),
             "options" => self.settings.extend(parse_options(&value)?),
-            _ if name.starts_with(OPTION_PREFIX) => self.protocol_options.push(name),
+            _ if name.starts_with(PROTOCOL_OPTION_PREFIX) => self.protocol_options.push(name),
             _ => {
                 self.settings.insert(name.to_ascii_lowercase(), value);
             }
@@ -166,7 +168,7 @@
     )
 }
 
-fn take_number(body: &mut Bytes) -> Result<u32, StartupError> {
+fn take_u32(body: &mut Bytes) -> Result<u32, StartupError> {
     if body.len() < 4 {
         return Err(StartupError::Malformed);
     }
@@ -174,12 +176,12 @@
     Ok(u32::from_be_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]))
 }
 
-fn take_text(body: &mut Bytes) -> Result<String, StartupError> {
+fn take_startup_string(body: &mut Bytes) -> Result<String, StartupError> {
     take_string(0, body).map_err(|_| StartupError::Malformed)
 }
 
-/// Reads `-c name=value`, `-cname=value` and `--name=value`, separated by blanks; a
-/// backslash takes the next character as it is.
+/// Parses an `options` value: `-c name=value`, `-cname=value` and `--name=value`,
+/// separated by white space. A backslash escapes the next character.
 fn parse_options(text: &str) -> Result<BTreeMap<String, String>, StartupError> {
     let mut settings = BTreeMap::new();
     let mut words = split_words(text).into_iter();
@@ -215,7 +217,7 @@
     while let Some(character) = characters.next() {
         match character {
             '\\' => word.extend(characters.next()),
-            blank if blank.is_ascii_whitespace() => {
+            space if space.is_ascii_whitespace() => {
                 if !word.is_empty() {
                     words.push(std::mem::take(&mut word));
                 }
--- a/crates/protocol/src/status_query/collector.rs
+++ b/crates/protocol/src/status_query/collector.rs
@@ -1,4 +1,4 @@
-//! Reads the answer to the status query.
+//! Parsing of the response to the status query.
 
 use hookpoint_coordination::status::{BackendStatus, FlushedReplica, Role};
 use hookpoint_state::position::ParseLsnError;
@@ -8,58 +8,60 @@
 use crate::errors::BackendError;
 use crate::frame::Frame;
 
-/// Columns of the answer.
+/// Number of columns of the result.
 const COLUMNS: usize = 4;
-/// Longest list of replicas accepted, so that an answer cannot take unbounded memory.
+/// Longest list of replicas accepted, so that a response cannot use unbounded memory.
 const MAXIMUM_REPLICAS: usize = 256;
 
-/// Why the answer could not be read.
+/// Why a status query failed or its response is unusable.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StatusQueryError {
-    /// The database refused the query.
+    /// The database responded with an error.
     #[error("the database refused the status query: {0}")]
     Refused(#[from] BackendError),
-    /// The answer ended without a row.
-    #[error("the status query gave no row")]
+    /// The response has no row.
+    #[error("the status query returned no row")]
     NoRow,
-    /// The answer had more than one row.
-    #[error("the status query gave more than one row")]
-    ManyRows,
-    /// The row is cut short or has other columns.
+    /// The response has more than one row.
+    #[error("the status query returned more than one row")]
+    MultipleRows,
+    /// The row is truncated or does not have four columns.
     #[error("the row of the status query is malformed")]
     MalformedRow,
-    /// A column holds no value or one of another form.
+    /// A column is null or its value does not have the expected form.
     #[error("column `{column}` of the status query is unusable")]
     BadColumn {
         /// Name of the column.
         column: &'static str,
     },
-    /// A position is malformed.
+    /// The value of the column `position` is malformed.
     #[error(transparent)]
     BadPosition(#[from] ParseLsnError),
-    /// A message arrived that has no place in the answer.
-    #[error("a message of tag {tag} has no place in the answer to the status query")]
+    /// A message arrived that does not belong to the response of a simple query with rows.
+    #[error("unexpected message of tag {tag} in the response to the status query")]
     UnexpectedMessage {
         /// Tag of the message.
         tag: u8,
     },
 }
 
-/// Takes the messages of one answer, from `RowDescription` to `ReadyForQuery`.
+/// Collects the messages of one response, from `RowDescription` to `ReadyForQuery`.
 #[derive(Clone, Debug, Default)]
 pub struct StatusCollector {
+    /// The parsed row, once it has arrived.
     row: Option<Result<BackendStatus, StatusQueryError>>,
+    /// The first failure; it takes precedence over the row.
     failure: Option<StatusQueryError>,
 }
 
 impl StatusCollector {
-    /// A collector at the start of an answer.
+    /// Creates a collector for a new response.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes the next message. Gives the result at `ReadyForQuery`, after which the
-    /// collector is ready for another answer.
+    /// Processes the next message. Returns the result at `ReadyForQuery`, after which the
+    /// collector is ready for another response, and `None` before.
     pub fn push(&mut self, frame: &Frame) -> Option<Result<BackendStatus, StatusQueryError>> {
         match frame.tag {
             // RowDescription, CommandComplete, NoticeResponse, ParameterStatus.
@@ -78,9 +80,9 @@
 
     fn take_row(&mut self, body: &[u8]) {
         if self.row.is_some() {
-            return self.fail(StatusQueryError::ManyRows);
+            return self.fail(StatusQueryError::MultipleRows);
         }
-        self.row = Some(status_of(body));
+        self.row = Some(parse_status(body));
     }
 
     fn fail(&mut self, error: StatusQueryError) {
@@ -96,9 +98,9 @@
     }
 }
 
-fn status_of(body: &[u8]) -> Result<BackendStatus, StatusQueryError> {
-    let [in_recovery, term, position, flushed] = columns(body)?;
-    let role = match required("in_recovery", in_recovery)? {
+fn parse_status(body: &[u8]) -> Result<BackendStatus, StatusQueryError> {
+    let [in_recovery, term, position, flushed] = parse_columns(body)?;
+    let role = match required_text("in_recovery", in_recovery)? {
         "t" | "true" => Role::Replica,
         "f" | "false" => Role::Primary,
         _ => {
@@ -107,18 +109,18 @@
             });
         }
     };
-    let term = required("term", term)?
+    let term = required_text("term", term)?
         .parse()
         .map_err(|_| StatusQueryError::BadColumn { column: "term" })?;
     Ok(BackendStatus {
         role,
         term: Term(term),
-        position: required("position", position)?.parse()?,
-        flushed: flushed_replicas(required("flushed", flushed)?)?,
+        position: required_text("position", position)?.parse()?,
+        flushed: parse_flushed_replicas(required_text("flushed", flushed)?)?,
     })
 }
 
-fn required<'a>(
+fn required_text<'a>(
     column: &'static str,
     value: Option<&'a [u8]>,
 ) -> Result<&'a str, StatusQueryError> {
@@ -127,16 +129,17 @@
         .ok_or(StatusQueryError::BadColumn { column })
 }
 
-/// The values of a `DataRow`: a count, then for each a length (-1 for null) and bytes.
-fn columns(body: &[u8]) -> Result<[Option<&[u8]>; COLUMNS], StatusQueryError> {
+/// Parses the values of a `DataRow`: their count, then for each value its length (-1 for
+/// null) and its bytes.
+fn parse_columns(body: &[u8]) -> Result<[Option<&[u8]>; COLUMNS], StatusQueryError> {
     let mut rest = body;
-    let count = u16::from_be_bytes(take(&mut rest)?);
+    let count = u16::from_be_bytes(take_bytes(&mut rest)?);
     if usize::from(count) != COLUMNS {
         return Err(StatusQueryError::MalformedRow);
     }
     let mut values = [None; COLUMNS];
     for value in &mut values {
-        let length = i32::from_be_bytes(take(&mut rest)?);
+        let length = i32::from_be_bytes(take_bytes(&mut rest)?);
         if let Ok(length) = usize::try_from(length) {
             let (bytes, after) = rest
                 .split_at_checked(length)
@@ -148,7 +151,7 @@
     Ok(values)
 }
 
-fn take<const N: usize>(rest: &mut &[u8]) -> Result<[u8; N], StatusQueryError> {
+fn take_bytes<const N: usize>(rest: &mut &[u8]) -> Result<[u8; N], StatusQueryError> {
     let (head, after) = rest
         .split_first_chunk::<N>()
         .ok_or(StatusQueryError::MalformedRow)?;
@@ -156,10 +159,11 @@
     Ok(*head)
 }
 
-/// `name=position` parted by commas. A name may hold `=` or `,`; an entry without a
-/// position belongs to the name of the next one. A replica that has reported no
-/// position is missing from the list, because joining its null to a text gives null.
-fn flushed_replicas(text: &str) -> Result<Vec<FlushedReplica>, StatusQueryError> {
+/// Parses a comma-separated list of `name=position`. Names may contain `=` and `,`: a part
+/// that does not end with a position is the beginning of the next name. A replica that has
+/// not reported a position is missing from the list, because concatenating text with its
+/// null position gives null.
+fn parse_flushed_replicas(text: &str) -> Result<Vec<FlushedReplica>, StatusQueryError> {
     let mut replicas = Vec::new();
     let mut name = String::new();
     for part in text.split(',').filter(|_| !text.is_empty()) {
--- a/crates/protocol/src/tags.rs
+++ b/crates/protocol/src/tags.rs
@@ -1,75 +1,75 @@
-//! Tags of PostgreSQL messages, by direction.
+//! Tags of PostgreSQL messages, grouped by direction.
 
-/// Messages from a client.
+/// Tags of messages from a client.
 pub mod frontend {
-    /// Bind a portal.
+    /// `Bind`: creates a portal from a prepared statement.
     pub const BIND: u8 = b'B';
-    /// Close a statement or portal.
+    /// `Close`: closes a prepared statement or portal.
     pub const CLOSE: u8 = b'C';
-    /// Data of a COPY.
+    /// `CopyData`: a part of the data of a `COPY`.
     pub const COPY_DATA: u8 = b'd';
-    /// End of a COPY.
+    /// `CopyDone`: end of the data of a `COPY`.
     pub const COPY_DONE: u8 = b'c';
-    /// End of a COPY that the client could not finish.
+    /// `CopyFail`: the client aborts a `COPY`.
     pub const COPY_FAIL: u8 = b'f';
-    /// Describe a statement or portal.
+    /// `Describe`: requests the description of a prepared statement or portal.
     pub const DESCRIBE: u8 = b'D';
-    /// Execute a portal.
+    /// `Execute`: runs a portal.
     pub const EXECUTE: u8 = b'E';
-    /// Send what is there.
+    /// `Flush`: requests that the server sends its pending output.
     pub const FLUSH: u8 = b'H';
-    /// Old function call.
+    /// `FunctionCall`: calls a function (a legacy message of the protocol).
     pub const FUNCTION_CALL: u8 = b'F';
-    /// Parse a statement.
+    /// `Parse`: creates a prepared statement.
     pub const PARSE: u8 = b'P';
-    /// Password or SASL data.
+    /// Password message or SASL response.
     pub const PASSWORD: u8 = b'p';
-    /// Simple query.
+    /// `Query`: runs a simple query.
     pub const QUERY: u8 = b'Q';
-    /// End of a series of extended messages.
+    /// `Sync`: ends a series of extended-query messages.
     pub const SYNC: u8 = b'S';
-    /// End of the session.
+    /// `Terminate`: ends the session.
     pub const TERMINATE: u8 = b'X';
 }
 
-/// Messages from a server.
+/// Tags of messages from a server.
 pub mod backend {
     /// Authentication request or result.
     pub const AUTHENTICATION: u8 = b'R';
-    /// Key for cancel requests.
+    /// `BackendKeyData`: process number and secret for cancel requests.
     pub const BACKEND_KEY_DATA: u8 = b'K';
-    /// A `Bind` is done.
+    /// A `Bind` has completed.
     pub const BIND_COMPLETE: u8 = b'2';
-    /// A `Close` is done.
+    /// A `Close` has completed.
     pub const CLOSE_COMPLETE: u8 = b'3';
-    /// A command is done.
+    /// A command has completed.
     pub const COMMAND_COMPLETE: u8 = b'C';
-    /// The server waits for COPY data.
+    /// The server waits for the data of a `COPY … FROM STDIN`.
     pub const COPY_IN_RESPONSE: u8 = b'G';
-    /// A row.
+    /// `DataRow`: one row of a result.
     pub const DATA_ROW: u8 = b'D';
-    /// An empty query is done.
+    /// `EmptyQueryResponse`: an empty query has completed.
     pub const EMPTY_QUERY: u8 = b'I';
-    /// An error.
+    /// `ErrorResponse`.
     pub const ERROR: u8 = b'E';
-    /// Which protocol version and options the server lacks.
+    /// `NegotiateProtocolVersion`: the server lacks a requested protocol version or option.
     pub const NEGOTIATE_VERSION: u8 = b'v';
-    /// The described thing returns no rows.
+    /// `NoData`: the described statement or portal returns no rows.
     pub const NO_DATA: u8 = b'n';
-    /// A notice.
+    /// `NoticeResponse`.
     pub const NOTICE: u8 = b'N';
-    /// A notification of `LISTEN`.
+    /// `NotificationResponse`: a notification on a channel of `LISTEN`.
     pub const NOTIFICATION: u8 = b'A';
-    /// Types of a statement's parameters.
+    /// Types of the parameters of a statement.
     pub const PARAMETER_DESCRIPTION: u8 = b't';
-    /// A run-time parameter's value.
+    /// Current value of a run-time parameter.
     pub const PARAMETER_STATUS: u8 = b'S';
-    /// A `Parse` is done.
+    /// A `Parse` has completed.
     pub const PARSE_COMPLETE: u8 = b'1';
-    /// An `Execute` stopped at its row limit.
+    /// An `Execute` stopped at its row limit before the result was complete.
     pub const PORTAL_SUSPENDED: u8 = b's';
-    /// The server waits for the next unit.
+    /// The server is ready for the next query.
     pub const READY_FOR_QUERY: u8 = b'Z';
-    /// Columns of the rows to come.
+    /// Columns of the rows that follow.
     pub const ROW_DESCRIPTION: u8 = b'T';
 }
--- a/crates/protocol/tests/caller_messages.rs
+++ b/crates/protocol/tests/caller_messages.rs
@@ -1,5 +1,5 @@
-//! Messages of callers: start-up packets and extended messages, well-formed or not, and
-//! the run-time parameters that follow a session.
+//! Messages of clients: start-up packets and extended-query messages, well-formed and
+//! malformed, names of shared prepared statements, and tracking of run-time parameters.
 
 use std::collections::BTreeMap;
 
@@ -15,8 +15,8 @@
 
 const CASES: u64 = 2_000;
 
-/// A session's packet with these parameters.
-fn session(parameters: &[(&str, &str)]) -> Result<StartupPacket, StartupError> {
+/// Parses a start-up packet with these parameters.
+fn parse_session(parameters: &[(&str, &str)]) -> Result<StartupPacket, StartupError> {
     let mut body = PROTOCOL_3_0.to_be_bytes().to_vec();
     for (name, value) in parameters {
         body.extend(format!("{name}\0{value}\0").into_bytes());
@@ -25,12 +25,12 @@
     StartupPacket::read(Bytes::from(body))
 }
 
-/// Settings that options give, or the option that is refused.
-type Parsed = Result<&'static [(&'static str, &'static str)], &'static str>;
+/// Expected settings of an `options` value, or the option that is refused.
+type ExpectedSettings = Result<&'static [(&'static str, &'static str)], &'static str>;
 
 #[test]
-fn start_up_options_become_settings() {
-    let cases: [(&str, Parsed); 9] = [
+fn startup_options_are_parsed_into_settings() {
+    let cases: [(&str, ExpectedSettings); 9] = [
         ("", Ok(&[])),
         ("-c a=1", Ok(&[("a", "1")])),
         ("-ca=1 -c B.c=x", Ok(&[("a", "1"), ("b.c", "x")])),
@@ -42,7 +42,10 @@
         ("-x", Err("-x")),
     ];
     for (options, expected) in cases {
-        match (session(&[("user", "u"), ("options", options)]), expected) {
+        match (
+            parse_session(&[("user", "u"), ("options", options)]),
+            expected,
+        ) {
             (Ok(StartupPacket::Session(parameters)), Ok(settings)) => {
                 let expected: BTreeMap<String, String> = settings
                     .iter()
@@ -57,12 +60,15 @@
 }
 
 #[test]
-fn the_database_is_the_user_where_none_is_named() {
-    let Ok(StartupPacket::Session(parameters)) = session(&[("user", "clinic")]) else {
-        panic!("a session's packet");
+fn database_defaults_to_the_user_name() {
+    let Ok(StartupPacket::Session(parameters)) = parse_session(&[("user", "clinic")]) else {
+        panic!("the packet does not start a session");
     };
     assert_eq!(parameters.database, "clinic");
-    assert_eq!(session(&[("database", "x")]), Err(StartupError::NoUser));
+    assert_eq!(
+        parse_session(&[("database", "x")]),
+        Err(StartupError::NoUser)
+    );
     assert_eq!(body_length(7), Err(StartupError::BadLength { length: 7 }));
     assert_eq!(body_length(8), Ok(4));
     let huge = u32::MAX;
@@ -72,12 +78,13 @@
     );
 }
 
-/// Readers of message bodies; true where the body was accepted.
-type Reader = fn(&Frame) -> bool;
+/// Parses a message body and returns whether it was accepted.
+type BodyParser = fn(&Frame) -> bool;
 
+/// A parser that reads past the end of a body panics.
 #[test]
-fn random_bytes_are_read_or_refused_and_never_read_past_their_end() {
-    let readers: [(u8, Reader); 6] = [
+fn random_bodies_are_accepted_or_refused_without_panic() {
+    let parsers: [(u8, BodyParser); 6] = [
         (frontend::QUERY, |frame| extended::query_text(frame).is_ok()),
         (frontend::PARSE, |frame| Parse::read(frame).is_ok()),
         (frontend::BIND, |frame| Bind::read(frame).is_ok()),
@@ -94,22 +101,24 @@
         for byte in &mut bytes {
             *byte = if *byte > 160 { 0 } else { *byte % 128 };
         }
-        for (tag, reader) in readers {
-            accepted += usize::from(reader(&Frame::new(tag, bytes.clone())));
+        for (tag, parser) in parsers {
+            accepted += usize::from(parser(&Frame::new(tag, bytes.clone())));
         }
     }
-    assert!(accepted > 0, "some bodies are well-formed by chance");
+    assert!(accepted > 0, "no random body was well-formed");
 }
 
 #[test]
-fn renaming_changes_nothing_but_the_name() {
+fn replacing_the_statement_name_keeps_the_rest_of_a_bind() {
     for seed in 0..CASES {
         let mut generator = Gen::from_size_and_seed(16, seed);
         let rest = Vec::<u8>::arbitrary(&mut generator);
         let mut body = b"portal\0statement\0".to_vec();
         body.extend(&rest);
-        let bind = Bind::read(&Frame::new(frontend::BIND, body)).expect("a bind");
-        let renamed = Bind::read(&bind.with_statement("other")).expect("a bind");
+        let bind =
+            Bind::read(&Frame::new(frontend::BIND, body)).expect("the Bind message is well-formed");
+        let renamed =
+            Bind::read(&bind.with_statement("other")).expect("the Bind message is well-formed");
         assert_eq!(renamed.portal, "portal");
         assert_eq!(renamed.statement, "other");
         assert_eq!(renamed.rest, rest);
@@ -117,7 +126,7 @@
 }
 
 #[test]
-fn shared_names_tell_statements_apart() {
+fn shared_names_differ_for_different_statements() {
     let statements: [(&str, &[u32]); 5] = [
         ("SELECT 1", &[]),
         ("SELECT 1 ", &[]),
@@ -136,12 +145,12 @@
     );
     assert!(
         names.iter().all(|name| name.len() < 64),
-        "a name fits into PostgreSQL's limit"
+        "a name exceeds PostgreSQL's limit of 63 bytes"
     );
 }
 
 #[test]
-fn settings_follow_commits_and_forget_rollbacks() {
+fn parameter_changes_apply_on_commit_and_are_dropped_on_rollback() {
     let set = |name: &str, value: &str, local| SettingChange::Set {
         name: name.to_owned(),
         value: value.to_owned(),
@@ -153,26 +162,26 @@
     let cases: Vec<(&str, Vec<SettingChange>, bool, &str)> = vec![
         ("set", vec![set("a", "2", false)], true, "a=2 b=1"),
         (
-            "set and undone",
+            "set and rolled back",
             vec![set("a", "2", false)],
             false,
             "a=1 b=1",
         ),
+        ("SET LOCAL", vec![set("a", "2", true)], true, "a=1 b=1"),
         (
-            "set for the transaction",
-            vec![set("a", "2", true)],
+            "new parameter",
+            vec![set("c", "3", false)],
             true,
-            "a=1 b=1",
+            "a=1 b=1 c=3",
         ),
-        ("new one", vec![set("c", "3", false)], true, "a=1 b=1 c=3"),
         (
-            "reset to the start",
+            "reset to the start-up value",
             vec![set("a", "2", false), reset("a")],
             true,
             "a=1 b=1",
         ),
         (
-            "reset of a new one",
+            "reset of a new parameter",
             vec![set("c", "3", false), reset("c")],
             true,
             "a=1 b=1",
--- a/crates/protocol/tests/classify.rs
+++ b/crates/protocol/tests/classify.rs
@@ -1,4 +1,4 @@
-//! Tables of statements and what has to be proved of them.
+//! Classification of statements, mostly as tables of texts and expected classes.
 
 use hookpoint_coordination::request::Access;
 use hookpoint_protocol::classify::{
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn reads_are_proved() {
+fn provable_reads_are_classified_as_reads() {
     let reads = [
         "",
         ";;",
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_is_not_proved_is_a_write() {
+fn unproved_statements_are_classified_as_writes() {
     let writes = [
         "INSERT INTO readings VALUES (1)",
         "UPDATE bills SET paid = true",
@@ -111,8 +111,8 @@
 }
 
 #[test]
-fn commits_are_found() {
-    // Text, may commit outside a block, may commit inside one.
+fn possible_commits_are_detected() {
+    // Text, whether it may commit outside a transaction block, whether inside one.
     let table = [
         ("SELECT 1", false, false),
         ("INSERT INTO t VALUES (1)", true, false),
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn transactions_are_followed() {
+fn starts_and_ends_of_transactions_are_detected() {
     let opened = |read_only| Some(TransactionMode { read_only });
     let table = [
         ("BEGIN", opened(false), None),
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn settings_are_read() {
+fn parameter_changes_are_extracted() {
     let set = |name: &str, value: &str, local| SettingChange::Set {
         name: name.to_owned(),
         value: value.to_owned(),
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn effects_on_the_session_are_stated() {
+fn session_effects_are_classified() {
     let table = [
         ("SELECT 1", SessionEffect::None),
         ("INSERT INTO t VALUES (now())", SessionEffect::None),
@@ -245,8 +245,8 @@
 }
 
 #[test]
-fn what_pooling_cannot_carry_is_named() {
-    let refused = [
+fn features_unsupported_by_pooling_are_reported() {
+    let unsupported = [
         ("LISTEN c", "LISTEN"),
         ("SELECT 1; LISTEN c", "LISTEN"),
         ("LOAD 'lib'", "LOAD"),
@@ -301,10 +301,10 @@
             "a change of a parameter whose name is not a literal",
         ),
     ];
-    for (sql, feature) in refused {
+    for (sql, feature) in unsupported {
         assert_eq!(classify(sql).unsupported.as_deref(), Some(feature), "{sql}");
     }
-    let carried = [
+    let supported = [
         "UNLISTEN *",
         "NOTIFY c, 'x'",
         "SELECT pg_advisory_xact_lock(1)",
@@ -320,13 +320,13 @@
         "SELECT set_config('work_mem', '1MB', true)",
         "SHOW synchronous_commit",
     ];
-    for sql in carried {
+    for sql in supported {
         assert_eq!(classify(sql).unsupported, None, "{sql}");
     }
 }
 
 #[test]
-fn request_identifiers_are_read() {
+fn request_identifiers_are_extracted_from_comments() {
     let table = [
         ("INSERT INTO t VALUES (1) /*request_id='a-1'*/", Some("a-1")),
         (
@@ -353,15 +353,15 @@
 }
 
 #[test]
-fn shows_and_copies_are_named() {
+fn shown_parameters_and_copy_directions_are_reported() {
     assert_eq!(
         classify("SHOW hookpoint.Token").show.as_deref(),
         Some("hookpoint.token")
     );
     assert_eq!(classify("show time zone").show.as_deref(), Some("timezone"));
     assert_eq!(classify("SHOW a; SHOW b").show, None);
-    let from = Some(CopyDirection::FromCaller);
-    assert_eq!(classify("COPY t (a, b) FROM STDIN").copy, from);
+    let from_client = Some(CopyDirection::FromCaller);
+    assert_eq!(classify("COPY t (a, b) FROM STDIN").copy, from_client);
     assert_eq!(
         classify("COPY t TO STDOUT").copy,
         Some(CopyDirection::ToCaller)
@@ -370,7 +370,7 @@
 }
 
 #[test]
-fn a_long_text_is_not_analysed() {
+fn long_texts_are_not_analysed() {
     let sql = format!("SELECT '{}' /*request_id='r'*/", "x".repeat(300_000));
     let class = classify(&sql);
     assert_eq!(class.access, Access::Write);
@@ -379,26 +379,28 @@
 }
 
 #[test]
-fn deep_nesting_is_no_read_and_no_overflow() {
+fn deep_nesting_is_a_write_and_does_not_overflow_the_stack() {
     let sql = format!("SELECT {}1{}", "(".repeat(20_000), ")".repeat(20_000));
     assert_eq!(classify(&sql).access, Access::Write);
 }
 
 #[test]
-fn the_cache_is_bounded_and_answers_the_same() {
+fn cache_is_bounded_and_returns_the_same_classes() {
     let classifier = Classifier::new();
     for number in 0..5_000 {
         let sql = format!("SELECT {number}");
         assert_eq!(classifier.classify(&sql), classifier.classify(&sql));
     }
-    assert_eq!(classifier.cached(), 2_048);
+    assert_eq!(classifier.cached_texts(), 2_048);
     let class = classifier.classify("SELECT 1");
     assert_eq!(class.statements, [StatementKind::Query]);
 }
 
+/// Random texts must not make the classifier panic, and no text that follows a `DELETE` may
+/// make the unit count as a read.
 #[test]
-fn no_text_makes_it_panic_and_none_hides_a_write() {
-    let pieces = [
+fn random_texts_do_not_panic_or_hide_a_write() {
+    let fragments = [
         "SELECT",
         "1",
         ";",
@@ -441,7 +443,7 @@
         let mut random = Gen::from_size_and_seed(30, seed);
         let count = usize::arbitrary(&mut random) % 20;
         let text: Vec<&str> = (0..count)
-            .map(|_| *random.choose(&pieces).unwrap())
+            .map(|_| *random.choose(&fragments).unwrap())
             .collect();
         let sql = text.join(" ");
         classify(&sql);
--- a/crates/protocol/tests/messages.rs
+++ b/crates/protocol/tests/messages.rs
@@ -1,4 +1,5 @@
-//! Error messages, the status query's answer and the frame codec, with tables of faults.
+//! Error messages, the response to the status query and the frame codec, with well-formed
+//! and malformed input.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use hookpoint_coordination::status::{BackendStatus, FlushedReplica, Role};
@@ -11,6 +12,7 @@
 use quickcheck::{Arbitrary, Gen};
 use tokio_util::codec::Decoder as _;
 
+/// Encodes the report and decodes its fields with `pgwire`.
 fn fields_of(report: &ErrorReport) -> Vec<(u8, String)> {
     let mut wire = BytesMut::new();
     report.to_frame().write_to(&mut wire);
@@ -24,7 +26,7 @@
 }
 
 #[test]
-fn refusals_say_that_nothing_ran() {
+fn refusals_report_that_nothing_ran() {
     let unsupported = Refusal::Unsupported {
         feature: "LISTEN".to_owned(),
     };
@@ -63,7 +65,7 @@
 }
 
 #[test]
-fn unknown_outcomes_and_session_ends_have_their_codes() {
+fn unknown_outcomes_and_fatal_errors_have_their_sqlstates() {
     let fields = fields_of(&ErrorReport::unknown(UnknownCause::NoMajority));
     assert_eq!(field(&fields, b'C'), Some("08007"));
     let detail = "hookpoint.outcome=unknown hookpoint.reason=no_majority";
@@ -82,7 +84,7 @@
 }
 
 #[test]
-fn errors_of_databases_are_read_also_when_cut_short() {
+fn database_errors_are_parsed_even_when_truncated() {
     let table: [(&[u8], [&str; 3]); 6] = [
         (
             b"SFEHLER\0VERROR\0C53300\0Mtoo many\0\0",
@@ -104,6 +106,7 @@
     assert_eq!(BackendError::from_frame(&Frame::new(b'Z', &b"I"[..])), None);
 }
 
+/// Builds a `DataRow`; `None` is a null value.
 fn row(values: &[Option<&str>]) -> Frame {
     let mut body = BytesMut::new();
     body.put_u16(values.len() as u16);
@@ -119,7 +122,8 @@
     Frame::new(b'D', body.freeze())
 }
 
-fn answer(rows: &[Frame]) -> Result<BackendStatus, StatusQueryError> {
+/// Passes a response with these rows to a collector and returns the result.
+fn collect_status(rows: &[Frame]) -> Result<BackendStatus, StatusQueryError> {
     let mut collector = StatusCollector::new();
     let mut frames = vec![Frame::new(b'T', Bytes::new())];
     frames.extend_from_slice(rows);
@@ -132,14 +136,14 @@
     assert_eq!(
         collector.push(&ready),
         Some(Err(StatusQueryError::NoRow)),
-        "it starts anew"
+        "the collector was not reset after a response"
     );
     result
 }
 
 #[test]
-fn statuses_are_read() {
-    let replica = answer(&[row(&[Some("t"), Some("3"), Some("1/A0"), Some("")])]);
+fn status_responses_are_parsed() {
+    let replica = collect_status(&[row(&[Some("t"), Some("3"), Some("1/A0"), Some("")])]);
     let expected = BackendStatus {
         role: Role::Replica,
         term: Term(3),
@@ -148,7 +152,8 @@
     };
     assert_eq!(replica, Ok(expected));
     let list = "a=0/10,b,=x=0/20";
-    let primary = answer(&[row(&[Some("f"), Some("4"), Some("0/20"), Some(list)])]).unwrap();
+    let primary =
+        collect_status(&[row(&[Some("f"), Some("4"), Some("0/20"), Some(list)])]).unwrap();
     let flushed = |name: &str, position| FlushedReplica {
         name: name.to_owned(),
         position: Lsn(position),
@@ -159,7 +164,7 @@
 }
 
 #[test]
-fn bad_statuses_are_refused() {
+fn malformed_status_responses_are_refused() {
     let good = [Some("t"), Some("3"), Some("0/1"), Some("")];
     let with = |index: usize, value| {
         let mut values = good;
@@ -169,7 +174,7 @@
     let bad = |column| StatusQueryError::BadColumn { column };
     let table = [
         (vec![], StatusQueryError::NoRow),
-        (vec![row(&good), row(&good)], StatusQueryError::ManyRows),
+        (vec![row(&good), row(&good)], StatusQueryError::MultipleRows),
         (vec![row(&good[..3])], StatusQueryError::MalformedRow),
         (
             vec![Frame::new(b'D', &b"\0\x04\0\0\0\x09x"[..])],
@@ -192,21 +197,21 @@
         ),
     ];
     for (rows, error) in table {
-        assert_eq!(answer(&rows), Err(error), "{rows:?}");
+        assert_eq!(collect_status(&rows), Err(error), "{rows:?}");
     }
     assert!(matches!(
-        answer(&[with(2, Some("01"))]),
+        collect_status(&[with(2, Some("01"))]),
         Err(StatusQueryError::BadPosition(_))
     ));
     let refused = Frame::new(b'E', &b"SERROR\0C42501\0Mno\0\0"[..]);
-    let Err(StatusQueryError::Refused(error)) = answer(&[refused]) else {
-        panic!("an error of the database has to come through");
+    let Err(StatusQueryError::Refused(error)) = collect_status(&[refused]) else {
+        panic!("the error of the database was not returned");
     };
     assert_eq!(error.sqlstate, "42501");
 }
 
 #[test]
-fn frames_are_split_wherever_the_bytes_are_cut() {
+fn frames_are_decoded_from_chunks_of_any_size() {
     for seed in 0..500 {
         let mut random = Gen::from_size_and_seed(30, seed);
         let frames: Vec<Frame> = Vec::<(u8, Vec<u8>)>::arbitrary(&mut random)
@@ -230,7 +235,7 @@
 }
 
 #[test]
-fn bad_lengths_are_refused_before_any_memory_is_taken() {
+fn bad_lengths_are_refused_before_memory_is_allocated() {
     let mut codec = FrameCodec::new(100);
     let mut short = BytesMut::from(&b"Q\0\0\0\x03"[..]);
     assert!(matches!(
@@ -246,7 +251,7 @@
 }
 
 #[test]
-fn no_bytes_make_the_readers_panic() {
+fn random_bytes_do_not_make_the_parsers_panic() {
     for seed in 0..3_000 {
         let mut random = Gen::from_size_and_seed(80, seed);
         let mut source = BytesMut::from(&Vec::<u8>::arbitrary(&mut random)[..]);
--- a/crates/protocol/tests/peer.rs
+++ b/crates/protocol/tests/peer.rs
@@ -1,5 +1,5 @@
-//! Contract of the messages between nodes: what is not authentic is dropped, and
-//! streams keep their bounds.
+//! Messages between nodes: data that is not authentic is refused, and the reassembly of
+//! messages is bounded.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -27,12 +27,12 @@
     FleetKeys::new(keys.to_vec()).expect("the keys are valid")
 }
 
-fn info(node: u64) -> MemberInfo {
+fn member_info(node: u64) -> MemberInfo {
     MemberInfo {
         node: NodeId(node),
         zone: ZoneName::new("sj-sala-a"),
         region: RegionName::new("san-jose"),
-        address: "10.1.2.3:7000".parse().expect("an address"),
+        address: "10.1.2.3:7000".parse().expect("the address is valid"),
     }
 }
 
@@ -41,7 +41,7 @@
         node: NodeId(node),
         incarnation: 3,
         state: MemberState::Suspect,
-        info: Some(Arc::new(info(node))),
+        info: Some(Arc::new(member_info(node))),
     };
     Datagram {
         sender: Sender {
@@ -50,7 +50,7 @@
             leaving: false,
             bundle: BundleVersion(9),
             digest: u64::MAX,
-            info: Some(Arc::new(info(u64::MAX))),
+            info: Some(Arc::new(member_info(u64::MAX))),
         },
         receiver: Some(NodeId(5)),
         body: DatagramBody::Ping { probe: 7 },
@@ -59,20 +59,22 @@
 }
 
 #[test]
-fn datagrams_survive_the_way_with_ascending_numbers() {
+fn datagrams_are_decrypted_with_ascending_sequence_numbers() {
     let mut sealer = DatagramSealer::default();
     for sequence in 1..4 {
-        let sealed = sealer.seal(&key(1, 1), &datagram(3)).expect("it fits");
+        let sealed = sealer
+            .seal(&key(1, 1), &datagram(3))
+            .expect("the size is within the limit");
         let opened = open_datagram(&keys(&[key(2, 2), key(1, 1)]), &sealed);
         assert_eq!(opened, Ok((sequence, datagram(3))));
     }
 }
 
 #[test]
-fn datagrams_from_outside_are_dropped() {
+fn unauthentic_datagrams_are_refused() {
     let good = DatagramSealer::default()
         .seal(&key(1, 1), &datagram(2))
-        .expect("it fits");
+        .expect("the size is within the limit");
     let changed = |place: usize, value: u8| {
         let mut bytes = good.clone();
         bytes[place] = value;
@@ -107,15 +109,15 @@
 }
 
 #[test]
-fn a_datagram_that_is_too_large_is_not_sent() {
+fn oversized_datagrams_are_not_sealed() {
     let sent = DatagramSealer::default().seal(&key(1, 1), &datagram(60));
     assert_eq!(sent, Err(DatagramError::TooLarge));
 }
 
 #[test]
-fn each_number_is_accepted_once() {
+fn sequence_numbers_are_accepted_once() {
     let mut guard = ReplayGuard::default();
-    // (number, whether it is accepted), in the order of arrival.
+    // (sequence number, whether it is accepted), in the order of arrival.
     let arrivals = [
         (0, false),
         (1, true),
@@ -138,11 +140,14 @@
             "number {sequence}"
         );
     }
-    assert!(guard.accept(NodeId(2), 1), "senders are independent");
+    assert!(
+        guard.accept(NodeId(2), 1),
+        "the windows of two senders are not independent"
+    );
 }
 
 #[test]
-fn no_number_is_accepted_twice_in_any_order() {
+fn no_sequence_number_is_accepted_twice_in_any_order() {
     fn property(arrivals: Vec<u16>) -> bool {
         let mut guard = ReplayGuard::default();
         let mut seen = BTreeSet::new();
@@ -158,16 +163,17 @@
 }
 
 #[test]
-fn keys_are_checked() {
+fn invalid_keys_are_refused() {
     assert_eq!(
         FleetKey::new(1, &[0; 15]).err(),
         Some(FleetKeyError::TooShort)
     );
     assert_eq!(FleetKeys::new(Vec::new()).err(), Some(FleetKeyError::NoKey));
-    let twice = FleetKeys::new(vec![key(1, 1), key(1, 2)]);
-    assert_eq!(twice.err(), Some(FleetKeyError::SameNumber(1)));
+    let duplicate = FleetKeys::new(vec![key(1, 1), key(1, 2)]);
+    assert_eq!(duplicate.err(), Some(FleetKeyError::SameNumber(1)));
 }
 
+/// Performs a handshake; returns the ciphers of the dialling and the accepting node.
 fn link(dialling: &FleetKey, accepting: &FleetKeys) -> Result<(LinkCipher, LinkCipher), LinkError> {
     let (dialler, message) = Dialler::start(dialling)?;
     let (accepted, answer) = accept_handshake(accepting, &message)?;
@@ -175,27 +181,38 @@
 }
 
 #[test]
-fn both_ends_of_a_link_understand_each_other() {
-    let (one, other) = link(&key(2, 2), &keys(&[key(1, 1), key(2, 2)])).expect("a link");
+fn both_ends_of_a_link_can_exchange_records() {
+    let (dialler_cipher, acceptor_cipher) =
+        link(&key(2, 2), &keys(&[key(1, 1), key(2, 2)])).expect("the handshake succeeds");
     for number in 0..3 {
-        let record = one.seal(number, b"there").expect("it fits");
-        assert_eq!(other.open(number, &record[2..]), Ok(b"there".to_vec()));
-        let record = other.seal(number, b"back").expect("it fits");
-        assert_eq!(one.open(number, &record[2..]), Ok(b"back".to_vec()));
+        let record = dialler_cipher
+            .seal(number, b"there")
+            .expect("the size is within the limit");
+        assert_eq!(
+            acceptor_cipher.open(number, &record[2..]),
+            Ok(b"there".to_vec())
+        );
+        let record = acceptor_cipher
+            .seal(number, b"back")
+            .expect("the size is within the limit");
+        assert_eq!(
+            dialler_cipher.open(number, &record[2..]),
+            Ok(b"back".to_vec())
+        );
     }
 }
 
 #[test]
-fn links_from_outside_are_refused() {
+fn handshakes_without_an_accepted_key_are_refused() {
     let accepting = keys(&[key(1, 1)]);
     assert_eq!(
         link(&key(2, 1), &accepting).err(),
         Some(LinkError::UnknownKey)
     );
     assert_eq!(link(&key(1, 2), &accepting).err(), Some(LinkError::Forged));
-    let garbage = accept_handshake(&accepting, &[7; HANDSHAKE_BYTES]);
-    assert_eq!(garbage.err(), Some(LinkError::Malformed));
-    let (_, message) = Dialler::start(&key(1, 1)).expect("it starts");
+    let without_magic = accept_handshake(&accepting, &[7; HANDSHAKE_BYTES]);
+    assert_eq!(without_magic.err(), Some(LinkError::Malformed));
+    let (_, message) = Dialler::start(&key(1, 1)).expect("the handshake starts");
     for place in 0..HANDSHAKE_BYTES {
         let mut garbled = message;
         garbled[place] ^= 1;
@@ -207,18 +224,24 @@
 }
 
 #[test]
-fn the_answer_to_another_handshake_is_refused() {
-    let (dialler, _) = Dialler::start(&key(1, 1)).expect("it starts");
-    let (_, message) = Dialler::start(&key(1, 1)).expect("it starts");
-    let (_, answer) = accept_handshake(&keys(&[key(1, 1)]), &message).expect("accepted");
+fn response_to_another_handshake_is_refused() {
+    let (dialler, _) = Dialler::start(&key(1, 1)).expect("the handshake starts");
+    let (_, message) = Dialler::start(&key(1, 1)).expect("the handshake starts");
+    let (_, answer) =
+        accept_handshake(&keys(&[key(1, 1)]), &message).expect("the handshake is accepted");
     assert_eq!(dialler.finish(&answer).err(), Some(LinkError::Forged));
 }
 
 #[test]
-fn records_cannot_be_repeated_reordered_or_changed() {
-    let (one, other) = link(&key(1, 1), &keys(&[key(1, 1)])).expect("a link");
-    let first = one.seal(0, b"first").expect("it fits");
-    let second = one.seal(1, b"second").expect("it fits");
+fn repeated_reordered_or_changed_records_are_refused() {
+    let (dialler_cipher, acceptor_cipher) =
+        link(&key(1, 1), &keys(&[key(1, 1)])).expect("the handshake succeeds");
+    let first = dialler_cipher
+        .seal(0, b"first")
+        .expect("the size is within the limit");
+    let second = dialler_cipher
+        .seal(1, b"second")
+        .expect("the size is within the limit");
     let mut changed = first.clone();
     changed[4] ^= 1;
     let cases: [(&str, u64, &[u8]); 5] = [
@@ -229,13 +252,20 @@
         ("empty", 0, &[]),
     ];
     for (name, number, record) in cases {
-        assert_eq!(other.open(number, record), Err(LinkError::Forged), "{name}");
+        assert_eq!(
+            acceptor_cipher.open(number, record),
+            Err(LinkError::Forged),
+            "{name}"
+        );
     }
-    assert_eq!(one.seal(2, &[0; 70_000]), Err(LinkError::TooLarge));
+    assert_eq!(
+        dialler_cipher.seal(2, &[0; 70_000]),
+        Err(LinkError::TooLarge)
+    );
 }
 
 #[test]
-fn frames_share_a_record() {
+fn record_can_hold_several_frames() {
     let frames = [
         LinkFrame::Ping,
         LinkFrame::Data {
@@ -254,30 +284,30 @@
 }
 
 #[test]
-fn messages_of_any_size_pass_in_pieces() {
+fn messages_of_any_size_are_reassembled_from_fragments() {
     for size in [0, 1, MAXIMUM_FRAGMENT_BYTES, 3 * MAXIMUM_FRAGMENT_BYTES + 5] {
         let command = BackendCommand::Frames(vec![Frame::new(b'Q', vec![1; size])]);
         let mut assembler = Assembler::default();
         let mut received = None;
-        for (last, piece) in fragments(&command).expect("it encodes") {
-            assert!(piece.len() <= MAXIMUM_FRAGMENT_BYTES);
+        for (last, fragment) in fragments(&command).expect("the message is encoded") {
+            assert!(fragment.len() <= MAXIMUM_FRAGMENT_BYTES);
             assert!(received.is_none());
             received = assembler
-                .push::<BackendCommand>(last, &piece)
-                .expect("a piece");
+                .push::<BackendCommand>(last, &fragment)
+                .expect("the fragment is valid");
         }
         assert_eq!(received, Some(command));
     }
 }
 
 #[test]
-fn an_endless_message_is_cut_off() {
-    let piece = vec![0; 1024 * 1024];
+fn messages_over_the_size_limit_are_refused() {
+    let fragment = vec![0; 1024 * 1024];
     let mut assembler = Assembler::default();
     let failure = (0..200)
-        .find_map(|_| assembler.push::<BackendCommand>(false, &piece).err())
-        .expect("there is a limit");
+        .find_map(|_| assembler.push::<BackendCommand>(false, &fragment).err())
+        .expect("no size limit was enforced");
     assert_eq!(failure, StreamError::TooLarge);
-    let nonsense = Assembler::default().push::<BackendCommand>(true, &[0xFF; 9]);
-    assert_eq!(nonsense, Err(StreamError::Malformed));
+    let undecodable = Assembler::default().push::<BackendCommand>(true, &[0xFF; 9]);
+    assert_eq!(undecodable, Err(StreamError::Malformed));
 }
