--- a/crates/protocol/tests/platform_json.rs
+++ b/crates/protocol/tests/platform_json.rs
@@ -1,5 +1,5 @@
-//! Bodies of the platform's API against samples in the form that the service's own
-//! documentation publishes.
+//! Bodies of the platform's key-value API, compared with samples in the form published in
+//! the documentation of the service.
 
 use hookpoint_protocol::platform::{
     Compare, CompareResult, CompareTarget, DeleteRangeRequest, ErrorBody, EventType,
@@ -9,12 +9,12 @@
 };
 use serde_json::{Value, json};
 
-fn read<T: serde::de::DeserializeOwned>(sample: Value) -> T {
-    serde_json::from_value(sample).expect("the sample is read")
+fn parse<T: serde::de::DeserializeOwned>(sample: Value) -> T {
+    serde_json::from_value(sample).expect("the sample is valid")
 }
 
-fn written<T: serde::Serialize>(body: &T) -> Value {
-    serde_json::to_value(body).expect("the body is written")
+fn to_json<T: serde::Serialize>(body: &T) -> Value {
+    serde_json::to_value(body).expect("the body is serializable")
 }
 
 fn header(revision: &str) -> Value {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn requests_are_written_as_published() {
+fn requests_are_serialized_as_published() {
     let range = RangeRequest {
         key: "foo".into(),
         range_end: "fop".into(),
@@ -71,15 +71,15 @@
     };
     let cases = [
         (
-            written(&range),
+            to_json(&range),
             json!({"key": "Zm9v", "range_end": "Zm9w", "limit": "7", "keys_only": true}),
         ),
         (
-            written(&put),
+            to_json(&put),
             json!({"key": "Zm9v", "value": "YmFy", "lease": "5000000000"}),
         ),
         (
-            written(&transaction),
+            to_json(&transaction),
             json!({
                 "compare": [
                     {"result": "EQUAL", "target": "CREATE", "key": "Zm9v", "create_revision": "2"}
@@ -92,10 +92,10 @@
             }),
         ),
         (
-            written(&watch),
+            to_json(&watch),
             json!({"create_request": {"key": "Zm9v", "start_revision": "9"}}),
         ),
-        (written(&grant), json!({"TTL": "60", "ID": "0"})),
+        (to_json(&grant), json!({"TTL": "60", "ID": "0"})),
     ];
     for (body, expected) in cases {
         assert_eq!(body, expected);
@@ -103,8 +103,8 @@
 }
 
 #[test]
-fn answers_are_read_as_published() {
-    let range: RangeResponse = read(json!({
+fn responses_are_deserialized_as_published() {
+    let range: RangeResponse = parse(json!({
         "header": header("2"),
         "kvs": [{
             "key": "Zm9v", "create_revision": "2", "mod_revision": "2", "version": "1",
@@ -117,24 +117,24 @@
         (2, 1, false)
     );
     assert_eq!(range.kvs[0].value.to_text(), "bar");
-    let empty: RangeResponse = read(json!({"header": header("2")}));
+    let empty: RangeResponse = parse(json!({"header": header("2")}));
     assert_eq!((empty.kvs.len(), empty.count), (0, 0));
-    let held: TransactionResponse = read(json!({
+    let successful: TransactionResponse = parse(json!({
         "header": header("3"),
         "succeeded": true,
         "responses": [{"response_put": {"header": {"revision": "3"}}}]
     }));
-    assert!(held.succeeded && held.responses[0].response_put.is_some());
-    let failed: TransactionResponse = read(json!({"header": header("3")}));
+    assert!(successful.succeeded && successful.responses[0].response_put.is_some());
+    let failed: TransactionResponse = parse(json!({"header": header("3")}));
     assert!(!failed.succeeded && failed.responses.is_empty());
     let created: StreamItem<WatchResponse> =
-        read(json!({"result": {"header": header("1"), "created": true}}));
+        parse(json!({"result": {"header": header("1"), "created": true}}));
     assert!(
         created
             .result
-            .is_some_and(|one| one.created && one.events.is_empty())
+            .is_some_and(|response| response.created && response.events.is_empty())
     );
-    let changed: StreamItem<WatchResponse> = read(json!({"result": {
+    let changed: StreamItem<WatchResponse> = parse(json!({"result": {
         "header": header("2"),
         "events": [
             {"kv": {"key": "Zm9v", "mod_revision": "2", "value": "YmFy"}},
@@ -143,31 +143,35 @@
     }}));
     let kinds: Vec<EventType> = changed
         .result
-        .map(|one| one.events.iter().map(|event| event.kind).collect())
+        .map(|response| response.events.iter().map(|event| event.kind).collect())
         .unwrap_or_default();
     assert_eq!(kinds, vec![EventType::Put, EventType::Delete]);
-    let compacted: StreamItem<WatchResponse> = read(json!({"result": {
+    let compacted: StreamItem<WatchResponse> = parse(json!({"result": {
         "header": header("9"), "canceled": true, "compact_revision": "7"
     }}));
     assert!(
         compacted
             .result
-            .is_some_and(|one| one.canceled && one.compact_revision == 7)
+            .is_some_and(|response| response.canceled && response.compact_revision == 7)
     );
     let lease: LeaseGrantResponse =
-        read(json!({"header": header("2"), "ID": "7587862094447405061", "TTL": "60"}));
+        parse(json!({"header": header("2"), "ID": "7587862094447405061", "TTL": "60"}));
     assert_eq!(
         (lease.id, lease.time_to_live),
         (7_587_862_094_447_405_061, 60)
     );
-    let lapsed: StreamItem<LeaseKeepAliveResponse> =
-        read(json!({"result": {"header": header("2"), "ID": "7587862094447405061"}}));
-    assert!(lapsed.result.is_some_and(|one| one.time_to_live == 0));
+    let expired: StreamItem<LeaseKeepAliveResponse> =
+        parse(json!({"result": {"header": header("2"), "ID": "7587862094447405061"}}));
+    assert!(
+        expired
+            .result
+            .is_some_and(|response| response.time_to_live == 0)
+    );
 }
 
 #[test]
-fn errors_say_whether_anything_ran() {
-    let body: ErrorBody = read(json!({
+fn status_codes_tell_whether_the_call_had_no_effect() {
+    let body: ErrorBody = parse(json!({
         "error": "etcdserver: requested lease not found",
         "code": 5,
         "message": "etcdserver: requested lease not found"
@@ -193,7 +197,7 @@
 }
 
 #[test]
-fn bad_bodies_are_refused() {
+fn malformed_bodies_are_refused() {
     let bodies = [
         r#"{"kvs": [{"key": "not base64!"}]}"#,
         r#"{"count": "many"}"#,
@@ -210,7 +214,7 @@
 }
 
 #[test]
-fn the_end_of_a_prefix_is_the_first_key_behind_it() {
+fn end_of_a_prefix_is_the_first_key_past_it() {
     let cases: [(&[u8], &[u8]); 4] = [
         (b"/a/", b"/a0"),
         (b"a\xff", b"b"),
--- a/crates/protocol/tests/scram.rs
+++ b/crates/protocol/tests/scram.rs
@@ -1,4 +1,4 @@
-//! SCRAM-SHA-256 against the example of RFC 7677, and tables of bad messages.
+//! SCRAM-SHA-256: the example of RFC 7677, and tables of malformed or wrong messages.
 
 use std::sync::LazyLock;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_server_follows_the_example_of_rfc_7677() {
+fn server_reproduces_the_example_of_rfc_7677() {
     let mut exchange = server();
     let first = exchange.first(MECHANISM, CLIENT_FIRST.as_bytes());
     assert_eq!(first.as_deref(), Ok(SERVER_FIRST));
@@ -37,15 +37,15 @@
     assert_eq!(last.as_deref(), Ok(SERVER_LAST));
     assert_eq!(
         exchange.last(CLIENT_LAST.as_bytes()),
-        Err(ScramError::OutOfTurn)
+        Err(ScramError::UnexpectedMessage)
     );
 }
 
 #[test]
-fn both_sides_agree_only_on_the_right_password() {
-    let kept = Verifier::from_password("naïve ﬁsh", 4_096);
+fn only_the_right_password_is_accepted() {
+    let verifier = Verifier::from_password("naïve ﬁsh", 4_096);
     for (password, right) in [("naïve ﬁsh", true), ("naïve fish", true), ("other", false)] {
-        let mut server = ServerExchange::new(Some(&kept), "user", SECRET);
+        let mut server = ServerExchange::new(Some(&verifier), "user", SECRET);
         let mut client = ClientExchange::new(password);
         let first = server.first(MECHANISM, client.first().as_bytes()).unwrap();
         let last = client.last(first.as_bytes()).unwrap();
@@ -58,22 +58,22 @@
 }
 
 #[test]
-fn an_unknown_user_looks_like_a_known_one_until_the_end() {
-    let first = |user: &str| {
+fn unknown_users_are_indistinguishable_until_the_last_message() {
+    let start = |user: &str| {
         let mut server = ServerExchange::with_nonce(None, user, SECRET, "n".to_owned());
         let client = ClientExchange::with_nonce("pencil", "c".to_owned());
         let first = server.first(MECHANISM, client.first().as_bytes()).unwrap();
         (server, client, first)
     };
-    let (mut server, mut client, challenge) = first("nobody");
-    assert_eq!(challenge, first("nobody").2, "the salt is steady");
-    assert_ne!(challenge, first("somebody").2);
+    let (mut server, mut client, challenge) = start("nobody");
+    assert_eq!(challenge, start("nobody").2, "the salt changed");
+    assert_ne!(challenge, start("somebody").2);
     let last = client.last(challenge.as_bytes()).unwrap();
     assert_eq!(server.last(last.as_bytes()), Err(ScramError::WrongPassword));
 }
 
 #[test]
-fn bad_first_messages_are_refused() {
+fn malformed_first_messages_are_refused() {
     let table = [
         (MECHANISM, "", ScramError::Malformed),
         (MECHANISM, "n,,", ScramError::Malformed),
@@ -99,7 +99,7 @@
         let answer = exchange.first(mechanism, message.as_bytes());
         assert_eq!(answer, Err(error), "{message}");
         let again = exchange.first(MECHANISM, CLIENT_FIRST.as_bytes());
-        assert_eq!(again, Err(ScramError::OutOfTurn), "{message}");
+        assert_eq!(again, Err(ScramError::UnexpectedMessage), "{message}");
     }
     let long = format!("n,,n=user,r={}", "a".repeat(3_000));
     assert_eq!(
@@ -109,15 +109,15 @@
 }
 
 #[test]
-fn bad_last_messages_are_refused() {
+fn wrong_last_messages_are_refused() {
     let table = [
         (
             CLIENT_LAST.replace("biws", "eSws"),
-            ScramError::OtherExchange,
+            ScramError::ExchangeMismatch,
         ),
         (
             CLIENT_LAST.replace("rOpr", "rOpq"),
-            ScramError::OtherExchange,
+            ScramError::ExchangeMismatch,
         ),
         (
             CLIENT_LAST.replace("dHzb", "dHzc"),
@@ -135,28 +135,28 @@
     }
     assert_eq!(
         server().last(CLIENT_LAST.as_bytes()),
-        Err(ScramError::OutOfTurn)
+        Err(ScramError::UnexpectedMessage)
     );
 }
 
 #[test]
-fn the_client_refuses_bad_servers() {
+fn client_refuses_wrong_server_messages() {
     let table = [
         (
             "r=other,s=W22Z,i=4096".to_owned(),
-            ScramError::OtherExchange,
+            ScramError::ExchangeMismatch,
         ),
         (
             format!("r={CLIENT_NONCE},s=W22Z,i=4096"),
-            ScramError::OtherExchange,
+            ScramError::ExchangeMismatch,
         ),
         (
             format!("r={CLIENT_NONCE}x,s=W22Z,i=1"),
-            ScramError::Iterations,
+            ScramError::IterationsOutOfRange,
         ),
         (
             format!("r={CLIENT_NONCE}x,s=W22Z,i=4000000000"),
-            ScramError::Iterations,
+            ScramError::IterationsOutOfRange,
         ),
         (
             format!("r={CLIENT_NONCE}x,s=!,i=4096"),
@@ -170,9 +170,9 @@
         assert_eq!(client().last(message.as_bytes()), Err(error), "{message}");
     }
     for (message, error) in [
-        (SERVER_LAST, ScramError::WrongServer),
+        (SERVER_LAST, ScramError::ServerNotAuthenticated),
         ("e=invalid-proof", ScramError::WrongPassword),
-        ("v=", ScramError::WrongServer),
+        ("v=", ScramError::ServerNotAuthenticated),
         ("x", ScramError::Malformed),
     ] {
         let mut client = client();
@@ -181,18 +181,18 @@
     }
     assert_eq!(
         client().finish(SERVER_LAST.as_bytes()),
-        Err(ScramError::OutOfTurn)
+        Err(ScramError::UnexpectedMessage)
     );
 }
 
 #[test]
-fn verifiers_are_read_and_written() {
+fn verifiers_are_parsed_and_formatted() {
     let text = VERIFIER.to_string();
     assert!(text.starts_with("SCRAM-SHA-256$4096:W22ZaJ0SNY7soEsUEjb6gQ==$"));
     assert_eq!(text.parse(), Ok(VERIFIER.clone()));
     assert!(
         !format!("{:?}", *VERIFIER).contains("W22Z"),
-        "no key material in logs"
+        "the debug output contains the salt"
     );
     let table = [
         (
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn no_bytes_make_either_side_panic() {
+fn random_bytes_do_not_make_either_side_panic() {
     for seed in 0..2_000 {
         let mut random = Gen::from_size_and_seed(60, seed);
         let bytes = Vec::<u8>::arbitrary(&mut random);
