--- a/crates/protocol/src/classify/mod.rs
+++ b/crates/protocol/src/classify/mod.rs
@@ -1,6 +1,7 @@
 //! Classification of statements: whether a unit is provably a read, what it changes in the
-//! session, and which features it uses that transaction pooling does not support. A unit
-//! is the text of one simple query or one `Parse` message and may hold several statements.
+//! session, and which features it uses that transaction pooling does not support. Here, a
+//! unit is the text of one simple query or one `Parse` message; it may hold several
+//! statements.
 //!
 //! What cannot be proved to be a read counts as a write. See
 //! `docs/design/read-classification.md` for the reasons.
@@ -125,7 +126,7 @@
 pub struct UnitClass {
     /// Kinds of its statements, in order; empty for an empty query.
     pub statements: Vec<StatementKind>,
-    /// Read if the unit is provably a read, else write. `BEGIN READ ONLY`, `COMMIT`,
+    /// [`Access::Read`] if the unit is provably a read. `BEGIN READ ONLY`, `COMMIT`,
     /// `ROLLBACK`, `SET` and `SHOW` write nothing and count as reads; plain `BEGIN` counts as
     /// a write, because the transaction that it opens may write.
     pub access: Access,
--- a/crates/protocol/src/peer/handshake.rs
+++ b/crates/protocol/src/peer/handshake.rs
@@ -93,10 +93,10 @@
     /// [`LinkError::Forged`] if the peer does not have the key.
     pub fn finish(
         mut self,
-        answer: &[u8; HANDSHAKE_ANSWER_BYTES],
+        response: &[u8; HANDSHAKE_ANSWER_BYTES],
     ) -> Result<LinkCipher, LinkError> {
         self.state
-            .read_message(answer, &mut [])
+            .read_message(response, &mut [])
             .map_err(|_| LinkError::Forged)?;
         LinkCipher::new(self.state)
     }
@@ -120,11 +120,11 @@
     state
         .read_message(&message[PREAMBLE_BYTES..], &mut [])
         .map_err(|_| LinkError::Forged)?;
-    let mut answer = [0; HANDSHAKE_ANSWER_BYTES];
+    let mut response = [0; HANDSHAKE_ANSWER_BYTES];
     state
-        .write_message(&[], &mut answer)
+        .write_message(&[], &mut response)
         .map_err(|_| LinkError::Forged)?;
-    Ok((LinkCipher::new(state)?, answer))
+    Ok((LinkCipher::new(state)?, response))
 }
 
 /// Encrypts and decrypts the records of one link. It is shared by the reader and the writer
--- a/crates/protocol/tests/peer.rs
+++ b/crates/protocol/tests/peer.rs
@@ -176,8 +176,8 @@
 /// Performs a handshake; returns the ciphers of the dialling and the accepting node.
 fn link(dialling: &FleetKey, accepting: &FleetKeys) -> Result<(LinkCipher, LinkCipher), LinkError> {
     let (dialler, message) = Dialler::start(dialling)?;
-    let (accepted, answer) = accept_handshake(accepting, &message)?;
-    Ok((dialler.finish(&answer)?, accepted))
+    let (accepted, response) = accept_handshake(accepting, &message)?;
+    Ok((dialler.finish(&response)?, accepted))
 }
 
 #[test]
@@ -227,9 +227,9 @@
 fn response_to_another_handshake_is_refused() {
     let (dialler, _) = Dialler::start(&key(1, 1)).expect("the handshake starts");
     let (_, message) = Dialler::start(&key(1, 1)).expect("the handshake starts");
-    let (_, answer) =
+    let (_, response) =
         accept_handshake(&keys(&[key(1, 1)]), &message).expect("the handshake is accepted");
-    assert_eq!(dialler.finish(&answer).err(), Some(LinkError::Forged));
+    assert_eq!(dialler.finish(&response).err(), Some(LinkError::Forged));
 }
 
 #[test]
--- a/crates/protocol/tests/scram.rs
+++ b/crates/protocol/tests/scram.rs
@@ -96,8 +96,8 @@
     ];
     for (mechanism, message, error) in table {
         let mut exchange = server();
-        let answer = exchange.first(mechanism, message.as_bytes());
-        assert_eq!(answer, Err(error), "{message}");
+        let response = exchange.first(mechanism, message.as_bytes());
+        assert_eq!(response, Err(error), "{message}");
         let again = exchange.first(MECHANISM, CLIENT_FIRST.as_bytes());
         assert_eq!(again, Err(ScramError::UnexpectedMessage), "{message}");
     }
