--- a/lab/standin/src/platform/connection.rs
+++ b/lab/standin/src/platform/connection.rs
@@ -1,4 +1,4 @@
-//! Open connections, which faults can close without an answer.
+//! Open connections, which faults can close without a response.
 
 use parking_lot::Mutex;
 use std::io::ErrorKind;
@@ -6,24 +6,24 @@
 use std::os::fd::AsFd;
 use std::sync::{Arc, Weak};
 
-/// A second handle on the socket of a connection.
+/// A duplicated handle to the socket of a connection.
 #[derive(Debug, Clone)]
 pub(super) struct Connection(Arc<TcpStream>);
 
 impl Connection {
-    /// Takes a handle on a socket; none when the system has no more of them.
+    /// Duplicates the handle of a socket, or returns `None` when the system cannot.
     pub(super) fn of(socket: &impl AsFd) -> Option<Self> {
         let handle = socket.as_fd().try_clone_to_owned().ok()?;
         Some(Self(Arc::new(TcpStream::from(handle))))
     }
 
-    /// Closes the connection at once, without any answer.
+    /// Closes the connection immediately, without a response.
     pub(super) fn close(&self) {
-        // A connection that the peer closed first cannot be shut down again.
-        let _closed_before = self.0.shutdown(Shutdown::Both);
+        // Shutting down fails if the peer has already closed the connection.
+        let _already_closed = self.0.shutdown(Shutdown::Both);
     }
 
-    /// Whether the peer has closed its side.
+    /// Returns whether the peer has closed its side.
     pub(super) fn is_closed_by_peer(&self) -> bool {
         match self.0.peek(&mut [0]) {
             Ok(length) => length == 0,
@@ -32,12 +32,12 @@
     }
 }
 
-/// All open connections of a stand-in.
+/// All open connections of the server.
 #[derive(Debug, Default)]
 pub(super) struct Connections(Mutex<Vec<Weak<TcpStream>>>);
 
 impl Connections {
-    /// Adds a connection and forgets those that have ended.
+    /// Adds a connection and removes those that have ended.
     pub(super) fn add(&self, connection: &Connection) {
         let mut list = self.0.lock();
         list.retain(|entry| entry.strong_count() > 0);
--- a/lab/standin/src/platform/counters.rs
+++ b/lab/standin/src/platform/counters.rs
@@ -1,9 +1,9 @@
-//! Counts of what the service was asked.
+//! Request counters of the service.
 
 use parking_lot::Mutex;
 use std::collections::BTreeMap;
 
-/// Kind of a request, by its path.
+/// Kind of a request, determined by its path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RequestKind {
     /// `/v3/kv/range`.
@@ -28,44 +28,45 @@
     Watch,
 }
 
-/// A reading of the counts.
+/// A snapshot of the counters.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PlatformCounters {
-    /// Requests that arrived, by kind, refused ones included.
+    /// Requests received, by kind, including rejected ones.
     pub requests: BTreeMap<RequestKind, u64>,
-    /// Requests refused at the rate limit.
+    /// Requests rejected by the rate limit.
     pub rate_limited: u64,
-    /// Requests that met an outage.
-    pub met_outage: u64,
-    /// Answers lost after their request took effect.
-    pub answers_lost: u64,
-    /// Watches open now.
+    /// Requests received during an outage.
+    pub received_during_outage: u64,
+    /// Responses dropped after their request took effect.
+    pub responses_dropped: u64,
+    /// Watches currently open.
     pub watches_open: u64,
 }
 
 impl PlatformCounters {
-    /// Requests of all kinds.
+    /// Returns the number of requests of all kinds.
     pub fn total(&self) -> u64 {
         self.requests.values().sum()
     }
 
-    /// Requests of one kind.
+    /// Returns the number of requests of one kind.
     pub fn of(&self, kind: RequestKind) -> u64 {
         self.requests.get(&kind).copied().unwrap_or(0)
     }
 
-    /// Requests that were refused at the rate limit or met an outage.
+    /// Returns the number of requests that were rejected by the rate limit or
+    /// received during an outage.
     pub fn rejected(&self) -> u64 {
-        self.rate_limited + self.met_outage
+        self.rate_limited + self.received_during_outage
     }
 }
 
-/// The counts as they are kept.
+/// The live counters.
 #[derive(Debug, Default)]
 pub(super) struct Counters(Mutex<PlatformCounters>);
 
 impl Counters {
-    /// Changes the counts.
+    /// Updates the counters under their lock.
     pub(super) fn update(&self, change: impl FnOnce(&mut PlatformCounters)) {
         change(&mut self.0.lock());
     }
@@ -75,7 +76,7 @@
         self.update(|counters| *counters.requests.entry(kind).or_default() += 1);
     }
 
-    /// Reads the counts.
+    /// Returns a snapshot of the counters.
     pub(super) fn read(&self) -> PlatformCounters {
         self.0.lock().clone()
     }
--- a/lab/standin/src/platform/encoding.rs
+++ b/lab/standin/src/platform/encoding.rs
@@ -1,12 +1,12 @@
-//! JSON forms of protocol-buffer scalars: bytes as base64, 64-bit integers as
-//! strings, default values left out.
+//! JSON encoding of protocol-buffer scalars: bytes as base64, 64-bit integers as
+//! strings, default values omitted.
 
-/// Whether a field holds its default value and is therefore left out.
+/// Returns whether a field has its default value and is therefore omitted.
 pub fn is_default<T: Default + PartialEq>(value: &T) -> bool {
     *value == T::default()
 }
 
-/// Bytes as base64 text.
+/// Encoding of bytes as base64 text.
 pub mod base64_bytes {
     use base64::Engine;
     use base64::alphabet::STANDARD as STANDARD_ALPHABET;
@@ -18,12 +18,12 @@
         GeneralPurposeConfig::new().with_decode_padding_mode(DecodePaddingMode::Indifferent),
     );
 
-    /// Writes the bytes as base64 with padding.
+    /// Serializes the bytes as base64 with padding.
     pub fn serialize<S: Serializer>(bytes: &[u8], serializer: S) -> Result<S::Ok, S::Error> {
         serializer.serialize_str(&ENGINE.encode(bytes))
     }
 
-    /// Reads base64, standard or URL-safe, with or without padding.
+    /// Deserializes base64, standard or URL-safe, with or without padding.
     pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<u8>, D::Error> {
         let text = String::deserialize(deserializer)?;
         let standard = text.replace('-', "+").replace('_', "/");
@@ -31,7 +31,7 @@
     }
 }
 
-/// A list of byte strings, each as base64 text.
+/// Encoding of a list of byte strings, each as base64 text.
 pub mod base64_list {
     use super::base64_bytes;
     use serde::{Serialize, Serializer, ser::SerializeSeq};
@@ -39,7 +39,7 @@
     #[derive(Serialize)]
     struct Item<'a>(#[serde(with = "base64_bytes")] &'a [u8]);
 
-    /// Writes a list of base64 strings.
+    /// Serializes the list as base64 strings.
     pub fn serialize<S: Serializer>(list: &[Vec<u8>], serializer: S) -> Result<S::Ok, S::Error> {
         let mut sequence = serializer.serialize_seq(Some(list.len()))?;
         for bytes in list {
@@ -49,7 +49,7 @@
     }
 }
 
-/// A 64-bit integer as a JSON string.
+/// Encoding of a 64-bit integer as a JSON string.
 pub mod int64 {
     use serde::{Deserialize, Deserializer, Serializer, de::Error};
 
@@ -60,12 +60,12 @@
         Text(String),
     }
 
-    /// Writes the number as a string.
+    /// Serializes the number as a string.
     pub fn serialize<S: Serializer>(value: &i64, serializer: S) -> Result<S::Ok, S::Error> {
         serializer.collect_str(value)
     }
 
-    /// Reads a string or a plain number.
+    /// Deserializes a string or a plain number.
     pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<i64, D::Error> {
         match Form::deserialize(deserializer)? {
             Form::Number(value) => Ok(value),
--- a/lab/standin/src/platform/error.rs
+++ b/lab/standin/src/platform/error.rs
@@ -4,69 +4,69 @@
 use serde::Serialize;
 use thiserror::Error;
 
-/// Why the stand-in could not be started or stopped.
+/// Errors of starting the stand-in.
 #[derive(Debug, Error)]
 pub enum PlatformError {
-    /// No loopback port could be had.
-    #[error("the platform stand-in found no loopback port: {0}")]
+    /// Binding a loopback port failed.
+    #[error("platform stand-in: binding a loopback port failed: {0}")]
     Bind(#[source] std::io::Error),
-    /// The server's thread could not be started.
-    #[error("the platform stand-in's thread did not start: {0}")]
+    /// Spawning the server thread failed.
+    #[error("platform stand-in: spawning the server thread failed: {0}")]
     Thread(#[source] std::io::Error),
-    /// The server's thread ended before it answered.
-    #[error("the platform stand-in ended early")]
+    /// The server thread ended before it reported its address.
+    #[error("platform stand-in: the server thread ended before it was ready")]
     Ended,
 }
 
-/// Why a request was refused, in the words and codes of the etcd API.
+/// Errors of requests, with the messages and codes of the etcd API.
 ///
 /// The numbers are those of gRPC status codes, which the published JSON
 /// gateway maps to HTTP status codes.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ApiError {
-    /// The body is not the JSON of the called method.
+    /// The body is not valid JSON for the called method.
     #[error("{0}")]
     Malformed(String),
-    /// A range, put or compare without a key.
+    /// A range, put or compare has no key.
     #[error("etcdserver: key is not provided")]
     EmptyKey,
     /// A transaction writes one key twice.
     #[error("etcdserver: duplicate key given in txn request")]
     DuplicateKey,
-    /// A transaction with more operations than the service takes.
+    /// A transaction has more operations than the service accepts.
     #[error("etcdserver: too many operations in txn request")]
     TooManyOperations,
-    /// A put that keeps the value of a key that does not exist.
+    /// A put keeps the value or lease of a key that does not exist.
     #[error("etcdserver: key not found")]
     KeyNotFound,
-    /// The named lease does not exist, or has lapsed.
+    /// The named lease does not exist or has expired.
     #[error("etcdserver: requested lease not found")]
     LeaseNotFound,
-    /// A grant with an identifier in use.
+    /// A grant requests an identifier that is in use.
     #[error("etcdserver: lease already exists")]
     LeaseExists,
-    /// A grant with a time to live beyond the service's limit.
+    /// A grant requests a time to live above the service's maximum.
     #[error("etcdserver: too large lease TTL")]
     LeaseTtlTooLarge,
-    /// The revision asked for is gone.
+    /// The requested revision has been compacted.
     #[error("etcdserver: mvcc: required revision has been compacted")]
     Compacted,
-    /// The revision asked for does not exist yet.
+    /// The requested revision does not exist yet.
     #[error("etcdserver: mvcc: required revision is a future revision")]
     FutureRevision,
-    /// The rate limit is reached.
+    /// The request exceeds the rate limit.
     #[error("etcdserver: too many requests")]
     TooManyRequests,
-    /// The service has no leader for now.
+    /// The service currently has no leader.
     #[error("etcdserver: no leader")]
     NoLeader,
-    /// Part of the real API that the stand-in leaves out.
+    /// The request uses a part of the real API that the stand-in does not implement.
     #[error("{0} is not part of this stand-in")]
     Unsupported(&'static str),
 }
 
 impl ApiError {
-    /// The gRPC status code.
+    /// Returns the gRPC status code.
     pub fn code(&self) -> u32 {
         match self {
             Self::Malformed(_)
@@ -83,7 +83,7 @@
         }
     }
 
-    /// The HTTP status code that the gateway gives this error.
+    /// Returns the HTTP status code to which the gateway maps this error.
     pub fn status(&self) -> StatusCode {
         match self.code() {
             5 => StatusCode::NOT_FOUND,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// The JSON body of this error.
+    /// Returns the JSON body of the error response.
     pub fn body(&self) -> ErrorBody {
         let message = self.to_string();
         ErrorBody {
@@ -105,13 +105,13 @@
     }
 }
 
-/// JSON body of a refused request.
+/// JSON body of an error response.
 #[derive(Debug, Serialize)]
 pub struct ErrorBody {
-    /// The message, under the name that older gateways used.
+    /// Error message, under the field name of older gateways.
     pub error: String,
-    /// The gRPC status code.
+    /// Returns the gRPC status code.
     pub code: u32,
-    /// The message.
+    /// Error message.
     pub message: String,
 }
--- a/lab/standin/src/platform/faults.rs
+++ b/lab/standin/src/platform/faults.rs
@@ -1,19 +1,18 @@
-//! Faults that a test can bring about, each for a stated time or until taken
-//! back.
+//! Faults that a test can inject, each for a limited time or until it is cleared.
 
 use parking_lot::Mutex;
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// How the service is out.
+/// How the service behaves during an outage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OutageMode {
-    /// Open connections are closed and new ones refused.
+    /// Open connections are closed and new ones are refused.
     Refuse,
-    /// Connections are accepted and nothing is answered; requests made during
-    /// the outage never take effect, and their connections close at its end.
+    /// Connections are accepted but no request is answered. Requests received during
+    /// the outage never take effect, and their connections close when it ends.
     Hang,
-    /// Every request is refused with status 503: the service has no leader.
+    /// Every request is rejected with status 503, as by a service without a leader.
     NoLeader,
 }
 
@@ -24,13 +23,13 @@
 }
 
 impl<T: Copy> Timed<T> {
-    fn at(self, now: Instant) -> Option<T> {
+    fn active_at(self, now: Instant) -> Option<T> {
         let over = self.until.is_some_and(|until| until <= now);
         (!over).then_some(self.value)
     }
 }
 
-/// A token bucket with a capacity of one second of its rate.
+/// A token bucket with a capacity of one second's worth of requests.
 #[derive(Debug)]
 struct RateLimit {
     per_second: f64,
@@ -49,7 +48,7 @@
         limit
     }
 
-    /// One second's worth, and at least one request unless none is allowed.
+    /// Returns one second's worth of requests, at least 1 unless the rate is 0.
     fn capacity(&self) -> f64 {
         match self.per_second {
             rate if rate > 0.0 => rate.max(1.0),
@@ -76,10 +75,10 @@
     delay: Option<Timed<Duration>>,
     old_revision: Option<Timed<i64>>,
     rate_limit: Option<RateLimit>,
-    answers_to_lose: u64,
+    responses_to_drop: u64,
 }
 
-/// The faults in force.
+/// The faults currently injected.
 #[derive(Debug, Default)]
 pub struct PlatformFaults {
     state: Mutex<State>,
@@ -87,30 +86,30 @@
 }
 
 impl PlatformFaults {
-    /// Limits requests to a number a second, with one second's worth of burst;
-    /// 0 refuses all, none lifts the limit.
+    /// Limits the requests per second, with a burst of one second's worth; 0 rejects
+    /// all requests and `None` removes the limit.
     pub fn set_rate_limit(&self, requests_per_second: Option<f64>) {
         let now = Instant::now();
         let limit = requests_per_second.map(|rate| RateLimit::new(rate.max(0.0), now));
         self.state.lock().rate_limit = limit;
     }
 
-    /// Starts an outage, or ends it.
+    /// Starts an outage, or ends it with `None`.
     pub fn set_outage(&self, mode: Option<OutageMode>) {
         self.change_outage(mode, None);
     }
 
-    /// Starts an outage that ends by itself.
+    /// Starts an outage that ends after `duration`.
     pub fn set_outage_for(&self, mode: OutageMode, duration: Duration) {
         self.change_outage(Some(mode), Some(Instant::now() + duration));
     }
 
-    /// Holds back every answer, after its request took effect.
+    /// Delays every response after its request took effect; `None` ends the delay.
     pub fn set_delay(&self, delay: Option<Duration>) {
         self.state.lock().delay = delay.map(|value| Timed { value, until: None });
     }
 
-    /// Holds back every answer for a stated time.
+    /// Delays every response, for a limited time.
     pub fn set_delay_for(&self, delay: Duration, duration: Duration) {
         let until = Some(Instant::now() + duration);
         self.state.lock().delay = Some(Timed {
@@ -119,52 +118,52 @@
         });
     }
 
-    /// Closes the connection in place of the next answers to requests that
-    /// changed something; the changes stay.
+    /// Closes the connection instead of sending the next `count` responses to
+    /// requests that changed something; the changes persist.
     pub fn lose_next_answers(&self, count: u64) {
-        self.state.lock().answers_to_lose = count;
+        self.state.lock().responses_to_drop = count;
     }
 
-    /// Answers reads and watches from an older revision while writes go on at
-    /// the newest, as a member that has fallen behind; none ends it. To bring
-    /// the service back with an older state, see
+    /// Serves reads and watches from an older revision while writes continue at the
+    /// newest, as a member that has fallen behind; `None` ends the fault. To restore
+    /// an older state, see
     /// [`Platform::restore`](super::Platform::restore).
     pub fn serve_old_revision(&self, revision: Option<i64>) {
         self.change_old_revision(revision, None);
     }
 
-    /// Answers reads from an older revision for a stated time.
+    /// Serves reads and watches from an older revision, for a limited time.
     pub fn serve_old_revision_for(&self, revision: i64, duration: Duration) {
         self.change_old_revision(Some(revision), Some(Instant::now() + duration));
     }
 
-    /// Ends all faults.
+    /// Clears all faults.
     pub fn clear(&self) {
         *self.state.lock() = State::default();
         self.changed.notify_waiters();
     }
 
-    /// The outage in force.
+    /// Returns the active outage.
     pub fn outage(&self) -> Option<OutageMode> {
         let outage = self.state.lock().outage;
-        outage.and_then(|outage| outage.at(Instant::now()))
+        outage.and_then(|outage| outage.active_at(Instant::now()))
     }
 
-    /// How long answers are held back.
+    /// Returns the active delay of responses.
     pub(super) fn delay(&self) -> Duration {
         let delay = self.state.lock().delay;
-        let delay = delay.and_then(|delay| delay.at(Instant::now()));
+        let delay = delay.and_then(|delay| delay.active_at(Instant::now()));
         delay.unwrap_or(Duration::ZERO)
     }
 
-    /// The revision that reads are answered at when the newest is `revision`.
+    /// Returns the revision at which reads are served when the newest is `revision`.
     pub(super) fn visible_revision(&self, revision: i64) -> i64 {
         let old = self.state.lock().old_revision;
-        let old = old.and_then(|old| old.at(Instant::now()));
+        let old = old.and_then(|old| old.active_at(Instant::now()));
         old.map_or(revision, |old| old.min(revision))
     }
 
-    /// Takes one request from the rate limit; false when it is reached.
+    /// Takes one token from the rate limit; returns false when none is left.
     pub(super) fn admit(&self) -> bool {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -174,18 +173,19 @@
             .is_none_or(|limit| limit.take(now))
     }
 
-    /// Whether the answer about to be given is to be lost.
-    pub(super) fn take_lost_answer(&self) -> bool {
+    /// Returns whether the next response is to be dropped, and decrements the number
+    /// of responses to drop.
+    pub(super) fn take_dropped_response(&self) -> bool {
         let mut state = self.state.lock();
-        if state.answers_to_lose == 0 {
+        if state.responses_to_drop == 0 {
             return false;
         }
-        state.answers_to_lose -= 1;
+        state.responses_to_drop -= 1;
         true
     }
 
-    /// Waits until an outage or an old revision was set or ended by hand.
-    /// Those that end by themselves are found by looking now and then.
+    /// Waits until an outage or an old revision is set or cleared explicitly. The end
+    /// of a timed fault causes no notification; callers detect it by polling.
     pub(super) async fn changed(&self) {
         self.changed.notified().await;
     }
--- a/lab/standin/src/platform/machines.rs
+++ b/lab/standin/src/platform/machines.rs
@@ -1,4 +1,5 @@
-//! The list of live and leaving machines, which follows the truth with a lag.
+//! The list of live and leaving machines, which reflects their actual state with
+//! a lag.
 
 use super::message::KeyValue;
 use super::range::KeyRange;
@@ -9,57 +10,57 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Prefix of the keys of the list.
+/// Prefix of the keys of the machine list.
 pub const MACHINE_PREFIX: &str = "machines/";
 
-/// Whether a machine stays.
+/// Lifecycle state of a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MachineState {
-    /// The machine runs.
+    /// The machine is running.
     Live,
-    /// The machine will be taken away.
+    /// The machine is about to be removed.
     Leaving,
 }
 
-/// One entry of the list, kept as JSON under [`Machine::key`].
+/// One entry of the machine list, stored as JSON under [`Machine::key`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
-    /// Name of the node.
+    /// Name of the node on the machine.
     pub node: String,
     /// Zone of the machine.
     pub zone: String,
     /// Region of the zone.
     pub region: String,
-    /// Where the node listens for its peers.
+    /// Address on which the node listens for its peers.
     pub peer_address: SocketAddr,
-    /// Whether the machine stays.
+    /// Lifecycle state of the machine.
     pub state: MachineState,
 }
 
 impl Machine {
-    /// The key of this machine.
+    /// Returns the key of this machine in the store.
     pub fn key(&self) -> String {
         machine_key(&self.zone, &self.node)
     }
 }
 
-/// The key of a machine: `machines/<zone>/<node>`.
+/// Returns the key of a machine: `machines/<zone>/<node>`.
 pub fn machine_key(zone: &str, node: &str) -> String {
     format!("{MACHINE_PREFIX}{zone}/{node}")
 }
 
-/// A change of the list that is under way.
+/// A pending change of the machine list.
 #[derive(Debug, Clone)]
 pub(super) enum MachineChange {
-    /// A machine came or changed its state.
+    /// A machine was added or its state changed.
     Set(Box<Machine>),
-    /// A machine is gone.
+    /// A machine was removed.
     Remove(String),
 }
 
 impl MachineChange {
-    /// Brings the change into the store.
+    /// Writes the change to the store.
     pub(super) fn apply(&self, store: &mut Store) {
         match self {
             Self::Set(machine) => set(store, machine),
@@ -75,8 +76,8 @@
     let key = machine.key().into_bytes();
     // Strings, addresses and unit variants always have a JSON form.
     let value = serde_json::to_vec(machine).unwrap_or_default();
-    let held = store.get(&key, store.revision());
-    if held.is_some_and(|KeyValue { value: held, .. }| *held == value) {
+    let current = store.get(&key, store.revision());
+    if current.is_some_and(|KeyValue { value: current, .. }| *current == value) {
         return;
     }
     store.put(Put {
@@ -96,11 +97,11 @@
 struct State {
     lag: Duration,
     pending: VecDeque<Pending>,
-    being_applied: usize,
+    applying: usize,
 }
 
-/// Mirrors the true state of the machines into the service's keys, each change
-/// after the lag, in the order in which they were made.
+/// Mirrors the actual state of the machines into keys of the service. Each change
+/// appears after the lag, in the order in which the changes were made.
 #[derive(Debug)]
 pub struct MachineList(Mutex<State>);
 
@@ -109,29 +110,29 @@
         Self(Mutex::new(State {
             lag,
             pending: VecDeque::new(),
-            being_applied: 0,
+            applying: 0,
         }))
     }
 
-    /// Sets the lag of changes made from now on.
+    /// Sets the lag of subsequent changes.
     pub fn set_lag(&self, lag: Duration) {
         self.0.lock().lag = lag;
     }
 
-    /// A machine came, or its state changed.
+    /// Records that a machine was added or that its state changed.
     pub fn set(&self, machine: Machine) {
         self.enqueue(MachineChange::Set(Box::new(machine)));
     }
 
-    /// A machine is gone.
+    /// A machine was removed.
     pub fn remove(&self, zone: &str, node: &str) {
         self.enqueue(MachineChange::Remove(machine_key(zone, node)));
     }
 
-    /// Number of changes that are not in the list yet.
+    /// Returns the number of changes that are not in the list yet.
     pub fn pending(&self) -> usize {
         let state = self.0.lock();
-        state.pending.len() + state.being_applied
+        state.pending.len() + state.applying
     }
 
     fn enqueue(&self, change: MachineChange) {
@@ -140,20 +141,20 @@
         state.pending.push_back(Pending { due, change });
     }
 
-    /// Takes the changes whose lag has passed; [`MachineList::applied`] tells
-    /// that they are in the store.
+    /// Takes the changes whose lag has passed. The caller writes them to the store
+    /// and then calls [`MachineList::mark_applied`].
     pub(super) fn take_due(&self, now: Instant) -> Vec<MachineChange> {
         let mut state = self.0.lock();
         let mut due = Vec::new();
         while state.pending.front().is_some_and(|first| first.due <= now) {
             due.extend(state.pending.pop_front().map(|pending| pending.change));
         }
-        state.being_applied = due.len();
+        state.applying = due.len();
         due
     }
 
-    /// The changes taken last are in the store.
-    pub(super) fn applied(&self) {
-        self.0.lock().being_applied = 0;
+    /// Records that the changes taken last are in the store.
+    pub(super) fn mark_applied(&self) {
+        self.0.lock().applying = 0;
     }
 }
--- a/lab/standin/src/platform/message.rs
+++ b/lab/standin/src/platform/message.rs
@@ -1,32 +1,33 @@
 //! Messages of the etcd v3 API in their published JSON form.
 //!
-//! Requests refuse unknown fields, as the gateway does; fields of the real API
-//! that this stand-in leaves out are therefore refused and never ignored.
+//! Requests with unknown fields are rejected, as by the gateway. Fields of the
+//! real API that this stand-in does not implement are therefore rejected rather
+//! than ignored.
 
 use super::encoding::{base64_bytes, base64_list, int64, is_default};
 use serde::{Deserialize, Serialize};
 
-/// Answer header: who answered, and at which revision.
+/// Response header: the member that responded and the revision of the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Header {
-    /// Identifier of the cluster.
+    /// Cluster identifier.
     #[serde(with = "int64", skip_serializing_if = "is_default")]
     pub cluster_id: i64,
-    /// Identifier of the member that answered.
+    /// Identifier of the member that responded.
     #[serde(with = "int64", skip_serializing_if = "is_default")]
     pub member_id: i64,
     /// Revision of the store when the request was applied.
     #[serde(with = "int64", skip_serializing_if = "is_default")]
     pub revision: i64,
-    /// Term of the service's own consensus.
+    /// Raft term of the service.
     #[serde(with = "int64", skip_serializing_if = "is_default")]
     pub raft_term: i64,
 }
 
-/// A key with its value and revisions.
+/// A key with its value, revisions and lease.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct KeyValue {
-    /// The key.
+    /// Key, as raw bytes.
     #[serde(with = "base64_bytes", skip_serializing_if = "is_default")]
     pub key: Vec<u8>,
     /// Revision at which the key was created.
@@ -35,10 +36,10 @@
     /// Revision of the last change.
     #[serde(with = "int64", skip_serializing_if = "is_default")]
     pub mod_revision: i64,
-    /// Number of changes since the key was created.
+    /// Number of writes since the key was created, creation included.
     #[serde(with = "int64", skip_serializing_if = "is_default")]
     pub version: i64,
-    /// The value.
+    /// Value, as raw bytes.
     #[serde(with = "base64_bytes", skip_serializing_if = "is_default")]
     pub value: Vec<u8>,
     /// Lease that the key is bound to; 0 for none.
@@ -46,7 +47,7 @@
     pub lease: i64,
 }
 
-/// `/v3/kv/range`.
+/// Request of `/v3/kv/range`.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RangeRequest {
@@ -57,73 +58,73 @@
     /// from `key` on.
     #[serde(with = "base64_bytes", alias = "rangeEnd")]
     pub range_end: Vec<u8>,
-    /// Greatest number of keys in the answer; 0 for no limit.
+    /// Maximum number of keys in the response; 0 for no limit.
     #[serde(with = "int64")]
     pub limit: i64,
     /// Revision to read at; 0 for the newest.
     #[serde(with = "int64")]
     pub revision: i64,
-    /// Whether a member may answer without asking the others.
+    /// Whether a member may respond from its local state, without a quorum.
     pub serializable: bool,
     /// Whether values are left out.
     #[serde(alias = "keysOnly")]
     pub keys_only: bool,
-    /// Whether only the count is answered.
+    /// Whether only the count is returned.
     #[serde(alias = "countOnly")]
     pub count_only: bool,
 }
 
-/// Answer of `/v3/kv/range`.
+/// Response of `/v3/kv/range`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct RangeResponse {
-    /// Answer header.
+    /// Response header.
     pub header: Header,
-    /// The keys, in order.
+    /// Keys in ascending order.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub kvs: Vec<KeyValue>,
-    /// Whether the limit cut the answer.
+    /// Whether the limit truncated the result.
     #[serde(skip_serializing_if = "is_default")]
     pub more: bool,
-    /// Number of keys in the range.
+    /// Number of keys in the range, regardless of the limit.
     #[serde(with = "int64", skip_serializing_if = "is_default")]
     pub count: i64,
 }
 
-/// `/v3/kv/put`.
+/// Request of `/v3/kv/put`.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PutRequest {
-    /// The key.
+    /// Key, as raw bytes.
     #[serde(with = "base64_bytes")]
     pub key: Vec<u8>,
-    /// The value.
+    /// Value, as raw bytes.
     #[serde(with = "base64_bytes")]
     pub value: Vec<u8>,
     /// Lease to bind the key to; 0 for none.
     #[serde(with = "int64")]
     pub lease: i64,
-    /// Whether the earlier value is answered.
+    /// Whether the previous key-value pair is returned.
     #[serde(alias = "prevKv")]
     pub prev_kv: bool,
-    /// Whether the earlier value is kept.
+    /// Whether the previous value is kept.
     #[serde(alias = "ignoreValue")]
     pub ignore_value: bool,
-    /// Whether the earlier lease is kept.
+    /// Whether the previous lease is kept.
     #[serde(alias = "ignoreLease")]
     pub ignore_lease: bool,
 }
 
-/// Answer of `/v3/kv/put`.
+/// Response of `/v3/kv/put`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct PutResponse {
-    /// Answer header.
+    /// Response header.
     pub header: Header,
-    /// The earlier value, when asked for.
+    /// Previous key-value pair, if requested.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub prev_kv: Option<KeyValue>,
 }
 
-/// `/v3/kv/deleterange`.
+/// Request of `/v3/kv/deleterange`.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct DeleteRangeRequest {
@@ -133,53 +134,53 @@
     /// First key after the range, as in [`RangeRequest::range_end`].
     #[serde(with = "base64_bytes", alias = "rangeEnd")]
     pub range_end: Vec<u8>,
-    /// Whether the deleted keys are answered.
+    /// Whether the deleted key-value pairs are returned.
     #[serde(alias = "prevKv")]
     pub prev_kv: bool,
 }
 
-/// Answer of `/v3/kv/deleterange`.
+/// Response of `/v3/kv/deleterange`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct DeleteRangeResponse {
-    /// Answer header.
+    /// Response header.
     pub header: Header,
     /// Number of keys deleted.
     #[serde(with = "int64", skip_serializing_if = "is_default")]
     pub deleted: i64,
-    /// The deleted keys, when asked for.
+    /// Deleted key-value pairs, if requested.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub prev_kvs: Vec<KeyValue>,
 }
 
-/// How a compare holds a key against its argument.
+/// Relation between a field of a key and the argument of a compare.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CompareResult {
-    /// Equal.
+    /// The field equals the argument.
     #[default]
     Equal,
-    /// The key's is greater.
+    /// The field is greater than the argument.
     Greater,
-    /// The key's is less.
+    /// The field is less than the argument.
     Less,
-    /// Not equal.
+    /// The field differs from the argument.
     NotEqual,
 }
 
-/// What of a key is compared.
+/// Field of a key that a compare examines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum CompareTarget {
-    /// Number of changes.
+    /// Number of writes since the key was created; 0 when it does not exist.
     #[default]
     Version,
     /// Revision of creation; 0 when the key does not exist.
     Create,
     /// Revision of the last change; 0 when the key does not exist.
     Mod,
-    /// The value.
+    /// Value, as raw bytes.
     Value,
-    /// The lease.
+    /// Identifier of the lease.
     Lease,
 }
 
@@ -189,7 +190,7 @@
 pub struct Compare {
     /// Relation that must hold.
     pub result: CompareResult,
-    /// What is compared.
+    /// Field of the key that is compared.
     pub target: CompareTarget,
     /// First key of the range.
     #[serde(with = "base64_bytes")]
@@ -228,22 +229,22 @@
     DeleteRange(DeleteRangeRequest),
 }
 
-/// `/v3/kv/txn`.
+/// Request of `/v3/kv/txn`.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TxnRequest {
     /// Conditions; all must hold.
     pub compare: Vec<Compare>,
-    /// Operations when they hold.
+    /// Operations to run when all conditions hold.
     pub success: Vec<RequestOperation>,
-    /// Operations when one does not.
+    /// Operations to run when at least one condition does not hold.
     pub failure: Vec<RequestOperation>,
 }
 
-/// Answer of one operation of a transaction.
+/// Response to one operation of a transaction.
 #[derive(Debug, Clone, Serialize)]
 pub enum ResponseOperation {
-    /// Of a read.
+    /// Response to a read.
     #[serde(rename = "response_range")]
     Range(RangeResponse),
     /// Of a write.
@@ -254,126 +255,126 @@
     DeleteRange(DeleteRangeResponse),
 }
 
-/// Answer of `/v3/kv/txn`.
+/// Response of `/v3/kv/txn`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct TxnResponse {
-    /// Answer header.
+    /// Response header.
     pub header: Header,
-    /// Whether the conditions held.
+    /// Whether all conditions held.
     #[serde(skip_serializing_if = "is_default")]
     pub succeeded: bool,
-    /// One answer an operation.
+    /// One response per operation, in order.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub responses: Vec<ResponseOperation>,
 }
 
-/// `/v3/kv/compaction`.
+/// Request of `/v3/kv/compaction`.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CompactionRequest {
     /// History up to this revision is dropped.
     #[serde(with = "int64")]
     pub revision: i64,
-    /// Accepted for likeness; the stand-in always compacts at once.
+    /// Accepted for compatibility; the stand-in always compacts synchronously.
     pub physical: bool,
 }
 
-/// An answer with nothing but its header.
+/// A response that consists only of its header.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct HeaderResponse {
-    /// Answer header.
+    /// Response header.
     pub header: Header,
 }
 
-/// `/v3/lease/grant`.
+/// Request of `/v3/lease/grant`.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LeaseGrantRequest {
     /// Time to live, in seconds.
     #[serde(rename = "TTL", with = "int64")]
     pub ttl: i64,
-    /// Identifier wished for; 0 to let the service choose.
+    /// Requested identifier; 0 lets the service choose one.
     #[serde(rename = "ID", with = "int64")]
     pub id: i64,
 }
 
-/// Answer of `/v3/lease/grant` and of `/v3/lease/keepalive`.
+/// Response of `/v3/lease/grant` and `/v3/lease/keepalive`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct LeaseResponse {
-    /// Answer header.
+    /// Response header.
     pub header: Header,
-    /// The lease.
+    /// Identifier of the lease.
     #[serde(rename = "ID", with = "int64", skip_serializing_if = "is_default")]
     pub id: i64,
-    /// Time to live, in seconds; left out (0) when the lease does not exist.
+    /// Time to live, in seconds; 0 and omitted when the lease does not exist.
     #[serde(rename = "TTL", with = "int64", skip_serializing_if = "is_default")]
     pub ttl: i64,
 }
 
-/// `/v3/lease/keepalive` and `/v3/lease/revoke`.
+/// Request of `/v3/lease/keepalive` and `/v3/lease/revoke`.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LeaseRequest {
-    /// The lease.
+    /// Identifier of the lease.
     #[serde(rename = "ID", with = "int64")]
     pub id: i64,
 }
 
-/// `/v3/lease/timetolive`.
+/// Request of `/v3/lease/timetolive`.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LeaseTimeToLiveRequest {
-    /// The lease.
+    /// Identifier of the lease.
     #[serde(rename = "ID", with = "int64")]
     pub id: i64,
-    /// Whether the keys bound to it are answered.
+    /// Whether the keys bound to the lease are returned.
     pub keys: bool,
 }
 
-/// Answer of `/v3/lease/timetolive`.
+/// Response of `/v3/lease/timetolive`.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct LeaseTimeToLiveResponse {
-    /// Answer header.
+    /// Response header.
     pub header: Header,
-    /// The lease.
+    /// Identifier of the lease.
     #[serde(rename = "ID", with = "int64", skip_serializing_if = "is_default")]
     pub id: i64,
-    /// Seconds left; -1 when the lease does not exist.
+    /// Remaining seconds; -1 when the lease does not exist.
     #[serde(rename = "TTL", with = "int64", skip_serializing_if = "is_default")]
     pub ttl: i64,
-    /// Time to live when granted, in seconds.
+    /// Time to live that was granted, in seconds.
     #[serde(
         rename = "grantedTTL",
         with = "int64",
         skip_serializing_if = "is_default"
     )]
     pub granted_ttl: i64,
-    /// Keys bound to the lease, when asked for.
+    /// Keys bound to the lease, if requested.
     #[serde(with = "base64_list", skip_serializing_if = "Vec::is_empty")]
     pub keys: Vec<Vec<u8>>,
 }
 
-/// What kind of events a watch leaves out.
+/// Kind of events that a watch omits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub enum WatchFilter {
-    /// No puts.
+    /// Omits puts.
     #[serde(rename = "NOPUT")]
     NoPut,
-    /// No deletes.
+    /// Omits deletes.
     #[serde(rename = "NODELETE")]
     NoDelete,
 }
 
-/// `/v3/watch`.
+/// Request of `/v3/watch`.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WatchRequest {
-    /// The watch to open.
+    /// Parameters of the watch to open.
     #[serde(alias = "createRequest")]
     pub create_request: WatchCreateRequest,
 }
 
-/// The watch that a [`WatchRequest`] opens.
+/// Parameters of the watch that a [`WatchRequest`] opens.
 #[derive(Debug, Clone, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WatchCreateRequest {
@@ -383,15 +384,15 @@
     /// First key after the range, as in [`RangeRequest::range_end`].
     #[serde(with = "base64_bytes", alias = "rangeEnd")]
     pub range_end: Vec<u8>,
-    /// First revision to tell of; 0 for those to come.
+    /// First revision to report; 0 starts after the newest revision.
     #[serde(with = "int64", alias = "startRevision")]
     pub start_revision: i64,
-    /// Whether an empty answer is sent now and then on a quiet watch.
+    /// Whether an empty response is sent periodically while there are no events.
     #[serde(alias = "progressNotify")]
     pub progress_notify: bool,
-    /// Kinds of events left out.
+    /// Kinds of events that are omitted.
     pub filters: Vec<WatchFilter>,
-    /// Whether events carry the earlier value.
+    /// Whether events carry the previous key-value pair.
     #[serde(alias = "prevKv")]
     pub prev_kv: bool,
 }
@@ -400,10 +401,10 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "SCREAMING_SNAKE_CASE")]
 pub enum EventKind {
-    /// A key was written; left out of the JSON as the default.
+    /// A key was written; as the default value, omitted from the JSON.
     #[default]
     Put,
-    /// A key was deleted or its lease lapsed.
+    /// A key was deleted or its lease expired.
     Delete,
 }
 
@@ -413,38 +414,38 @@
     /// Kind of change.
     #[serde(rename = "type", skip_serializing_if = "is_default")]
     pub kind: EventKind,
-    /// The key after the change; only key and revision for a delete.
+    /// Key-value pair after the change; only key and revision for a delete.
     pub kv: KeyValue,
-    /// The key before the change, when asked for.
+    /// Key-value pair before the change, if requested.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub prev_kv: Option<KeyValue>,
 }
 
-/// One answer on a watch.
+/// One response on a watch stream.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct WatchResponse {
-    /// Answer header.
+    /// Response header.
     pub header: Header,
-    /// Whether this answer tells that the watch was opened.
+    /// Whether this response confirms that the watch was created.
     #[serde(skip_serializing_if = "is_default")]
     pub created: bool,
-    /// Whether this answer tells that the watch has ended.
+    /// Whether this response reports that the watch was canceled.
     #[serde(skip_serializing_if = "is_default")]
     pub canceled: bool,
-    /// Oldest revision left, when the watch ended for it.
+    /// Compacted revision, when the watch was canceled because of a compaction.
     #[serde(with = "int64", skip_serializing_if = "is_default")]
     pub compact_revision: i64,
-    /// Why the watch has ended.
+    /// Reason of the cancellation; empty otherwise.
     #[serde(skip_serializing_if = "String::is_empty")]
     pub cancel_reason: String,
-    /// Changes, in revision order.
+    /// Events in revision order.
     #[serde(skip_serializing_if = "Vec::is_empty")]
     pub events: Vec<Event>,
 }
 
-/// Frame of a streamed answer.
+/// Frame of a streamed response.
 #[derive(Debug, Clone, Serialize)]
 pub struct StreamResult<T> {
-    /// The answer.
+    /// Response inside the frame.
     pub result: T,
 }
--- a/lab/standin/src/platform/mod.rs
+++ b/lab/standin/src/platform/mod.rs
@@ -1,9 +1,9 @@
-//! A small stand-in for the platform's key-value service.
+//! An in-process stand-in for the platform's key-value service.
 //!
-//! It speaks the etcd v3 API in its published JSON-over-HTTP mapping, on a
-//! loopback port, and lives in the process that started it. Faults are settable
-//! while it runs. `docs/design/stand-ins.md` says what it does like the real
-//! service and what not.
+//! It serves the etcd v3 API in its published JSON-over-HTTP mapping on a
+//! loopback port. Faults can be injected while it runs.
+//! `docs/design/stand-ins.md` lists where it behaves like the real service and
+//! where it does not.
 
 mod connection;
 mod counters;
@@ -38,22 +38,22 @@
 use store::Put;
 use tokio::sync::oneshot;
 
-/// Settings of a stand-in.
+/// Settings of a [`Platform`].
 #[derive(Debug, Clone)]
 pub struct PlatformSettings {
-    /// Identifier of the cluster in answer headers.
+    /// Cluster identifier in response headers.
     pub cluster_id: i64,
-    /// Identifier of the member in answer headers.
+    /// Member identifier in response headers.
     pub member_id: i64,
-    /// Consensus term in answer headers.
+    /// Raft term in response headers.
     pub raft_term: i64,
-    /// Number of changes kept for watches and reads of older revisions.
+    /// Maximum number of changes kept for watches and for reads of older revisions.
     pub history_limit: usize,
-    /// Least time to live of a lease, in seconds; shorter ones are raised to it.
-    pub least_lease_ttl_seconds: i64,
-    /// How far the machine list lags behind the truth.
+    /// Minimum time to live of a lease, in seconds; shorter ones are raised to it.
+    pub min_lease_ttl_seconds: i64,
+    /// Delay between a change of a machine and its appearance in the machine list.
     pub machine_list_lag: Duration,
-    /// Requests a second that the service takes; none for no limit.
+    /// Rate limit in requests per second; `None` for no limit.
     pub requests_per_second: Option<f64>,
 }
 
@@ -64,14 +64,14 @@
             member_id: 2_830_117_231,
             raft_term: 2,
             history_limit: 100_000,
-            least_lease_ttl_seconds: 1,
+            min_lease_ttl_seconds: 1,
             machine_list_lag: Duration::ZERO,
             requests_per_second: None,
         }
     }
 }
 
-/// A running stand-in. Dropping it stops it.
+/// A running key-value service. Dropping it stops the server.
 pub struct Platform {
     shared: Arc<Shared>,
     address: SocketAddr,
@@ -79,7 +79,7 @@
 }
 
 impl Platform {
-    /// Starts a stand-in on a loopback port that the system chooses.
+    /// Starts the service on a loopback port that the operating system chooses.
     pub async fn start(settings: PlatformSettings) -> Result<Self, PlatformError> {
         let shared = Arc::new(Shared::new(&settings));
         shared.faults.set_rate_limit(settings.requests_per_second);
@@ -90,7 +90,7 @@
             .name("platform".to_owned())
             .spawn(move || {
                 actix_rt::System::new().block_on(server::run(served, started_sender));
-                let _owner_gone = ended_sender.send(());
+                let _receiver_dropped = ended_sender.send(());
             })
             .map_err(PlatformError::Thread)?;
         let address = started.await.map_err(|_| PlatformError::Ended)??;
@@ -102,37 +102,38 @@
         })
     }
 
-    /// Where the service is: `http://<address>`.
+    /// Returns the base URL of the service: `http://<address>`.
     pub fn url(&self) -> String {
         format!("http://{}", self.address)
     }
 
-    /// The address that the service listens on.
+    /// Returns the address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// The faults, to set or end them.
+    /// Returns the fault controls.
     pub fn faults(&self) -> &PlatformFaults {
         &self.shared.faults
     }
 
-    /// The machines, to tell of their true state.
+    /// Returns the machine list, on which callers set the actual state of machines.
     pub fn machines(&self) -> &MachineList {
         &self.shared.machines
     }
 
-    /// A reading of the counts.
+    /// Returns a snapshot of the counters.
     pub fn counters(&self) -> PlatformCounters {
         self.shared.counters.read()
     }
 
-    /// The newest revision.
+    /// Returns the newest revision.
     pub fn revision(&self) -> i64 {
         self.shared.with_store(|store| store.revision())
     }
 
-    /// Writes a key past HTTP and all faults; gives the new revision.
+    /// Writes a key directly, bypassing HTTP and all faults, and returns the new
+    /// revision.
     pub fn put(&self, key: &str, value: &[u8]) -> i64 {
         let put = Put {
             key: key.as_bytes().to_vec(),
@@ -145,21 +146,23 @@
         })
     }
 
-    /// Reads a key past HTTP and all faults.
+    /// Reads a key directly, bypassing HTTP and all faults.
     pub fn get(&self, key: &str) -> Option<KeyValue> {
         let key = key.as_bytes();
         self.shared
             .with_store(|store| store.get(key, store.revision()).cloned())
     }
 
-    /// Reads all keys with a prefix past HTTP and all faults, in order.
+    /// Reads all keys with a prefix directly, bypassing HTTP and all faults, in key
+    /// order.
     pub fn list(&self, prefix: &str) -> Vec<KeyValue> {
         let range = KeyRange::Between(prefix.into(), prefix_end(prefix.as_bytes()));
         self.shared
             .with_store(|store| store.range(&range, store.revision(), 0).items)
     }
 
-    /// Deletes a key past HTTP and all faults; gives the newest revision.
+    /// Deletes a key directly, bypassing HTTP and all faults, and returns the newest
+    /// revision.
     pub fn delete(&self, key: &str) -> i64 {
         let range = KeyRange::One(key.as_bytes().to_vec());
         self.shared.with_store(|store| {
@@ -168,48 +171,49 @@
         })
     }
 
-    /// Drops history up to a revision.
+    /// Compacts the history up to a revision.
     pub fn compact(&self, revision: i64) -> Result<(), ApiError> {
         self.shared.with_store(|store| store.compact(revision))
     }
 
-    /// Brings the service back with an older state: later changes are gone,
-    /// their revisions will be used again, and all connections are closed.
+    /// Restores the state of an older revision, as from a backup: later changes are
+    /// lost, their revisions are reused, and all connections are closed.
     pub fn restore(&self, revision: i64) -> Result<(), ApiError> {
         self.shared.with_store(|store| store.restore(revision))?;
         self.shared.connections.close_all();
         Ok(())
     }
 
-    /// Lets a lease lapse at once, as when its holder was paused for too long.
+    /// Expires a lease immediately, as when its holder was paused for too long.
     pub fn expire_lease(&self, identifier: i64) -> Result<(), ApiError> {
         self.shared.with_store(|store| store.end_lease(identifier))
     }
 
-    /// State of a lease; none when it does not exist.
+    /// Returns the state of a lease, or `None` when it does not exist.
     pub fn lease(&self, identifier: i64) -> Option<LeaseState> {
         let now = Instant::now();
         self.shared
             .with_store(|store| store.lease_state(identifier, now))
     }
 
-    /// Identifiers of all leases in force.
+    /// Returns the identifiers of all active leases.
     pub fn leases(&self) -> Vec<i64> {
         self.shared.with_store(|store| store.lease_identifiers())
     }
 
-    /// Closes all connections and stops.
+    /// Closes all connections, stops the server and waits until its thread has
+    /// ended.
     pub async fn stop(mut self) {
-        self.shared.ask_to_stop();
+        self.shared.request_stop();
         if let Some(ended) = self.ended.take() {
-            // An error means that the thread has ended already.
-            let _ended_before = ended.await;
+            // An error means that the thread has already ended.
+            let _already_ended = ended.await;
         }
     }
 }
 
 impl Drop for Platform {
     fn drop(&mut self) {
-        self.shared.ask_to_stop();
+        self.shared.request_stop();
     }
 }
--- a/lab/standin/src/platform/range.rs
+++ b/lab/standin/src/platform/range.rs
@@ -1,26 +1,26 @@
-//! Ranges of keys as the etcd API writes them.
+//! Key ranges in the encoding of the etcd API.
 
 use super::error::ApiError;
 use std::ops::Bound;
 
 const ZERO: &[u8] = &[0];
 
-/// First and last key of a range.
+/// Lower and upper bound of a range.
 pub type Bounds<'a> = (Bound<&'a [u8]>, Bound<&'a [u8]>);
 
 /// A range of keys.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyRange {
-    /// One key.
+    /// A single key.
     One(Vec<u8>),
-    /// From the first key up to, and without, the second.
+    /// From the first key, inclusive, to the second, exclusive.
     Between(Vec<u8>, Vec<u8>),
-    /// From the key on.
+    /// All keys greater than or equal to the given one.
     From(Vec<u8>),
 }
 
 impl KeyRange {
-    /// Reads the pair of `key` and `range_end`.
+    /// Parses the pair of `key` and `range_end`.
     pub fn parse(key: &[u8], range_end: &[u8]) -> Result<Self, ApiError> {
         if key.is_empty() {
             return Err(ApiError::EmptyKey);
@@ -32,7 +32,7 @@
         })
     }
 
-    /// Whether the range holds a key.
+    /// Returns whether the range contains a key.
     pub fn contains(&self, key: &[u8]) -> bool {
         match self {
             Self::One(only) => key == only,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// The range as bounds of an ordered map; none when it is empty.
+    /// Returns the range as bounds of an ordered map, or `None` when it is empty.
     pub fn bounds(&self) -> Option<Bounds<'_>> {
         match self {
             Self::One(only) => Some((Bound::Included(only), Bound::Included(only))),
@@ -54,7 +54,7 @@
     }
 }
 
-/// The `range_end` that makes a range of all keys with a prefix.
+/// Returns the `range_end` of the range of all keys with a prefix.
 pub fn prefix_end(prefix: &[u8]) -> Vec<u8> {
     let mut end = prefix.to_vec();
     while let Some(last) = end.pop() {
--- a/lab/standin/src/platform/server.rs
+++ b/lab/standin/src/platform/server.rs
@@ -1,4 +1,5 @@
-//! The HTTP side: one thread that runs the server and sweeps the store.
+//! The HTTP server: one thread that runs the server and the periodic sweep of
+//! the store.
 
 use super::connection::Connection;
 use super::counters::RequestKind;
@@ -20,57 +21,58 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::sync::oneshot;
 
-/// How often leases, machine list and timed outages are looked at.
+/// Interval at which leases, the machine list and timed outages are checked.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How often a request that hangs looks whether the outage is over.
+/// Interval at which a hanging request checks whether the outage has ended.
 const HANG_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Greatest size of a request body, in bytes.
-const GREATEST_BODY: usize = 4 << 20;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Connections that may wait to be accepted.
+/// Length of the listener's accept queue.
 const BACKLOG: u32 = 1024;
 
-/// How long an idle connection stays open. The real service closes none, so
-/// this is longer than any test.
+/// Timeout of idle connections. The real service closes no idle connections, so
+/// the timeout is longer than any test.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// Threads that answer requests.
+/// Number of threads that serve requests.
 const WORKERS: usize = 2;
 
-/// A body, and whether the connection is to be closed in its place.
-type Answer<T> = Result<Outcome<T>, ApiError>;
+/// Result of one API method.
+type CallResult<T> = Result<Outcome<T>, ApiError>;
 
-/// Runs the server until it is asked to stop. Tells through `started` where it
-/// listens.
+/// Runs the server until a stop is requested. Sends the address that it listens
+/// on through `started`.
 pub(super) async fn run(
     shared: Arc<Shared>,
     started: oneshot::Sender<Result<SocketAddr, PlatformError>>,
 ) {
-    // The reserved socket never listens; it keeps the port while the server is
-    // down, so that connecting is refused and no other process can take it.
+    // The reserved socket never listens. It keeps the port bound while the
+    // server is down, so that connections are rejection and no other process can
+    // take the port.
     let (reserved, address) = match reserve_port() {
         Ok(reserved) => reserved,
         Err(error) => {
-            let _owner_gone = started.send(Err(PlatformError::Bind(error)));
+            let _receiver_dropped = started.send(Err(PlatformError::Bind(error)));
             return;
         }
     };
     let mut server = match listen(&shared, address) {
         Ok(server) => Some(server),
         Err(error) => {
-            let _owner_gone = started.send(Err(PlatformError::Bind(error)));
+            let _receiver_dropped = started.send(Err(PlatformError::Bind(error)));
             return;
         }
     };
-    let _owner_gone = started.send(Ok(address));
+    let _receiver_dropped = started.send(Ok(address));
     while !shared.is_stopping() {
         shared.sweep();
         let refusing = shared.faults.outage() == Some(OutageMode::Refuse);
-        server = follow_outage(&shared, address, server, refusing).await;
+        server = apply_outage(&shared, address, server, refusing).await;
         tokio::select! {
-            () = shared.stop_asked() => {}
+            () = shared.stop_requested() => {}
             () = shared.faults.changed() => {}
             () = tokio::time::sleep(SWEEP_INTERVAL) => {}
         }
@@ -81,7 +83,7 @@
     drop(reserved);
 }
 
-async fn follow_outage(
+async fn apply_outage(
     shared: &Arc<Shared>,
     address: SocketAddr,
     server: Option<ServerHandle>,
@@ -90,7 +92,7 @@
     match (server, refusing) {
         (Some(server), true) => {
             stop_listening(shared, server).await;
-            log::info!("platform: connections are refused.");
+            log::info!("platform: connections are rejection.");
             None
         }
         (None, false) => match listen(shared, address) {
@@ -154,7 +156,7 @@
 
 fn routes(config: &mut ServiceConfig) {
     config
-        .app_data(PayloadConfig::new(GREATEST_BODY))
+        .app_data(PayloadConfig::new(MAX_BODY_BYTES))
         .route("/v3/kv/range", post().to(range))
         .route("/v3/kv/put", post().to(put))
         .route("/v3/kv/deleterange", post().to(delete_range))
@@ -176,7 +178,7 @@
             request: HttpRequest,
             body: Bytes,
         ) -> HttpResponse {
-            answer(shared, request, body, RequestKind::$kind, |call, message| $method(call, message)).await
+            handle_request(shared, request, body, RequestKind::$kind, |call, message| $method(call, message)).await
         })*
     };
 }
@@ -193,37 +195,37 @@
     lease_time_to_live: LeaseTimeToLive, Call::lease_time_to_live;
 }
 
-async fn answer<M: DeserializeOwned, T: Serialize>(
+async fn handle_request<M: DeserializeOwned, T: Serialize>(
     shared: Data<Shared>,
     request: HttpRequest,
     body: Bytes,
     kind: RequestKind,
-    method: impl FnOnce(&mut Call<'_>, M) -> Answer<T>,
+    method: impl FnOnce(&mut Call<'_>, M) -> CallResult<T>,
 ) -> HttpResponse {
     let connection = request.conn_data::<Connection>();
-    if let Some(refused) = meet_faults(&shared, connection, kind).await {
-        return refused;
+    if let Some(rejection) = apply_request_faults(&shared, connection, kind).await {
+        return rejection;
     }
     let result = parse(&body).and_then(|message| shared.call(|call| method(call, message)));
     let changed = result.as_ref().is_ok_and(|outcome| outcome.changed);
     tokio::time::sleep(shared.faults.delay()).await;
-    if changed && shared.faults.take_lost_answer() {
+    if changed && shared.faults.take_dropped_response() {
         shared
             .counters
-            .update(|counters| counters.answers_lost += 1);
-        return closed(connection);
+            .update(|counters| counters.responses_dropped += 1);
+        return close_without_response(connection);
     }
     match shared.faults.outage() {
-        Some(OutageMode::Refuse) => closed(connection),
-        Some(OutageMode::Hang) => hang(&shared, connection).await,
-        _ => respond(result),
+        Some(OutageMode::Refuse) => close_without_response(connection),
+        Some(OutageMode::Hang) => hang_until_outage_ends(&shared, connection).await,
+        _ => success_or_error_response(result),
     }
 }
 
 async fn open_watch(shared: Data<Shared>, request: HttpRequest, body: Bytes) -> HttpResponse {
     let connection = request.conn_data::<Connection>();
-    if let Some(refused) = meet_faults(&shared, connection, RequestKind::Watch).await {
-        return refused;
+    if let Some(rejection) = apply_request_faults(&shared, connection, RequestKind::Watch).await {
+        return rejection;
     }
     let opened = parse(&body)
         .and_then(|message| watch::open(shared.into_inner(), connection.cloned(), message));
@@ -231,46 +233,49 @@
         Ok(stream) => HttpResponse::Ok()
             .content_type("application/json")
             .streaming(stream),
-        Err(error) => refuse(&error),
+        Err(error) => error_response(&error),
     }
 }
 
-/// Counts a request and brings the faults in force to bear on it, before it
-/// has any effect.
-async fn meet_faults(
+/// Counts a request and applies the active outage and the rate limit before the
+/// request takes effect. Returns the response if the request is rejected.
+async fn apply_request_faults(
     shared: &Shared,
     connection: Option<&Connection>,
     kind: RequestKind,
 ) -> Option<HttpResponse> {
     shared.counters.request(kind);
     if let Some(outage) = shared.faults.outage() {
-        shared.counters.update(|counters| counters.met_outage += 1);
+        shared
+            .counters
+            .update(|counters| counters.received_during_outage += 1);
         return Some(match outage {
-            OutageMode::Refuse => closed(connection),
-            OutageMode::Hang => hang(shared, connection).await,
-            OutageMode::NoLeader => refuse(&ApiError::NoLeader),
+            OutageMode::Refuse => close_without_response(connection),
+            OutageMode::Hang => hang_until_outage_ends(shared, connection).await,
+            OutageMode::NoLeader => error_response(&ApiError::NoLeader),
         });
     }
     if !shared.faults.admit() {
         shared
             .counters
             .update(|counters| counters.rate_limited += 1);
-        return Some(refuse(&ApiError::TooManyRequests));
+        return Some(error_response(&ApiError::TooManyRequests));
     }
     None
 }
 
-/// Answers nothing until the outage is over, and then closes the connection.
-async fn hang(shared: &Shared, connection: Option<&Connection>) -> HttpResponse {
+/// Sends no response until the outage is over, and then closes the connection.
+async fn hang_until_outage_ends(shared: &Shared, connection: Option<&Connection>) -> HttpResponse {
     let gone = || connection.is_some_and(Connection::is_closed_by_peer);
     while shared.faults.outage() == Some(OutageMode::Hang) && !shared.is_stopping() && !gone() {
         tokio::time::sleep(HANG_INTERVAL).await;
     }
-    closed(connection)
+    close_without_response(connection)
 }
 
-/// Closes the connection; the response is never seen by the caller.
-fn closed(connection: Option<&Connection>) -> HttpResponse {
+/// Closes the connection, so that the caller never receives the returned
+/// response.
+fn close_without_response(connection: Option<&Connection>) -> HttpResponse {
     if let Some(connection) = connection {
         connection.close();
     }
@@ -281,13 +286,13 @@
     serde_json::from_slice(body).map_err(|error| ApiError::Malformed(error.to_string()))
 }
 
-fn respond<T: Serialize>(result: Answer<T>) -> HttpResponse {
+fn success_or_error_response<T: Serialize>(result: CallResult<T>) -> HttpResponse {
     match result {
-        Ok(outcome) => HttpResponse::Ok().json(outcome.answer),
-        Err(error) => refuse(&error),
+        Ok(outcome) => HttpResponse::Ok().json(outcome.response),
+        Err(error) => error_response(&error),
     }
 }
 
-fn refuse(error: &ApiError) -> HttpResponse {
+fn error_response(error: &ApiError) -> HttpResponse {
     HttpResponse::build(error.status()).json(error.body())
 }
--- a/lab/standin/src/platform/service.rs
+++ b/lab/standin/src/platform/service.rs
@@ -1,4 +1,4 @@
-//! The methods of the API over the store, without any HTTP.
+//! The methods of the API on top of the store, independent of HTTP.
 
 use super::error::ApiError;
 use super::message::{
@@ -14,39 +14,39 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 
-/// Greatest number of operations in one transaction.
-const GREATEST_OPERATIONS: usize = 128;
+/// Maximum number of operations in one transaction.
+const MAX_TXN_OPERATIONS: usize = 128;
 
-/// What a call works with: the store, and what the caller may see of it.
+/// Context of one API call: the store and the revision visible to the caller.
 pub(super) struct Call<'a> {
-    /// The store.
+    /// Store, locked for the duration of the call.
     pub store: &'a mut Store,
-    /// Newest revision that reads are answered at.
+    /// Newest revision that reads may return.
     pub visible: i64,
-    /// Header of the answer, without its revision.
+    /// Response header without its revision.
     pub header: Header,
-    /// The present moment.
+    /// Time of the call, used for lease deadlines.
     pub now: Instant,
 }
 
-/// An answer, and whether its request changed anything.
+/// A response, and whether its request changed anything.
 pub(super) struct Outcome<T> {
-    /// The answer.
-    pub answer: T,
+    /// Response to the caller.
+    pub response: T,
     /// Whether the store or its leases changed.
     pub changed: bool,
 }
 
 type Result<T> = std::result::Result<Outcome<T>, ApiError>;
 
-fn read<T>(answer: T) -> Result<T> {
+fn read<T>(response: T) -> Result<T> {
     let changed = false;
-    Ok(Outcome { answer, changed })
+    Ok(Outcome { response, changed })
 }
 
-fn written<T>(answer: T) -> Result<T> {
+fn written<T>(response: T) -> Result<T> {
     let changed = true;
-    Ok(Outcome { answer, changed })
+    Ok(Outcome { response, changed })
 }
 
 impl Call<'_> {
@@ -61,14 +61,14 @@
         self.header_at(self.store.revision())
     }
 
-    /// `/v3/kv/range`.
+    /// Handles `/v3/kv/range`.
     pub(super) fn range(&mut self, request: RangeRequest) -> Result<RangeResponse> {
         let header = self.header_at(self.visible);
-        let answer = read_range(self.store, &request, self.visible, header)?;
-        read(answer)
+        let response = read_range(self.store, &request, self.visible, header)?;
+        read(response)
     }
 
-    /// `/v3/kv/put`.
+    /// Handles `/v3/kv/put`.
     pub(super) fn put(&mut self, request: PutRequest) -> Result<PutResponse> {
         let wants_previous = request.prev_kv;
         let put = to_put(request);
@@ -81,7 +81,7 @@
         })
     }
 
-    /// `/v3/kv/deleterange`.
+    /// Handles `/v3/kv/deleterange`.
     pub(super) fn delete_range(
         &mut self,
         request: DeleteRangeRequest,
@@ -90,11 +90,11 @@
         let deleted = self.store.delete(&range);
         self.store.commit();
         let changed = !deleted.is_empty();
-        let answer = deletion(self.newest_header(), deleted, request.prev_kv);
-        Ok(Outcome { answer, changed })
+        let response = delete_range_response(self.newest_header(), deleted, request.prev_kv);
+        Ok(Outcome { response, changed })
     }
 
-    /// `/v3/kv/txn`.
+    /// Handles `/v3/kv/txn`.
     pub(super) fn txn(&mut self, request: TxnRequest) -> Result<TxnResponse> {
         check_operations(self.store, &request.success)?;
         check_operations(self.store, &request.failure)?;
@@ -107,32 +107,32 @@
             false => request.failure,
         };
         let before = self.store.revision();
-        let mut responses = self.carry_out(operations)?;
+        let mut responses = self.execute_operations(operations)?;
         let after = self.store.commit();
         for response in &mut responses {
             set_revision(response, after);
         }
-        let answer = TxnResponse {
+        let response = TxnResponse {
             header: self.newest_header(),
             succeeded,
             responses,
         };
         let changed = after > before;
-        Ok(Outcome { answer, changed })
+        Ok(Outcome { response, changed })
     }
 
-    fn carry_out(
+    fn execute_operations(
         &mut self,
         operations: Vec<RequestOperation>,
     ) -> std::result::Result<Vec<ResponseOperation>, ApiError> {
         let mut responses = Vec::with_capacity(operations.len());
         for operation in operations {
-            responses.push(self.carry_out_one(operation)?);
+            responses.push(self.execute_operation(operation)?);
         }
         Ok(responses)
     }
 
-    fn carry_out_one(
+    fn execute_operation(
         &mut self,
         operation: RequestOperation,
     ) -> std::result::Result<ResponseOperation, ApiError> {
@@ -154,27 +154,27 @@
             RequestOperation::DeleteRange(request) => {
                 let range = KeyRange::parse(&request.key, &request.range_end)?;
                 let deleted = self.store.delete(&range);
-                let answer = deletion(Header::default(), deleted, request.prev_kv);
-                ResponseOperation::DeleteRange(answer)
+                let response = delete_range_response(Header::default(), deleted, request.prev_kv);
+                ResponseOperation::DeleteRange(response)
             }
         })
     }
 
-    /// `/v3/kv/compaction`.
+    /// Handles `/v3/kv/compaction`.
     pub(super) fn compact(&mut self, request: CompactionRequest) -> Result<HeaderResponse> {
         self.store.compact(request.revision)?;
         let header = self.newest_header();
         written(HeaderResponse { header })
     }
 
-    /// `/v3/lease/grant`.
+    /// Handles `/v3/lease/grant`.
     pub(super) fn grant_lease(&mut self, request: LeaseGrantRequest) -> Result<LeaseResponse> {
         let (id, ttl) = self.store.grant_lease(request.id, request.ttl, self.now)?;
         let header = self.newest_header();
         written(LeaseResponse { header, id, ttl })
     }
 
-    /// `/v3/lease/keepalive`.
+    /// Handles `/v3/lease/keepalive`.
     pub(super) fn keep_lease_alive(
         &mut self,
         request: LeaseRequest,
@@ -188,30 +188,30 @@
         read(StreamResult { result })
     }
 
-    /// `/v3/lease/revoke`.
+    /// Handles `/v3/lease/revoke`.
     pub(super) fn revoke_lease(&mut self, request: LeaseRequest) -> Result<HeaderResponse> {
         self.store.end_lease(request.id)?;
         let header = self.newest_header();
         written(HeaderResponse { header })
     }
 
-    /// `/v3/lease/timetolive`.
+    /// Handles `/v3/lease/timetolive`.
     pub(super) fn lease_time_to_live(
         &mut self,
         request: LeaseTimeToLiveRequest,
     ) -> Result<LeaseTimeToLiveResponse> {
-        let mut answer = LeaseTimeToLiveResponse {
+        let mut response = LeaseTimeToLiveResponse {
             header: self.newest_header(),
             id: request.id,
             ttl: -1,
             ..LeaseTimeToLiveResponse::default()
         };
         if let Some(state) = self.store.lease_state(request.id, self.now) {
-            answer.ttl = state.left_seconds;
-            answer.granted_ttl = state.granted_seconds;
-            answer.keys = if request.keys { state.keys } else { Vec::new() };
+            response.ttl = state.remaining_seconds;
+            response.granted_ttl = state.granted_ttl_seconds;
+            response.keys = if request.keys { state.keys } else { Vec::new() };
         }
-        read(answer)
+        read(response)
     }
 }
 
@@ -231,7 +231,7 @@
 ) -> std::result::Result<RangeResponse, ApiError> {
     let range = KeyRange::parse(&request.key, &request.range_end)?;
     let revision = match request.revision {
-        wished if wished > 0 => wished,
+        requested if requested > 0 => requested,
         _ => visible,
     };
     store.check_revision(revision, visible)?;
@@ -251,7 +251,11 @@
     })
 }
 
-fn deletion(header: Header, deleted: Vec<KeyValue>, wants_previous: bool) -> DeleteRangeResponse {
+fn delete_range_response(
+    header: Header,
+    deleted: Vec<KeyValue>,
+    wants_previous: bool,
+) -> DeleteRangeResponse {
     DeleteRangeResponse {
         header,
         deleted: to_int64(deleted.len()),
@@ -265,19 +269,20 @@
 
 fn set_revision(response: &mut ResponseOperation, revision: i64) {
     let header = match response {
-        ResponseOperation::Range(answer) => &mut answer.header,
-        ResponseOperation::Put(answer) => &mut answer.header,
-        ResponseOperation::DeleteRange(answer) => &mut answer.header,
+        ResponseOperation::Range(inner) => &mut inner.header,
+        ResponseOperation::Put(inner) => &mut inner.header,
+        ResponseOperation::DeleteRange(inner) => &mut inner.header,
     };
     header.revision = revision;
 }
 
-/// Checks all that can fail, so that a transaction runs whole or not at all.
+/// Checks everything that can fail, so that a transaction is applied completely
+/// or not at all.
 fn check_operations(
     store: &Store,
     operations: &[RequestOperation],
 ) -> std::result::Result<(), ApiError> {
-    if operations.len() > GREATEST_OPERATIONS {
+    if operations.len() > MAX_TXN_OPERATIONS {
         return Err(ApiError::TooManyOperations);
     }
     let mut written: BTreeSet<&[u8]> = BTreeSet::new();
@@ -312,7 +317,8 @@
     let range = KeyRange::parse(&compare.key, &compare.range_end)?;
     let page = store.range(&range, store.revision(), 0);
     if page.items.is_empty() {
-        // A key that does not exist has no value to compare, and zeros besides.
+        // A key that does not exist has no value to compare; its version,
+        // revisions and lease are 0.
         let comparable = compare.target != CompareTarget::Value;
         return Ok(comparable && item_holds(&KeyValue::default(), compare));
     }
--- a/lab/standin/src/platform/shared.rs
+++ b/lab/standin/src/platform/shared.rs
@@ -1,6 +1,7 @@
-//! What the HTTP handlers, the sweeper and the owner of a stand-in share.
+//! State shared by the HTTP handlers, the sweep and the owner of the stand-in.
 //!
-//! Lock order: the store, then the faults; all other locks are held alone.
+//! Lock order: the store, then the faults. No other lock is held together with
+//! another one.
 
 use super::PlatformSettings;
 use super::connection::Connections;
@@ -16,26 +17,26 @@
 use std::time::Instant;
 use tokio::sync::{Notify, watch};
 
-/// State of one stand-in.
+/// Shared state of one stand-in.
 pub(super) struct Shared {
     store: Mutex<Store>,
     header: Header,
     commits: watch::Sender<i64>,
-    /// Faults in force.
+    /// Injected faults.
     pub(super) faults: PlatformFaults,
-    /// Counts of requests.
+    /// Request counters.
     pub(super) counters: Counters,
     /// Open connections.
     pub(super) connections: Connections,
-    /// Mirror of the machines.
+    /// Machine list and its pending changes.
     pub(super) machines: MachineList,
     stopping: AtomicBool,
-    stop_asked: Notify,
+    stop_requested: Notify,
 }
 
 impl Shared {
     pub(super) fn new(settings: &PlatformSettings) -> Self {
-        let store = Store::new(settings.history_limit, settings.least_lease_ttl_seconds);
+        let store = Store::new(settings.history_limit, settings.min_lease_ttl_seconds);
         let revision = store.revision();
         Self {
             store: Mutex::new(store),
@@ -51,18 +52,18 @@
             connections: Connections::default(),
             machines: MachineList::new(settings.machine_list_lag),
             stopping: AtomicBool::new(false),
-            stop_asked: Notify::new(),
+            stop_requested: Notify::new(),
         }
     }
 
-    /// Runs one method of the API, past any lapsed leases.
+    /// Expires overdue leases and then runs one method of the API.
     pub(super) fn call<T>(
         &self,
         method: impl FnOnce(&mut Call<'_>) -> Result<Outcome<T>, ApiError>,
     ) -> Result<Outcome<T>, ApiError> {
         let now = Instant::now();
         self.with_store(|store| {
-            store.end_lapsed_leases(now);
+            store.expire_leases(now);
             let visible = self.faults.visible_revision(store.revision());
             let header = self.header.clone();
             let mut call = Call {
@@ -75,7 +76,8 @@
         })
     }
 
-    /// Works on the store and tells the watchers of what was committed.
+    /// Runs `work` on the locked store and notifies the watches if it committed a
+    /// new revision.
     pub(super) fn with_store<T>(&self, work: impl FnOnce(&mut Store) -> T) -> T {
         let mut store = self.store.lock();
         let before = store.revision();
@@ -88,7 +90,7 @@
         result
     }
 
-    /// The answer header at a revision.
+    /// Returns the response header for a revision.
     pub(super) fn header_at(&self, revision: i64) -> Header {
         Header {
             revision,
@@ -96,35 +98,35 @@
         }
     }
 
-    /// Tells of the newest revision whenever it changes.
+    /// Subscribes to changes of the newest revision.
     pub(super) fn subscribe(&self) -> watch::Receiver<i64> {
         self.commits.subscribe()
     }
 
-    /// Ends the leases that lapsed and brings the machine list up to date.
+    /// Ends expired leases and applies the due changes of the machine list.
     pub(super) fn sweep(&self) {
         let now = Instant::now();
-        self.with_store(|store| store.end_lapsed_leases(now));
+        self.with_store(|store| store.expire_leases(now));
         let due = self.machines.take_due(now);
         if !due.is_empty() {
             self.with_store(|store| due.iter().for_each(|change| change.apply(store)));
-            self.machines.applied();
+            self.machines.mark_applied();
         }
     }
 
-    /// Asks the server's thread to end.
-    pub(super) fn ask_to_stop(&self) {
+    /// Requests the server thread to end.
+    pub(super) fn request_stop(&self) {
         self.stopping.store(true, Ordering::Release);
-        self.stop_asked.notify_one();
+        self.stop_requested.notify_one();
     }
 
-    /// Whether the server's thread was asked to end.
+    /// Returns whether the server thread was requested to end.
     pub(super) fn is_stopping(&self) -> bool {
         self.stopping.load(Ordering::Acquire)
     }
 
-    /// Waits until the server's thread is asked to end.
-    pub(super) async fn stop_asked(&self) {
-        self.stop_asked.notified().await;
+    /// Waits until the server thread is requested to end.
+    pub(super) async fn stop_requested(&self) {
+        self.stop_requested.notified().await;
     }
 }
--- a/lab/standin/src/platform/store.rs
+++ b/lab/standin/src/platform/store.rs
@@ -1,8 +1,9 @@
-//! The versioned key-value store behind the API.
+//! The multi-version key-value store behind the API.
 //!
-//! Every change gives the store a new revision; one transaction is one
+//! Every change creates a new revision of the store; a transaction creates one
 //! revision. Older versions stay readable, and changes watchable, until they
-//! are compacted, which happens by itself past a bounded number of changes.
+//! are compacted. Compaction is automatic once the number of kept changes
+//! exceeds a limit.
 
 use super::error::ApiError;
 use super::lease::{LeaseState, LeaseTable};
@@ -11,35 +12,35 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Instant;
 
-/// Revision of a new store.
+/// Revision of an empty store.
 pub const FIRST_REVISION: i64 = 1;
 
-/// What a put changes.
+/// A write of one key.
 #[derive(Debug, Clone, Default)]
 pub struct Put {
-    /// The key.
+    /// Key to write.
     pub key: Vec<u8>,
-    /// The new value; none keeps the earlier one.
+    /// New value; `None` keeps the previous one.
     pub value: Option<Vec<u8>>,
-    /// The new lease, 0 for none; none keeps the earlier one.
+    /// New lease, 0 for no lease; `None` keeps the previous one.
     pub lease: Option<i64>,
 }
 
-/// A page of keys.
+/// Result of a range read, truncated to its limit.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Page {
-    /// The keys, in order.
+    /// Key-value pairs in key order.
     pub items: Vec<KeyValue>,
-    /// Number of keys in the whole range.
+    /// Number of keys in the whole range, regardless of the limit.
     pub count: usize,
 }
 
-/// What a watcher reads next.
+/// Result of reading the change history.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Changes {
-    /// The events, and the revision to go on from.
+    /// The events, and the revision from which to continue.
     Events(Vec<Event>, i64),
-    /// The events asked for are gone; the oldest revision left.
+    /// The requested events have been compacted; holds the compacted revision.
     Compacted(i64),
 }
 
@@ -49,7 +50,7 @@
     deleted: bool,
 }
 
-/// The store with its leases.
+/// A multi-version store with its leases.
 #[derive(Debug)]
 pub struct Store {
     revision: i64,
@@ -61,25 +62,25 @@
 }
 
 impl Store {
-    /// An empty store that keeps the last `history_limit` changes.
-    pub fn new(history_limit: usize, least_ttl_seconds: i64) -> Self {
+    /// Creates an empty store that keeps at most `history_limit` changes.
+    pub fn new(history_limit: usize, min_ttl_seconds: i64) -> Self {
         Self {
             revision: FIRST_REVISION,
             compacted: 0,
             keys: BTreeMap::new(),
             history: VecDeque::new(),
             history_limit: history_limit.max(1),
-            leases: LeaseTable::new(least_ttl_seconds),
+            leases: LeaseTable::new(min_ttl_seconds),
         }
     }
 
-    /// The newest revision.
+    /// Returns the newest revision.
     pub fn revision(&self) -> i64 {
         self.revision
     }
 
-    /// Whether reads at a revision can be answered, the newest readable one
-    /// being `visible`.
+    /// Checks that `revision` can be read, where `visible` is the newest readable
+    /// revision.
     pub fn check_revision(&self, revision: i64, visible: i64) -> Result<(), ApiError> {
         if revision > visible {
             return Err(ApiError::FutureRevision);
@@ -90,12 +91,12 @@
         Ok(())
     }
 
-    /// One key as it was at a revision.
+    /// Returns a key as of a revision.
     pub fn get(&self, key: &[u8], revision: i64) -> Option<&KeyValue> {
         self.keys.get(key).and_then(|list| item_at(list, revision))
     }
 
-    /// A range as it was at a revision; `limit` 0 means no limit.
+    /// Returns a range as of a revision; `limit` 0 means no limit.
     pub fn range(&self, range: &KeyRange, revision: i64, limit: usize) -> Page {
         let mut page = Page::default();
         let Some(bounds) = range.bounds() else {
@@ -113,7 +114,7 @@
         page
     }
 
-    /// Checks that a put can be carried out.
+    /// Checks that a put can be executed.
     pub fn check_put(&self, put: &Put) -> Result<(), ApiError> {
         if put.key.is_empty() {
             return Err(ApiError::EmptyKey);
@@ -130,8 +131,8 @@
         }
     }
 
-    /// Writes a key at the revision that is being made; call
-    /// [`Store::commit`] afterwards. Gives the earlier value.
+    /// Writes a key at the uncommitted revision and returns its previous version.
+    /// The caller must call [`Store::commit`] afterwards.
     pub fn put(&mut self, put: Put) -> Option<KeyValue> {
         let next = self.revision + 1;
         let previous = self.get(&put.key, next).cloned();
@@ -149,8 +150,8 @@
         previous
     }
 
-    /// Deletes a range at the revision that is being made; call
-    /// [`Store::commit`] afterwards. Gives the deleted keys.
+    /// Deletes a range at the uncommitted revision and returns the deleted keys.
+    /// The caller must call [`Store::commit`] afterwards.
     pub fn delete(&mut self, range: &KeyRange) -> Vec<KeyValue> {
         let next = self.revision + 1;
         let deleted = self.range(range, next, 0).items;
@@ -166,8 +167,8 @@
         deleted
     }
 
-    /// Makes the changes since the last commit one new revision, if there are
-    /// any, and gives the newest revision.
+    /// Commits the changes since the last commit, if any, as one new revision, and
+    /// returns the newest revision.
     pub fn commit(&mut self) -> i64 {
         let changed = self
             .history
@@ -175,12 +176,13 @@
             .is_some_and(|event| event.kv.mod_revision > self.revision);
         if changed {
             self.revision += 1;
-            self.bound_history();
+            self.compact_if_over_limit();
         }
         self.revision
     }
 
-    /// The changes from a revision on, up to `visible`, in revision order.
+    /// Returns the changes from revision `from` through `visible`, in revision
+    /// order.
     pub fn changes(&self, range: &KeyRange, from: i64, visible: i64) -> Changes {
         if from <= self.compacted {
             return Changes::Compacted(self.compacted);
@@ -188,14 +190,14 @@
         let start = self
             .history
             .partition_point(|event| event.kv.mod_revision < from);
-        let news = self.history.range(start..);
-        let wanted = news
+        let recent = self.history.range(start..);
+        let wanted = recent
             .take_while(|event| event.kv.mod_revision <= visible)
             .filter(|event| range.contains(&event.kv.key));
         Changes::Events(wanted.cloned().collect(), from.max(visible + 1))
     }
 
-    /// Drops what is older than a revision.
+    /// Drops versions and events that are superseded at a revision.
     pub fn compact(&mut self, revision: i64) -> Result<(), ApiError> {
         if revision > self.revision {
             return Err(ApiError::FutureRevision);
@@ -209,14 +211,14 @@
             .partition_point(|event| event.kv.mod_revision <= revision);
         self.history.drain(..kept);
         for list in self.keys.values_mut() {
-            drop_older(list, revision);
+            drop_superseded_versions(list, revision);
         }
         self.keys.retain(|_, list| !list.is_empty());
         Ok(())
     }
 
-    /// Puts the store back to an older state, as a service restored from a
-    /// backup: later changes are gone and their revisions will be used again.
+    /// Restores the state of an older revision, as a service restored from a
+    /// backup: later changes are lost and their revisions are reused.
     pub fn restore(&mut self, revision: i64) -> Result<(), ApiError> {
         self.check_revision(revision, self.revision)?;
         self.revision = revision;
@@ -245,18 +247,18 @@
         self.leases.grant(identifier, ttl_seconds, now)
     }
 
-    /// Renews a lease and gives its time to live in seconds; none when it does
-    /// not exist.
+    /// Renews a lease and returns its time to live in seconds, or `None` when it
+    /// does not exist.
     pub fn keep_lease_alive(&mut self, identifier: i64, now: Instant) -> Option<i64> {
         self.leases.keep_alive(identifier, now)
     }
 
-    /// State of a lease.
+    /// Returns the state of a lease, or `None` when it does not exist.
     pub fn lease_state(&self, identifier: i64, now: Instant) -> Option<LeaseState> {
         self.leases.state(identifier, now)
     }
 
-    /// Identifiers of all leases in force.
+    /// Returns the identifiers of all active leases.
     pub fn lease_identifiers(&self) -> Vec<i64> {
         self.leases.identifiers()
     }
@@ -274,14 +276,14 @@
         Ok(())
     }
 
-    /// Ends the leases past their deadline; whether there were any.
-    pub fn end_lapsed_leases(&mut self, now: Instant) -> bool {
-        let lapsed = self.leases.lapsed(now);
-        for identifier in &lapsed {
-            // A lapsed lease was just listed, so ending it cannot fail.
+    /// Ends the leases past their deadline and returns whether there were any.
+    pub fn expire_leases(&mut self, now: Instant) -> bool {
+        let expired = self.leases.expired(now);
+        for identifier in &expired {
+            // The lease was listed under the same borrow, so ending it cannot fail.
             let _ended = self.end_lease(*identifier);
         }
-        !lapsed.is_empty()
+        !expired.is_empty()
     }
 
     fn record(&mut self, kind: EventKind, item: KeyValue, previous: Option<KeyValue>) {
@@ -297,15 +299,16 @@
         });
     }
 
-    /// Compacts down to half of the limit once the limit is passed, so that
-    /// the work is shared by many changes.
-    fn bound_history(&mut self) {
+    /// Compacts down to half of the limit once the limit is exceeded, so that the
+    /// cost of a compaction is amortized over many changes.
+    fn compact_if_over_limit(&mut self) {
         if self.history.len() <= self.history_limit {
             return;
         }
         let excess = self.history.len() - self.history_limit / 2;
         let target = self.history[excess - 1].kv.mod_revision.min(self.revision);
-        // The target lies between the last compaction and the newest revision.
+        // Cannot fail: the target lies between the last compaction and the newest
+        // revision.
         let _compacted = self.compact(target);
     }
 }
@@ -318,9 +321,9 @@
     (!newest.deleted).then_some(&newest.item)
 }
 
-/// Keeps the newest version at or before `revision`, unless it is a deletion,
-/// and all later ones.
-fn drop_older(list: &mut Vec<Version>, revision: i64) {
+/// Drops the versions superseded at `revision`: the newest version at or before
+/// it stays, unless that is a delete_range_response, and so do all later versions.
+fn drop_superseded_versions(list: &mut Vec<Version>, revision: i64) {
     let passed = list
         .iter()
         .take_while(|version| version.item.mod_revision <= revision)
--- a/lab/standin/src/platform/tests.rs
+++ b/lab/standin/src/platform/tests.rs
@@ -18,8 +18,8 @@
     PutLeased(u8, i64),
     Delete(u8),
     DeleteRange(u8, u8),
-    Both(u8, u8),
-    Lapse(i64),
+    PutAndDelete(u8, u8),
+    Expire(i64),
 }
 
 impl Arbitrary for Step {
@@ -32,8 +32,8 @@
             3 => Self::PutLeased(key, lease),
             4 => Self::Delete(key),
             5 => Self::DeleteRange(key, other),
-            6 => Self::Both(key, other),
-            _ => Self::Lapse(lease),
+            6 => Self::PutAndDelete(key, other),
+            _ => Self::Expire(lease),
         }
     }
 }
@@ -54,8 +54,8 @@
     match *step {
         Step::Put(number, value) => put(store, number, value, 0),
         Step::PutLeased(number, lease) => {
-            // Granted anew where it has lapsed; refused where it is in force.
-            let _in_force = store.grant_lease(lease, 60, now);
+            // Granted again if it has expired; rejected if it is still active.
+            let _already_active = store.grant_lease(lease, 60, now);
             put(store, number, 0, lease);
         }
         Step::Delete(number) => {
@@ -64,14 +64,14 @@
         Step::DeleteRange(first, last) => {
             store.delete(&KeyRange::Between(key(first), key(last)));
         }
-        Step::Both(first, second) => {
+        Step::PutAndDelete(first, second) => {
             put(store, first, second, 0);
             if first != second {
                 store.delete(&KeyRange::One(key(second)));
             }
         }
-        Step::Lapse(lease) => {
-            // Not every lease is in force.
+        Step::Expire(lease) => {
+            // Fails when the lease is not active.
             let _ended = store.end_lease(lease);
         }
     }
@@ -92,7 +92,7 @@
         .collect()
 }
 
-/// Runs random steps and gives the store with a snapshot of every revision.
+/// Runs random steps and returns the store with a snapshot of every revision.
 fn run(seed: u64, history: usize) -> (Store, BTreeMap<i64, Snapshot>) {
     let mut random = Gen::from_size_and_seed(STEPS, seed);
     let mut store = Store::new(history, 1);
@@ -118,7 +118,8 @@
     (store, snapshots)
 }
 
-/// The events from a revision on, applied to a snapshot.
+/// Applies the events from a revision on to a snapshot; `None` when they have been
+/// compacted.
 fn replay(store: &Store, from: i64, mut state: Snapshot) -> Option<Snapshot> {
     let Changes::Events(events, next) = store.changes(&all(), from, store.revision()) else {
         return None;
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn every_revision_stays_readable_and_watchable() {
+fn every_revision_is_readable_and_watchable() {
     for seed in 0..SEEDS {
         let (store, snapshots) = run(seed, LARGE_HISTORY);
         let newest = snapshot(&store, store.revision());
@@ -157,7 +158,7 @@
 }
 
 #[test]
-fn compaction_keeps_what_is_newer_and_says_what_is_gone() {
+fn compaction_keeps_newer_revisions_and_reports_older_ones_as_compacted() {
     for seed in 0..SEEDS {
         let (mut store, snapshots) = run(seed, LARGE_HISTORY);
         let newest = store.revision();
@@ -180,7 +181,7 @@
 }
 
 #[test]
-fn a_bounded_history_loses_no_newest_value() {
+fn bounded_history_keeps_every_newest_value() {
     for seed in 0..SEEDS {
         let (unbounded, snapshots) = run(seed, LARGE_HISTORY);
         let (bounded, _) = run(seed, 8);
@@ -191,18 +192,18 @@
             snapshots.get(&bounded.revision()),
             "seed {seed}"
         );
-        let gone = store_tells_compacted(&bounded);
+        let gone = history_is_compacted(&bounded);
         assert!(gone || unbounded.revision() <= 9, "seed {seed}");
     }
 }
 
-fn store_tells_compacted(store: &Store) -> bool {
+fn history_is_compacted(store: &Store) -> bool {
     let changes = store.changes(&all(), FIRST_REVISION, store.revision());
     matches!(changes, Changes::Compacted(_))
 }
 
 #[test]
-fn a_restored_store_is_the_older_one_with_its_leases() {
+fn restore_recovers_the_older_state_and_its_lease_bindings() {
     for seed in 0..SEEDS {
         let (mut store, snapshots) = run(seed, LARGE_HISTORY);
         let revision = FIRST_REVISION + (store.revision() - FIRST_REVISION) / 3;
@@ -220,7 +221,7 @@
                 .filter(|item| item.lease == lease)
                 .map(|item| item.key)
                 .collect();
-            let state = store.lease_state(lease, now).expect("a lease in force");
+            let state = store.lease_state(lease, now).expect("an active lease");
             assert_eq!(state.keys, bound, "seed {seed}");
         }
         put(&mut store, 0, 9, 0);
@@ -229,24 +230,24 @@
 }
 
 #[test]
-fn leases_lapse_at_their_deadline_and_not_before() {
-    let begun = Instant::now();
-    let at = |seconds: f64| begun + Duration::from_secs_f64(seconds);
+fn leases_expire_at_their_deadline_and_not_before() {
+    let start = Instant::now();
+    let at = |seconds: f64| start + Duration::from_secs_f64(seconds);
     let cases = [
         ("not renewed, before", 5, &[][..], 4.9, true),
         ("not renewed, at", 5, &[][..], 5.0, false),
         ("renewed, before", 5, &[3.0][..], 7.9, true),
         ("renewed, at", 5, &[3.0][..], 8.0, false),
         ("renewed twice", 5, &[3.0, 7.0][..], 11.9, true),
-        ("raised to the least", 0, &[][..], 1.9, true),
-        ("raised to the least, at", 0, &[][..], 2.0, false),
+        ("raised to the minimum", 0, &[][..], 1.9, true),
+        ("raised to the minimum, at", 0, &[][..], 2.0, false),
     ];
-    for (name, ttl, renewals, moment, in_force) in cases {
+    for (name, ttl, renewals, moment, active) in cases {
         let mut leases = LeaseTable::new(2);
-        leases.grant(1, ttl, begun).expect("granted");
+        leases.grant(1, ttl, start).expect("granted");
         for renewal in renewals {
             assert!(leases.keep_alive(1, at(*renewal)).is_some(), "{name}");
         }
-        assert_eq!(leases.lapsed(at(moment)).is_empty(), in_force, "{name}");
+        assert_eq!(leases.expired(at(moment)).is_empty(), active, "{name}");
     }
 }
--- a/lab/standin/src/platform/watch.rs
+++ b/lab/standin/src/platform/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: answers streamed for as long as the caller stays.
+//! Watches: responses streamed for as long as the caller stays connected.
 
 use super::connection::Connection;
 use super::error::ApiError;
@@ -15,14 +15,14 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How often a quiet watch looks whether its caller is still there and whether
-/// a fault has ended by itself.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which an idle watch checks whether its caller is still connected
+/// and whether a timed fault has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Quiet looks between two progress answers: ten seconds.
-const PROGRESS_LOOKS: u32 = 200;
+/// Idle polls between two progress responses, equal to ten seconds.
+const PROGRESS_POLLS: u32 = 200;
 
-/// An open watch.
+/// State of an open watch.
 struct Watch {
     shared: Arc<Shared>,
     connection: Option<Connection>,
@@ -32,7 +32,7 @@
     next_revision: i64,
     created: bool,
     ended: bool,
-    quiet_looks: u32,
+    idle_polls: u32,
 }
 
 impl Drop for Watch {
@@ -43,7 +43,7 @@
     }
 }
 
-/// Opens a watch and gives its answers, one line of JSON each.
+/// Opens a watch and returns the stream of its responses, one line of JSON each.
 pub(super) fn open(
     shared: Arc<Shared>,
     connection: Option<Connection>,
@@ -69,12 +69,12 @@
         request,
         created: false,
         ended: false,
-        quiet_looks: 0,
+        idle_polls: 0,
     };
     Ok(futures::stream::unfold(watch, next_line))
 }
 
-/// The watch's connection was closed by a fault or by the caller.
+/// The connection of the watch was closed by a fault or by the caller.
 #[derive(Debug, Clone, Copy, thiserror::Error)]
 #[error("the watch's connection is closed")]
 pub(super) struct WatchClosed;
@@ -100,7 +100,7 @@
 }
 
 impl Watch {
-    /// The next answer; none when the connection is closed.
+    /// Returns the next response, or `None` when the connection is closed.
     async fn next_response(&mut self) -> Option<WatchResponse> {
         loop {
             if self.is_closed() {
@@ -109,16 +109,16 @@
             if self.shared.faults.outage().is_none()
                 && let Some(response) = self.poll()
             {
-                self.quiet_looks = 0;
-                return self.hold_back(response).await;
+                self.idle_polls = 0;
+                return self.delay_response(response).await;
             }
             self.wait().await;
         }
     }
 
-    /// Holds an answer back for the delay in force and for an outage that has
-    /// begun since.
-    async fn hold_back(&mut self, response: WatchResponse) -> Option<WatchResponse> {
+    /// Delays a response by the configured delay and until the end of an outage that
+    /// began in the meantime.
+    async fn delay_response(&mut self, response: WatchResponse) -> Option<WatchResponse> {
         tokio::time::sleep(self.shared.faults.delay()).await;
         while self.shared.faults.outage().is_some() && !self.is_closed() {
             self.wait().await;
@@ -135,12 +135,12 @@
         refused || gone || self.shared.is_stopping()
     }
 
-    /// Waits for a commit, a change of the faults, or the time to look again.
+    /// Waits for a commit, a change of the faults or the next poll.
     async fn wait(&mut self) {
         tokio::select! {
             _ = self.commits.changed() => {}
             () = self.shared.faults.changed() => {}
-            () = tokio::time::sleep(LOOK_INTERVAL) => self.quiet_looks += 1,
+            () = tokio::time::sleep(POLL_INTERVAL) => self.idle_polls += 1,
         }
     }
 
@@ -186,7 +186,7 @@
     fn events(&self, visible: i64, events: Vec<Event>) -> Option<WatchResponse> {
         let kept = events.into_iter().filter(|event| self.wants(event.kind));
         let events: Vec<Event> = kept.map(|event| self.shape(event)).collect();
-        let progress = self.request.progress_notify && self.quiet_looks >= PROGRESS_LOOKS;
+        let progress = self.request.progress_notify && self.idle_polls >= PROGRESS_POLLS;
         (!events.is_empty() || progress).then(|| WatchResponse {
             events,
             ..self.response(visible)
--- a/lab/standin/tests/links_platform.rs
+++ b/lab/standin/tests/links_platform.rs
@@ -4,7 +4,7 @@
 
 use hookpoint_standin::links::{LinkProxy, LinkSettings, RegionSpacing, ZoneLinks};
 use hookpoint_standin::platform::Platform;
-use platform_client::{PATIENCE, WatchStream, client, encode, start};
+use platform_client::{RESPONSE_TIMEOUT, WatchStream, client, encode, start};
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
@@ -53,7 +53,7 @@
     links.heal_all();
     let mut heard = Vec::new();
     while heard.len() < 2 {
-        let answer = tokio::time::timeout(PATIENCE, watch.expect())
+        let answer = tokio::time::timeout(RESPONSE_TIMEOUT, watch.expect())
             .await
             .expect("in time");
         let events = answer["events"].as_array().expect("events").clone();
--- a/lab/standin/tests/platform_calls.rs
+++ b/lab/standin/tests/platform_calls.rs
@@ -1,13 +1,13 @@
-//! Contract of the key-value service stand-in: each call of the etcd JSON
-//! mapping, its answers and its refusals.
+//! Contract tests of the key-value service stand-in: each call of the etcd JSON
+//! mapping, its responses and its errors.
 
 mod platform_client;
 
 use hookpoint_standin::platform::RequestKind;
-use platform_client::{call, done, encode, grant, put, start};
+use platform_client::{call, call_ok, encode, grant, put, start};
 use serde_json::{Value, json};
 
-/// Writes the keys a/1, a/2, a/3 and b at revisions 2 to 5, and a/1 anew at 6.
+/// Writes the keys a/1, a/2, a/3 and b at revisions 2 to 5, and a/1 again at 6.
 async fn fill(platform: &hookpoint_standin::platform::Platform) {
     for (key, value) in [
         ("a/1", "one"),
@@ -28,7 +28,7 @@
 }
 
 #[actix_web::test]
-async fn range_answers_as_the_gateway_does() {
+async fn range_responds_like_the_gateway() {
     let platform = start().await;
     fill(&platform).await;
     let one = item("a/1", "uno", "2", "6", "2");
@@ -81,9 +81,12 @@
         ),
     ];
     for (request, expected) in cases {
-        let mut answer = done(&platform, "/v3/kv/range", request.clone()).await;
-        let header = answer.as_object_mut().expect("an object").remove("header");
-        assert_eq!(answer, expected, "{request}");
+        let mut response = call_ok(&platform, "/v3/kv/range", request.clone()).await;
+        let header = response
+            .as_object_mut()
+            .expect("an object")
+            .remove("header");
+        assert_eq!(response, expected, "{request}");
         let header = header.expect("a header");
         assert_eq!(header["revision"], "6", "{request}");
         for name in ["cluster_id", "member_id", "raft_term"] {
@@ -93,33 +96,36 @@
 }
 
 #[actix_web::test]
-async fn put_and_delete_answer_with_the_earlier_values_when_asked() {
+async fn put_and_delete_return_previous_values_on_request() {
     let platform = start().await;
     fill(&platform).await;
     let request = json!({"key": encode("b"), "value": encode("bay"), "prev_kv": true});
-    let answer = done(&platform, "/v3/kv/put", request).await;
-    assert_eq!(answer["prev_kv"], item("b", "bee", "5", "5", "1"));
-    assert_eq!(answer["header"]["revision"], "7");
+    let response = call_ok(&platform, "/v3/kv/put", request).await;
+    assert_eq!(response["prev_kv"], item("b", "bee", "5", "5", "1"));
+    assert_eq!(response["header"]["revision"], "7");
 
     let request = json!({"key": encode("b"), "prev_kv": true});
-    let answer = done(&platform, "/v3/kv/deleterange", request.clone()).await;
-    assert_eq!(answer["deleted"], "1");
-    assert_eq!(answer["prev_kvs"], json!([item("b", "bay", "5", "7", "2")]));
-    assert_eq!(answer["header"]["revision"], "8");
+    let response = call_ok(&platform, "/v3/kv/deleterange", request.clone()).await;
+    assert_eq!(response["deleted"], "1");
+    assert_eq!(
+        response["prev_kvs"],
+        json!([item("b", "bay", "5", "7", "2")])
+    );
+    assert_eq!(response["header"]["revision"], "8");
 
-    let answer = done(&platform, "/v3/kv/deleterange", request).await;
-    assert_eq!(answer.get("deleted"), None);
+    let response = call_ok(&platform, "/v3/kv/deleterange", request).await;
+    assert_eq!(response.get("deleted"), None);
     assert_eq!(
-        answer["header"]["revision"], "8",
+        response["header"]["revision"], "8",
         "nothing deleted, no new revision"
     );
     put(&platform, "b", "new").await;
-    let created = platform.get("b").expect("the key");
+    let created = platform.get("b").expect("the key exists");
     assert_eq!((created.create_revision, created.version), (9, 1));
 }
 
 #[actix_web::test]
-async fn compares_hold_as_documented() {
+async fn compares_evaluate_as_documented() {
     let platform = start().await;
     fill(&platform).await;
     let target = |target: &str, result: &str, argument: Value| {
@@ -183,18 +189,18 @@
     ];
     for (compare, expected) in cases {
         let request = json!({"compare": [compare]});
-        let answer = done(&platform, "/v3/kv/txn", request).await;
-        let succeeded = answer.get("succeeded").is_some_and(|value| value == true);
+        let response = call_ok(&platform, "/v3/kv/txn", request).await;
+        let succeeded = response.get("succeeded").is_some_and(|value| value == true);
         assert_eq!(succeeded, expected, "{compare}");
         assert_eq!(
-            answer["header"]["revision"], "6",
+            response["header"]["revision"], "6",
             "a transaction without writes"
         );
     }
 }
 
 #[actix_web::test]
-async fn a_transaction_is_one_revision_and_reads_its_own_writes() {
+async fn transaction_is_one_revision_and_reads_its_own_writes() {
     let platform = start().await;
     fill(&platform).await;
     let request = json!({
@@ -206,10 +212,10 @@
         ],
         "failure": [{"request_put": {"key": encode("never"), "value": ""}}],
     });
-    let answer = done(&platform, "/v3/kv/txn", request.clone()).await;
-    assert_eq!(answer["succeeded"], true);
-    assert_eq!(answer["header"]["revision"], "7");
-    let responses = &answer["responses"];
+    let response = call_ok(&platform, "/v3/kv/txn", request.clone()).await;
+    assert_eq!(response["succeeded"], true);
+    assert_eq!(response["header"]["revision"], "7");
+    let responses = &response["responses"];
     assert_eq!(responses[0]["response_put"]["header"]["revision"], "7");
     assert_eq!(responses[1]["response_delete_range"]["deleted"], "3");
     assert_eq!(
@@ -217,19 +223,23 @@
         json!([item("c", "sea", "7", "7", "1")])
     );
 
-    let answer = done(&platform, "/v3/kv/txn", request).await;
-    assert_eq!(answer.get("succeeded"), None, "the condition holds no more");
-    assert_eq!(answer["header"]["revision"], "8");
+    let response = call_ok(&platform, "/v3/kv/txn", request).await;
+    assert_eq!(
+        response.get("succeeded"),
+        None,
+        "the condition no longer holds"
+    );
+    assert_eq!(response["header"]["revision"], "8");
     assert!(platform.get("never").is_some());
     assert!(platform.get("a/1").is_none());
 }
 
 #[actix_web::test]
-async fn of_two_writers_with_the_same_condition_one_wins() {
+async fn one_of_two_writers_with_the_same_condition_succeeds() {
     let platform = start().await;
     put(&platform, "active", "start").await;
     for round in 0..20 {
-        let held = platform.get("active").expect("the key").mod_revision;
+        let held = platform.get("active").expect("the key exists").mod_revision;
         let attempt = |name: &str| {
             json!({
                 "compare": [{"key": encode("active"), "target": "MOD", "mod_revision": held.to_string()}],
@@ -238,10 +248,10 @@
             })
         };
         let (first, second) = futures::join!(
-            done(&platform, "/v3/kv/txn", attempt("first")),
-            done(&platform, "/v3/kv/txn", attempt("second")),
+            call_ok(&platform, "/v3/kv/txn", attempt("first")),
+            call_ok(&platform, "/v3/kv/txn", attempt("second")),
         );
-        let won = |answer: &Value| answer.get("succeeded").is_some();
+        let won = |response: &Value| response.get("succeeded").is_some();
         assert!(
             won(&first) != won(&second),
             "round {round}: {first} {second}"
@@ -254,7 +264,7 @@
         let seen = &loser["responses"][0]["response_range"]["kvs"][0]["value"];
         assert_eq!(*seen, encode(winner), "the loser sees the winner's value");
         assert_eq!(
-            platform.get("active").expect("the key").value,
+            platform.get("active").expect("the key exists").value,
             winner.as_bytes()
         );
     }
@@ -276,45 +286,45 @@
     );
 
     let bound = json!({"key": encode("held"), "value": encode("me"), "lease": "7"});
-    done(&platform, "/v3/kv/put", bound).await;
-    let read = done(&platform, "/v3/kv/range", json!({"key": encode("held")})).await;
+    call_ok(&platform, "/v3/kv/put", bound).await;
+    let read = call_ok(&platform, "/v3/kv/range", json!({"key": encode("held")})).await;
     assert_eq!(read["kvs"][0]["lease"], "7");
 
-    let alive = done(&platform, "/v3/lease/keepalive", json!({"ID": "7"})).await;
+    let alive = call_ok(&platform, "/v3/lease/keepalive", json!({"ID": "7"})).await;
     assert_eq!(
         (&alive["result"]["ID"], &alive["result"]["TTL"]),
         (&json!("7"), &json!("60"))
     );
-    let unknown = done(&platform, "/v3/lease/keepalive", json!({"ID": "8"})).await;
+    let unknown = call_ok(&platform, "/v3/lease/keepalive", json!({"ID": "8"})).await;
     assert_eq!(
         unknown["result"].get("TTL"),
         None,
-        "a lease that does not exist has no time"
+        "a lease that does not exist has no TTL"
     );
 
     let asked = json!({"ID": "7", "keys": true});
-    let state = done(&platform, "/v3/lease/timetolive", asked).await;
+    let state = call_ok(&platform, "/v3/lease/timetolive", asked).await;
     assert_eq!(state["grantedTTL"], "60");
     assert_eq!(state["keys"], json!([encode("held")]));
-    let gone = done(&platform, "/v3/lease/timetolive", json!({"ID": "8"})).await;
+    let gone = call_ok(&platform, "/v3/lease/timetolive", json!({"ID": "8"})).await;
     assert_eq!((&gone["TTL"], gone.get("grantedTTL")), (&json!("-1"), None));
 
-    done(&platform, "/v3/lease/revoke", json!({"ID": "7"})).await;
+    call_ok(&platform, "/v3/lease/revoke", json!({"ID": "7"})).await;
     assert!(
         platform.get("held").is_none(),
-        "the key goes with its lease"
+        "the key is deleted with its lease"
     );
     assert_eq!(platform.leases().len(), 1);
 }
 
 #[actix_web::test]
-async fn a_key_that_was_bound_to_another_lease_outlives_the_first() {
+async fn key_rebound_to_another_lease_outlives_the_first_lease() {
     let platform = start().await;
     grant(&platform, 60, 1).await;
     grant(&platform, 60, 2).await;
     for lease in ["1", "2"] {
         let bound = json!({"key": encode("held"), "value": encode("me"), "lease": lease});
-        done(&platform, "/v3/kv/put", bound).await;
+        call_ok(&platform, "/v3/kv/put", bound).await;
     }
     platform.expire_lease(1).expect("the lease");
     assert!(platform.get("held").is_some());
@@ -323,7 +333,7 @@
 }
 
 #[actix_web::test]
-async fn refusals_carry_the_documented_codes() {
+async fn errors_carry_the_documented_codes() {
     let platform = start().await;
     fill(&platform).await;
     grant(&platform, 60, 7).await;
@@ -390,10 +400,10 @@
         ("/v3/watch", json!({"cancel_request": {}}), 400, 3),
     ];
     for (path, request, status, code) in cases {
-        let (seen, answer) = call(&platform, path, request.clone()).await;
-        assert_eq!(seen, status, "{path} {request}: {answer}");
-        assert_eq!(answer["code"], code, "{path} {request}: {answer}");
-        assert!(answer["message"].is_string() && answer["message"] == answer["error"]);
+        let (seen, response) = call(&platform, path, request.clone()).await;
+        assert_eq!(seen, status, "{path} {request}: {response}");
+        assert_eq!(response["code"], code, "{path} {request}: {response}");
+        assert!(response["message"].is_string() && response["message"] == response["error"]);
     }
     assert_eq!(
         platform.revision(),
--- a/lab/standin/tests/platform_client/mod.rs
+++ b/lab/standin/tests/platform_client/mod.rs
@@ -1,5 +1,5 @@
 //! A small client of the key-value service for the contract tests.
-#![allow(dead_code, reason = "each test file uses its own part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use awc::error::SendRequestError;
 use base64::Engine;
@@ -9,8 +9,8 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// Long enough for any answer on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout that is long enough for any response on a busy machine.
+pub const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub fn encode(text: &str) -> String {
     STANDARD.encode(text)
@@ -23,12 +23,12 @@
 }
 
 pub fn client() -> awc::Client {
-    awc::Client::builder().timeout(PATIENCE).finish()
+    awc::Client::builder().timeout(RESPONSE_TIMEOUT).finish()
 }
 
-/// Sends a request and gives status and JSON body.
+/// Sends a request and returns the HTTP status and the JSON body.
 pub async fn call(platform: &Platform, path: &str, body: Value) -> (u16, Value) {
-    try_call(platform, path, body).await.expect("an answer")
+    try_call(platform, path, body).await.expect("a response")
 }
 
 pub async fn try_call(
@@ -39,24 +39,24 @@
     let url = format!("{}{path}", platform.url());
     let mut response = client().post(url).send_json(&body).await?;
     let bytes = response.body().await.expect("a whole body");
-    let answer = serde_json::from_slice(&bytes).expect("JSON");
-    Ok((response.status().as_u16(), answer))
+    let body = serde_json::from_slice(&bytes).expect("JSON");
+    Ok((response.status().as_u16(), body))
 }
 
-/// Sends a request that must succeed.
-pub async fn done(platform: &Platform, path: &str, body: Value) -> Value {
-    let (status, answer) = call(platform, path, body).await;
-    assert_eq!(status, 200, "{path}: {answer}");
-    answer
+/// Sends a request that must succeed and returns the JSON body.
+pub async fn call_ok(platform: &Platform, path: &str, body: Value) -> Value {
+    let (status, response) = call(platform, path, body).await;
+    assert_eq!(status, 200, "{path}: {response}");
+    response
 }
 
 pub async fn put(platform: &Platform, key: &str, value: &str) -> Value {
     let body = json!({"key": encode(key), "value": encode(value)});
-    done(platform, "/v3/kv/put", body).await
+    call_ok(platform, "/v3/kv/put", body).await
 }
 
 pub async fn grant(platform: &Platform, ttl: i64, id: i64) -> Value {
-    done(
+    call_ok(
         platform,
         "/v3/lease/grant",
         json!({"TTL": ttl, "ID": id.to_string()}),
@@ -82,7 +82,7 @@
             .post(url)
             .send_json(&body)
             .await
-            .expect("an answer");
+            .expect("a response");
         assert_eq!(response.status().as_u16(), 200);
         Self {
             body: response.map_body(|_, body| body),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The next answer; none when the stream has ended or broken.
+    /// Returns the next response, or `None` when the stream has ended or broken.
     pub async fn next(&mut self) -> Option<Value> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
@@ -98,13 +98,13 @@
                 let mut frame: Value = serde_json::from_slice(&line).expect("JSON");
                 return Some(frame["result"].take());
             }
-            let chunk = tokio::time::timeout(PATIENCE, self.body.next());
-            let chunk = chunk.await.expect("the watch goes on")?.ok()?;
+            let chunk = tokio::time::timeout(RESPONSE_TIMEOUT, self.body.next());
+            let chunk = chunk.await.expect("the watch responds in time")?.ok()?;
             self.buffer.extend_from_slice(&chunk);
         }
     }
 
     pub async fn expect(&mut self) -> Value {
-        self.next().await.expect("an answer on the watch")
+        self.next().await.expect("a response on the watch")
     }
 }
--- a/lab/standin/tests/platform_faults.rs
+++ b/lab/standin/tests/platform_faults.rs
@@ -1,11 +1,11 @@
-//! Each settable fault of the key-value service stand-in.
+//! Tests of each fault that the key-value service stand-in can inject.
 
 mod platform_client;
 
 use hookpoint_standin::platform::{
     Machine, MachineState, OutageMode, Platform, PlatformSettings, RequestKind, machine_key,
 };
-use platform_client::{PATIENCE, call, done, encode, grant, put, start, try_call};
+use platform_client::{RESPONSE_TIMEOUT, call, call_ok, encode, grant, put, start, try_call};
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
@@ -19,20 +19,20 @@
     json!({"key": encode(key), "value": encode("new")})
 }
 
-/// Waits until a request is answered again.
-async fn answered(platform: &Platform) {
+/// Waits until the service responds to a request again.
+async fn wait_until_responding(platform: &Platform) {
     let tries = async {
         while try_call(platform, "/v3/kv/range", read("k")).await.is_err() {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, tries)
+    tokio::time::timeout(RESPONSE_TIMEOUT, tries)
         .await
-        .expect("the service comes back");
+        .expect("the service responds again");
 }
 
 #[actix_web::test]
-async fn an_answer_is_lost_after_its_request_took_effect() {
+async fn response_is_dropped_after_its_request_took_effect() {
     let platform = start().await;
     put(&platform, "old", "x").await;
     grant(&platform, 60, 7).await;
@@ -48,7 +48,7 @@
     ];
     for (path, request) in cases {
         platform.faults().lose_next_answers(1);
-        done(&platform, "/v3/kv/range", read("k")).await;
+        call_ok(&platform, "/v3/kv/range", read("k")).await;
         let lost = try_call(&platform, path, request).await;
         assert!(lost.is_err(), "{path}: {lost:?}");
     }
@@ -56,20 +56,20 @@
     assert!(platform.get("b").is_some());
     assert!(platform.get("old").is_none());
     assert_eq!(platform.leases(), [8]);
-    assert_eq!(platform.counters().answers_lost, 5);
-    put(&platform, "c", "answered again").await;
+    assert_eq!(platform.counters().responses_dropped, 5);
+    put(&platform, "c", "after the fault").await;
 }
 
 #[actix_web::test]
-async fn past_the_rate_limit_requests_are_refused_without_effect() {
+async fn requests_above_the_rate_limit_are_rejected_without_effect() {
     let platform = start().await;
     platform.faults().set_rate_limit(Some(0.001));
     let mut refused = 0;
     for index in 0..5 {
-        let (status, answer) = call(&platform, "/v3/kv/put", write(&format!("k{index}"))).await;
+        let (status, response) = call(&platform, "/v3/kv/put", write(&format!("k{index}"))).await;
         if status == 429 {
-            assert_eq!(answer["code"], 8);
-            assert_eq!(answer["message"], "etcdserver: too many requests");
+            assert_eq!(response["code"], 8);
+            assert_eq!(response["message"], "etcdserver: too many requests");
             refused += 1;
         }
     }
@@ -83,7 +83,7 @@
 }
 
 #[actix_web::test]
-async fn a_rate_limit_lets_its_rate_pass() {
+async fn rate_limit_admits_requests_up_to_its_rate() {
     let settings = PlatformSettings {
         requests_per_second: Some(50.0),
         ..PlatformSettings::default()
@@ -105,9 +105,9 @@
 #[actix_web::test]
 async fn outages_have_no_effect_on_the_store() {
     let cases = [
-        (OutageMode::Refuse, PATIENCE, "an error"),
-        (OutageMode::Hang, SHORT, "no answer"),
-        (OutageMode::NoLeader, PATIENCE, "status 503"),
+        (OutageMode::Refuse, RESPONSE_TIMEOUT, "an error"),
+        (OutageMode::Hang, SHORT, "no response"),
+        (OutageMode::NoLeader, RESPONSE_TIMEOUT, "status 503"),
     ];
     for (mode, patience, expected) in cases {
         let platform = start().await;
@@ -115,21 +115,21 @@
         platform.faults().set_outage(Some(mode));
         let attempt = try_call(&platform, "/v3/kv/put", write("during"));
         let seen = match tokio::time::timeout(patience, attempt).await {
-            Err(_) => "no answer",
+            Err(_) => "no response",
             Ok(Err(_)) => "an error",
-            Ok(Ok((503, answer))) if answer["code"] == 14 => "status 503",
+            Ok(Ok((503, response))) if response["code"] == 14 => "status 503",
             Ok(Ok(other)) => panic!("{mode:?}: {other:?}"),
         };
         assert_eq!(seen, expected, "{mode:?}");
         platform.faults().set_outage(None);
-        answered(&platform).await;
+        wait_until_responding(&platform).await;
         assert!(platform.get("during").is_none(), "{mode:?}");
         assert!(platform.get("k").is_some(), "{mode:?}");
     }
 }
 
 #[actix_web::test]
-async fn connections_are_refused_during_an_outage_and_the_port_is_kept() {
+async fn connections_are_refused_during_an_outage_and_the_port_stays_reserved() {
     let platform = start().await;
     let address = platform.address();
     platform.faults().set_outage(Some(OutageMode::Refuse));
@@ -138,16 +138,16 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, refused)
+    tokio::time::timeout(RESPONSE_TIMEOUT, refused)
         .await
         .expect("connections are refused");
     platform.faults().set_outage(None);
-    answered(&platform).await;
+    wait_until_responding(&platform).await;
     assert_eq!(platform.address(), address);
 }
 
 #[actix_web::test]
-async fn timed_faults_end_by_themselves() {
+async fn timed_faults_end_after_their_duration() {
     for mode in [OutageMode::Refuse, OutageMode::Hang, OutageMode::NoLeader] {
         let platform = start().await;
         platform
@@ -162,7 +162,7 @@
                 tokio::time::sleep(Duration::from_millis(10)).await;
             }
         };
-        tokio::time::timeout(PATIENCE, back)
+        tokio::time::timeout(RESPONSE_TIMEOUT, back)
             .await
             .expect("the outage ends");
         assert_eq!(platform.faults().outage(), None);
@@ -170,65 +170,69 @@
 }
 
 #[actix_web::test]
-async fn slow_answers_come_after_their_effect() {
+async fn delayed_responses_arrive_after_their_effect() {
     let platform = start().await;
     platform.faults().set_delay(Some(SHORT));
-    let begun = Instant::now();
+    let start_time = Instant::now();
     let mut slow = Box::pin(put(&platform, "k", "x"));
     while platform.get("k").is_none() {
         let answered = tokio::time::timeout(Duration::from_millis(5), &mut slow).await;
-        assert!(answered.is_err(), "the answer came before the effect");
+        assert!(answered.is_err(), "the response arrived before the effect");
     }
     slow.await;
-    assert!(begun.elapsed() >= SHORT);
+    assert!(start_time.elapsed() >= SHORT);
 }
 
 #[actix_web::test]
-async fn an_old_answer_is_served_while_writes_go_on() {
+async fn old_revision_is_served_to_reads_while_writes_continue() {
     let platform = start().await;
     for value in ["one", "two", "three"] {
         put(&platform, "k", value).await;
     }
     platform.faults().serve_old_revision(Some(3));
-    let answer = done(&platform, "/v3/kv/range", read("k")).await;
-    assert_eq!(answer["kvs"][0]["value"], encode("two"));
-    assert_eq!(answer["header"]["revision"], "3");
+    let response = call_ok(&platform, "/v3/kv/range", read("k")).await;
+    assert_eq!(response["kvs"][0]["value"], encode("two"));
+    assert_eq!(response["header"]["revision"], "3");
     let compare = json!({
         "compare": [{"key": encode("k"), "target": "MOD", "mod_revision": "3"}],
         "success": [{"request_put": write("k")}],
     });
-    let answer = done(&platform, "/v3/kv/txn", compare).await;
+    let response = call_ok(&platform, "/v3/kv/txn", compare).await;
     assert_eq!(
-        answer.get("succeeded"),
+        response.get("succeeded"),
         None,
-        "a compare is held against the newest"
+        "a compare uses the newest revision"
     );
     platform.faults().serve_old_revision(None);
-    let answer = done(&platform, "/v3/kv/range", read("k")).await;
-    assert_eq!(answer["kvs"][0]["value"], encode("three"));
+    let response = call_ok(&platform, "/v3/kv/range", read("k")).await;
+    assert_eq!(response["kvs"][0]["value"], encode("three"));
 }
 
 #[actix_web::test]
-async fn a_lease_lapses_unless_it_is_renewed() {
+async fn lease_expires_unless_it_is_renewed() {
     let platform = start().await;
     for (id, key) in [(1, "renewed"), (2, "paused")] {
         grant(&platform, 2, id).await;
         let body = json!({"key": encode(key), "value": "", "lease": id.to_string()});
-        done(&platform, "/v3/kv/put", body).await;
+        call_ok(&platform, "/v3/kv/put", body).await;
     }
-    let lapsing = async {
+    let expiring = async {
         while platform.lease(2).is_some() {
-            done(&platform, "/v3/lease/keepalive", json!({"ID": "1"})).await;
+            call_ok(&platform, "/v3/lease/keepalive", json!({"ID": "1"})).await;
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, lapsing)
+    tokio::time::timeout(RESPONSE_TIMEOUT, expiring)
         .await
-        .expect("the lease lapses");
+        .expect("the lease expires");
     assert!(platform.get("paused").is_none());
     assert!(platform.get("renewed").is_some());
-    let answer = done(&platform, "/v3/lease/keepalive", json!({"ID": "2"})).await;
-    assert_eq!(answer["result"].get("TTL"), None, "its holder finds out");
+    let response = call_ok(&platform, "/v3/lease/keepalive", json!({"ID": "2"})).await;
+    assert_eq!(
+        response["result"].get("TTL"),
+        None,
+        "the keepalive reports the expiry"
+    );
     let (status, _) = call(
         &platform,
         "/v3/kv/put",
@@ -239,7 +243,7 @@
 }
 
 #[actix_web::test]
-async fn the_machine_list_follows_the_truth_with_its_lag() {
+async fn machine_list_reflects_changes_after_its_lag() {
     let platform = start().await;
     let machine = |node: &str, state| Machine {
         node: node.to_owned(),
@@ -250,17 +254,17 @@
     };
     platform.machines().set(machine("n1", MachineState::Live));
     platform.machines().set(machine("n2", MachineState::Live));
-    settled(&platform).await;
+    wait_until_applied(&platform).await;
     assert_eq!(platform.list("machines/sj-sala-a/").len(), 2);
 
     platform.machines().set_lag(SHORT);
-    let begun = Instant::now();
+    let start_time = Instant::now();
     platform
         .machines()
         .set(machine("n1", MachineState::Leaving));
     platform.machines().remove("sj-sala-a", "n2");
-    settled(&platform).await;
-    assert!(begun.elapsed() >= SHORT);
+    wait_until_applied(&platform).await;
+    assert!(start_time.elapsed() >= SHORT);
     let listed = platform.list("machines/");
     assert_eq!(listed.len(), 1);
     assert_eq!(listed[0].key, machine_key("sj-sala-a", "n1").into_bytes());
@@ -272,19 +276,19 @@
     assert_eq!(value, expected);
 }
 
-async fn settled(platform: &Platform) {
-    let settling = async {
+async fn wait_until_applied(platform: &Platform) {
+    let applying = async {
         while platform.machines().pending() > 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, settling)
+    tokio::time::timeout(RESPONSE_TIMEOUT, applying)
         .await
-        .expect("the list settles");
+        .expect("all machine changes are applied");
 }
 
 #[actix_web::test]
-async fn a_stopped_stand_in_lets_its_port_go() {
+async fn stopped_stand_in_releases_its_port() {
     let platform = start().await;
     let address = platform.address();
     platform.stop().await;
--- a/lab/standin/tests/platform_product_client.rs
+++ b/lab/standin/tests/platform_product_client.rs
@@ -1,5 +1,5 @@
-//! Contract between the proxies' own platform client and the key-value
-//! service: what each error of the client says of a request's effect.
+//! Contract tests between the proxies' platform client and the key-value
+//! service: whether a request took effect after each kind of client error.
 
 mod platform_client;
 
@@ -9,14 +9,14 @@
 use hookpoint_standin::platform::{OutageMode, Platform};
 use hookpoint_state::Outcome;
 use hookpoint_transport::platform::{PlatformClient, PlatformError, WatchEvent};
-use platform_client::{PATIENCE, start};
+use platform_client::{RESPONSE_TIMEOUT, start};
 use std::time::Duration;
 
-/// How long the client waits for an answer where one must come.
-const LONG: Duration = Duration::from_secs(20);
+/// Client timeout for cases in which a response must arrive.
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long it waits where none comes.
-const SHORT: Duration = Duration::from_secs(1);
+/// Client timeout for cases in which no response arrives.
+const SHORT_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn client(platform: &Platform, timeout: Duration) -> PlatformClient {
     PlatformClient::new(vec![platform.url()], timeout)
@@ -31,9 +31,9 @@
 }
 
 #[actix_web::test]
-async fn errors_tell_of_the_effect() {
-    /// Name, patience of the client, fault, lease of the put, the error that is
-    /// due, and whether the put takes effect all the same.
+async fn errors_report_whether_the_request_may_have_taken_effect() {
+    /// Name, timeout of the client, fault, lease of the put, predicate of the
+    /// expected error, and whether the put takes effect despite the error.
     type Case = (
         &'static str,
         Duration,
@@ -44,24 +44,24 @@
     );
     let cases: [Case; 7] = [
         (
-            "lost answer",
-            LONG,
+            "dropped response",
+            LONG_TIMEOUT,
             |platform| platform.faults().lose_next_answers(1),
             0,
             |error| matches!(error, PlatformError::AnswerLost { .. }),
             true,
         ),
         (
-            "slow answer",
-            SHORT,
-            |platform| platform.faults().set_delay(Some(LONG)),
+            "slow response",
+            SHORT_TIMEOUT,
+            |platform| platform.faults().set_delay(Some(LONG_TIMEOUT)),
             0,
             |error| matches!(error, PlatformError::AnswerLost { .. }),
             true,
         ),
         (
             "hanging",
-            SHORT,
+            SHORT_TIMEOUT,
             |platform| platform.faults().set_outage(Some(OutageMode::Hang)),
             0,
             |error| matches!(error, PlatformError::AnswerLost { .. }),
@@ -69,7 +69,7 @@
         ),
         (
             "no leader",
-            LONG,
+            LONG_TIMEOUT,
             |platform| platform.faults().set_outage(Some(OutageMode::NoLeader)),
             0,
             |error| matches!(error, PlatformError::AnswerLost { .. }),
@@ -77,7 +77,7 @@
         ),
         (
             "rate limit",
-            LONG,
+            LONG_TIMEOUT,
             |platform| platform.faults().set_rate_limit(Some(0.0)),
             0,
             |error| matches!(error, PlatformError::RateLimited { .. }),
@@ -85,15 +85,15 @@
         ),
         (
             "unknown lease",
-            LONG,
+            LONG_TIMEOUT,
             |_| {},
             99,
             |error| matches!(error, PlatformError::Refused { code: 5, .. }),
             false,
         ),
         (
-            "refusing",
-            LONG,
+            "connection rejected",
+            LONG_TIMEOUT,
             |platform| platform.faults().set_outage(Some(OutageMode::Refuse)),
             0,
             |error| {
@@ -105,13 +105,13 @@
             false,
         ),
     ];
-    for (name, patience, fault, lease, due, takes_effect) in cases {
+    for (name, timeout, fault, lease, is_expected, takes_effect) in cases {
         let platform = start().await;
-        let client = client(&platform, patience);
-        client.list("k").await.expect("an answer before the fault");
+        let client = client(&platform, timeout);
+        client.list("k").await.expect("a response before the fault");
         fault(&platform);
         let error = client.put(&put("k", lease)).await.expect_err(name);
-        assert!(due(&error), "{name}: {error:?}");
+        assert!(is_expected(&error), "{name}: {error:?}");
         assert_eq!(platform.get("k").is_some(), takes_effect, "{name}");
         if takes_effect {
             assert_eq!(error.outcome(), Outcome::Unknown, "{name}");
@@ -121,11 +121,15 @@
 }
 
 #[actix_web::test]
-async fn a_lost_transaction_is_resolved_by_reading_back() {
+async fn transaction_with_a_lost_response_is_resolved_by_reading_back() {
     let platform = start().await;
-    let client = client(&platform, LONG);
+    let client = client(&platform, LONG_TIMEOUT);
     client.put(&put("pointer", 0)).await.expect("written");
-    let held = client.get("pointer").await.expect("read").expect("the key");
+    let held = client
+        .get("pointer")
+        .await
+        .expect("read")
+        .expect("the key exists");
     let attempt = |name: &str| TransactionRequest {
         compare: vec![Compare::unchanged_since("pointer", held.mod_revision)],
         success: vec![RequestOperation::put("pointer", name)],
@@ -140,26 +144,30 @@
     let second = client
         .transaction(&attempt("second"))
         .await
-        .expect("an answer");
+        .expect("a response");
     assert!(!second.succeeded, "the first attempt took effect");
-    let now = client.get("pointer").await.expect("read").expect("the key");
+    let now = client
+        .get("pointer")
+        .await
+        .expect("read")
+        .expect("the key exists");
     assert_eq!(now.value.to_text(), "first");
 }
 
 #[actix_web::test]
-async fn a_watch_resumes_behind_the_last_revision_seen() {
+async fn watch_resumes_after_the_last_revision_seen() {
     let platform = start().await;
-    let client = client(&platform, SHORT);
+    let client = client(&platform, SHORT_TIMEOUT);
     let mut watch = client.watch("k/", 0).await.expect("a watch");
     next(&mut watch).await;
-    // A quiet watch outlives the patience for answers.
-    let silent = watch.next(2 * SHORT).await;
-    assert!(matches!(silent, Ok(None)), "{silent:?}");
+    // A watch without events outlives the client's response timeout.
+    let no_event = watch.next(2 * SHORT_TIMEOUT).await;
+    assert!(matches!(no_event, Ok(None)), "{no_event:?}");
     platform.put("k/1", b"a");
     let seen = next(&mut watch).await;
     assert_eq!(keys(&seen), ["k/1"]);
     platform.faults().set_outage(Some(OutageMode::Refuse));
-    assert!(watch.next(PATIENCE).await.is_err());
+    assert!(watch.next(RESPONSE_TIMEOUT).await.is_err());
     platform.put("k/2", b"b");
     platform.delete("k/1");
     platform.faults().set_outage(None);
@@ -178,25 +186,25 @@
     assert_eq!(missed.changes[1].kind, EventType::Delete);
 
     platform.compact(platform.revision()).expect("compacted");
-    let mut late = client.watch("k/", 2).await.expect("a watch");
-    next(&mut late).await;
-    let over = late.next(PATIENCE).await;
+    let mut compacted_watch = client.watch("k/", 2).await.expect("a watch");
+    next(&mut compacted_watch).await;
+    let result = compacted_watch.next(RESPONSE_TIMEOUT).await;
     assert!(
         matches!(
-            over,
+            result,
             Err(PlatformError::Compacted {
                 compact_revision: 4
             })
         ),
-        "{over:?}"
+        "{result:?}"
     );
 }
 
 async fn next(watch: &mut hookpoint_transport::platform::Watch) -> WatchEvent {
     watch
-        .next(PATIENCE)
+        .next(RESPONSE_TIMEOUT)
         .await
-        .expect("the watch goes on")
+        .expect("the watch stays open")
         .expect("in time")
 }
 
@@ -209,23 +217,23 @@
 }
 
 #[actix_web::test]
-async fn a_holder_finds_out_that_its_lease_has_lapsed() {
+async fn keepalive_and_put_report_an_expired_lease() {
     let platform = start().await;
-    let client = client(&platform, LONG);
+    let client = client(&platform, LONG_TIMEOUT);
     let lease = client
         .grant_lease(Duration::from_secs(60))
         .await
         .expect("a lease");
     client.put(&put("held", lease.id)).await.expect("written");
-    let alive = client.keep_lease_alive(lease.id).await.expect("an answer");
+    let alive = client.keep_lease_alive(lease.id).await.expect("a response");
     assert_eq!(alive.time_to_live, 60);
-    platform.expire_lease(lease.id).expect("in force");
-    let lapsed = client.keep_lease_alive(lease.id).await.expect("an answer");
-    assert_eq!(lapsed.time_to_live, 0);
+    platform.expire_lease(lease.id).expect("an active lease");
+    let expired = client.keep_lease_alive(lease.id).await.expect("a response");
+    assert_eq!(expired.time_to_live, 0);
     assert_eq!(client.get("held").await.expect("read"), None);
-    let refused = client.put(&put("held", lease.id)).await;
+    let rejected = client.put(&put("held", lease.id)).await;
     assert!(
-        matches!(refused, Err(PlatformError::Refused { code: 5, .. })),
-        "{refused:?}"
+        matches!(rejected, Err(PlatformError::Refused { code: 5, .. })),
+        "{rejected:?}"
     );
 }
--- a/lab/standin/tests/platform_watches.rs
+++ b/lab/standin/tests/platform_watches.rs
@@ -1,4 +1,4 @@
-//! Contract of watches: order, resumption, compaction and faults.
+//! Contract tests of watches: order, resumption, compaction and faults.
 
 mod platform_client;
 
@@ -23,12 +23,12 @@
     watch
 }
 
-/// Reads events until `count` have come; one `(revision, kind, key)` each.
+/// Reads events until `count` have arrived, each as `(revision, kind, key)`.
 async fn events(watch: &mut WatchStream, count: usize) -> Vec<(String, String, String)> {
     let mut seen = Vec::new();
     while seen.len() < count {
-        let answer = watch.expect().await;
-        for event in answer["events"].as_array().expect("events") {
+        let response = watch.expect().await;
+        for event in response["events"].as_array().expect("events") {
             let text = |value: &Value| value.as_str().unwrap_or("PUT").to_owned();
             let kv = &event["kv"];
             seen.push((
@@ -46,7 +46,7 @@
 }
 
 #[actix_web::test]
-async fn events_come_in_revision_order_and_only_of_the_range() {
+async fn events_arrive_in_revision_order_and_only_for_the_range() {
     let platform = start().await;
     let mut watch = open(&platform, prefix(None)).await;
     put(&platform, "k/1", "a").await;
@@ -62,7 +62,7 @@
 }
 
 #[actix_web::test]
-async fn a_watch_resumes_where_an_earlier_one_ended() {
+async fn watch_resumes_where_an_earlier_one_ended() {
     let platform = start().await;
     let mut watch = open(&platform, prefix(None)).await;
     platform.put("k/1", b"a");
@@ -81,7 +81,7 @@
 }
 
 #[actix_web::test]
-async fn filters_and_earlier_values_follow_the_request() {
+async fn filters_and_previous_values_follow_the_request() {
     let platform = start().await;
     platform.put("k/1", b"a");
     let mut request = prefix(None);
@@ -90,8 +90,8 @@
     let mut watch = open(&platform, request).await;
     platform.put("k/1", b"b");
     platform.delete("k/1");
-    let answer = watch.expect().await;
-    let events = answer["events"].as_array().expect("events");
+    let response = watch.expect().await;
+    let events = response["events"].as_array().expect("events");
     assert_eq!(events.len(), 1);
     assert_eq!(events[0]["type"], "DELETE");
     assert_eq!(events[0]["prev_kv"]["value"], encode("b"));
@@ -102,7 +102,7 @@
 }
 
 #[actix_web::test]
-async fn a_watch_of_compacted_history_ends_with_the_oldest_revision() {
+async fn watch_of_compacted_history_is_canceled_with_the_compacted_revision() {
     let platform = start().await;
     for _ in 0..5 {
         platform.put("k/1", b"a");
@@ -115,9 +115,9 @@
         (&json!(true), &json!("4"))
     );
     assert_eq!(watch.next().await, None);
-    let mut from_there = open(&platform, prefix(Some("5"))).await;
+    let mut resumed = open(&platform, prefix(Some("5"))).await;
     assert_eq!(
-        events(&mut from_there, 2).await,
+        events(&mut resumed, 2).await,
         [event(5, "PUT", "k/1"), event(6, "PUT", "k/1")]
     );
 }
@@ -141,34 +141,34 @@
         .and_then(|text| text.parse().ok())
         .expect("a revision");
     assert!((41..51).contains(&oldest), "{oldest}");
-    assert_eq!(platform.list("k/").len(), 3, "the newest values stay");
+    assert_eq!(platform.list("k/").len(), 3, "the newest values are kept");
 }
 
 #[actix_web::test]
-async fn a_lapsed_lease_is_told_as_a_delete() {
+async fn expired_lease_produces_a_delete_event() {
     let platform = start().await;
     grant(&platform, 1, 7).await;
     let body = json!({"key": encode("k/held"), "value": "", "lease": "7"});
-    platform_client::done(&platform, "/v3/kv/put", body).await;
+    platform_client::call_ok(&platform, "/v3/kv/put", body).await;
     let mut watch = open(&platform, prefix(None)).await;
     assert_eq!(events(&mut watch, 1).await, [event(3, "DELETE", "k/held")]);
     assert_eq!(platform.lease(7), None);
 }
 
 #[actix_web::test]
-async fn a_hanging_service_tells_nothing_and_goes_on_afterwards() {
+async fn hanging_service_sends_no_events_until_the_outage_ends() {
     let platform = start().await;
     let mut watch = open(&platform, prefix(None)).await;
     platform.faults().set_outage(Some(OutageMode::Hang));
     platform.put("k/1", b"a");
-    let silent = tokio::time::timeout(Duration::from_millis(300), watch.next()).await;
-    assert!(silent.is_err(), "{silent:?}");
+    let no_event = tokio::time::timeout(Duration::from_millis(300), watch.next()).await;
+    assert!(no_event.is_err(), "{no_event:?}");
     platform.faults().set_outage(None);
     assert_eq!(events(&mut watch, 1).await, [event(2, "PUT", "k/1")]);
 }
 
 #[actix_web::test]
-async fn outages_and_restores_end_open_watches() {
+async fn outages_and_restores_close_open_watches() {
     let platform = start().await;
     let mut watch = open(&platform, prefix(None)).await;
     platform.faults().set_outage(Some(OutageMode::Refuse));
@@ -177,7 +177,7 @@
     platform.put("k/1", b"a");
     platform.put("k/1", b"b");
     let mut watch = loop {
-        // The listener needs a moment to come back.
+        // The server does not listen again immediately after the outage.
         match platform_client::try_call(&platform, "/v3/kv/range", json!({"key": encode("k/1")}))
             .await
         {
@@ -185,25 +185,25 @@
             Err(_) => tokio::time::sleep(Duration::from_millis(10)).await,
         }
     };
-    platform.restore(2).expect("an older state");
+    platform.restore(2).expect("restored");
     assert_eq!(watch.next().await, None);
-    assert_eq!(platform.get("k/1").expect("the key").value, b"a");
-    assert_eq!(platform.put("k/1", b"c"), 3, "revisions are used again");
+    assert_eq!(platform.get("k/1").expect("the key exists").value, b"a");
+    assert_eq!(platform.put("k/1", b"c"), 3, "revisions are reused");
 }
 
 #[actix_web::test]
-async fn open_watches_are_counted_and_let_go() {
+async fn open_watches_are_counted_until_they_are_dropped() {
     let platform = start().await;
     let first = open(&platform, prefix(None)).await;
     let second = open(&platform, prefix(None)).await;
     assert_eq!(platform.counters().watches_open, 2);
     drop((first, second));
-    let gone = async {
+    let watches_closed = async {
         while platform.counters().watches_open > 0 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(platform_client::PATIENCE, gone)
+    tokio::time::timeout(platform_client::RESPONSE_TIMEOUT, watches_closed)
         .await
         .expect("watches end with their callers");
 }
