--- a/lab/standin/examples/commit_latency.rs
+++ b/lab/standin/examples/commit_latency.rs
@@ -1,5 +1,5 @@
-//! Measures how long a commit takes at the database stand-in, beside the round
-//! trip between its zones that it has to wait for.
+//! Measures the commit latency of the database stand-in in comparison with the
+//! round trip between its zones, for which each commit has to wait.
 //!
 //! `cargo run --release --locked -p hookpoint-standin --example commit_latency`
 
@@ -27,7 +27,11 @@
         let reads = measure(&client, "SELECT value FROM counters").await?;
         let zones: Vec<&str> = links.zones().collect();
         let round_trip = 2 * links.delay(zones[0], zones[1]);
-        println!("{round_trip:?} | {} | {}", shares(&commits), shares(&reads));
+        println!(
+            "{round_trip:?} | {} | {}",
+            format_percentiles(&commits),
+            format_percentiles(&reads)
+        );
         drop(client);
         group.stop().await;
     }
@@ -62,19 +66,19 @@
     Ok(client)
 }
 
-/// Durations of many runs of a statement, in order.
+/// Runs a statement many times and returns the durations in ascending order.
 async fn measure(client: &Client, sql: &str) -> Result<Vec<Duration>, tokio_postgres::Error> {
     let mut durations = Vec::with_capacity(COMMITS);
     for _ in 0..COMMITS {
-        let begun = Instant::now();
+        let start_time = Instant::now();
         client.simple_query(sql).await?;
-        durations.push(begun.elapsed());
+        durations.push(start_time.elapsed());
     }
     durations.sort();
     Ok(durations)
 }
 
-fn shares(durations: &[Duration]) -> String {
-    let at = |share: f64| durations[(share * (durations.len() - 1) as f64) as usize];
+fn format_percentiles(durations: &[Duration]) -> String {
+    let at = |fraction: f64| durations[(fraction * (durations.len() - 1) as f64) as usize];
     format!("{:.2?}, {:.2?}", at(0.5), at(0.99))
 }
--- a/lab/standin/examples/link_accuracy.rs
+++ b/lab/standin/examples/link_accuracy.rs
@@ -1,5 +1,5 @@
-//! Measures how much a relayed round trip exceeds twice the latency set, and
-//! how many bytes a second one relayed connection carries.
+//! Measures how much a relayed round trip exceeds twice the configured latency,
+//! and the throughput of one relayed connection.
 //!
 //! `cargo run --release --locked -p hookpoint-standin --example link_accuracy`
 
@@ -10,8 +10,8 @@
 use tokio::net::{TcpListener, TcpStream};
 
 const ROUND_TRIPS: usize = 2000;
-const VOLUME: usize = 256 << 20;
-const BLOCK: usize = 64 << 10;
+const TOTAL_BYTES: usize = 256 << 20;
+const BLOCK_BYTES: usize = 64 << 10;
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Box<dyn Error>> {
@@ -21,7 +21,7 @@
         let (_proxy, mut caller, mut target) = connect(latency).await?;
         let excess = round_trips(&mut caller, &mut target, latency).await?;
         let rate = throughput(caller, target).await?;
-        let at = |share: f64| excess[(share * (excess.len() - 1) as f64) as usize];
+        let at = |fraction: f64| excess[(fraction * (excess.len() - 1) as f64) as usize];
         println!("{latency:?} | {:?}, {:?} | {rate:.0}", at(0.5), at(0.99));
     }
     Ok(())
@@ -45,7 +45,7 @@
     Ok((proxy, caller, target))
 }
 
-/// Excess over twice the latency of each round trip, in order.
+/// Returns how much each round trip exceeds twice the latency, in ascending order.
 async fn round_trips(
     caller: &mut TcpStream,
     target: &mut TcpStream,
@@ -66,26 +66,27 @@
         excess.push(sent.elapsed().saturating_sub(2 * latency));
     }
     excess.sort();
-    // The first round trip also takes the time of connecting.
+    // Drops the greatest value: the first round trip includes the time of
+    // connecting.
     excess.pop();
     Ok(excess)
 }
 
-/// Megabytes a second from the caller to the target.
+/// Returns the throughput from the caller to the target, in megabytes per second.
 async fn throughput(mut caller: TcpStream, mut target: TcpStream) -> std::io::Result<f64> {
-    let begun = Instant::now();
+    let start = Instant::now();
     let sending = async {
-        let block = vec![0; BLOCK];
-        for _ in 0..VOLUME / BLOCK {
+        let block = vec![0; BLOCK_BYTES];
+        for _ in 0..TOTAL_BYTES / BLOCK_BYTES {
             caller.write_all(&block).await?;
         }
         caller.shutdown().await
     };
     let receiving = async {
-        let mut buffer = vec![0; BLOCK];
+        let mut buffer = vec![0; BLOCK_BYTES];
         while target.read(&mut buffer).await? > 0 {}
         Ok(())
     };
     tokio::try_join!(sending, receiving)?;
-    Ok(VOLUME as f64 / 1e6 / begun.elapsed().as_secs_f64())
+    Ok(TOTAL_BYTES as f64 / 1e6 / start.elapsed().as_secs_f64())
 }
--- a/lab/standin/src/links/datagram.rs
+++ b/lab/standin/src/links/datagram.rs
@@ -1,5 +1,5 @@
-//! A relay of UDP datagrams that adds the latency, the cuts, the loss and the
-//! reordering of a link.
+//! A relay of UDP datagrams that applies the latency, cuts, loss and reordering
+//! of a link.
 
 use super::route::Route;
 use super::runtime::next_handle;
@@ -21,60 +21,63 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, watch};
 use tokio_util::sync::CancellationToken;
 
-/// Greatest size of a datagram, in bytes.
-const GREATEST_DATAGRAM: usize = 65_535;
+/// Maximum size of a datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 65_535;
 
-/// Callers that a link tells apart; the one quiet for longest makes room.
-const GREATEST_CALLERS: usize = 256;
+/// Maximum number of callers of a link; the least recently active one is evicted
+/// for a new caller.
+const MAX_CALLERS: usize = 256;
 
-/// Datagrams on the way; past it they are lost, as in a full router.
-const GREATEST_IN_FLIGHT: usize = 4096;
+/// Maximum number of datagrams in flight; further ones are dropped, as by a
+/// router with a full queue.
+const MAX_IN_FLIGHT: usize = 4096;
 
-/// How many more latencies an overtaken datagram takes.
-const OVERTAKEN_LATENCIES: u32 = 2;
+/// Additional delay of a reordered datagram, in multiples of the link latency.
+const REORDER_DELAY_LATENCIES: u32 = 2;
 
-/// Least extra time of an overtaken datagram.
-const LEAST_OVERTAKEN: Duration = Duration::from_millis(1);
+/// Minimum additional delay of a reordered datagram.
+const MIN_REORDER_DELAY: Duration = Duration::from_millis(1);
 
-/// Pause after the system failed to receive a datagram.
+/// Pause after receiving a datagram failed.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(1);
 
 thread_local! {
-    /// Sockets hold no buffer while they wait.
-    static SCRATCH: RefCell<Vec<u8>> = RefCell::new(vec![0; GREATEST_DATAGRAM]);
+    /// Receive buffer of the thread; waiting sockets hold no buffer.
+    static RECEIVE_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; MAX_DATAGRAM_BYTES]);
 }
 
 /// Settings of a [`UdpLink`].
 #[derive(Debug, Clone)]
 pub struct UdpLinkSettings {
-    /// Where the callers are.
+    /// Zone of the callers, or [`CLIENTS`](super::CLIENTS).
     pub from: String,
-    /// Where the target is.
+    /// Zone of the target, or [`CLIENTS`](super::CLIENTS).
     pub to: String,
-    /// Address that datagrams are relayed to; without one they are lost.
+    /// Address to which datagrams are relayed; without one they are dropped.
     pub target: Option<SocketAddr>,
-    /// Seed of the choice of datagrams that are lost or overtaken.
+    /// Seed of the random choice of datagrams that are lost or reordered.
     pub seed: u64,
 }
 
-/// Counts of a [`UdpLink`].
+/// Counters of a [`UdpLink`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct UdpLinkCounters {
-    /// Datagrams passed on, both ways.
+    /// Datagrams delivered, in both directions.
     pub delivered: u64,
-    /// Datagrams lost by chance, by a cut, or for want of room.
+    /// Datagrams dropped by random loss, by a cut, because the queue was full,
+    /// because no target was set or because sending failed.
     pub lost: u64,
 }
 
 struct Caller {
     socket: Arc<UdpSocket>,
-    used: Instant,
+    last_active_at: Instant,
     ended: CancellationToken,
 }
 
 struct Shared {
-    there: Route,
-    back: Route,
+    forward: Route,
+    reverse: Route,
     target: watch::Sender<Option<SocketAddr>>,
     listener: UdpSocket,
     callers: Mutex<BTreeMap<SocketAddr, Caller>>,
@@ -85,15 +88,15 @@
     stopping: CancellationToken,
 }
 
-/// A running relay of datagrams. Answers of the target go back to the caller
-/// that they answer. Dropping it stops it.
+/// A running datagram relay. Responses of the target are returned to the caller
+/// whose socket they arrive on. Dropping the link stops it.
 pub struct UdpLink {
     shared: Arc<Shared>,
     address: SocketAddr,
 }
 
 impl UdpLink {
-    /// Starts a relay on a loopback port that the system chooses.
+    /// Starts a relay on a loopback port that the operating system chooses.
     pub fn start(links: &ZoneLinks, settings: UdpLinkSettings) -> Result<Self, LinkError> {
         let timer = Timer::get().map_err(LinkError::Thread)?;
         let handle = next_handle().map_err(LinkError::Thread)?;
@@ -104,20 +107,20 @@
             let _entered = handle.enter();
             UdpSocket::from_std(socket).map_err(LinkError::Bind)?
         };
-        let there = Route {
+        let forward = Route {
             links: links.clone(),
             timer,
             from: settings.from.into(),
             to: settings.to.into(),
         };
         let shared = Arc::new(Shared {
-            back: there.back(),
-            there,
+            reverse: forward.reverse(),
+            forward,
             target: watch::Sender::new(settings.target),
             listener,
             callers: Mutex::default(),
             random: Mutex::new(ChaCha8Rng::seed_from_u64(settings.seed)),
-            in_flight: Arc::new(Semaphore::new(GREATEST_IN_FLIGHT)),
+            in_flight: Arc::new(Semaphore::new(MAX_IN_FLIGHT)),
             delivered: AtomicU64::new(0),
             lost: AtomicU64::new(0),
             stopping: CancellationToken::new(),
@@ -126,17 +129,17 @@
         Ok(Self { shared, address })
     }
 
-    /// Where callers send to.
+    /// Returns the address to which callers send.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Relays datagrams to an address from now on.
+    /// Sets the address to which subsequent datagrams are relayed.
     pub fn set_target(&self, target: SocketAddr) {
         self.shared.target.send_replace(Some(target));
     }
 
-    /// A reading of the counts.
+    /// Returns a snapshot of the counters.
     pub fn counters(&self) -> UdpLinkCounters {
         UdpLinkCounters {
             delivered: self.shared.delivered.load(Ordering::Relaxed),
@@ -156,39 +159,39 @@
     }
 }
 
-/// What becomes of a datagram.
-enum Fate {
+/// What the link does with a datagram.
+enum Disposition {
     Lost,
     Delivered(Instant, OwnedSemaphorePermit),
 }
 
 impl Shared {
-    fn lose(&self) {
+    fn count_lost(&self) {
         self.lost.fetch_add(1, Ordering::Relaxed);
     }
 
-    fn fate(&self, route: &Route) -> Fate {
+    fn decide(&self, route: &Route) -> Disposition {
         let (loss, reorder) = route.links.datagram_faults();
-        let (lost, overtaken) = {
+        let (lost, reordered) = {
             let mut random = self.random.lock();
             (random.random_bool(loss), random.random_bool(reorder))
         };
         if lost || route.is_cut() {
-            return Fate::Lost;
+            return Disposition::Lost;
         }
         let Ok(permit) = Arc::clone(&self.in_flight).try_acquire_owned() else {
-            return Fate::Lost;
+            return Disposition::Lost;
         };
         let delay = route.delay();
-        let extra = match overtaken {
-            true => (delay * OVERTAKEN_LATENCIES).max(LEAST_OVERTAKEN),
+        let extra = match reordered {
+            true => (delay * REORDER_DELAY_LATENCIES).max(MIN_REORDER_DELAY),
             false => Duration::ZERO,
         };
-        Fate::Delivered(Instant::now() + delay + extra, permit)
+        Disposition::Delivered(Instant::now() + delay + extra, permit)
     }
 }
 
-/// The next datagram and its source.
+/// Waits for the next datagram and returns it with its source.
 async fn receive_from(socket: &UdpSocket) -> (Bytes, SocketAddr) {
     loop {
         if let Err(error) = socket.readable().await {
@@ -196,9 +199,9 @@
             tokio::time::sleep(RECEIVE_PAUSE).await;
             continue;
         }
-        let received: std::io::Result<_> = SCRATCH.with_borrow_mut(|scratch| {
-            let (length, source) = socket.try_recv_from(scratch)?;
-            Ok((Bytes::copy_from_slice(&scratch[..length]), source))
+        let received: std::io::Result<_> = RECEIVE_BUFFER.with_borrow_mut(|buffer| {
+            let (length, source) = socket.try_recv_from(buffer)?;
+            Ok((Bytes::copy_from_slice(&buffer[..length]), source))
         });
         match received {
             Ok(received) => return received,
@@ -217,34 +220,38 @@
             () = shared.stopping.cancelled() => return,
             received = receive_from(&shared.listener) => received,
         };
-        match socket_of(&shared, source).await {
-            Ok(socket) => send_on(&shared, socket, datagram),
+        match socket_for_caller(&shared, source).await {
+            Ok(socket) => send_to_target(&shared, socket, datagram),
             Err(error) => {
-                log::warn!("link: a datagram found no socket: {error}.");
-                shared.lose();
+                log::warn!("link: binding a socket for a caller failed: {error}.");
+                shared.count_lost();
             }
         }
     }
 }
 
-/// The socket towards the target that stands for a caller.
-async fn socket_of(shared: &Arc<Shared>, source: SocketAddr) -> std::io::Result<Arc<UdpSocket>> {
+/// Returns the socket that sends a caller's datagrams to the target, binding it
+/// for a new caller.
+async fn socket_for_caller(
+    shared: &Arc<Shared>,
+    source: SocketAddr,
+) -> std::io::Result<Arc<UdpSocket>> {
     if let Some(caller) = shared.callers.lock().get_mut(&source) {
-        caller.used = Instant::now();
+        caller.last_active_at = Instant::now();
         return Ok(Arc::clone(&caller.socket));
     }
     let socket = Arc::new(UdpSocket::bind(listen_address()).await?);
     let ended = shared.stopping.child_token();
     let caller = Caller {
         socket: Arc::clone(&socket),
-        used: Instant::now(),
+        last_active_at: Instant::now(),
         ended: ended.clone(),
     };
     let mut callers = shared.callers.lock();
-    make_room(&mut callers);
+    evict_idle_caller(&mut callers);
     callers.insert(source, caller);
     drop(callers);
-    tokio::spawn(answer(
+    tokio::spawn(relay_responses(
         Arc::clone(shared),
         source,
         Arc::clone(&socket),
@@ -253,39 +260,41 @@
     Ok(socket)
 }
 
-fn make_room(callers: &mut BTreeMap<SocketAddr, Caller>) {
-    if callers.len() < GREATEST_CALLERS {
+fn evict_idle_caller(callers: &mut BTreeMap<SocketAddr, Caller>) {
+    if callers.len() < MAX_CALLERS {
         return;
     }
-    let quietest = callers.iter().min_by_key(|(_, caller)| caller.used);
-    if let Some(address) = quietest.map(|(address, _)| *address)
+    let least_recently_active = callers
+        .iter()
+        .min_by_key(|(_, caller)| caller.last_active_at);
+    if let Some(address) = least_recently_active.map(|(address, _)| *address)
         && let Some(caller) = callers.remove(&address)
     {
         caller.ended.cancel();
     }
 }
 
-fn send_on(shared: &Arc<Shared>, socket: Arc<UdpSocket>, datagram: Bytes) {
+fn send_to_target(shared: &Arc<Shared>, socket: Arc<UdpSocket>, datagram: Bytes) {
     let Some(target) = *shared.target.borrow() else {
-        return shared.lose();
+        return shared.count_lost();
     };
     let shared = Arc::clone(shared);
-    match shared.fate(&shared.there) {
-        Fate::Lost => shared.lose(),
-        Fate::Delivered(due, permit) => {
+    match shared.decide(&shared.forward) {
+        Disposition::Lost => shared.count_lost(),
+        Disposition::Delivered(due, permit) => {
             tokio::spawn(async move {
-                shared.there.sleep_until(due).await;
-                let cut = shared.there.is_cut();
+                shared.forward.sleep_until(due).await;
+                let cut = shared.forward.is_cut();
                 let sent = !cut && socket.send_to(&datagram, target).await.is_ok();
-                count(&shared, sent);
+                count_datagram(&shared, sent);
                 drop(permit);
             });
         }
     }
 }
 
-/// Carries the target's datagrams back to one caller.
-async fn answer(
+/// Relays the target's datagrams back to one caller.
+async fn relay_responses(
     shared: Arc<Shared>,
     caller: SocketAddr,
     socket: Arc<UdpSocket>,
@@ -296,31 +305,31 @@
             () = ended.cancelled() => return,
             received = receive_from(&socket) => received,
         };
-        send_back(&shared, caller, datagram);
+        return_to_caller(&shared, caller, datagram);
     }
 }
 
-fn send_back(shared: &Arc<Shared>, caller: SocketAddr, datagram: Bytes) {
+fn return_to_caller(shared: &Arc<Shared>, caller: SocketAddr, datagram: Bytes) {
     let shared = Arc::clone(shared);
-    match shared.fate(&shared.back) {
-        Fate::Lost => shared.lose(),
-        Fate::Delivered(due, permit) => {
+    match shared.decide(&shared.reverse) {
+        Disposition::Lost => shared.count_lost(),
+        Disposition::Delivered(due, permit) => {
             tokio::spawn(async move {
-                shared.back.sleep_until(due).await;
-                let cut = shared.back.is_cut();
+                shared.reverse.sleep_until(due).await;
+                let cut = shared.reverse.is_cut();
                 let sent = !cut && shared.listener.send_to(&datagram, caller).await.is_ok();
-                count(&shared, sent);
+                count_datagram(&shared, sent);
                 drop(permit);
             });
         }
     }
 }
 
-fn count(shared: &Shared, sent: bool) {
+fn count_datagram(shared: &Shared, sent: bool) {
     match sent {
         true => {
             shared.delivered.fetch_add(1, Ordering::Relaxed);
         }
-        false => shared.lose(),
+        false => shared.count_lost(),
     }
 }
--- a/lab/standin/src/links/mod.rs
+++ b/lab/standin/src/links/mod.rs
@@ -1,5 +1,5 @@
-//! Links between zones: latencies, cuts, and relays that put them on real
-//! sockets of the loopback interface.
+//! Links between zones: latencies, cuts, and relays that apply them to real
+//! sockets on the loopback interface.
 
 mod carry;
 mod datagram;
@@ -18,38 +18,38 @@
 use std::time::Instant;
 use thiserror::Error;
 
-/// Why a link could not be started.
+/// Errors of starting a link.
 #[derive(Debug, Error)]
 pub enum LinkError {
-    /// No loopback port could be had.
-    #[error("the link found no loopback port: {0}")]
+    /// Binding a loopback port failed.
+    #[error("link: binding a loopback port failed: {0}")]
     Bind(#[source] std::io::Error),
-    /// A thread of the links could not be started.
-    #[error("a thread of the links did not start: {0}")]
+    /// Spawning a link thread failed.
+    #[error("link: spawning a link thread failed: {0}")]
     Thread(#[source] std::io::Error),
 }
 
-/// Counts of a [`LinkProxy`].
+/// Counters of a [`LinkProxy`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LinkCounters {
     /// Connections accepted since the start.
     pub connections_accepted: u64,
-    /// Connections open now.
+    /// Connections currently open.
     pub connections_open: u64,
     /// Bytes delivered to the target.
-    pub bytes_there: u64,
+    pub bytes_to_target: u64,
     /// Bytes delivered to callers.
-    pub bytes_back: u64,
+    pub bytes_to_caller: u64,
 }
 
-/// Sleeps until a moment, more exactly than the runtime's timer does, which
-/// counts in milliseconds. Where the timer's thread cannot be started, the
-/// runtime's timer takes its place.
+/// Sleeps until a deadline, more precisely than the runtime's timer, which has a
+/// resolution of one millisecond. Falls back to the runtime's timer when the
+/// timer thread cannot be started.
 pub async fn sleep_until(deadline: Instant) {
     match timer::Timer::get() {
         Ok(timer) => timer.sleep_until(deadline).await,
         Err(error) => {
-            log::warn!("link: the timer did not start: {error}.");
+            log::warn!("link: starting the timer thread failed: {error}.");
             tokio::time::sleep_until(deadline.into()).await;
         }
     }
--- a/lab/standin/src/links/network.rs
+++ b/lab/standin/src/links/network.rs
@@ -1,4 +1,4 @@
-//! Links as the database stand-ins meet them.
+//! The links as the network of the database stand-ins.
 
 use super::zones::ZoneLinks;
 use crate::database::ZoneNetwork;
--- a/lab/standin/src/links/proxy.rs
+++ b/lab/standin/src/links/proxy.rs
@@ -1,6 +1,6 @@
-//! A relay of TCP connections that adds the latency and the cuts of a link.
+//! A relay of TCP connections that applies the latency and cuts of a link.
 
-use super::carry::{CarryError, carry};
+use super::carry::{RelayError, relay_direction};
 use super::route::Route;
 use super::runtime::next_handle;
 use super::timer::Timer;
@@ -15,17 +15,17 @@
 use tokio::sync::watch;
 use tokio_util::sync::CancellationToken;
 
-/// Pause after the system refused to accept a connection.
+/// Pause after accepting a connection failed.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Bytes on the way in one direction of one connection, unless set otherwise.
+/// Default limit of bytes in flight in one direction of one connection.
 pub const DEFAULT_IN_FLIGHT_LIMIT: usize = 1 << 20;
 
-/// What a cut does to connections.
+/// How a cut affects connections.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum CutBehavior {
-    /// Nothing passes: open connections stall and new ones get no answer,
-    /// until the cut is healed.
+    /// No data is delivered: open connections stall and new ones receive no
+    /// response until the cut is healed.
     #[default]
     BlackHole,
     /// Open connections and new ones are reset.
@@ -35,22 +35,22 @@
 /// Settings of a [`LinkProxy`].
 #[derive(Debug, Clone)]
 pub struct LinkSettings {
-    /// Where the callers are.
+    /// Zone of the callers, or [`CLIENTS`](super::CLIENTS).
     pub from: String,
-    /// Where the target is.
+    /// Zone of the target, or [`CLIENTS`](super::CLIENTS).
     pub to: String,
-    /// Address that connections are relayed to. Without one, connections wait
+    /// Address to which connections are relayed. Without one, connections wait
     /// until [`LinkProxy::set_target`] is called.
     pub target: Option<SocketAddr>,
-    /// What a cut does to connections.
+    /// How a cut affects connections.
     pub cut_behavior: CutBehavior,
-    /// Greatest number of bytes on the way in one direction of one connection;
-    /// past it the sender is held back.
+    /// Maximum number of bytes in flight in one direction of one connection; the
+    /// relay stops reading from the sender when it is reached.
     pub in_flight_limit: usize,
 }
 
 impl LinkSettings {
-    /// A link between two places to a target.
+    /// Creates settings with default limits for a link from one zone to another.
     pub fn new(from: &str, to: &str, target: Option<SocketAddr>) -> Self {
         Self {
             from: from.to_owned(),
@@ -69,28 +69,29 @@
     target: watch::Sender<Option<SocketAddr>>,
     open: AtomicU64,
     accepted: AtomicU64,
-    bytes_there: AtomicU64,
-    bytes_back: AtomicU64,
+    bytes_to_target: AtomicU64,
+    bytes_to_caller: AtomicU64,
     stopping: CancellationToken,
-    /// Ends the connections of now; a new one takes its place for later ones.
+    /// Resets the open connections when canceled; it is then replaced by a new
+    /// token for later connections.
     resetting: Mutex<CancellationToken>,
 }
 
-/// A running relay on a loopback port. Dropping it stops it and resets its
+/// A running TCP relay on a loopback port. Dropping it stops it and resets its
 /// connections.
 ///
-/// Bytes pass in order and after the one-way latency of their direction, with
-/// no other limit of throughput than the bytes that may be on the way. Closing
-/// one direction is passed on in its turn; a reset resets the other side. The
-/// system accepts connections on the relay's behalf at once, so the round trip
-/// of connecting is added to the first bytes instead.
+/// Bytes are delivered in order after the one-way latency of their direction; the
+/// only limit on throughput is the number of bytes in flight. Closing one
+/// direction is propagated in order with the data; a reset resets the other side.
+/// The operating system accepts connections for the relay immediately, so the
+/// round trip of connecting is added to the first bytes instead.
 pub struct LinkProxy {
     shared: Arc<Shared>,
     address: SocketAddr,
 }
 
 impl LinkProxy {
-    /// Starts a relay on a loopback port that the system chooses.
+    /// Starts a relay on a loopback port that the operating system chooses.
     pub fn start(links: &ZoneLinks, settings: LinkSettings) -> Result<Self, LinkError> {
         let timer = Timer::get().map_err(LinkError::Thread)?;
         let handle = next_handle().map_err(LinkError::Thread)?;
@@ -113,8 +114,8 @@
             target: watch::Sender::new(settings.target),
             open: AtomicU64::new(0),
             accepted: AtomicU64::new(0),
-            bytes_there: AtomicU64::new(0),
-            bytes_back: AtomicU64::new(0),
+            bytes_to_target: AtomicU64::new(0),
+            bytes_to_caller: AtomicU64::new(0),
             stopping: CancellationToken::new(),
             resetting: Mutex::new(CancellationToken::new()),
         });
@@ -122,13 +123,13 @@
         Ok(Self { shared, address })
     }
 
-    /// Where callers connect.
+    /// Returns the address to which callers connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Relays connections made from now on, and those waiting for a target, to
-    /// an address.
+    /// Sets the address to which new connections and those waiting for a target are
+    /// relayed.
     pub fn set_target(&self, target: SocketAddr) {
         self.shared.target.send_replace(Some(target));
     }
@@ -140,14 +141,14 @@
         old.cancel();
     }
 
-    /// A reading of the counts.
+    /// Returns a snapshot of the counters.
     pub fn counters(&self) -> LinkCounters {
         let shared = &self.shared;
         LinkCounters {
             connections_accepted: shared.accepted.load(Ordering::Relaxed),
             connections_open: shared.open.load(Ordering::Relaxed),
-            bytes_there: shared.bytes_there.load(Ordering::Relaxed),
-            bytes_back: shared.bytes_back.load(Ordering::Relaxed),
+            bytes_to_target: shared.bytes_to_target.load(Ordering::Relaxed),
+            bytes_to_caller: shared.bytes_to_caller.load(Ordering::Relaxed),
         }
     }
 
@@ -185,7 +186,7 @@
 
 async fn serve(shared: Arc<Shared>, caller: TcpStream, reset: CancellationToken) {
     shared.open.fetch_add(1, Ordering::Relaxed);
-    let ended = relay(&shared, caller, reset).await;
+    let ended = relay_connection(&shared, caller, reset).await;
     shared.open.fetch_sub(1, Ordering::Relaxed);
     if let Err(error) = ended {
         let route = &shared.route;
@@ -197,13 +198,13 @@
     }
 }
 
-/// Relays one connection. When it ends other than by both sides closing it,
-/// both sides are reset.
-async fn relay(
+/// Relays one connection. Resets both sides unless the connection ends by both
+/// sides closing it.
+async fn relay_connection(
     shared: &Shared,
     mut caller: TcpStream,
     reset: CancellationToken,
-) -> Result<(), CarryError> {
+) -> Result<(), RelayError> {
     let accepted = Instant::now();
     let mut target = match connect(shared, accepted, &reset).await {
         Ok(target) => target,
@@ -212,8 +213,8 @@
             return Err(error);
         }
     };
-    let carrying = carry_both(shared, accepted, &mut caller, &mut target);
-    let ended = interruptible(shared, &reset, carrying).await;
+    let relaying = relay_both_directions(shared, accepted, &mut caller, &mut target);
+    let ended = interruptible(shared, &reset, relaying).await;
     if ended.is_err() {
         close_with_reset(caller);
         close_with_reset(target);
@@ -221,82 +222,87 @@
     ended
 }
 
-async fn carry_both(
+async fn relay_both_directions(
     shared: &Shared,
     accepted: Instant,
     caller: &mut TcpStream,
     target: &mut TcpStream,
-) -> Result<(), CarryError> {
-    caller.set_nodelay(true).map_err(CarryError::Read)?;
-    target.set_nodelay(true).map_err(CarryError::Read)?;
-    let there = &shared.route;
-    let back = there.back();
-    let established = accepted + there.delay() + back.delay();
-    let answered = established + there.delay();
+) -> Result<(), RelayError> {
+    caller.set_nodelay(true).map_err(RelayError::Read)?;
+    target.set_nodelay(true).map_err(RelayError::Read)?;
+    let forward = &shared.route;
+    let reverse = forward.reverse();
+    let established = accepted + forward.delay() + reverse.delay();
+    let answered = established + forward.delay();
     let limit = shared.in_flight_limit;
     let (caller_reader, caller_writer) = caller.split();
     let (target_reader, target_writer) = target.split();
-    let sending = carry(
-        there,
+    let sending = relay_direction(
+        forward,
         caller_reader,
         target_writer,
         established,
         limit,
-        &shared.bytes_there,
+        &shared.bytes_to_target,
     );
-    let receiving = carry(
-        &back,
+    let receiving = relay_direction(
+        &reverse,
         target_reader,
         caller_writer,
         answered,
         limit,
-        &shared.bytes_back,
+        &shared.bytes_to_caller,
     );
     tokio::try_join!(sending, receiving)?;
     Ok(())
 }
 
-/// Connects to the target when the first packet of the caller would arrive.
+/// Connects to the target at the time at which the caller's first packet would
+/// arrive.
 async fn connect(
     shared: &Shared,
     accepted: Instant,
     reset: &CancellationToken,
-) -> Result<TcpStream, CarryError> {
-    let approaching = approach(shared, accepted);
-    let address = interruptible(shared, reset, approaching).await?;
-    // Not interruptible: a half-made connection could not be reset but only
-    // closed. On the loopback interface this takes no time.
+) -> Result<TcpStream, RelayError> {
+    let packet_arrival = wait_for_first_packet(shared, accepted);
+    let address = interruptible(shared, reset, packet_arrival).await?;
+    // Not interruptible: a connection that is still being established could only
+    // be closed, not reset. Connecting over the loopback interface is immediate.
     let refusal = match TcpStream::connect(address).await {
         Ok(target) => return Ok(target),
         Err(error) => error,
     };
-    let telling = tell_of_refusal(shared, refusal);
-    interruptible(shared, reset, telling).await
+    let reporting = report_refusal(shared, refusal);
+    interruptible(shared, reset, reporting).await
 }
 
-/// Waits for the caller's first packet to arrive and gives the target.
-async fn approach(shared: &Shared, accepted: Instant) -> Result<SocketAddr, CarryError> {
+/// Waits for the caller's first packet to arrive and returns the target.
+async fn wait_for_first_packet(
+    shared: &Shared,
+    accepted: Instant,
+) -> Result<SocketAddr, RelayError> {
     let route = &shared.route;
     route.sleep_until(accepted + route.delay()).await;
-    route.passable().await;
-    Ok(target(shared).await)
+    route.wait_until_passable().await;
+    Ok(wait_for_target(shared).await)
 }
 
-/// Waits for a refusal to arrive at the caller.
-async fn tell_of_refusal<T>(shared: &Shared, refusal: std::io::Error) -> Result<T, CarryError> {
-    let back = shared.route.back();
-    back.sleep_until(Instant::now() + back.delay()).await;
-    back.passable().await;
-    Err(CarryError::Connect(refusal))
+/// Returns the error of a failed connect after the time the refusal takes to
+/// reach the caller.
+async fn report_refusal<T>(shared: &Shared, refusal: std::io::Error) -> Result<T, RelayError> {
+    let reverse = shared.route.reverse();
+    reverse.sleep_until(Instant::now() + reverse.delay()).await;
+    reverse.wait_until_passable().await;
+    Err(RelayError::Connect(refusal))
 }
 
-async fn target(shared: &Shared) -> SocketAddr {
+async fn wait_for_target(shared: &Shared) -> SocketAddr {
     let mut targets = shared.target.subscribe();
     loop {
         let target = *targets.borrow_and_update();
         match target {
             Some(target) => return target,
-            // The sender lives as long as `shared`, so waiting cannot fail.
+            // The sender is owned by `shared`, so waiting cannot fail.
             None => {
                 let _changed = targets.changed().await;
             }
@@ -304,28 +310,28 @@
     }
 }
 
-/// Runs work until it ends or a fault ends the connection.
+/// Runs `work` until it completes or a fault ends the connection.
 async fn interruptible<T>(
     shared: &Shared,
     reset: &CancellationToken,
-    work: impl Future<Output = Result<T, CarryError>>,
-) -> Result<T, CarryError> {
+    work: impl Future<Output = Result<T, RelayError>>,
+) -> Result<T, RelayError> {
     let cut_off = async {
         match shared.cut_behavior {
-            CutBehavior::Reset => shared.route.cut_off().await,
+            CutBehavior::Reset => shared.route.wait_until_cut().await,
             CutBehavior::BlackHole => std::future::pending().await,
         }
     };
     tokio::select! {
-        () = shared.stopping.cancelled() => Err(CarryError::Reset),
-        () = reset.cancelled() => Err(CarryError::Reset),
-        () = cut_off => Err(CarryError::Reset),
+        () = shared.stopping.cancelled() => Err(RelayError::Reset),
+        () = reset.cancelled() => Err(RelayError::Reset),
+        () = cut_off => Err(RelayError::Reset),
         ended = work => ended,
     }
 }
 
 fn close_with_reset(socket: TcpStream) {
-    // Where the option fails, the connection closes in the ordinary way.
+    // If setting the option fails, the connection is closed without a reset.
     let _reset = socket.set_zero_linger();
     drop(socket);
 }
--- a/lab/standin/src/links/route.rs
+++ b/lab/standin/src/links/route.rs
@@ -1,11 +1,11 @@
-//! One direction of a link, as its relays see it.
+//! One direction of a link, as used by the relays.
 
 use super::timer::Timer;
 use super::zones::ZoneLinks;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// One direction between two places.
+/// One direction of a link between two zones.
 #[derive(Debug, Clone)]
 pub(super) struct Route {
     pub(super) links: ZoneLinks,
@@ -15,18 +15,18 @@
 }
 
 impl Route {
-    /// The one-way latency.
+    /// Returns the one-way latency.
     pub(super) fn delay(&self) -> Duration {
         self.links.delay(&self.from, &self.to)
     }
 
-    /// Whether nothing passes.
+    /// Returns whether this direction is cut.
     pub(super) fn is_cut(&self) -> bool {
         self.links.is_cut(&self.from, &self.to)
     }
 
-    /// The other direction.
-    pub(super) fn back(&self) -> Self {
+    /// Returns the opposite direction.
+    pub(super) fn reverse(&self) -> Self {
         Self {
             from: Arc::clone(&self.to),
             to: Arc::clone(&self.from),
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Sleeps until a moment.
+    /// Sleeps until a deadline.
     pub(super) async fn sleep_until(&self, deadline: Instant) {
         self.timer.sleep_until(deadline).await;
     }
 
-    /// Waits while the direction is cut.
-    pub(super) async fn passable(&self) {
+    /// Waits until this direction is not cut.
+    pub(super) async fn wait_until_passable(&self) {
         if !self.is_cut() {
             return;
         }
@@ -53,10 +53,10 @@
     }
 
     /// Waits until either direction is cut.
-    pub(super) async fn cut_off(&self) {
-        let back = self.back();
+    pub(super) async fn wait_until_cut(&self) {
+        let reverse = self.reverse();
         let mut changes = self.links.subscribe();
-        while !self.is_cut() && !back.is_cut() {
+        while !self.is_cut() && !reverse.is_cut() {
             if changes.changed().await.is_err() {
                 std::future::pending::<()>().await;
             }
--- a/lab/standin/src/links/runtime.rs
+++ b/lab/standin/src/links/runtime.rs
@@ -1,19 +1,20 @@
-//! The threads that all links of a process share.
+//! The threads shared by all links of a process.
 //!
-//! Links have threads of their own, so that a busy caller or stand-in does not
-//! add to the latency of a link.
+//! Links run on separate threads so that a busy caller or stand-in does not add
+//! to the latency of a link.
 
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use tokio::runtime::{Builder, Handle};
 
-/// Number of threads.
+/// Number of link threads.
 const THREADS: usize = 3;
 
 static HANDLES: OnceLock<Vec<Handle>> = OnceLock::new();
 static NEXT: AtomicUsize = AtomicUsize::new(0);
 
-/// The next thread in turn; all are started at the first call.
+/// Returns the runtime handle of a thread, in round-robin order. The first call
+/// starts all threads.
 pub(super) fn next_handle() -> std::io::Result<Handle> {
     let handles = match HANDLES.get() {
         Some(handles) => handles,
--- a/lab/standin/src/links/timer.rs
+++ b/lab/standin/src/links/timer.rs
@@ -1,7 +1,7 @@
-//! A timer finer than the millisecond of the runtime's own.
+//! A timer with a finer resolution than the millisecond of the runtime's timer.
 //!
-//! One thread of the process sleeps until the next deadline and wakes the tasks
-//! whose deadline has passed. It never fires early and never spins.
+//! One thread per process sleeps until the next deadline and wakes the tasks
+//! whose deadline has passed. It never fires early and never busy-waits.
 
 use parking_lot::Mutex;
 use std::cmp::{Ordering, Reverse};
@@ -13,7 +13,7 @@
 use std::thread::Thread;
 use std::time::Instant;
 
-/// What the timer thread and one sleeping task share.
+/// State shared by the timer thread and one sleeping task.
 #[derive(Debug, Default)]
 struct Alarm {
     fired: bool,
@@ -59,7 +59,7 @@
     next_sequence: u64,
 }
 
-/// The timer of the process.
+/// Handle to the timer of the process.
 #[derive(Debug, Clone)]
 pub(super) struct Timer {
     queue: Arc<Mutex<Queue>>,
@@ -69,12 +69,12 @@
 static TIMER: OnceLock<Timer> = OnceLock::new();
 
 impl Timer {
-    /// The timer, whose thread is started at the first call.
+    /// Returns the timer; the first call starts its thread.
     pub(super) fn get() -> std::io::Result<Self> {
         if let Some(timer) = TIMER.get() {
             return Ok(timer.clone());
         }
-        // Two first calls at once may both start a thread; the second one then
+        // Concurrent first calls may start two threads; the second thread then
         // has an empty queue and stays parked.
         let started = Self::start()?;
         Ok(TIMER.get_or_init(|| started).clone())
@@ -82,16 +82,16 @@
 
     fn start() -> std::io::Result<Self> {
         let queue = Arc::new(Mutex::new(Queue::default()));
-        let served = Arc::clone(&queue);
+        let timer_queue = Arc::clone(&queue);
         let thread = std::thread::Builder::new()
             .name("link-timer".to_owned())
-            .spawn(move || run(&served))?
+            .spawn(move || run(&timer_queue))?
             .thread()
             .clone();
         Ok(Self { queue, thread })
     }
 
-    /// Sleeps until a moment.
+    /// Returns a future that completes at a deadline.
     pub(super) fn sleep_until(&self, deadline: Instant) -> Sleep<'_> {
         Sleep {
             timer: self,
@@ -126,9 +126,9 @@
         due.into_iter().for_each(fire);
         match next {
             Some(next) => {
-                let left = next.saturating_duration_since(Instant::now());
-                if !left.is_zero() {
-                    std::thread::park_timeout(left);
+                let remaining = next.saturating_duration_since(Instant::now());
+                if !remaining.is_zero() {
+                    std::thread::park_timeout(remaining);
                 }
             }
             None => std::thread::park(),
@@ -157,7 +157,7 @@
     }
 }
 
-/// A sleeping task.
+/// Future that completes at its deadline.
 pub(super) struct Sleep<'a> {
     timer: &'a Timer,
     deadline: Instant,
@@ -191,7 +191,7 @@
 
 impl Drop for Sleep<'_> {
     fn drop(&mut self) {
-        // The entry stays until its deadline, without a task to wake.
+        // The entry stays in the queue until its deadline, without a task to wake.
         if let Some(alarm) = &self.alarm {
             alarm.lock().waker = None;
         }
--- a/lab/standin/src/links/zones.rs
+++ b/lab/standin/src/links/zones.rs
@@ -1,4 +1,4 @@
-//! Zones, regions, and what lies between them: latencies, cuts and loss.
+//! Zones and regions, and the latencies, cuts and datagram faults between them.
 
 use parking_lot::RwLock;
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Name that stands for the place of the clients, outside all zones.
+/// Pseudo-zone of the clients, which are outside all zones.
 pub const CLIENTS: &str = "clients";
 
 /// One-way latencies.
@@ -22,17 +22,17 @@
     pub to_clients: Duration,
 }
 
-/// Which latency lies between two zones whose regions differ in name.
+/// Selects the latency between two zones whose region names differ.
 ///
-/// The deployments name three zones, each in a region of its own, and give one
-/// latency between zones and a greater one between regions. Taken by the
-/// letter, the latency between zones would then apply nowhere.
+/// The deployments define three zones, each in its own region, with one latency
+/// between zones and a greater one between regions. Applied literally, the
+/// latency between zones would never be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RegionSpacing {
-    /// The zones of a deployment are near each other: the latency between
-    /// zones applies to all of them, and region names only group them.
+    /// The zones of a deployment are close to each other: the latency between zones
+    /// applies to all of them, and region names are only labels.
     Near,
-    /// The latency between regions applies wherever the region names differ.
+    /// The latency between regions applies whenever the region names differ.
     Apart,
 }
 
@@ -52,12 +52,12 @@
     changes: watch::Sender<u64>,
 }
 
-/// The links between the zones of a deployment. Clones share their state.
+/// The links between the zones of a deployment. Clones share the same state.
 #[derive(Debug, Clone)]
 pub struct ZoneLinks(Arc<Inner>);
 
 impl ZoneLinks {
-    /// Links between zones, each given with its region.
+    /// Creates the links between zones, each given as a pair of zone and region.
     pub fn new(zones: &[(&str, &str)], latencies: Latencies, spacing: RegionSpacing) -> Self {
         let regions = zones
             .iter()
@@ -72,8 +72,8 @@
         }))
     }
 
-    /// The zones of Costa Rica: 1.5 ms between zones, 20 ms between regions,
-    /// 3 ms to clients.
+    /// Creates the links of the Costa Rica deployment: 1.5 ms between zones, 20 ms
+    /// between regions, 3 ms to clients.
     pub fn costa_rica(spacing: RegionSpacing) -> Self {
         let zones = [
             ("sj-sala-a", "san-jose"),
@@ -89,8 +89,8 @@
         Self::new(&zones, latencies, spacing)
     }
 
-    /// The zones of Greece: 0.5 ms between zones, 10 ms between regions, 3 ms
-    /// to clients.
+    /// Creates the links of the Greece deployment: 0.5 ms between zones, 10 ms
+    /// between regions, 3 ms to clients.
     pub fn greece(spacing: RegionSpacing) -> Self {
         let zones = [
             ("ath-hall", "attica"),
@@ -106,18 +106,18 @@
         Self::new(&zones, latencies, spacing)
     }
 
-    /// Names of the zones, in order.
+    /// Returns the names of the zones, in order.
     pub fn zones(&self) -> impl Iterator<Item = &str> {
         self.0.regions.keys().map(String::as_str)
     }
 
-    /// The region of a zone.
+    /// Returns the region of a zone, or `None` for an unknown zone.
     pub fn region(&self, zone: &str) -> Option<&str> {
         self.0.regions.get(zone).map(String::as_str)
     }
 
-    /// The one-way latency from one place to another; each is a zone or
-    /// [`CLIENTS`]. A zone of unknown region counts as another region.
+    /// Returns the one-way latency between two zones, each of which may be
+    /// [`CLIENTS`]. An unknown zone is treated as a zone of another region.
     pub fn delay(&self, from: &str, to: &str) -> Duration {
         let latencies = &self.0.latencies;
         if from == to {
@@ -133,14 +133,14 @@
         }
     }
 
-    /// Whether nothing passes from one place to another.
+    /// Returns whether the direction from one zone to another is cut.
     pub fn is_cut(&self, from: &str, to: &str) -> bool {
         let faults = self.0.faults.read();
         let cuts = faults.cuts.get(from);
         cuts.is_some_and(|cuts| cuts.contains(to))
     }
 
-    /// Cuts two places from each other, both ways.
+    /// Cuts the link between two zones in both directions.
     pub fn cut(&self, first: &str, second: &str) {
         self.change(|faults| {
             faults.cut(first, second);
@@ -148,12 +148,13 @@
         });
     }
 
-    /// Cuts one way only: nothing passes from the first place to the second.
+    /// Cuts one direction only: nothing is delivered from `from` to `to`.
     pub fn cut_one_way(&self, from: &str, to: &str) {
         self.change(|faults| faults.cut(from, to));
     }
 
-    /// Cuts a zone from all other zones, both ways. Its clients still reach it.
+    /// Cuts a zone from all other zones in both directions. Its clients can still
+    /// reach it.
     pub fn cut_zone(&self, zone: &str) {
         let others: Vec<&str> = self.zones().filter(|other| *other != zone).collect();
         self.change(|faults| {
@@ -164,7 +165,7 @@
         });
     }
 
-    /// Ends the cuts between two places, both ways.
+    /// Ends the cuts between two zones in both directions.
     pub fn heal(&self, first: &str, second: &str) {
         self.change(|faults| {
             faults.heal(first, second);
@@ -172,7 +173,7 @@
         });
     }
 
-    /// Ends all cuts of a zone, both ways.
+    /// Ends all cuts of a zone in both directions.
     pub fn heal_zone(&self, zone: &str) {
         self.change(|faults| {
             faults.cuts.remove(zone);
@@ -187,7 +188,7 @@
         self.change(|faults| faults.cuts.clear());
     }
 
-    /// The cuts in force, as pairs of from and to.
+    /// Returns the active cuts as pairs of source and destination.
     pub fn cuts(&self) -> Vec<(String, String)> {
         let faults = self.0.faults.read();
         let pairs = faults
@@ -197,8 +198,8 @@
         pairs.collect()
     }
 
-    /// Sets the share of datagrams that are lost and that are overtaken by
-    /// later ones, each from 0 to 1. Streams lose nothing.
+    /// Sets the fractions of datagrams that are lost and that are reordered behind
+    /// later ones, each from 0 to 1. TCP streams are not affected.
     pub fn set_datagram_faults(&self, loss: f64, reorder: f64) {
         self.change(|faults| {
             faults.datagram_loss = loss.clamp(0.0, 1.0);
@@ -206,13 +207,13 @@
         });
     }
 
-    /// The shares of datagrams lost and overtaken.
+    /// Returns the fractions of datagrams that are lost and that are reordered.
     pub fn datagram_faults(&self) -> (f64, f64) {
         let faults = self.0.faults.read();
         (faults.datagram_loss, faults.datagram_reorder)
     }
 
-    /// Tells of every change of cuts.
+    /// Subscribes to changes of the cuts and datagram faults.
     pub(super) fn subscribe(&self) -> watch::Receiver<u64> {
         self.0.changes.subscribe()
     }
--- a/lab/standin/src/platform/machines.rs
+++ b/lab/standin/src/platform/machines.rs
@@ -124,7 +124,7 @@
         self.enqueue(MachineChange::Set(Box::new(machine)));
     }
 
-    /// A machine was removed.
+    /// Records that a machine was removed.
     pub fn remove(&self, zone: &str, node: &str) {
         self.enqueue(MachineChange::Remove(machine_key(zone, node)));
     }
--- a/lab/standin/src/platform/server.rs
+++ b/lab/standin/src/platform/server.rs
@@ -50,7 +50,7 @@
     started: oneshot::Sender<Result<SocketAddr, PlatformError>>,
 ) {
     // The reserved socket never listens. It keeps the port bound while the
-    // server is down, so that connections are rejection and no other process can
+    // server is down, so that connections are refused and no other process can
     // take the port.
     let (reserved, address) = match reserve_port() {
         Ok(reserved) => reserved,
@@ -92,7 +92,7 @@
     match (server, refusing) {
         (Some(server), true) => {
             stop_listening(shared, server).await;
-            log::info!("platform: connections are rejection.");
+            log::info!("platform: connections are refused.");
             None
         }
         (None, false) => match listen(shared, address) {
--- a/lab/standin/src/platform/service.rs
+++ b/lab/standin/src/platform/service.rs
@@ -100,7 +100,7 @@
         check_operations(self.store, &request.failure)?;
         let mut succeeded = true;
         for compare in &request.compare {
-            succeeded &= holds(self.store, compare)?;
+            succeeded &= compare_holds(self.store, compare)?;
         }
         let operations = match succeeded {
             true => request.success,
@@ -313,19 +313,19 @@
     }
 }
 
-fn holds(store: &Store, compare: &Compare) -> std::result::Result<bool, ApiError> {
+fn compare_holds(store: &Store, compare: &Compare) -> std::result::Result<bool, ApiError> {
     let range = KeyRange::parse(&compare.key, &compare.range_end)?;
     let page = store.range(&range, store.revision(), 0);
     if page.items.is_empty() {
         // A key that does not exist has no value to compare; its version,
         // revisions and lease are 0.
         let comparable = compare.target != CompareTarget::Value;
-        return Ok(comparable && item_holds(&KeyValue::default(), compare));
+        return Ok(comparable && item_satisfies(&KeyValue::default(), compare));
     }
-    Ok(page.items.iter().all(|item| item_holds(item, compare)))
+    Ok(page.items.iter().all(|item| item_satisfies(item, compare)))
 }
 
-fn item_holds(item: &KeyValue, compare: &Compare) -> bool {
+fn item_satisfies(item: &KeyValue, compare: &Compare) -> bool {
     let order = match compare.target {
         CompareTarget::Version => item.version.cmp(&compare.version),
         CompareTarget::Create => item.create_revision.cmp(&compare.create_revision),
--- a/lab/standin/src/platform/store.rs
+++ b/lab/standin/src/platform/store.rs
@@ -322,7 +322,7 @@
 }
 
 /// Drops the versions superseded at `revision`: the newest version at or before
-/// it stays, unless that is a delete_range_response, and so do all later versions.
+/// it stays, unless that is a deletion, and so do all later versions.
 fn drop_superseded_versions(list: &mut Vec<Version>, revision: i64) {
     let passed = list
         .iter()
--- a/lab/standin/src/platform/watch.rs
+++ b/lab/standin/src/platform/watch.rs
@@ -184,8 +184,12 @@
     }
 
     fn events(&self, visible: i64, events: Vec<Event>) -> Option<WatchResponse> {
-        let kept = events.into_iter().filter(|event| self.wants(event.kind));
-        let events: Vec<Event> = kept.map(|event| self.shape(event)).collect();
+        let kept = events
+            .into_iter()
+            .filter(|event| self.passes_filters(event.kind));
+        let events: Vec<Event> = kept
+            .map(|event| self.drop_unrequested_value(event))
+            .collect();
         let progress = self.request.progress_notify && self.idle_polls >= PROGRESS_POLLS;
         (!events.is_empty() || progress).then(|| WatchResponse {
             events,
@@ -193,7 +197,7 @@
         })
     }
 
-    fn wants(&self, kind: EventKind) -> bool {
+    fn passes_filters(&self, kind: EventKind) -> bool {
         let filter = match kind {
             EventKind::Put => WatchFilter::NoPut,
             EventKind::Delete => WatchFilter::NoDelete,
@@ -201,7 +205,7 @@
         !self.request.filters.contains(&filter)
     }
 
-    fn shape(&self, mut event: Event) -> Event {
+    fn drop_unrequested_value(&self, mut event: Event) -> Event {
         if !self.request.prev_kv {
             event.prev_kv = None;
         }
--- a/lab/standin/tests/links_streams.rs
+++ b/lab/standin/tests/links_streams.rs
@@ -1,4 +1,5 @@
-//! Relayed TCP connections: order, latency, cuts, closing and back-pressure.
+//! Tests of relayed TCP connections: order, latency, cuts, closing and
+//! back-pressure.
 
 use hookpoint_standin::links::{
     CutBehavior, Latencies, LinkProxy, LinkSettings, RegionSpacing, ZoneLinks,
@@ -10,11 +11,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Long enough for anything that must happen, on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of expected events, long enough for a busy machine.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Long enough to see that nothing happens.
-const SHORT: Duration = Duration::from_millis(150);
+/// Time to wait when checking that nothing happens.
+const QUIET_PERIOD: Duration = Duration::from_millis(150);
 
 const LATENCY: Duration = Duration::from_micros(2500);
 
@@ -34,7 +35,7 @@
     (listener, address)
 }
 
-/// A link with one connection through it.
+/// A link with one open connection.
 struct Pair {
     links: ZoneLinks,
     proxy: LinkProxy,
@@ -52,7 +53,7 @@
     let caller = TcpStream::connect(proxy.address())
         .await
         .expect("a connection");
-    let accepted = timeout(PATIENCE, listener.accept()).await.expect("in time");
+    let accepted = timeout(TIMEOUT, listener.accept()).await.expect("in time");
     let (target, _) = accepted.expect("a connection");
     Pair {
         links,
@@ -65,21 +66,21 @@
 
 async fn exchange(from: &mut TcpStream, to: &mut TcpStream, text: &[u8]) {
     from.write_all(text).await.expect("written");
-    let mut seen = vec![0; text.len()];
-    timeout(PATIENCE, to.read_exact(&mut seen))
+    let mut received = vec![0; text.len()];
+    timeout(TIMEOUT, to.read_exact(&mut received))
         .await
         .expect("in time")
         .expect("read");
-    assert_eq!(seen, text);
+    assert_eq!(received, text);
 }
 
-async fn assert_silent(stream: &mut TcpStream) {
-    let read = timeout(SHORT, stream.read_u8()).await;
-    assert!(read.is_err(), "nothing passes, but {read:?}");
+async fn assert_no_data(stream: &mut TcpStream) {
+    let read = timeout(QUIET_PERIOD, stream.read_u8()).await;
+    assert!(read.is_err(), "no data is expected, but got {read:?}");
 }
 
 #[tokio::test]
-async fn bytes_pass_no_sooner_than_the_latency() {
+async fn bytes_arrive_no_earlier_than_the_latency() {
     for latency in [
         Duration::ZERO,
         Duration::from_micros(500),
@@ -89,17 +90,17 @@
         let (listener, address) = listener().await;
         let settings = LinkSettings::new("a", "b", Some(address));
         let proxy = LinkProxy::start(&links, settings).expect("a link");
-        let begun = Instant::now();
+        let start = Instant::now();
         let mut caller = TcpStream::connect(proxy.address())
             .await
             .expect("a connection");
         let accepting = async { listener.accept().await.expect("a connection").0 };
-        let mut target = timeout(PATIENCE, accepting).await.expect("in time");
-        assert!(begun.elapsed() >= latency, "connecting takes its time");
+        let mut target = timeout(TIMEOUT, accepting).await.expect("in time");
+        assert!(start.elapsed() >= latency, "connecting takes the latency");
         exchange(&mut caller, &mut target, b"first").await;
         assert!(
-            begun.elapsed() >= 3 * latency,
-            "a round trip to connect, and the way there"
+            start.elapsed() >= 3 * latency,
+            "a round trip to connect and one way for the data"
         );
         for _ in 0..5 {
             let sent = Instant::now();
@@ -111,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn many_bytes_pass_whole_and_in_order_both_ways() {
+async fn many_bytes_arrive_complete_and_in_order_in_both_directions() {
     const LENGTH: usize = 8 << 20;
     let Pair {
         proxy,
@@ -137,20 +138,20 @@
         let reading_back = caller_reader.read_to_end(&mut back);
         tokio::try_join!(sending, answering, reading, reading_back)
     };
-    timeout(PATIENCE, moving)
+    timeout(TIMEOUT, moving)
         .await
         .expect("in time")
         .expect("moved");
     assert!(there == content && back == content);
     let counters = proxy.counters();
     assert_eq!(
-        (counters.bytes_there, counters.bytes_back),
+        (counters.bytes_to_target, counters.bytes_to_caller),
         (LENGTH as u64, LENGTH as u64)
     );
 }
 
 #[tokio::test]
-async fn a_cut_stalls_open_connections_until_it_is_healed() {
+async fn cut_stalls_open_connections_until_it_is_healed() {
     let Pair {
         links,
         mut caller,
@@ -160,26 +161,20 @@
     } = pair(|_| {}).await;
     exchange(&mut caller, &mut target, b"before").await;
     links.cut("a", "b");
-    caller
-        .write_all(b"1")
-        .await
-        .expect("the sender does not notice");
-    target
-        .write_all(b"2")
-        .await
-        .expect("the sender does not notice");
-    assert_silent(&mut target).await;
-    assert_silent(&mut caller).await;
+    caller.write_all(b"1").await.expect("the write is accepted");
+    target.write_all(b"2").await.expect("the write is accepted");
+    assert_no_data(&mut target).await;
+    assert_no_data(&mut caller).await;
     links.heal("a", "b");
     assert_eq!(
-        timeout(PATIENCE, target.read_u8())
+        timeout(TIMEOUT, target.read_u8())
             .await
             .expect("in time")
             .expect("read"),
         b'1'
     );
     assert_eq!(
-        timeout(PATIENCE, caller.read_u8())
+        timeout(TIMEOUT, caller.read_u8())
             .await
             .expect("in time")
             .expect("read"),
@@ -189,7 +184,7 @@
 }
 
 #[tokio::test]
-async fn a_one_way_cut_lets_the_other_way_pass() {
+async fn one_way_cut_does_not_affect_the_other_direction() {
     let Pair {
         links,
         mut caller,
@@ -198,15 +193,12 @@
         ..
     } = pair(|_| {}).await;
     links.cut_one_way("a", "b");
-    caller
-        .write_all(b"1")
-        .await
-        .expect("the sender does not notice");
-    assert_silent(&mut target).await;
+    caller.write_all(b"1").await.expect("the write is accepted");
+    assert_no_data(&mut target).await;
     exchange(&mut target, &mut caller, b"back").await;
     links.heal_all();
     assert_eq!(
-        timeout(PATIENCE, target.read_u8())
+        timeout(TIMEOUT, target.read_u8())
             .await
             .expect("in time")
             .expect("read"),
@@ -227,12 +219,12 @@
         .await
         .expect("a connection");
     caller.write_all(b"1").await.expect("written");
-    assert!(timeout(SHORT, listener.accept()).await.is_err());
+    assert!(timeout(QUIET_PERIOD, listener.accept()).await.is_err());
     links.heal_all();
-    let accepted = timeout(PATIENCE, listener.accept()).await.expect("in time");
+    let accepted = timeout(TIMEOUT, listener.accept()).await.expect("in time");
     let (mut target, _) = accepted.expect("a connection");
     assert_eq!(
-        timeout(PATIENCE, target.read_u8())
+        timeout(TIMEOUT, target.read_u8())
             .await
             .expect("in time")
             .expect("read"),
@@ -241,23 +233,23 @@
 }
 
 #[tokio::test]
-async fn connections_are_reset_by_each_cause() {
-    /// What brings the reset about.
+async fn each_cause_resets_connections() {
+    /// Causes a reset; returns the sockets that must observe it.
     type Cause = fn(Pair) -> (TcpStream, Option<TcpStream>, Option<LinkProxy>);
     let cases: [(&str, Cause); 4] = [
         ("a cut that resets", |pair| {
             pair.links.cut_one_way("b", "a");
             (pair.caller, Some(pair.target), Some(pair.proxy))
         }),
-        ("the link's owner", |pair| {
+        ("reset_connections", |pair| {
             pair.proxy.reset_connections();
             (pair.caller, Some(pair.target), Some(pair.proxy))
         }),
-        ("the end of the link", |pair| {
+        ("stopping the link", |pair| {
             pair.proxy.stop();
             (pair.caller, Some(pair.target), None)
         }),
-        ("the target", |pair| {
+        ("a reset by the target", |pair| {
             pair.target.set_zero_linger().expect("the option");
             (pair.caller, None, Some(pair.proxy))
         }),
@@ -266,7 +258,7 @@
         let pair = pair(|settings| settings.cut_behavior = CutBehavior::Reset).await;
         let (caller, target, _proxy) = cause(pair);
         for mut stream in [Some(caller), target].into_iter().flatten() {
-            let read = timeout(PATIENCE, stream.read_u8()).await.expect("in time");
+            let read = timeout(TIMEOUT, stream.read_u8()).await.expect("in time");
             let kind = read.expect_err(name).kind();
             assert_eq!(kind, ErrorKind::ConnectionReset, "{name}");
         }
@@ -274,40 +266,40 @@
 }
 
 #[tokio::test]
-async fn a_target_that_refuses_resets_the_caller() {
+async fn refused_connection_to_the_target_resets_the_caller() {
     let links = links(LATENCY);
     let (listener, address) = listener().await;
     drop(listener);
     let settings = LinkSettings::new("a", "b", Some(address));
     let proxy = LinkProxy::start(&links, settings).expect("a link");
-    let begun = Instant::now();
+    let start = Instant::now();
     let mut caller = TcpStream::connect(proxy.address())
         .await
         .expect("a connection");
-    let read = timeout(PATIENCE, caller.read_u8()).await.expect("in time");
+    let read = timeout(TIMEOUT, caller.read_u8()).await.expect("in time");
     assert!(read.is_err());
-    assert!(begun.elapsed() >= 2 * LATENCY);
+    assert!(start.elapsed() >= 2 * LATENCY);
 }
 
 #[tokio::test]
-async fn one_side_can_close_while_the_other_goes_on() {
+async fn one_side_can_close_while_the_other_continues() {
     let Pair {
         mut caller,
         mut target,
         proxy,
         ..
     } = pair(|_| {}).await;
-    caller.write_all(b"last words").await.expect("written");
+    caller.write_all(b"final data").await.expect("written");
     caller.shutdown().await.expect("closed");
-    let mut seen = Vec::new();
-    timeout(PATIENCE, target.read_to_end(&mut seen))
+    let mut received = Vec::new();
+    timeout(TIMEOUT, target.read_to_end(&mut received))
         .await
         .expect("in time")
         .expect("read");
-    assert_eq!(seen, b"last words");
-    exchange(&mut target, &mut caller, b"still here").await;
+    assert_eq!(received, b"final data");
+    exchange(&mut target, &mut caller, b"reply data").await;
     drop(target);
-    let end = timeout(PATIENCE, caller.read(&mut [0]))
+    let end = timeout(TIMEOUT, caller.read(&mut [0]))
         .await
         .expect("in time");
     assert_eq!(end.expect("a clean end"), 0);
@@ -316,15 +308,15 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(PATIENCE, closed)
+    timeout(TIMEOUT, closed)
         .await
-        .expect("the connection is let go");
+        .expect("the connection is released");
 }
 
 #[tokio::test]
-async fn a_sender_is_held_back_when_too_much_is_on_the_way() {
+async fn sender_is_blocked_when_the_in_flight_limit_is_reached() {
     const LIMIT: usize = 256 << 10;
-    /// What the sockets of the system may hold besides, generously.
+    /// Generous upper bound of the data that operating system buffers may hold.
     const SYSTEM_BUFFERS: usize = 32 << 20;
     let Pair {
         links,
@@ -336,25 +328,22 @@
     links.cut("a", "b");
     let block = vec![7; 1 << 20];
     let mut sent = 0;
-    while let Ok(written) = timeout(SHORT, caller.write(&block)).await {
+    while let Ok(written) = timeout(QUIET_PERIOD, caller.write(&block)).await {
         sent += written.expect("written");
-        assert!(
-            sent < LIMIT + SYSTEM_BUFFERS,
-            "the sender is never held back"
-        );
+        assert!(sent < LIMIT + SYSTEM_BUFFERS, "the sender is never blocked");
     }
     links.heal_all();
     caller.shutdown().await.expect("closed");
-    let mut seen = Vec::new();
-    timeout(PATIENCE, target.read_to_end(&mut seen))
+    let mut received = Vec::new();
+    timeout(TIMEOUT, target.read_to_end(&mut received))
         .await
         .expect("in time")
         .expect("read");
-    assert_eq!(seen.len(), sent);
+    assert_eq!(received.len(), sent);
 }
 
 #[tokio::test]
-async fn connections_wait_for_a_target_that_is_named_later() {
+async fn connections_wait_for_a_target_that_is_set_later() {
     let links = links(LATENCY);
     let settings = LinkSettings::new("a", "b", None);
     let proxy = LinkProxy::start(&links, settings).expect("a link");
@@ -364,10 +353,10 @@
     caller.write_all(b"1").await.expect("written");
     let (listener, address) = listener().await;
     proxy.set_target(address);
-    let accepted = timeout(PATIENCE, listener.accept()).await.expect("in time");
+    let accepted = timeout(TIMEOUT, listener.accept()).await.expect("in time");
     let (mut target, _) = accepted.expect("a connection");
     assert_eq!(
-        timeout(PATIENCE, target.read_u8())
+        timeout(TIMEOUT, target.read_u8())
             .await
             .expect("in time")
             .expect("read"),
--- a/lab/standin/tests/links_zones.rs
+++ b/lab/standin/tests/links_zones.rs
@@ -1,11 +1,11 @@
-//! Latencies and cuts between zones.
+//! Tests of latencies and cuts between zones.
 
 use hookpoint_standin::database::ZoneNetwork;
 use hookpoint_standin::links::{CLIENTS, RegionSpacing, ZoneLinks};
 use std::time::Duration;
 
 #[test]
-fn delays_follow_the_deployment_and_its_spacing() {
+fn delays_match_the_deployment_and_the_region_spacing() {
     let (near, apart) = (RegionSpacing::Near, RegionSpacing::Apart);
     let costa_rica = ["sj-sala-a", "al-sala-b", "lb-sala-c"];
     let greece = ["ath-hall", "thes-hall", "her-hall"];
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn zones_of_one_region_are_near_in_either_spacing() {
+fn zones_of_one_region_use_the_latency_between_zones() {
     let template = ZoneLinks::greece(RegionSpacing::Apart);
     assert_eq!(template.region("her-hall"), Some("crete"));
     let zones = [("a", "north"), ("b", "north"), ("c", "south")];
@@ -49,13 +49,13 @@
 }
 
 /// A change of the cuts.
-type Step = fn(&ZoneLinks);
+type Change = fn(&ZoneLinks);
 
-/// Name, changes, and the cuts expected after them, as pairs of from and to.
-type Case<'a> = (&'a str, &'a [Step], &'a [(&'a str, &'a str)]);
+/// Name, changes, and the expected cuts as pairs of source and destination.
+type Case<'a> = (&'a str, &'a [Change], &'a [(&'a str, &'a str)]);
 
 #[test]
-fn cuts_add_up_and_heal() {
+fn cuts_accumulate_and_heal() {
     let (a, b, c) = ("ath-hall", "her-hall", "thes-hall");
     let cases: [Case<'_>; 9] = [
         ("none", &[], &[]),
@@ -113,9 +113,9 @@
             &[(a, CLIENTS), (CLIENTS, a)],
         ),
     ];
-    for (name, steps, expected) in cases {
+    for (name, changes, expected) in cases {
         let links = ZoneLinks::greece(RegionSpacing::Near);
-        steps.iter().for_each(|step| step(&links));
+        changes.iter().for_each(|change| change(&links));
         let cuts = links.cuts();
         let cuts: Vec<(&str, &str)> = cuts.iter().map(|(from, to)| (&**from, &**to)).collect();
         assert_eq!(cuts, expected, "{name}");
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn databases_meet_the_same_links() {
+fn databases_use_the_same_links() {
     let links = ZoneLinks::greece(RegionSpacing::Near);
     let network: &dyn ZoneNetwork = &links;
     assert_eq!(
--- a/lab/standin/tests/platform_faults.rs
+++ b/lab/standin/tests/platform_faults.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-const SHORT: Duration = Duration::from_millis(200);
+const SHORT_DELAY: Duration = Duration::from_millis(200);
 
 fn read(key: &str) -> Value {
     json!({ "key": encode(key) })
@@ -106,7 +106,7 @@
 async fn outages_have_no_effect_on_the_store() {
     let cases = [
         (OutageMode::Refuse, RESPONSE_TIMEOUT, "an error"),
-        (OutageMode::Hang, SHORT, "no response"),
+        (OutageMode::Hang, SHORT_DELAY, "no response"),
         (OutageMode::NoLeader, RESPONSE_TIMEOUT, "status 503"),
     ];
     for (mode, patience, expected) in cases {
@@ -172,7 +172,7 @@
 #[actix_web::test]
 async fn delayed_responses_arrive_after_their_effect() {
     let platform = start().await;
-    platform.faults().set_delay(Some(SHORT));
+    platform.faults().set_delay(Some(SHORT_DELAY));
     let start_time = Instant::now();
     let mut slow = Box::pin(put(&platform, "k", "x"));
     while platform.get("k").is_none() {
@@ -180,7 +180,7 @@
         assert!(answered.is_err(), "the response arrived before the effect");
     }
     slow.await;
-    assert!(start_time.elapsed() >= SHORT);
+    assert!(start_time.elapsed() >= SHORT_DELAY);
 }
 
 #[actix_web::test]
@@ -257,14 +257,14 @@
     wait_until_applied(&platform).await;
     assert_eq!(platform.list("machines/sj-sala-a/").len(), 2);
 
-    platform.machines().set_lag(SHORT);
+    platform.machines().set_lag(SHORT_DELAY);
     let start_time = Instant::now();
     platform
         .machines()
         .set(machine("n1", MachineState::Leaving));
     platform.machines().remove("sj-sala-a", "n2");
     wait_until_applied(&platform).await;
-    assert!(start_time.elapsed() >= SHORT);
+    assert!(start_time.elapsed() >= SHORT_DELAY);
     let listed = platform.list("machines/");
     assert_eq!(listed.len(), 1);
     assert_eq!(listed[0].key, machine_key("sj-sala-a", "n1").into_bytes());
--- a/lab/standin/tests/platform_product_client.rs
+++ b/lab/standin/tests/platform_product_client.rs
@@ -92,7 +92,7 @@
             false,
         ),
         (
-            "connection rejected",
+            "connection refused",
             LONG_TIMEOUT,
             |platform| platform.faults().set_outage(Some(OutageMode::Refuse)),
             0,
