--- a/lab/standin/src/database/advisory.rs
+++ b/lab/standin/src/database/advisory.rs
@@ -5,7 +5,7 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 
-/// Key of an advisory lock: its one or two numbers.
+/// Key of an advisory lock: one or two integers.
 pub type AdvisoryKey = (i64, Option<i64>);
 
 #[derive(Debug)]
@@ -15,7 +15,7 @@
     transaction: u32,
 }
 
-/// The locks and who holds them.
+/// The advisory locks and their holders.
 #[derive(Default)]
 pub struct AdvisoryLocks {
     holders: Mutex<BTreeMap<AdvisoryKey, Holder>>,
@@ -23,7 +23,8 @@
 }
 
 impl AdvisoryLocks {
-    /// Takes a lock for `process` if it is free or already its own.
+    /// Takes a lock for `process` and returns true if it is free or already held by
+    /// `process`.
     pub fn try_lock(&self, key: AdvisoryKey, process: i32, for_transaction: bool) -> bool {
         let mut holders = self.holders.lock();
         let holder = holders.entry(key).or_insert(Holder {
@@ -42,7 +43,7 @@
         true
     }
 
-    /// Waits until the lock is taken.
+    /// Waits until the lock is acquired.
     pub async fn lock(&self, key: AdvisoryKey, process: i32, for_transaction: bool) {
         loop {
             let freed = self.freed.notified();
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Gives a session's lock up once; false if it held none.
+    /// Releases a session lock once; returns false if the session does not hold it.
     pub fn unlock(&self, key: AdvisoryKey, process: i32) -> bool {
         let mut holders = self.holders.lock();
         let held = holders
@@ -65,16 +66,16 @@
             return false;
         };
         holder.session -= 1;
-        self.drop_free(&mut holders);
+        self.remove_unheld(&mut holders);
         true
     }
 
-    /// Gives all session locks of `process` up.
+    /// Releases all session locks of `process`.
     pub fn unlock_session(&self, process: i32) {
         self.release(process, |holder| holder.session = 0);
     }
 
-    /// Gives all transaction locks of `process` up.
+    /// Releases all transaction locks of `process`.
     pub fn unlock_transaction(&self, process: i32) {
         self.release(process, |holder| holder.transaction = 0);
     }
@@ -85,10 +86,10 @@
             .values_mut()
             .filter(|holder| holder.process == process)
             .for_each(change);
-        self.drop_free(&mut holders);
+        self.remove_unheld(&mut holders);
     }
 
-    fn drop_free(&self, holders: &mut BTreeMap<AdvisoryKey, Holder>) {
+    fn remove_unheld(&self, holders: &mut BTreeMap<AdvisoryKey, Holder>) {
         let before = holders.len();
         holders.retain(|_, holder| holder.session + holder.transaction > 0);
         if holders.len() < before {
--- a/lab/standin/src/database/connections.rs
+++ b/lab/standin/src/database/connections.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use tokio::sync::Notify;
 
-/// Lets a cancel request reach the statement that runs on a connection.
+/// Delivers cancel requests to the statement that runs on a connection.
 #[derive(Debug, Default)]
 pub struct Cancellation {
     running: AtomicBool,
@@ -17,19 +17,19 @@
 }
 
 impl Cancellation {
-    /// Notes that work begins; earlier requests are forgotten.
+    /// Records the start of a message; earlier cancel requests are discarded.
     pub fn begin(&self) {
         self.requested.store(false, Ordering::SeqCst);
         self.running.store(true, Ordering::SeqCst);
     }
 
-    /// Notes that work has ended.
+    /// Records that the message has been handled.
     pub fn end(&self) {
         self.running.store(false, Ordering::SeqCst);
         self.requested.store(false, Ordering::SeqCst);
     }
 
-    /// Cancels the running work; without any, nothing happens.
+    /// Cancels the running work; has no effect when nothing is running.
     fn request(&self) {
         if self.running.load(Ordering::SeqCst) {
             self.requested.store(true, Ordering::SeqCst);
@@ -37,17 +37,17 @@
         }
     }
 
-    /// Whether the running work was cancelled; asked once.
+    /// Returns whether the running work was canceled, and clears the request.
     pub fn take(&self) -> bool {
         self.requested.swap(false, Ordering::SeqCst)
     }
 
-    /// Whether the running work was cancelled.
+    /// Returns whether the running work was canceled.
     pub fn is_requested(&self) -> bool {
         self.requested.load(Ordering::SeqCst)
     }
 
-    /// Waits for the running work to be cancelled.
+    /// Waits until the running work is canceled, and clears the request.
     pub async fn cancelled(&self) {
         loop {
             let notified = self.notify.notified();
@@ -74,25 +74,25 @@
     refused: u64,
 }
 
-/// All connections of a database.
+/// All client connections of a database.
 pub struct Connections {
     slots: usize,
     table: Mutex<Table>,
 }
 
-/// Counts of a database's connections.
+/// Connection counters of a database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// Open now.
+    /// Connections currently open.
     pub open: usize,
-    /// Most open at once so far.
+    /// Maximum number of connections open at the same time so far.
     pub peak: usize,
-    /// Refused for want of a slot so far.
+    /// Connections refused so far because no slot was free.
     pub refused: u64,
 }
 
 impl Connections {
-    /// A table of `slots` slots.
+    /// Creates a table with `slots` connection slots.
     pub fn new(slots: u32) -> Self {
         Self {
             slots: slots as usize,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Takes a slot, or counts a refusal.
+    /// Takes a slot, or counts a refused connection and returns `None`.
     pub fn open(&self) -> Option<Slot> {
         let mut table = self.table.lock();
         if table.open.len() >= self.slots {
@@ -122,12 +122,12 @@
         Some(slot)
     }
 
-    /// Gives a slot back.
+    /// Releases the slot of a connection.
     pub fn close(&self, process: i32) {
         self.table.lock().open.remove(&process);
     }
 
-    /// Cancels what runs on a connection if the secret is right.
+    /// Cancels the running work of a connection if the secret matches.
     pub fn cancel(&self, process: i32, secret: i32) {
         let table = self.table.lock();
         if let Some(connection) = table.open.get(&process)
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Counts for the status.
+    /// Returns the connection counters.
     pub fn counts(&self) -> ConnectionCounts {
         let table = self.table.lock();
         ConnectionCounts {
@@ -148,13 +148,13 @@
     }
 }
 
-/// A slot that a connection holds.
+/// A connection slot.
 #[derive(Clone, Debug)]
 pub struct Slot {
-    /// Identifier of the connection.
+    /// Identifier of the connection, reported as its process identifier.
     pub process: i32,
-    /// Secret that a cancel request must name.
+    /// Secret that a cancel request must contain.
     pub secret: i32,
-    /// Reaches the running statement.
+    /// Cancellation state of the connection.
     pub cancellation: Arc<Cancellation>,
 }
--- a/lab/standin/src/database/consensus.rs
+++ b/lab/standin/src/database/consensus.rs
@@ -1,6 +1,6 @@
-//! Agreement within a group: who is primary in which term, and which entries
-//! of the log a majority has flushed. Deterministic: time and messages come
-//! in, actions go out.
+//! Consensus within a group: the primary of each term and the log entries that a
+//! majority has flushed. The state machine is deterministic: it takes time and
+//! messages as input and returns actions.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -19,23 +19,23 @@
 
 pub use message::{Action, Member, Message, Role, Timing};
 
-/// Entries sent in one message at most.
-const BATCH: usize = 256;
+/// Maximum number of entries per message.
+const MAX_BATCH_ENTRIES: usize = 256;
 
-/// What a primary knows of a replica.
+/// Replication progress of a replica, as tracked by the primary.
 #[derive(Clone, Debug)]
 pub struct Peer {
-    /// Entries sent to it.
+    /// Number of entries sent to the replica; the next entry to send.
     next: usize,
-    /// Entries that it has flushed.
+    /// Number of entries that the replica is known to have flushed.
     pub flushed: usize,
-    /// End of what it has replayed.
+    /// End position of the entries that the replica has replayed.
     pub replayed: Lsn,
-    /// When it was last heard in this term.
-    pub heard_at: Option<Instant>,
+    /// Time of its last message in this term.
+    pub last_message_at: Option<Instant>,
 }
 
-/// The state of one member of a group.
+/// The consensus state of one member of a group.
 pub struct Consensus {
     member: Member,
     timing: Timing,
@@ -43,20 +43,21 @@
     role: Role,
     term: u64,
     vote: Option<Member>,
-    trial: bool,
+    pre_vote: bool,
     votes: BTreeSet<Member>,
     primary: Option<Member>,
-    heard_at: Instant,
+    last_primary_message_at: Instant,
     deadline: Instant,
     heartbeat_at: Instant,
     peers: Vec<Peer>,
     log: Vec<Arc<Entry>>,
-    majority: usize,
+    majority_flushed: usize,
 }
 
 impl Consensus {
-    /// Member `member` of `members`, all of which start with `first` as their
-    /// log and with member 0 as the primary of the first term.
+    /// Creates the state of member `member` in a group of `members`. All members
+    /// start with `first` as their log and member 0 as the primary of the first
+    /// term.
     pub fn new(
         member: Member,
         members: usize,
@@ -76,10 +77,10 @@
             },
             term: first.term,
             vote: Some(0),
-            trial: false,
+            pre_vote: false,
             votes: BTreeSet::new(),
             primary: Some(0),
-            heard_at: now,
+            last_primary_message_at: now,
             deadline: now,
             heartbeat_at: now,
             peers: vec![
@@ -87,44 +88,44 @@
                     next: 1,
                     flushed: 1,
                     replayed: first.end,
-                    heard_at: None,
+                    last_message_at: None,
                 };
                 members
             ],
             log: vec![first],
-            majority: 1,
+            majority_flushed: 1,
         };
         consensus.postpone_election(now);
         consensus
     }
 
-    /// What this member is.
+    /// Returns the role of this member.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// The term this member is in.
+    /// Returns the current term of this member.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// The timeline that the log here belongs to: the term of its last entry.
-    /// All of the log up to there is the same as that term's primary's.
+    /// Returns the timeline of the local log, which is the term of its last entry.
+    /// The log up to that entry is identical to that of the term's primary.
     pub fn timeline(&self) -> u64 {
         self.log.last().map_or(0, |entry| entry.term)
     }
 
-    /// The log.
+    /// Returns the log.
     pub fn log(&self) -> &[Arc<Entry>] {
         &self.log
     }
 
-    /// End of the log.
+    /// Returns the end position of the log.
     pub fn flushed(&self) -> Lsn {
         self.position(self.log.len())
     }
 
-    /// Position after the first `length` entries.
+    /// Returns the position after the first `length` entries.
     pub fn position(&self, length: usize) -> Lsn {
         match length.checked_sub(1).and_then(|last| self.log.get(last)) {
             Some(entry) => entry.end,
@@ -132,28 +133,31 @@
         }
     }
 
-    /// How many entries a majority is known to have flushed.
-    pub fn majority(&self) -> usize {
-        self.majority
+    /// Returns the number of entries that a majority is known to have flushed.
+    pub fn majority_flushed(&self) -> usize {
+        self.majority_flushed
     }
 
-    /// What the primary knows of each member.
+    /// Returns the replication progress of each member.
     pub fn peers(&self) -> &[Peer] {
         &self.peers
     }
 
-    /// When a primary was last heard here.
-    pub fn heard_at(&self) -> Instant {
-        self.heard_at
+    /// Returns the time of the last message from a primary.
+    pub fn last_primary_message_at(&self) -> Instant {
+        self.last_primary_message_at
     }
 
-    /// The primary that this replica heard within its election timeout.
-    pub fn heard_primary(&self, now: Instant) -> Option<Member> {
-        let heard = now.saturating_duration_since(self.heard_at) < self.timing.election_timeout;
-        self.primary.filter(|_| heard && self.role == Role::Replica)
+    /// Returns the primary from which this replica received a message within its
+    /// election timeout.
+    pub fn reachable_primary(&self, now: Instant) -> Option<Member> {
+        let is_recent = now.saturating_duration_since(self.last_primary_message_at)
+            < self.timing.election_timeout;
+        self.primary
+            .filter(|_| is_recent && self.role == Role::Replica)
     }
 
-    /// When [`Self::tick`] must be called next.
+    /// Returns when [`Self::tick`] must be called next.
     pub fn next_tick(&self) -> Instant {
         match self.role {
             Role::Primary => self.heartbeat_at,
@@ -161,7 +165,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Sends heartbeats or starts an election if either is due at `now`.
     pub fn tick(&mut self, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         if now < self.next_tick() {
@@ -171,12 +175,12 @@
             self.heartbeat_at = now + self.timing.heartbeat_interval;
             self.send_entries(&mut actions, true);
         } else {
-            self.ask(now, true, false, &mut actions);
+            self.start_election(now, true, false, &mut actions);
         }
         actions
     }
 
-    /// Forgets everything that a restart forgets: all but term, vote and log.
+    /// Resets the volatile state, as a restart does. Term, vote and log are kept.
     pub fn restart(&mut self, now: Instant) -> Vec<Action> {
         let mut actions = Vec::new();
         if self.role == Role::Primary {
@@ -189,23 +193,24 @@
         actions
     }
 
-    /// Adds a committed transaction; only for a primary.
+    /// Appends a committed transaction to the log; must be called on a primary only.
     pub fn append(&mut self, timestamp: i64, statements: Vec<LoggedStatement>) -> Vec<Action> {
         let mut actions = Vec::new();
         let entry = Entry::new(self.term, self.flushed(), timestamp, statements);
         self.log.push(Arc::new(entry));
         actions.push(Action::Flushed);
-        self.advance_majority(&mut actions);
+        self.advance_majority_flushed(&mut actions);
         self.send_entries(&mut actions, false);
         actions
     }
 
-    /// Asks `target` to take over, which must have the whole log.
+    /// Requests `target` to take over; `target` must have the complete log.
     pub fn hand_over(&mut self, target: Member) -> Vec<Action> {
         vec![Action::Send(target, Message::TakeOver { term: self.term })]
     }
 
-    /// Takes in a message.
+    /// Handles a message from another member; `replayed` is the local replay
+    /// position.
     pub fn receive(
         &mut self,
         now: Instant,
@@ -226,7 +231,7 @@
                 }
                 let hint = self.hint(length);
                 let flushed = (term == self.term)
-                    .then(|| self.add(length, last_term, entries, &mut actions))
+                    .then(|| self.append_matching(length, last_term, entries, &mut actions))
                     .flatten();
                 let reply = Message::Appended {
                     term: self.term,
@@ -241,19 +246,19 @@
                 flushed,
                 hint,
                 replayed,
-            } => self.take_answer(now, from, term, flushed, hint, replayed, &mut actions),
-            Message::Ask {
+            } => self.handle_appended(now, from, term, flushed, hint, replayed, &mut actions),
+            Message::RequestVote {
                 term,
-                trial,
+                pre_vote,
                 planned,
                 last_term,
                 length,
             } => {
-                let vote = self.vote_on(
+                let vote = self.handle_vote_request(
                     now,
                     from,
                     term,
-                    trial,
+                    pre_vote,
                     planned,
                     (last_term, length),
                     &mut actions,
@@ -262,12 +267,12 @@
             }
             Message::Vote {
                 term,
-                trial,
+                pre_vote,
                 granted,
-            } => self.take_vote(now, from, term, trial, granted, &mut actions),
+            } => self.handle_vote(now, from, term, pre_vote, granted, &mut actions),
             Message::TakeOver { term } => {
                 if term == self.term && self.role == Role::Replica {
-                    self.ask(now, false, true, &mut actions);
+                    self.start_election(now, false, true, &mut actions);
                 }
             }
         }
@@ -313,24 +318,24 @@
         }
         self.step_down(actions);
         self.primary = Some(primary);
-        self.heard_at = now;
+        self.last_primary_message_at = now;
         self.postpone_election(now);
     }
 
-    /// Adds entries if they fit; returns how many entries are now the same as
-    /// the primary's.
-    fn add(
+    /// Appends entries if the log matches the primary's at `length`. Returns the
+    /// number of entries that are now identical to the primary's.
+    fn append_matching(
         &mut self,
         length: usize,
         last_term: u64,
         entries: Vec<Arc<Entry>>,
         actions: &mut Vec<Action>,
     ) -> Option<usize> {
-        let fits = length <= self.log.len()
+        let matches = length <= self.log.len()
             && length
                 .checked_sub(1)
                 .is_none_or(|last| self.log[last].term == last_term);
-        if !fits {
+        if !matches {
             return None;
         }
         let mut at = length;
@@ -353,8 +358,8 @@
         Some(at)
     }
 
-    /// Where a primary goes on after a message that did not fit behind
-    /// `length` entries: before all of the term that differs there.
+    /// Returns the length from which the primary continues after a mismatch at
+    /// `length`: before all local entries of the conflicting term.
     fn hint(&self, length: usize) -> usize {
         let Some(last) = length.checked_sub(1).and_then(|last| self.log.get(last)) else {
             return self.log.len();
@@ -363,7 +368,7 @@
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
-    fn take_answer(
+    fn handle_appended(
         &mut self,
         now: Instant,
         from: Member,
@@ -382,7 +387,7 @@
             return;
         }
         let peer = &mut self.peers[from];
-        peer.heard_at = Some(now);
+        peer.last_message_at = Some(now);
         peer.replayed = replayed;
         match flushed {
             Some(flushed) => {
@@ -391,23 +396,25 @@
             }
             None => peer.next = hint.max(peer.flushed),
         }
-        self.advance_majority(actions);
+        self.advance_majority_flushed(actions);
         if flushed.is_none() {
             self.send_to(from, true, actions);
         }
     }
 
-    fn advance_majority(&mut self, actions: &mut Vec<Action>) {
+    fn advance_majority_flushed(&mut self, actions: &mut Vec<Action>) {
         let own = self.log.len();
         let mut flushed: Vec<usize> = self.peers.iter().map(|peer| peer.flushed).collect();
         flushed[self.member] = own;
         flushed.sort_unstable();
-        let majority = flushed[(self.members() - 1) / 2];
-        // An older term's entries count only with one of this term after them.
-        let of_this_term = majority > self.majority && self.log[majority - 1].term == self.term;
-        if of_this_term {
-            self.majority = majority;
-            actions.push(Action::MajorityAdvanced);
+        let majority_flushed = flushed[(self.members() - 1) / 2];
+        // Entries of an older term count as flushed by a majority only once an
+        // entry of the current term after them does.
+        let can_advance = majority_flushed > self.majority_flushed
+            && self.log[majority_flushed - 1].term == self.term;
+        if can_advance {
+            self.majority_flushed = majority_flushed;
+            actions.push(Action::MajorityFlushedAdvanced);
         }
     }
 
@@ -421,7 +428,7 @@
 
     fn send_to(&mut self, member: Member, heartbeat: bool, actions: &mut Vec<Action>) {
         let length = self.peers[member].next.min(self.log.len());
-        let end = (length + BATCH).min(self.log.len());
+        let end = (length + MAX_BATCH_ENTRIES).min(self.log.len());
         if length == end && !heartbeat {
             return;
         }
--- a/lab/standin/src/database/consensus/election.rs
+++ b/lab/standin/src/database/consensus/election.rs
@@ -1,4 +1,4 @@
-//! Elections: who asks for votes, who gives them, who leads.
+//! Elections: requesting, granting and counting votes.
 
 use std::collections::BTreeSet;
 use std::time::Instant;
@@ -8,29 +8,29 @@
 use crate::database::timestamp;
 
 impl Consensus {
-    pub(super) fn ask(
+    pub(super) fn start_election(
         &mut self,
         now: Instant,
-        trial: bool,
+        pre_vote: bool,
         planned: bool,
         actions: &mut Vec<Action>,
     ) {
         self.postpone_election(now);
         self.role = Role::Candidate;
-        self.trial = trial;
+        self.pre_vote = pre_vote;
         self.votes = BTreeSet::from([self.member]);
-        if !trial {
+        if !pre_vote {
             self.term += 1;
             self.vote = Some(self.member);
             self.primary = None;
         }
         let (last_term, length) = self.last();
-        let term = if trial { self.term + 1 } else { self.term };
+        let term = if pre_vote { self.term + 1 } else { self.term };
         for member in 0..self.members() {
             if member != self.member {
-                let message = Message::Ask {
+                let message = Message::RequestVote {
                     term,
-                    trial,
+                    pre_vote,
                     planned,
                     last_term,
                     length,
@@ -42,53 +42,54 @@
     }
 
     #[expect(clippy::too_many_arguments, reason = "the fields of one message")]
-    pub(super) fn vote_on(
+    pub(super) fn handle_vote_request(
         &mut self,
         now: Instant,
         from: Member,
         term: u64,
-        trial: bool,
+        pre_vote: bool,
         planned: bool,
         last: (u64, usize),
         actions: &mut Vec<Action>,
     ) -> Message {
-        let content = self.role == Role::Replica && self.heard_primary(now).is_some();
-        let leading = self.role == Role::Primary && self.hears_majority(now);
-        let refuses = (content || leading) && !planned;
-        if term > self.term && !trial && !refuses {
+        let has_primary = self.role == Role::Replica && self.reachable_primary(now).is_some();
+        let leads_majority = self.role == Role::Primary && self.reaches_majority(now);
+        let rejects = (has_primary || leads_majority) && !planned;
+        if term > self.term && !pre_vote && !rejects {
             self.enter_term(term, actions);
         }
-        let free = if trial {
+        let vote_available = if pre_vote {
             term > self.term
         } else {
             term == self.term && self.vote.is_none_or(|vote| vote == from)
         };
-        let granted = free && !refuses && last >= self.last() && self.role != Role::Primary;
-        if granted && !trial {
+        let granted =
+            vote_available && !rejects && last >= self.last() && self.role != Role::Primary;
+        if granted && !pre_vote {
             self.vote = Some(from);
             self.postpone_election(now);
         }
         Message::Vote {
             term: if granted { term } else { self.term },
-            trial,
+            pre_vote,
             granted,
         }
     }
 
-    fn hears_majority(&self, now: Instant) -> bool {
-        let heard = self.peers.iter().filter(|peer| {
-            peer.heard_at
+    fn reaches_majority(&self, now: Instant) -> bool {
+        let reachable = self.peers.iter().filter(|peer| {
+            peer.last_message_at
                 .is_some_and(|at| now.saturating_duration_since(at) < self.timing.election_timeout)
         });
-        self.is_majority(heard.count() + 1)
+        self.is_majority(reachable.count() + 1)
     }
 
-    pub(super) fn take_vote(
+    pub(super) fn handle_vote(
         &mut self,
         now: Instant,
         from: Member,
         term: u64,
-        trial: bool,
+        pre_vote: bool,
         granted: bool,
         actions: &mut Vec<Action>,
     ) {
@@ -97,10 +98,16 @@
             self.postpone_election(now);
             return;
         }
-        let asked = if self.trial { self.term + 1 } else { self.term };
-        let counts =
-            granted && self.role == Role::Candidate && trial == self.trial && term == asked;
-        if counts {
+        let expected_term = if self.pre_vote {
+            self.term + 1
+        } else {
+            self.term
+        };
+        let is_valid = granted
+            && self.role == Role::Candidate
+            && pre_vote == self.pre_vote
+            && term == expected_term;
+        if is_valid {
             self.votes.insert(from);
             self.count_votes(now, actions);
         }
@@ -110,14 +117,14 @@
         if !self.is_majority(self.votes.len()) {
             return;
         }
-        if self.trial {
-            self.ask(now, false, false, actions);
+        if self.pre_vote {
+            self.start_election(now, false, false, actions);
         } else {
-            self.lead(now, actions);
+            self.become_primary(now, actions);
         }
     }
 
-    fn lead(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn become_primary(&mut self, now: Instant, actions: &mut Vec<Action>) {
         self.role = Role::Primary;
         self.primary = Some(self.member);
         self.votes.clear();
@@ -126,11 +133,12 @@
         for peer in &mut self.peers {
             peer.next = length;
             peer.flushed = 0;
-            peer.heard_at = None;
+            peer.last_message_at = None;
             peer.replayed = FIRST_LSN;
         }
         actions.push(Action::BecamePrimary);
-        // An empty entry starts the term, so that the older ones count.
+        // An empty entry of the new term lets entries of older terms count as
+        // flushed by a majority.
         actions.extend(self.append(timestamp::now_micros(), Vec::new()));
     }
 }
--- a/lab/standin/src/database/consensus/message.rs
+++ b/lab/standin/src/database/consensus/message.rs
@@ -1,4 +1,4 @@
-//! What goes in and out of the agreement.
+//! Messages, actions and settings of the consensus state machine.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -6,96 +6,97 @@
 use crate::database::entry::Entry;
 use crate::database::position::Lsn;
 
-/// Number of a database in its group.
+/// Index of a database in its group.
 pub type Member = usize;
 
-/// What a database is in its group.
+/// Role of a database in its group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Accepts writes.
     Primary,
     /// Follows a primary, or waits for one.
     Replica,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
 }
 
 /// A message between the databases of a group.
 #[derive(Clone, Debug)]
 pub enum Message {
-    /// Entries after the first `length`, of which the last is of `last_term`;
-    /// without entries, a heartbeat.
+    /// Log entries that follow the first `length` entries; a heartbeat if empty.
     Append {
-        /// Term of the sender, who is its primary.
+        /// Term of the sender, which is the primary of that term.
         term: u64,
-        /// Number of entries before these.
+        /// Number of entries that precede `entries` in the log.
         length: usize,
-        /// Term of the entry before these.
+        /// Term of the entry that precedes `entries`.
         last_term: u64,
-        /// The entries.
+        /// Entries to append, in log order.
         entries: Vec<Arc<Entry>>,
     },
-    /// Answer to `Append`.
+    /// Response to `Append`.
     Appended {
         /// Term of the sender.
         term: u64,
-        /// How many entries are known to be the same, if the message fitted.
+        /// Number of entries known to be identical to the primary's; `None` if the log
+        /// did not match.
         flushed: Option<usize>,
-        /// Where to go on if the message did not fit.
+        /// Length from which the primary continues if the log did not match.
         hint: usize,
-        /// End of what the sender has replayed.
+        /// End position of the entries that the sender has replayed.
         replayed: Lsn,
     },
-    /// A request for a vote, or the question whether one would be given.
-    Ask {
-        /// Term that the sender wants to lead.
+    /// A vote request or a pre-vote request.
+    RequestVote {
+        /// Term for which the sender is a candidate.
         term: u64,
-        /// Whether this is only the question.
-        trial: bool,
-        /// Whether the present primary wants this election.
+        /// Whether this is a pre-vote, which does not change the receiver's term.
+        pre_vote: bool,
+        /// Whether the current primary requested this election for a switchover.
         planned: bool,
         /// Term of the sender's last entry.
         last_term: u64,
         /// Number of the sender's entries.
         length: usize,
     },
-    /// A vote.
+    /// Response to a vote request.
     Vote {
-        /// Term voted in; for a refusal, the sender's own.
+        /// Term of the vote; if it is denied, the term of the sender.
         term: u64,
-        /// Whether it answers only the question.
-        trial: bool,
-        /// Whether the vote is given.
+        /// Whether this responds to a pre-vote.
+        pre_vote: bool,
+        /// Whether the vote is granted.
         granted: bool,
     },
-    /// The primary's request to a replica to take over at once.
+    /// Request from the primary to a replica to start an election immediately.
     TakeOver {
         /// Term of the sender.
         term: u64,
     },
 }
 
-/// What the owner of a [`Consensus`] must do.
+/// An action that the owner of a [`Consensus`] must execute.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send a message.
     Send(Member, Message),
-    /// The log was cut to this many entries; undo what was replayed of the rest.
+    /// The log was truncated to this many entries; replayed entries beyond it must
+    /// be undone.
     Truncated(usize),
     /// Entries were added to the log.
     Flushed,
-    /// This database now leads its term.
+    /// This database became the primary of its term.
     BecamePrimary,
-    /// This database leads no more.
+    /// This database is no longer the primary.
     SteppedDown,
-    /// More entries are known to be flushed by a majority.
-    MajorityAdvanced,
+    /// The number of entries known to be flushed by a majority increased.
+    MajorityFlushedAdvanced,
 }
 
-/// Timing of a group.
+/// Timeouts of the consensus state machine.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Time without a heartbeat after which a replica stands for election.
+    /// Time without a heartbeat after which a replica starts an election.
     pub election_timeout: Duration,
     /// Time between heartbeats.
     pub heartbeat_interval: Duration,
--- a/lab/standin/src/database/consensus/tests.rs
+++ b/lab/standin/src/database/consensus/tests.rs
@@ -1,5 +1,5 @@
-//! Random runs of whole groups in virtual time, with losses, delays, cuts and
-//! restarts; each run follows from its seed.
+//! Randomized simulations of whole groups in virtual time, with message loss,
+//! delays, cuts and restarts. Each run is determined by its seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,22 +17,22 @@
 const STEPS: usize = 4000;
 const STEP: Duration = Duration::from_millis(1);
 
-/// One group of which every message passes through a lossy network that keeps
-/// the order on each link.
+/// A group whose messages pass through a lossy network that preserves the order
+/// on each link.
 struct Run {
     now: Instant,
     random: ChaCha8Rng,
     members: Vec<Consensus>,
-    cut: Vec<bool>,
-    /// Links cut in one direction.
+    isolated: Vec<bool>,
+    /// Links that are cut, each in one direction.
     cut_links: BTreeSet<(Member, Member)>,
     links: BTreeMap<(Member, Member), Vec<(Instant, Message)>>,
-    /// Who led each term.
+    /// Primary of each term.
     primaries: BTreeMap<u64, Member>,
-    /// Entries that some primary knew to be flushed by a majority.
+    /// Entries that a primary reported as flushed by a majority.
     safe: BTreeMap<usize, Arc<Entry>>,
-    /// How many entries each member has told to be safe.
-    noted: Vec<usize>,
+    /// Number of entries that each member has reported as safe.
+    recorded: Vec<usize>,
     written: u64,
 }
 
@@ -52,17 +52,17 @@
             now,
             random: ChaCha8Rng::seed_from_u64(seed),
             members: (0..members).map(new).collect(),
-            cut: vec![false; members],
+            isolated: vec![false; members],
             cut_links: BTreeSet::new(),
             links: BTreeMap::new(),
             primaries: BTreeMap::from([(1, 0)]),
             safe: BTreeMap::new(),
-            noted: vec![0; members],
+            recorded: vec![0; members],
             written: 0,
         }
     }
 
-    fn act(&mut self, member: Member, actions: Vec<Action>) {
+    fn apply(&mut self, member: Member, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Send(to, message) => {
@@ -77,23 +77,23 @@
                     assert_eq!(known, member, "two primaries of term {term}");
                     self.check_safe(member);
                 }
-                Action::MajorityAdvanced => self.note_safe(member),
+                Action::MajorityFlushedAdvanced => self.record_safe(member),
                 Action::Truncated(_) | Action::Flushed | Action::SteppedDown => {}
             }
         }
     }
 
-    fn note_safe(&mut self, member: Member) {
+    fn record_safe(&mut self, member: Member) {
         let consensus = &self.members[member];
-        let start = std::mem::replace(&mut self.noted[member], consensus.majority());
-        for at in start..consensus.majority() {
+        let start = std::mem::replace(&mut self.recorded[member], consensus.majority_flushed());
+        for at in start..consensus.majority_flushed() {
             let entry = &consensus.log()[at];
             let known = self.safe.entry(at).or_insert_with(|| entry.clone());
             assert_eq!(known, entry, "two safe entries at {at}");
         }
     }
 
-    /// A new primary must hold every safe entry.
+    /// Checks that a new primary has every safe entry.
     fn check_safe(&self, member: Member) {
         for (at, entry) in &self.safe {
             assert_eq!(
@@ -108,14 +108,14 @@
         self.now += STEP;
         for member in 0..self.members.len() {
             let actions = self.members[member].tick(self.now);
-            self.act(member, actions);
+            self.apply(member, actions);
         }
         self.deliver();
         if self.random.random_bool(0.3) {
             self.write();
         }
         if self.random.random_bool(0.01) {
-            self.disturb();
+            self.inject_fault();
         }
     }
 
@@ -129,11 +129,12 @@
             );
         }
         for (from, to, message) in due {
-            let cut = self.cut[from] || self.cut[to] || self.cut_links.contains(&(from, to));
+            let cut =
+                self.isolated[from] || self.isolated[to] || self.cut_links.contains(&(from, to));
             let lost = cut || self.random.random_bool(0.02);
             if !lost {
                 let actions = self.members[to].receive(self.now, from, message, Lsn(0));
-                self.act(to, actions);
+                self.apply(to, actions);
             }
         }
     }
@@ -151,39 +152,39 @@
                 seed: 0,
             };
             let actions = self.members[member].append(0, vec![statement]);
-            self.act(member, actions);
+            self.apply(member, actions);
         }
     }
 
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         let member = self.random.random_range(0..self.members.len());
         let other = self.random.random_range(0..self.members.len());
         match self.random.random_range(0..6) {
-            0 => self.cut[member] = true,
-            1 => self.cut[member] = false,
+            0 => self.isolated[member] = true,
+            1 => self.isolated[member] = false,
             2 => drop(self.cut_links.insert((member, other))),
             3 => drop(self.cut_links.remove(&(member, other))),
-            4 => self.mend(),
+            4 => self.heal(),
             _ => {
                 let actions = self.members[member].restart(self.now);
-                self.act(member, actions);
+                self.apply(member, actions);
             }
         }
     }
 
-    fn mend(&mut self) {
-        self.cut.fill(false);
+    fn heal(&mut self) {
+        self.isolated.fill(false);
         self.cut_links.clear();
     }
 
-    /// With all links whole, everybody ends with the same log.
-    fn settle(&mut self) {
-        self.mend();
+    /// Checks that all members end with the same log once all links are healed.
+    fn heal_and_check_convergence(&mut self) {
+        self.heal();
         for _ in 0..3000 {
             self.now += STEP;
             for member in 0..self.members.len() {
                 let actions = self.members[member].tick(self.now);
-                self.act(member, actions);
+                self.apply(member, actions);
             }
             self.deliver();
         }
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn safe_entries_survive_and_terms_have_one_primary() {
+fn safe_entries_are_never_lost_and_each_term_has_one_primary() {
     let mut terms = 0;
     let mut safe = 0;
     for seed in 0..RUNS {
@@ -210,23 +211,23 @@
             for _ in 0..STEPS {
                 run.step();
             }
-            run.settle();
+            run.heal_and_check_convergence();
             terms += run.primaries.len();
             safe += run.safe.len();
         }
     }
-    // The runs must have had something to check.
+    // The runs must have produced something to check.
     assert!(terms > 5 * RUNS as usize, "{terms} terms");
     assert!(safe > 500 * RUNS as usize, "{safe} safe entries");
 }
 
-/// Has member 0 elected by a vote of member 1.
-fn elect_first(consensus: &mut Consensus, now: Instant) {
+/// Lets member 0 win an election with the vote of member 1.
+fn elect_member_0(consensus: &mut Consensus, now: Instant) {
     consensus.tick(now);
-    for trial in [true, false] {
+    for pre_vote in [true, false] {
         let vote = Message::Vote {
-            term: consensus.term() + u64::from(trial),
-            trial,
+            term: consensus.term() + u64::from(pre_vote),
+            pre_vote,
             granted: true,
         };
         consensus.receive(now, 1, vote, Lsn(0));
@@ -235,23 +236,23 @@
 }
 
 #[test]
-fn an_older_terms_entry_is_safe_only_with_one_of_the_present_term() {
+fn entry_of_an_older_term_is_safe_only_after_an_entry_of_the_current_term() {
     let mut run = Run::new(3, 1);
     let consensus = &mut run.members[0];
     consensus.append(0, Vec::new());
     let later = run.now + Duration::from_secs(1);
     consensus.restart(run.now);
-    elect_first(consensus, later);
+    elect_member_0(consensus, later);
     assert_eq!((consensus.term(), consensus.log().len()), (2, 3));
-    // How many entries member 1 has flushed, and how many are safe then.
+    // Number of entries that member 1 has flushed, and number that are then safe.
     for (flushed, safe) in [(1, 1), (2, 1), (3, 3)] {
-        let answer = Message::Appended {
+        let response = Message::Appended {
             term: 2,
             flushed: Some(flushed),
             hint: 0,
             replayed: Lsn(0),
         };
-        consensus.receive(later, 1, answer, Lsn(0));
-        assert_eq!(consensus.majority(), safe, "{flushed} flushed");
+        consensus.receive(later, 1, response, Lsn(0));
+        assert_eq!(consensus.majority_flushed(), safe, "{flushed} flushed");
     }
 }
--- a/lab/standin/src/database/copy.rs
+++ b/lab/standin/src/database/copy.rs
@@ -12,9 +12,9 @@
 use super::statement::Statement;
 use super::value;
 
-/// Data of one COPY FROM, in bytes, past which it is refused.
+/// Maximum size of the data of one COPY FROM, in bytes.
 const MAXIMUM_COPY_BYTES: usize = 64 * 1024 * 1024;
-/// How a null is written.
+/// Representation of NULL in the text format.
 const NULL: &str = "\\N";
 
 impl Session {
--- a/lab/standin/src/database/cursor.rs
+++ b/lab/standin/src/database/cursor.rs
@@ -1,4 +1,4 @@
-//! Cursors and statements that were prepared by SQL.
+//! SQL cursors and prepared statements: DECLARE, FETCH, CLOSE, PREPARE and EXECUTE.
 
 use pgwire::api::Type;
 use rusqlite::types::Value;
@@ -14,48 +14,48 @@
 use super::transaction::Stage;
 use super::value;
 
-/// Cursors that one session may hold.
+/// Maximum number of cursors of one session.
 const MAXIMUM_CURSORS: usize = 100;
 
-/// A statement about cursors or prepared statements.
+/// A statement that operates on cursors or prepared statements.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CursorStatement {
     /// DECLARE name CURSOR FOR query
     Declare {
         /// Name of the cursor.
         name: String,
-        /// The query.
+        /// Query of the cursor.
         query: Box<Statement>,
     },
     /// FETCH count FROM name
     Fetch {
         /// Name of the cursor.
         name: String,
-        /// Rows wanted; none for all.
+        /// Number of rows to fetch; `None` for all.
         count: Option<usize>,
     },
-    /// CLOSE name, or all when there is none.
+    /// CLOSE name; `None` closes all cursors.
     Close(Option<String>),
     /// PREPARE name (types) AS statement
     Prepare {
         /// Name of the statement.
         name: String,
-        /// Types named for its parameters.
+        /// Specified type identifiers of its parameters.
         types: Vec<u32>,
-        /// The statement's tokens.
+        /// Tokens of the statement.
         tokens: Vec<Token>,
     },
     /// EXECUTE name (values)
     Execute {
         /// Name of the statement.
         name: String,
-        /// The values; none for NULL.
+        /// Parameter values; `None` for NULL.
         values: Vec<Option<String>>,
     },
 }
 
 impl CursorStatement {
-    /// Reads such a statement.
+    /// Parses a statement that operates on cursors or prepared statements.
     pub fn parse(text: &str, tokens: &[Token]) -> Result<Self, SqlError> {
         let name = tokens.get(1).map(Token::name).unwrap_or_default();
         match tokens[0].text.to_ascii_uppercase().as_str() {
@@ -195,7 +195,7 @@
                 {
                     return Err(Failure::Sql(malformed("PREPARE")));
                 }
-                self.keep_statement(name.clone(), prepared)?;
+                self.store_statement(name.clone(), prepared)?;
             }
             CursorStatement::Execute { name, values } => {
                 return self.execute_prepared(name, values).await;
@@ -264,7 +264,7 @@
         }
     }
 
-    /// The columns that a statement about cursors returns.
+    /// Returns the columns of the result of a cursor statement.
     pub(super) fn cursor_columns(&self, cursor: &CursorStatement) -> Option<Vec<Column>> {
         match cursor {
             CursorStatement::Fetch { name, .. } => self.cursors.get(name)?.columns.clone(),
--- a/lab/standin/src/database/definition.rs
+++ b/lab/standin/src/database/definition.rs
@@ -3,21 +3,21 @@
 use super::lexer::Token;
 use super::rewrite::{matching_close, read_type};
 
-/// Rewrites the tokens of a definition; others are returned as they are.
+/// Rewrites the tokens of a definition; other statements are returned unchanged.
 pub fn rewrite(tokens: Vec<Token>) -> Vec<Token> {
     let Some(first) = tokens.first() else {
         return tokens;
     };
     if first.is_word("DROP") {
-        return without(tokens, &["CASCADE", "RESTRICT"]);
+        return remove_words(tokens, &["CASCADE", "RESTRICT"]);
     }
     if !first.is_any_word(&["CREATE", "ALTER"]) {
         return tokens;
     }
-    let tokens = without(tokens, &["UNLOGGED", "TEMP", "TEMPORARY", "CONCURRENTLY"]);
+    let tokens = remove_words(tokens, &["UNLOGGED", "TEMP", "TEMPORARY", "CONCURRENTLY"]);
     let is_table = tokens.get(1).is_some_and(|token| token.is_word("TABLE"));
     if !is_table {
-        return without_method(tokens);
+        return drop_index_method(tokens);
     }
     if tokens[0].is_word("ALTER") {
         return wrap_defaults(rewrite_added_column(tokens));
@@ -25,15 +25,15 @@
     wrap_defaults(rewrite_columns(tokens))
 }
 
-fn without(tokens: Vec<Token>, words: &[&str]) -> Vec<Token> {
+fn remove_words(tokens: Vec<Token>, words: &[&str]) -> Vec<Token> {
     tokens
         .into_iter()
         .filter(|token| !token.is_any_word(words))
         .collect()
 }
 
-/// Drops `USING method` of an index.
-fn without_method(tokens: Vec<Token>) -> Vec<Token> {
+/// Drops the `USING method` clause of an index.
+fn drop_index_method(tokens: Vec<Token>) -> Vec<Token> {
     let mut result = Vec::with_capacity(tokens.len());
     let mut tokens = tokens.into_iter();
     while let Some(token) = tokens.next() {
@@ -146,7 +146,8 @@
     result
 }
 
-/// The declared type; `INTEGER` alone is kept for serial columns.
+/// Returns the type to declare in the engine; `INTEGER` is reserved for serial
+/// columns.
 fn engine_type(name: &str) -> String {
     match name {
         "integer" | "int" | "int4" => "INT4".to_owned(),
@@ -157,8 +158,8 @@
     }
 }
 
-/// Puts parentheses around default values, which the engine wants for
-/// anything but literals.
+/// Puts parentheses around default values, which the engine requires for
+/// expressions other than literals.
 fn wrap_defaults(tokens: Vec<Token>) -> Vec<Token> {
     const ENDS: [&str; 8] = [
         "NOT",
--- a/lab/standin/src/database/entry.rs
+++ b/lab/standin/src/database/entry.rs
@@ -9,18 +9,18 @@
 /// One statement of a committed transaction.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoggedStatement {
-    /// The statement as the client wrote it.
+    /// Statement text as sent by the client.
     pub text: String,
-    /// The statement for the embedded engine.
+    /// Statement in the syntax of the embedded engine.
     pub sql: String,
-    /// Its bound values.
+    /// Bound parameter values.
     pub parameters: Vec<Value>,
-    /// Seed of its chance.
+    /// Seed of the random functions in the statement.
     pub seed: u64,
 }
 
 impl LoggedStatement {
-    /// A statement as it ran.
+    /// Creates the log record of an executed statement.
     pub fn new(statement: &Statement, parameters: &[Value], seed: u64) -> Self {
         Self {
             text: statement.text.clone(),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Size in the log, in bytes.
+    /// Returns the size in the log, in bytes.
     fn size(&self) -> u64 {
         let values: usize = self
             .parameters
@@ -40,7 +40,7 @@
         (self.sql.len() + values) as u64
     }
 
-    /// The statement with its values written in place of the parameters.
+    /// Returns the statement text with the parameters replaced by their values.
     pub fn render(&self) -> String {
         let mut text = self.text.clone();
         for (at, parameter) in self.parameters.iter().enumerate().rev() {
@@ -53,23 +53,23 @@
 /// One committed transaction, or the start of a term.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Term of the primary that wrote it.
+    /// Term of the primary that wrote the entry.
     pub term: u64,
-    /// Position just past it.
+    /// Position immediately after the entry.
     pub end: Lsn,
-    /// Its `now()`, in microseconds since 1970.
+    /// Result of `now()` in the transaction, in microseconds since 1970.
     pub timestamp: i64,
-    /// Its statements; none at the start of a term.
+    /// Statements of the transaction; empty at the start of a term.
     pub statements: Vec<LoggedStatement>,
 }
 
 /// Size of an entry without its statements, in bytes.
 const HEADER_BYTES: u64 = 56;
-/// Entries start at multiples of this.
+/// Alignment of entries in the log, in bytes.
 const ALIGNMENT: u64 = 8;
 
 impl Entry {
-    /// An entry that starts at `start`.
+    /// Creates an entry that starts at `start`.
     pub fn new(term: u64, start: Lsn, timestamp: i64, statements: Vec<LoggedStatement>) -> Self {
         let body: u64 = statements.iter().map(LoggedStatement::size).sum();
         let length = (HEADER_BYTES + body).next_multiple_of(ALIGNMENT);
--- a/lab/standin/src/database/error.rs
+++ b/lab/standin/src/database/error.rs
@@ -1,17 +1,17 @@
-//! Errors of the stand-in: those of its interface, and those told to clients.
+//! Errors of the stand-in: those of its Rust interface and those sent to clients.
 
 use std::io;
 
-/// Why a database group could not be started or changed.
+/// Errors of starting a database group.
 #[derive(Debug, thiserror::Error)]
 pub enum DatabaseError {
-    /// The settings name no database.
+    /// The settings contain no database.
     #[error("a group needs at least one database")]
     NoDatabases,
     /// Two databases have the same name.
     #[error("database {0} is named twice")]
     DuplicateName(String),
-    /// A listening socket could not be made.
+    /// Listening on a loopback port failed.
     #[error("cannot listen on a loopback port")]
     Listen(#[source] io::Error),
     /// A statement of the schema failed.
@@ -103,7 +103,7 @@
 }
 
 impl SqlState {
-    /// The five characters sent to clients.
+    /// Returns the five-character code that is sent to clients.
     pub fn code(self) -> &'static str {
         match self {
             Self::ProtocolViolation => "08P01",
@@ -149,20 +149,20 @@
     }
 }
 
-/// An error that a client is told, with its SQLSTATE.
+/// An error with its SQLSTATE, sent to a client.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{}: {message}", state.code())]
 pub struct SqlError {
-    /// The class of the error.
+    /// SQLSTATE of the error.
     pub state: SqlState,
-    /// Text for a human reader.
+    /// Human-readable message.
     pub message: String,
-    /// Whether the connection closes with it.
+    /// Whether the connection is closed after the error.
     pub fatal: bool,
 }
 
 impl SqlError {
-    /// An error after which the session goes on.
+    /// Creates an error after which the session continues.
     pub fn new(state: SqlState, message: impl Into<String>) -> Self {
         Self {
             state,
@@ -171,7 +171,7 @@
         }
     }
 
-    /// An error with which the connection closes.
+    /// Creates an error after which the connection is closed.
     pub fn fatal(state: SqlState, message: impl Into<String>) -> Self {
         Self {
             state,
@@ -180,7 +180,7 @@
         }
     }
 
-    /// The end of a statement on request or past its time.
+    /// Creates the error of a statement that was canceled or timed out.
     pub fn canceled() -> Self {
         Self::new(
             SqlState::QueryCanceled,
@@ -188,7 +188,8 @@
         )
     }
 
-    /// The closing of a connection because its database left its role.
+    /// Creates the error of a connection that is closed because its database changed
+    /// role.
     pub fn terminated() -> Self {
         Self::fatal(
             SqlState::AdminShutdown,
@@ -235,7 +236,7 @@
     }
 }
 
-/// Message fragments of the embedded engine and the SQLSTATE they stand for.
+/// Message fragments of the embedded engine and their SQLSTATE codes.
 const FRAGMENTS: [(&str, SqlState); 16] = [
     (
         "unrecognized configuration parameter",
--- a/lab/standin/src/database/execute.rs
+++ b/lab/standin/src/database/execute.rs
@@ -1,4 +1,4 @@
-//! Runs the statements of a session.
+//! Execution of the statements of a session.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 
 use super::entry::LoggedStatement;
 use super::error::{SqlError, SqlState};
-use super::infer::{ColumnTypes, mentioned_tables};
+use super::infer::{ColumnTypes, referenced_tables};
 use super::outcome::{Column, Outcome, columns_of};
 use super::session::{Failure, Session};
 use super::side_effect::{SideEffect, SideEffectKind};
@@ -17,14 +17,14 @@
 use super::store::{RowSet, Store};
 use super::transaction::Stage;
 use super::view;
-use super::working::{Working, WriteTransaction};
+use super::working::{WorkingRows, WriteTransaction};
 
-/// Time that one statement may keep the rows to itself.
+/// Maximum time for which one statement may hold the rows exclusively.
 const MAXIMUM_STATEMENT_TIME: Duration = Duration::from_secs(10);
 
 impl Session {
-    /// Runs one statement. `described` are the columns that the client was
-    /// told, if it was.
+    /// Runs one statement. `described` are the columns that were described to the
+    /// client, if any.
     pub(super) async fn execute(
         &mut self,
         statement: &Statement,
@@ -54,7 +54,8 @@
     }
 
     fn check_transaction(&mut self, statement: &Statement) -> Result<(), SqlError> {
-        if self.transaction.stage == Stage::Failed && !statement.ends_failure() {
+        if self.transaction.stage == Stage::Failed && !statement.is_allowed_in_failed_transaction()
+        {
             return Err(SqlError::new(
                 SqlState::InFailedSqlTransaction,
                 "current transaction is aborted, commands ignored until end of transaction block",
@@ -92,13 +93,13 @@
         if locks_rows || (exclusive && !self.node.in_recovery()) {
             self.begin_write().await?;
         }
-        let (rows, known) = self.with_rows(statement, locks, |store| {
+        let (rows, column_types) = self.with_rows(statement, locks, |store| {
             let rows = store.run(&statement.sql, parameters)?;
-            let known = known_columns(store, statement)?;
-            Ok((rows, known))
+            let column_types = known_columns(store, statement)?;
+            Ok((rows, column_types))
         })?;
         if locks_rows || exclusive {
-            // The rows must still be the same when the transaction goes on.
+            // The rows must be unchanged when the transaction resumes.
             let seed = self.node.next_seed();
             self.record(
                 LoggedStatement::new(statement, parameters, seed),
@@ -106,7 +107,7 @@
                 false,
             );
         }
-        let columns = answer_columns(statement, &rows, described, &known)?;
+        let columns = result_columns(statement, &rows, described, &column_types)?;
         Ok(Outcome::rows(columns, rows.rows, "SELECT"))
     }
 
@@ -123,14 +124,14 @@
         let seed = self.node.next_seed();
         let definition = statement.kind == StatementKind::Definition;
         let timestamp = self.transaction.timestamp;
-        let (rows, known) = self.with_rows(statement, locks, |store| {
-            store.set_chance(timestamp, seed);
+        let (rows, column_types) = self.with_rows(statement, locks, |store| {
+            store.set_time_and_seed(timestamp, seed);
             let rows = store.run(&statement.sql, parameters)?;
             if definition {
                 store.schema_changed();
             }
-            let known = known_columns(store, statement)?;
-            Ok((rows, known))
+            let column_types = known_columns(store, statement)?;
+            Ok((rows, column_types))
         })?;
         let logged = LoggedStatement::new(statement, parameters, seed);
         self.record(logged, &rows, rows.changed > 0 || definition);
@@ -145,22 +146,22 @@
             };
             return Ok(Outcome::done(tag));
         }
-        let columns = answer_columns(statement, &rows, described, &known)?;
+        let columns = result_columns(statement, &rows, described, &column_types)?;
         let mut outcome = Outcome::rows(columns, rows.rows, "");
         outcome.counts_rows = false;
         outcome.tag = format!("{} {}", statement.tag, rows.changed);
         Ok(outcome)
     }
 
-    /// Notes a statement of the open transaction with what it answered;
-    /// `logged` if it belongs in the log.
+    /// Records an executed statement of the open transaction and its result; `logged`
+    /// specifies whether it must be logged.
     pub(super) fn record(&mut self, statement: LoggedStatement, rows: &RowSet, logged: bool) {
         if let Some(write) = &mut self.transaction.write {
             write.record(statement, rows, logged);
         }
     }
 
-    /// Runs `work` on the rows as this session sees them now.
+    /// Runs `work` on the rows visible to this session.
     pub(super) fn with_rows<R>(
         &mut self,
         statement: &Statement,
@@ -174,7 +175,7 @@
             .tokens
             .iter()
             .any(|token| token.is_any_word(&view::NAMES));
-        let asks_settings = statement
+        let reads_settings = statement
             .tokens
             .iter()
             .any(|token| token.is_word("current_setting"));
@@ -186,7 +187,7 @@
         let prepared = |store: &mut Store, replayed| {
             view.replayed = replayed;
             store.set_view(&view);
-            store.set_chance(timestamp, seed);
+            store.set_time_and_seed(timestamp, seed);
             store.set_limit(deadline, identity.slot.cancellation.clone());
             store.set_session(
                 identity.slot.process,
@@ -197,7 +198,7 @@
             if reads_views {
                 store.fill_views(&view)?;
             }
-            if asks_settings {
+            if reads_settings {
                 store.set_settings(identity.settings.by_name());
             }
             work(store)
@@ -209,7 +210,7 @@
         }
     }
 
-    /// Copies the rows at the first read of a snapshot that only reads.
+    /// Copies the rows at the first read of a read-only snapshot transaction.
     fn take_snapshot(&mut self) -> Result<(), SqlError> {
         let transaction = &self.transaction;
         let wanted = transaction.stage == Stage::Explicit
@@ -225,7 +226,7 @@
         Ok(())
     }
 
-    /// The columns of the proxies' status query.
+    /// Returns the columns of the proxies' status query.
     pub(super) fn status_columns() -> Vec<Column> {
         vec![
             Column::new("in_recovery", Type::BOOL),
@@ -255,7 +256,7 @@
         Ok(Outcome::rows(Self::status_columns(), vec![row], "SELECT"))
     }
 
-    /// Takes the turn to write, unless the transaction has it.
+    /// Acquires the write permit, unless the transaction already has it.
     pub(super) async fn begin_write(&mut self) -> Result<(), SqlError> {
         if self.transaction.write.is_some() {
             return self.resume_write().await;
@@ -266,13 +267,13 @@
                 "cannot execute this statement in a read-only transaction",
             )
         })?;
-        let turn = self.wait_for_turn(&working).await?;
-        let write = WriteTransaction::begin(working, turn, self.transaction.timestamp)?;
+        let write_permit = self.wait_for_write_permit(&working).await?;
+        let write = WriteTransaction::begin(working, write_permit, self.transaction.timestamp)?;
         self.transaction.write = Some(write);
         Ok(())
     }
 
-    /// Goes on with a transaction that was suspended.
+    /// Resumes the transaction if it is suspended.
     pub(super) async fn resume_write(&mut self) -> Result<(), SqlError> {
         let suspended = self.transaction.write.as_ref();
         let Some(working) = suspended
@@ -281,22 +282,22 @@
         else {
             return Ok(());
         };
-        let turn = self.wait_for_turn(&working).await?;
+        let write_permit = self.wait_for_write_permit(&working).await?;
         match &mut self.transaction.write {
-            Some(write) => write.resume(turn),
+            Some(write) => write.resume(write_permit),
             None => Ok(()),
         }
     }
 
-    async fn wait_for_turn(
+    async fn wait_for_write_permit(
         &self,
-        working: &Arc<Working>,
+        working: &Arc<WorkingRows>,
     ) -> Result<tokio::sync::OwnedSemaphorePermit, SqlError> {
         let limit = self.identity.settings.timeout("lock_timeout");
         let limit = limit.unwrap_or(self.node.group.lock_wait);
-        let waiting = self.interruptible(working.turn());
+        let waiting = self.interruptible(working.write_permit());
         match tokio::time::timeout(limit, waiting).await {
-            Ok(turn) => turn?,
+            Ok(write_permit) => write_permit?,
             Err(_) => Err(SqlError::new(
                 SqlState::LockNotAvailable,
                 "canceling statement due to lock timeout",
@@ -304,7 +305,8 @@
         }
     }
 
-    /// Waits for `work`, a cancel request or the statement timeout.
+    /// Runs `work` until it completes, a cancel request arrives or the statement
+    /// timeout expires.
     async fn interruptible<R>(&self, work: impl Future<Output = R>) -> Result<R, SqlError> {
         let limit = self.identity.settings.timeout("statement_timeout");
         let limit = limit.unwrap_or(Duration::from_secs(86_400));
@@ -318,8 +320,8 @@
         }
     }
 
-    /// Runs the calls that act outside the row store; returns the results of
-    /// those that have one, last first.
+    /// Runs the calls with effects outside the row store. Returns the results of the
+    /// calls that have one, in reverse order.
     async fn run_side_effects(
         &self,
         side_effects: &[SideEffect],
@@ -373,22 +375,27 @@
     }
 }
 
-/// The columns of the tables that a statement names.
+/// Returns the columns of the tables that a statement references.
 pub(super) fn known_columns(
     store: &mut Store,
     statement: &Statement,
 ) -> Result<ColumnTypes, SqlError> {
-    store.column_types(&mentioned_tables(&statement.tokens))
+    store.column_types(&referenced_tables(&statement.tokens))
 }
 
-fn answer_columns(
+fn result_columns(
     statement: &Statement,
     rows: &RowSet,
     described: Option<&[Column]>,
-    known: &ColumnTypes,
+    column_types: &ColumnTypes,
 ) -> Result<Vec<Column>, SqlError> {
     let Some(described) = described else {
-        return Ok(columns_of(&rows.columns, &statement.tokens, &[], known));
+        return Ok(columns_of(
+            &rows.columns,
+            &statement.tokens,
+            &[],
+            column_types,
+        ));
     };
     if described.len() != rows.columns.len() {
         return Err(SqlError::new(
--- a/lab/standin/src/database/extended.rs
+++ b/lab/standin/src/database/extended.rs
@@ -29,13 +29,13 @@
 
 /// A prepared statement.
 pub struct Prepared {
-    /// The statement; none for an empty query.
+    /// The statement, or `None` for an empty query.
     pub(super) statement: Option<Statement>,
     pub(super) parameters: Vec<Type>,
     pub(super) columns: Option<Vec<Column>>,
 }
 
-/// A bound statement, with what is left of its answer once it has run.
+/// A bound statement, with the rows not sent yet once it has run.
 pub struct Portal {
     prepared: Arc<Prepared>,
     parameters: Vec<Value>,
@@ -47,15 +47,15 @@
     pub(super) async fn parse(&mut self, parse: Parse) -> Result<(), Failure> {
         let name = parse.name.unwrap_or_default();
         let prepared = self.prepare(&parse.query, &parse.type_oids)?;
-        self.keep_statement(name, prepared)?;
+        self.store_statement(name, prepared)?;
         let complete = ParseComplete::new();
         Ok(self
             .wire
             .push(PgWireBackendMessage::ParseComplete(complete))?)
     }
 
-    /// Keeps a prepared statement under its name.
-    pub(super) fn keep_statement(
+    /// Stores a prepared statement under its name.
+    pub(super) fn store_statement(
         &mut self,
         name: String,
         prepared: Prepared,
@@ -94,14 +94,16 @@
         self.prepare_statement(raw, oids)
     }
 
-    /// Prepares one statement; `oids` are the types that the client named.
+    /// Prepares one statement; `oids` are the parameter types specified by the
+    /// client.
     pub(super) fn prepare_statement(
         &mut self,
         raw: RawStatement,
         oids: &[u32],
     ) -> Result<Prepared, SqlError> {
         let statement = Statement::prepare(raw)?;
-        if self.transaction.stage == Stage::Failed && !statement.ends_failure() {
+        if self.transaction.stage == Stage::Failed && !statement.is_allowed_in_failed_transaction()
+        {
             return Err(SqlError::new(
                 SqlState::InFailedSqlTransaction,
                 "current transaction is aborted, commands ignored until end of transaction block",
--- a/lab/standin/src/database/functions.rs
+++ b/lab/standin/src/database/functions.rs
@@ -1,4 +1,4 @@
-//! PostgreSQL's functions, defined in the embedded engine.
+//! PostgreSQL functions, implemented in the embedded engine.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -14,30 +14,31 @@
 use super::timestamp;
 use super::value;
 
-/// What the functions answer from; set before each statement.
+/// State from which the functions compute their results; set before each
+/// statement.
 #[derive(Debug)]
 pub struct FunctionContext {
-    /// `now()`, in microseconds since 1970.
+    /// Result of `now()`, in microseconds since 1970.
     pub timestamp: i64,
-    /// Source of chance of the present statement.
+    /// Random number generator of the current statement.
     pub random: ChaCha8Rng,
     /// Whether the database is a replica.
     pub in_recovery: bool,
     /// Timeline that the database writes or follows.
     pub timeline: u64,
-    /// End of the log here.
+    /// End position of the local log.
     pub flushed: Lsn,
-    /// End of what has been replayed here.
+    /// End position of the entries that have been replayed locally.
     pub replayed: Lsn,
     /// Identifier of the session's connection.
     pub process: i32,
     /// User of the session.
     pub user: String,
-    /// Database name that the session gave.
+    /// Database name that the session requested.
     pub database: String,
-    /// Settings of the session, when the statement asks for any.
+    /// Settings of the session; set only for statements that read settings.
     pub settings: BTreeMap<String, String>,
-    /// Results of the statement's advisory lock calls, last first.
+    /// Results of the statement's advisory lock calls, in reverse order.
     pub lock_results: Vec<bool>,
 }
 
@@ -59,12 +60,12 @@
     }
 }
 
-/// The context as it is shared with the engine's functions.
+/// The context, shared with the functions registered in the engine.
 pub type SharedContext = Arc<Mutex<FunctionContext>>;
 
-type Answer = rusqlite::Result<Value>;
+type FunctionResult = rusqlite::Result<Value>;
 
-/// A failure inside a function, told to the client with its message.
+/// An error inside a function; its message is sent to the client.
 #[derive(Debug, thiserror::Error)]
 enum FunctionError {
     #[error("recovery is in progress")]
@@ -75,18 +76,18 @@
     InvalidInput { kind: &'static str, text: String },
 }
 
-fn failed(error: FunctionError) -> rusqlite::Error {
+fn function_error(error: FunctionError) -> rusqlite::Error {
     rusqlite::Error::UserFunctionError(Box::new(error))
 }
 
 fn invalid(kind: &'static str, text: &str) -> rusqlite::Error {
-    failed(FunctionError::InvalidInput {
+    function_error(FunctionError::InvalidInput {
         kind,
         text: text.to_owned(),
     })
 }
 
-/// Defines all functions on `connection`.
+/// Registers all functions on `connection`.
 pub fn register(connection: &Connection, shared: &SharedContext) -> rusqlite::Result<()> {
     register_clock(connection, shared)?;
     register_positions(connection, shared)?;
@@ -99,14 +100,14 @@
     name: &str,
     arguments: i32,
     shared: &SharedContext,
-    answer: F,
+    function: F,
 ) -> rusqlite::Result<()>
 where
-    F: Fn(&mut FunctionContext, &Context<'_>) -> Answer + Send + 'static,
+    F: Fn(&mut FunctionContext, &Context<'_>) -> FunctionResult + Send + 'static,
 {
     let shared = shared.clone();
     connection.create_scalar_function(name, arguments, FunctionFlags::SQLITE_UTF8, move |call| {
-        answer(&mut shared.lock(), call)
+        function(&mut shared.lock(), call)
     })
 }
 
@@ -145,7 +146,7 @@
     ] {
         define(connection, name, 0, shared, |context, _| {
             if context.in_recovery {
-                return Err(failed(FunctionError::InRecovery));
+                return Err(function_error(FunctionError::InRecovery));
             }
             Ok(Value::Text(context.flushed.to_string()))
         })?;
@@ -166,7 +167,7 @@
     )?;
     define(connection, "pg_walfile_name", 1, shared, |context, call| {
         if context.in_recovery {
-            return Err(failed(FunctionError::InRecovery));
+            return Err(function_error(FunctionError::InRecovery));
         }
         let text: String = call.get(0)?;
         let position = parse_position(&text).ok_or_else(|| invalid("pg_lsn", &text))?;
@@ -222,7 +223,7 @@
             match context.settings.get(&name.to_lowercase()) {
                 Some(value) => Ok(Value::Text(value.clone())),
                 None if missing_ok => Ok(Value::Null),
-                None => Err(failed(FunctionError::UnknownSetting(name))),
+                None => Err(function_error(FunctionError::UnknownSetting(name))),
             }
         },
     )?;
@@ -273,10 +274,10 @@
     })
 }
 
-/// Size in bytes past which `repeat` stops.
+/// Maximum size of a result of `repeat`, in bytes.
 const MAXIMUM_REPEATED_BYTES: usize = 16 * 1024 * 1024;
 
-fn to_integer(call: &Context<'_>) -> Answer {
+fn to_integer(call: &Context<'_>) -> FunctionResult {
     match call.get_raw(0) {
         ValueRef::Null => Ok(Value::Null),
         ValueRef::Integer(number) => Ok(Value::Integer(number)),
@@ -289,7 +290,7 @@
     }
 }
 
-fn to_boolean(call: &Context<'_>) -> Answer {
+fn to_boolean(call: &Context<'_>) -> FunctionResult {
     match call.get_raw(0) {
         ValueRef::Null => Ok(Value::Null),
         ValueRef::Integer(number) => Ok(Value::Integer(i64::from(number != 0))),
@@ -301,7 +302,7 @@
     }
 }
 
-fn to_bytea(call: &Context<'_>) -> Answer {
+fn to_bytea(call: &Context<'_>) -> FunctionResult {
     match call.get_raw(0) {
         ValueRef::Text(bytes) => {
             let text = String::from_utf8_lossy(bytes);
@@ -311,7 +312,7 @@
     }
 }
 
-fn to_timestamp(call: &Context<'_>) -> Answer {
+fn to_timestamp(call: &Context<'_>) -> FunctionResult {
     match call.get_raw(0) {
         ValueRef::Text(bytes) => {
             let text = String::from_utf8_lossy(bytes);
@@ -322,7 +323,7 @@
     }
 }
 
-fn add_interval(call: &Context<'_>) -> Answer {
+fn add_interval(call: &Context<'_>) -> FunctionResult {
     let (start, interval): (Option<String>, String) = (call.get(0)?, call.get(1)?);
     let factor: i64 = call.get(2)?;
     let Some(start) = start else {
--- a/lab/standin/src/database/group.rs
+++ b/lab/standin/src/database/group.rs
@@ -23,38 +23,39 @@
 use super::store::Store;
 use super::timestamp;
 
-/// How long a planned change of primary may take.
+/// Timeout of a switchover.
 const SWITCHOVER_LIMIT: Duration = Duration::from_secs(5);
-/// How often a planned change of primary looks whether it can go on.
+/// Interval at which a switchover checks whether it can proceed.
 const SWITCHOVER_POLL: Duration = Duration::from_millis(2);
 
-/// What a database of a group is.
+/// Role of a database of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatabaseRole {
-    /// It accepts writes, or believes that it does.
+    /// It accepts writes; it may be an outdated primary that has not stepped down
+    /// yet.
     Primary,
     /// It follows a primary or waits for one.
     Replica,
-    /// Its process does not run.
+    /// Its process is not running.
     Stopped,
 }
 
-/// The state of one database.
+/// Status of one database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DatabaseStatus {
-    /// Its name.
+    /// Name of the database.
     pub name: String,
-    /// What it is.
+    /// Current role.
     pub role: DatabaseRole,
-    /// The term it is in.
+    /// Current term.
     pub term: u64,
-    /// End of its log.
+    /// End position of its log.
     pub flushed: Lsn,
-    /// End of what it has replayed.
+    /// End position of the entries that it has replayed.
     pub replayed: Lsn,
     /// Connections that hold a slot.
     pub open_connections: usize,
-    /// Most connections that held a slot at once.
+    /// Maximum number of connections that held a slot at the same time.
     pub peak_connections: usize,
     /// Connections refused with 53300.
     pub refused_connections: u64,
@@ -65,9 +66,9 @@
 pub struct CommittedEntry {
     /// Term in which its transaction was committed.
     pub term: u64,
-    /// Position just past its transaction.
+    /// Position immediately after its transaction.
     pub lsn: Lsn,
-    /// The statement, with its bound values.
+    /// Statement text with its bound values.
     pub statement: String,
 }
 
@@ -83,11 +84,11 @@
     by_name: BTreeMap<String, usize>,
     history: Arc<History>,
     tasks: Vec<JoinHandle<()>>,
-    changes: Mutex<JoinSet<()>>,
+    switchovers: Mutex<JoinSet<()>>,
 }
 
 impl DatabaseGroup {
-    /// Starts a group; its first database is the primary of the first term.
+    /// Starts a group whose first database is the primary of the first term.
     pub async fn start(
         settings: GroupSettings,
         network: Arc<dyn ZoneNetwork>,
@@ -117,7 +118,7 @@
             members,
             history,
             tasks: Vec::new(),
-            changes: Mutex::new(JoinSet::new()),
+            switchovers: Mutex::new(JoinSet::new()),
         };
         started.spawn(&network)?;
         started
@@ -161,7 +162,8 @@
         &self.members[*member]
     }
 
-    /// Where a database listens; stays the same for the group's life.
+    /// Returns the address on which a database listens, which does not change while
+    /// the group runs.
     ///
     /// # Panics
     ///
@@ -171,7 +173,7 @@
         self.member(database).port.address()
     }
 
-    /// The state of all databases, in the order of the settings.
+    /// Returns the status of all databases, in the order of the settings.
     pub fn status(&self) -> Vec<DatabaseStatus> {
         self.members
             .iter()
@@ -179,7 +181,7 @@
             .collect()
     }
 
-    /// The database that leads the highest term, if one is running.
+    /// Returns the running primary with the highest term, if there is one.
     pub fn primary(&self) -> Option<String> {
         let leading = self.members.iter().filter_map(|member| {
             let (role, term) = member.node.role();
@@ -188,66 +190,66 @@
         leading.max_by_key(|(term, _)| *term).map(|(_, name)| name)
     }
 
-    /// Kills a database: its connections are reset, new ones refused.
+    /// Kills a database: its connections are reset and new ones are refused.
     pub fn kill(&self, name: &str) {
-        self.note_loss(name);
+        self.record_loss(name);
         let member = self.member(name);
         member.listening.send_replace(false);
         member.node.kill();
     }
 
-    /// Starts a killed database again, with the log it had flushed.
+    /// Restarts a killed database with the log that it had flushed.
     pub fn restart(&self, name: &str) {
         let member = self.member(name);
         member.node.restart();
         member.listening.send_replace(true);
     }
 
-    /// Stops all work of a database; its sockets stay open.
+    /// Pauses all work of a database; its sockets stay open.
     pub fn pause(&self, name: &str) {
-        self.note_loss(name);
+        self.record_loss(name);
         self.member(name).node.set_paused(true);
     }
 
     /// Ends a pause.
     pub fn resume(&self, name: &str) {
-        self.note_return(name);
+        self.record_return(name);
         self.member(name).node.set_paused(false);
     }
 
-    /// Changes how long a replica waits before it replays.
+    /// Sets the replay delay of a replica.
     pub fn set_replay_lag(&self, name: &str, lag: Duration) {
         self.member(name).node.set_replay_lag(lag);
     }
 
-    /// Cuts a database off from its peers; with `from_peers_only` it goes on
-    /// serving clients, otherwise they get no answers either.
+    /// Isolates a database from its peers. With `from_peers_only` it continues to
+    /// serve clients; otherwise clients receive no responses either.
     pub fn isolate(&self, name: &str, from_peers_only: bool) {
-        self.note_loss(name);
+        self.record_loss(name);
         self.member(name).node.set_isolated(true, !from_peers_only);
     }
 
     /// Ends an isolation.
     pub fn heal(&self, name: &str) {
-        self.note_return(name);
+        self.record_return(name);
         self.member(name).node.set_isolated(false, false);
     }
 
-    fn note_loss(&self, name: &str) {
+    fn record_loss(&self, name: &str) {
         if self.primary().as_deref() == Some(name) {
             self.history.primary_lost();
         }
     }
 
-    fn note_return(&self, name: &str) {
+    fn record_return(&self, name: &str) {
         if self.primary().as_deref() == Some(name) {
-            self.history.primary_back();
+            self.history.primary_returned();
         }
     }
 
-    /// Changes the primary as planned: no write is lost, and the old primary's
-    /// connections are closed with 57P01. Nothing happens within a few
-    /// seconds when there is no primary or `to` can't catch up.
+    /// Starts a switchover to `to`: no write is lost, and the connections of the old
+    /// primary are closed with 57P01. Does nothing when there is no primary, and is
+    /// abandoned after a few seconds when `to` cannot catch up.
     pub fn switchover(&self, to: &str) {
         let Some(primary) = self.primary().filter(|primary| primary != to) else {
             return;
@@ -255,32 +257,32 @@
         let old = self.member(&primary).node.clone();
         let target = self.member(to).node.clone();
         let history = self.history.clone();
-        let mut changes = self.changes.lock();
-        while changes.try_join_next().is_some() {}
-        changes.spawn(async move {
-            let change = change_primary(&old, &target, &history);
-            if tokio::time::timeout(SWITCHOVER_LIMIT, change)
+        let mut switchovers = self.switchovers.lock();
+        while switchovers.try_join_next().is_some() {}
+        switchovers.spawn(async move {
+            let switchover = run_switchover(&old, &target, &history);
+            if tokio::time::timeout(SWITCHOVER_LIMIT, switchover)
                 .await
                 .is_err()
             {
                 log::warn!(
-                    "database: the change to {} took too long.",
+                    "database: the switchover to {} timed out.",
                     target.settings.name
                 );
             }
         });
     }
 
-    /// All statements in a database's log, oldest first, without the schema.
+    /// Returns all statements in a database's log, oldest first, without the schema.
     pub fn history(&self, name: &str) -> Vec<CommittedEntry> {
         let log = self.member(name).node.log();
         log.iter()
             .skip(1)
-            .flat_map(|entry| entries_of(entry))
+            .flat_map(|entry| committed_entries(entry))
             .collect()
     }
 
-    /// All elections so far, the first primary's included.
+    /// Returns all elections so far, including that of the first primary.
     pub fn elections(&self) -> Vec<ElectionRecord> {
         self.history.elections()
     }
@@ -293,8 +295,8 @@
         for task in std::mem::take(&mut self.tasks) {
             let _ = task.await;
         }
-        let mut changes = std::mem::take(&mut *self.changes.lock());
-        changes.shutdown().await;
+        let mut switchovers = std::mem::take(&mut *self.switchovers.lock());
+        switchovers.shutdown().await;
     }
 }
 
@@ -319,7 +321,7 @@
     Ok(())
 }
 
-/// The entry that all logs start with: the schema.
+/// Creates the entry that starts all logs: the schema.
 fn first_entry(settings: &GroupSettings) -> Result<Entry, SqlError> {
     let mut statements = Vec::new();
     for sql in &settings.schema {
@@ -377,7 +379,7 @@
     }
 }
 
-fn entries_of(entry: &Entry) -> Vec<CommittedEntry> {
+fn committed_entries(entry: &Entry) -> Vec<CommittedEntry> {
     let render = |statement: &LoggedStatement| CommittedEntry {
         term: entry.term,
         lsn: entry.end,
@@ -386,16 +388,16 @@
     entry.statements.iter().map(render).collect()
 }
 
-async fn change_primary(old: &Node, target: &Node, history: &History) {
+async fn run_switchover(old: &Node, target: &Node, history: &History) {
     let Some(working) = old.working() else {
         return;
     };
-    // Holding the turn keeps new writes away.
-    let Ok(_turn) = working.turn().await else {
+    // Holding the write permit blocks new writes.
+    let Ok(_write_permit) = working.write_permit().await else {
         return;
     };
     history.primary_lost();
-    while !old.has_all(target.member) {
+    while !old.has_flushed_all(target.member) {
         tokio::time::sleep(SWITCHOVER_POLL).await;
     }
     old.hand_over(target.member);
--- a/lab/standin/src/database/history.rs
+++ b/lab/standin/src/database/history.rs
@@ -1,21 +1,21 @@
-//! What happened in a group: its elections.
+//! The election history of a group.
 
 use std::time::Instant;
 
 use parking_lot::Mutex;
 
-/// One election.
+/// Record of one election.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ElectionRecord {
-    /// Term that began.
+    /// Term that began with the election.
     pub term: u64,
-    /// Who leads it.
+    /// Name of the new primary.
     pub primary: String,
-    /// When it began to lead.
+    /// When the new primary took over.
     pub at: Instant,
-    /// When the primary before it was killed, paused, isolated or told to hand
-    /// over; if none of that was asked for, when the new primary last heard it.
-    /// None for the first primary.
+    /// When the previous primary was killed, paused, isolated or requested to hand
+    /// over. Without such a request, when the new primary last received a message
+    /// from a primary. `None` for the first primary.
     pub old_primary_lost_at: Option<Instant>,
 }
 
@@ -32,30 +32,31 @@
 }
 
 impl History {
-    /// Notes that a primary was lost, unless an earlier loss stands.
+    /// Records that the primary was lost, unless an earlier loss is still recorded.
     pub fn primary_lost(&self) {
         let mut events = self.events.lock();
         events.lost_at.get_or_insert_with(Instant::now);
     }
 
-    /// Notes that a lost primary came back before a new one was elected.
-    pub fn primary_back(&self) {
+    /// Records that a lost primary returned before a new one was elected.
+    pub fn primary_returned(&self) {
         self.events.lock().lost_at = None;
     }
 
-    /// Notes an election by a primary that last heard another at `heard_at`.
-    pub fn elected(&self, term: u64, primary: &str, heard_at: Option<Instant>) {
+    /// Records the election of a primary that last received a message from another
+    /// primary at `last_primary_message`.
+    pub fn elected(&self, term: u64, primary: &str, last_primary_message: Option<Instant>) {
         let mut events = self.events.lock();
         let record = ElectionRecord {
             term,
             primary: primary.to_owned(),
             at: Instant::now(),
-            old_primary_lost_at: events.lost_at.take().or(heard_at),
+            old_primary_lost_at: events.lost_at.take().or(last_primary_message),
         };
         events.elections.push(record);
     }
 
-    /// All elections so far.
+    /// Returns all elections so far.
     pub fn elections(&self) -> Vec<ElectionRecord> {
         self.events.lock().elections.clone()
     }
--- a/lab/standin/src/database/infer.rs
+++ b/lab/standin/src/database/infer.rs
@@ -10,10 +10,10 @@
 use super::side_effect;
 use super::value::type_by_name;
 
-/// Columns of the tables that a statement names.
+/// Columns of the tables that a statement references.
 #[derive(Clone, Debug, Default)]
 pub struct ColumnTypes {
-    /// For each table, its columns in order.
+    /// Names and types of the columns, in order, keyed by table name.
     pub tables: BTreeMap<String, Vec<(String, Type)>>,
 }
 
@@ -27,8 +27,8 @@
     }
 }
 
-/// Names of the tables that a statement mentions.
-pub fn mentioned_tables(tokens: &[Token]) -> Vec<String> {
+/// Returns the names of the tables that a statement references.
+pub fn referenced_tables(tokens: &[Token]) -> Vec<String> {
     tokens
         .windows(2)
         .filter(|pair| pair[0].is_any_word(&["FROM", "JOIN", "INTO", "UPDATE", "ONLY"]))
@@ -37,7 +37,8 @@
         .collect()
 }
 
-/// Types of a statement's parameters; `given` are those the client named.
+/// Returns the types of a statement's parameters; `given` are the types specified
+/// by the client.
 pub fn parameter_types(
     tokens: &[Token],
     count: usize,
@@ -153,11 +154,14 @@
         {
             end += 2;
         }
-        if let Some(kind) = tokens.get(end).and_then(|token| named(token, columns)) {
+        if let Some(kind) = tokens
+            .get(end)
+            .and_then(|token| column_type(token, columns))
+        {
             return Some(kind);
         }
     }
-    listed_type(tokens, at, columns)
+    list_operand_type(tokens, at, columns)
 }
 
 fn argument_type(tokens: &[Token], at: usize) -> Option<Type> {
@@ -183,17 +187,17 @@
     matches!(token.kind, TokenKind::Number | TokenKind::Parameter)
 }
 
-/// Type of the operand that ends at `at`.
+/// Returns the type of the operand that ends at `at`.
 fn operand_type(tokens: &[Token], at: usize, columns: &ColumnTypes) -> Option<Type> {
-    named(&tokens[at], columns)
+    column_type(&tokens[at], columns)
 }
 
-fn named(token: &Token, columns: &ColumnTypes) -> Option<Type> {
+fn column_type(token: &Token, columns: &ColumnTypes) -> Option<Type> {
     token.is_name().then(|| columns.find(&token.name()))?
 }
 
-/// Type of a parameter in `column IN (...)`, `BETWEEN` or `LIKE`.
-fn listed_type(tokens: &[Token], at: usize, columns: &ColumnTypes) -> Option<Type> {
+/// Returns the type of a parameter in `column IN (...)`, `BETWEEN` or `LIKE`.
+fn list_operand_type(tokens: &[Token], at: usize, columns: &ColumnTypes) -> Option<Type> {
     let mut before = at.checked_sub(1)?;
     while before > 0
         && (tokens[before].is_symbol(",")
@@ -213,10 +217,11 @@
     if tokens[name].is_word("NOT") {
         name = name.checked_sub(1)?;
     }
-    named(&tokens[name], columns)
+    column_type(&tokens[name], columns)
 }
 
-/// The expressions that a statement returns, or none if they are not listed.
+/// Returns the result expressions of a statement, or `None` if they are not
+/// listed.
 pub fn returned_expressions(tokens: &[Token]) -> Option<Vec<&[Token]>> {
     const ENDS: [&str; 12] = [
         "FROM",
@@ -263,9 +268,9 @@
     None
 }
 
-/// Type of a computed column, if it can be told.
+/// Returns the type of a computed column, if it can be inferred.
 pub fn expression_type(item: &[Token], parameters: &[Type], columns: &ColumnTypes) -> Option<Type> {
-    let item = without_alias(item);
+    let item = strip_alias(item);
     let first = item.first()?;
     if let Some(kind) = operator_type(item, parameters, columns) {
         return Some(kind);
@@ -276,7 +281,7 @@
     if let [_, dot, name] = item
         && dot.is_symbol(".")
     {
-        return named(name, columns);
+        return column_type(name, columns);
     }
     if first.is_symbol("-") {
         return expression_type(&item[1..], parameters, columns);
@@ -303,7 +308,7 @@
     None
 }
 
-fn without_alias(item: &[Token]) -> &[Token] {
+fn strip_alias(item: &[Token]) -> &[Token] {
     if let Some(at) = top_level(item, 0, &["AS"]) {
         return &item[..at];
     }
@@ -342,11 +347,12 @@
         }
         _ if token.is_any_word(&["TRUE", "FALSE"]) => Some(Type::BOOL),
         _ if token.is_any_word(&["CURRENT_TIMESTAMP", "LOCALTIMESTAMP"]) => Some(Type::TIMESTAMPTZ),
-        _ => named(token, columns),
+        _ => column_type(token, columns),
     }
 }
 
-/// Type of an expression by its weakest top-level operator.
+/// Returns the type of an expression from its top-level operator of lowest
+/// precedence.
 fn operator_type(item: &[Token], parameters: &[Type], columns: &ColumnTypes) -> Option<Type> {
     const LOGIC: [&str; 9] = [
         "AND", "OR", "NOT", "IS", "IN", "LIKE", "BETWEEN", "EXISTS", "ILIKE",
--- a/lab/standin/src/database/lexer.rs
+++ b/lab/standin/src/database/lexer.rs
@@ -1,17 +1,17 @@
-//! Splits PostgreSQL's SQL into tokens.
+//! Splits PostgreSQL SQL into tokens.
 
 use super::error::{SqlError, SqlState};
 
-/// What a token is.
+/// Kind of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TokenKind {
-    /// A keyword or an unquoted name.
+    /// A keyword or an unquoted identifier.
     Word,
-    /// A name in double quotes; the text is without them.
+    /// A double-quoted identifier; the text excludes the quotes.
     QuotedName,
-    /// A number.
+    /// A numeric literal.
     Number,
-    /// A string; the text is its contents.
+    /// A string literal; the text is its unescaped contents.
     Text,
     /// `$n`; the text is the digits.
     Parameter,
@@ -22,14 +22,14 @@
 /// One token of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Token {
-    /// What it is.
+    /// Kind of the token.
     pub kind: TokenKind,
-    /// Its text, see [`TokenKind`].
+    /// Text of the token, see [`TokenKind`].
     pub text: String,
 }
 
 impl Token {
-    /// An unquoted word.
+    /// Creates an unquoted word.
     pub fn word(text: &str) -> Self {
         Self {
             kind: TokenKind::Word,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// An operator or punctuation mark.
+    /// Creates an operator or punctuation mark.
     pub fn symbol(text: &str) -> Self {
         Self {
             kind: TokenKind::Symbol,
@@ -45,27 +45,27 @@
         }
     }
 
-    /// Whether this is the unquoted word `word`, in any case.
+    /// Returns whether this is the unquoted word `word`, ignoring case.
     pub fn is_word(&self, word: &str) -> bool {
         self.kind == TokenKind::Word && self.text.eq_ignore_ascii_case(word)
     }
 
-    /// Whether this is one of the unquoted words.
+    /// Returns whether this is one of the unquoted words, ignoring case.
     pub fn is_any_word(&self, words: &[&str]) -> bool {
         words.iter().any(|word| self.is_word(word))
     }
 
-    /// Whether this is the operator or punctuation mark `symbol`.
+    /// Returns whether this is the operator or punctuation mark `symbol`.
     pub fn is_symbol(&self, symbol: &str) -> bool {
         self.kind == TokenKind::Symbol && self.text == symbol
     }
 
-    /// Whether this can name a table or a column.
+    /// Returns whether this token can be the name of a table or a column.
     pub fn is_name(&self) -> bool {
         matches!(self.kind, TokenKind::Word | TokenKind::QuotedName)
     }
 
-    /// The name that this token stands for, folded to lower case if unquoted.
+    /// Returns the identifier, folded to lower case if unquoted.
     pub fn name(&self) -> String {
         match self.kind {
             TokenKind::Word => self.text.to_lowercase(),
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The token as the embedded engine reads it.
+    /// Returns the token in the syntax of the embedded engine.
     pub fn render(&self) -> String {
         match self.kind {
             TokenKind::QuotedName => format!("\"{}\"", self.text.replace('"', "\"\"")),
@@ -84,16 +84,16 @@
     }
 }
 
-/// One statement: its text as written and its tokens.
+/// One statement: its original text and its tokens.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RawStatement {
     /// The text between semicolons, trimmed.
     pub text: String,
-    /// Its tokens, without comments.
+    /// Tokens of the statement, without comments.
     pub tokens: Vec<Token>,
 }
 
-/// Splits `sql` into statements at semicolons; empty ones are dropped.
+/// Splits `sql` into statements at semicolons and drops empty statements.
 pub fn split(sql: &str) -> Result<Vec<RawStatement>, SqlError> {
     let mut lexer = Lexer {
         bytes: sql.as_bytes(),
--- a/lab/standin/src/database/link.rs
+++ b/lab/standin/src/database/link.rs
@@ -1,5 +1,5 @@
-//! Carries messages between the databases of a group, with the delays and
-//! cuts of the network between their zones.
+//! Delivers messages between the databases of a group, with the delays and cuts
+//! of the network between their zones.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -12,24 +12,24 @@
 use super::settings::ZoneNetwork;
 use crate::links::sleep_until;
 
-/// Messages under way on one link; more are lost.
-const CAPACITY: usize = 1024;
+/// Maximum number of messages in flight on one link; further ones are dropped.
+const MAX_IN_FLIGHT: usize = 1024;
 
-struct Envelope {
+struct QueuedMessage {
     due: Instant,
     message: Message,
 }
 
 /// The links from one database to each of its peers.
 pub struct Links {
-    senders: Vec<Option<mpsc::Sender<Envelope>>>,
+    senders: Vec<Option<mpsc::Sender<QueuedMessage>>>,
     zone: String,
     zones: Vec<String>,
     network: Arc<dyn ZoneNetwork>,
 }
 
 impl Links {
-    /// Opens the links from `nodes[from]`; the tasks carry messages until
+    /// Opens the links from `nodes[from]`. The returned tasks deliver messages until
     /// they are aborted.
     pub fn open(
         nodes: &[Arc<Node>],
@@ -43,9 +43,9 @@
                 senders.push(None);
                 continue;
             }
-            let (sender, receiver) = mpsc::channel(CAPACITY);
+            let (sender, receiver) = mpsc::channel(MAX_IN_FLIGHT);
             senders.push(Some(sender));
-            tasks.push(tokio::spawn(carry(
+            tasks.push(tokio::spawn(deliver_messages(
                 nodes[from].clone(),
                 to.clone(),
                 network.clone(),
@@ -64,37 +64,37 @@
         (links, tasks)
     }
 
-    /// Sends a message; it is lost when the link is full.
+    /// Sends a message, or drops it when the link is full.
     pub fn send(&self, to: Member, message: Message) {
         let delay = self.network.delay(&self.zone, &self.zones[to]);
-        let envelope = Envelope {
+        let queued = QueuedMessage {
             due: Instant::now() + delay,
             message,
         };
         if let Some(Some(sender)) = self.senders.get(to)
-            && sender.try_send(envelope).is_err()
+            && sender.try_send(queued).is_err()
         {
-            log::debug!("database: a message to peer {to} is lost.");
+            log::debug!("database: dropped a message to peer {to}: the link is full.");
         }
     }
 }
 
-async fn carry(
+async fn deliver_messages(
     from: Arc<Node>,
     to: Arc<Node>,
     network: Arc<dyn ZoneNetwork>,
-    mut receiver: mpsc::Receiver<Envelope>,
+    mut receiver: mpsc::Receiver<QueuedMessage>,
 ) {
-    while let Some(envelope) = receiver.recv().await {
-        if envelope.due > Instant::now() {
-            sleep_until(envelope.due).await;
+    while let Some(queued) = receiver.recv().await {
+        if queued.due > Instant::now() {
+            sleep_until(queued.due).await;
         }
         let cut = from.is_isolated()
             || to.is_isolated()
             || !from.is_alive()
             || network.is_cut(&from.settings.zone, &to.settings.zone);
         if !cut {
-            to.receive(from.member, envelope.message);
+            to.receive(from.member, queued.message);
         }
     }
 }
--- a/lab/standin/src/database/mod.rs
+++ b/lab/standin/src/database/mod.rs
@@ -1,36 +1,37 @@
 //! The stand-in for groups of replicated PostgreSQL databases.
 //!
-//! A [`DatabaseGroup`] runs in the calling process, on loopback ports chosen
-//! by the system. Its databases speak the PostgreSQL protocol, keep their rows
-//! in an embedded SQL engine, replicate committed statements in log order,
-//! and elect a primary by majority, each with a term that shows as the
-//! timeline.
+//! A [`DatabaseGroup`] runs in the calling process, on loopback ports that the
+//! operating system chooses. Its databases speak the PostgreSQL protocol, store
+//! their rows in an embedded SQL engine, replicate committed statements in log
+//! order, and elect a primary by majority. The term of a primary is reported as
+//! the timeline.
 //!
-//! # What is kept
+//! # State
 //!
-//! Each database has its log, the committed rows (the log replayed), and on a
-//! primary the working rows (the committed ones with what a majority has not
-//! flushed yet). Reads outside writing transactions see the committed rows:
-//! with `synchronous_commit` what a majority has flushed, without it what the
-//! primary has flushed, on a replica what it has replayed. Replicas replay
-//! what they have flushed, as PostgreSQL does, and discard it again when a
-//! later primary never had it; their connections are closed then.
+//! Each database has its log and the committed rows (the replayed log). A primary
+//! also has the working rows: the committed rows plus the transactions that a
+//! majority has not flushed yet. Reads outside writing transactions see the
+//! committed rows: with `synchronous_commit` the entries flushed by a majority,
+//! without it the entries flushed by the primary, and on a replica the replayed
+//! entries. Replicas replay the entries they have flushed, as PostgreSQL does.
+//! They discard entries that a later primary never received and then close their
+//! client connections.
 //!
-//! # Where it differs from PostgreSQL
+//! # Differences from PostgreSQL
 //!
-//! - One transaction writes at a time. While one waits for its client, others
-//!   may write; its statements run again when it goes on, and it fails with
-//!   40001 if one of them has another result then. So a conflict is never
-//!   waited for, and of two transactions the first to commit wins.
-//! - READ COMMITTED and REPEATABLE READ only; SERIALIZABLE is REPEATABLE READ
-//!   with the rows read checked again.
-//! - `SERIAL` columns are 64 bits wide and give numbers only as primary keys;
-//!   numbers of rolled back transactions are given again.
-//! - `sum` answers INT8 and `avg` FLOAT8; NUMERIC and DATE have no binary form.
-//! - No arrays, schemas (but for `hookpoint`), functions, sequences, LISTEN,
-//!   temporary tables (they are ordinary tables) or cursors WITH HOLD.
-//! - The whole log stays in memory, about 1 KB for each small write of a group
-//!   of three; a group is for runs of minutes, not of days.
+//! - Only one transaction writes at a time. While a transaction waits for its
+//!   client, others may write. Its statements are re-executed when it resumes, and
+//!   it fails with 40001 if any of them then has a different result. Transactions
+//!   therefore never wait for a conflicting transaction: the first to commit wins.
+//! - Only READ COMMITTED and REPEATABLE READ are implemented; SERIALIZABLE is
+//!   REPEATABLE READ that validates the rows read again.
+//! - `SERIAL` columns are 64 bits wide and generate values only as primary keys;
+//!   values of rolled back transactions are reused.
+//! - `sum` returns INT8 and `avg` FLOAT8; NUMERIC and DATE have no binary format.
+//! - There are no arrays, schemas (except `hookpoint`), functions, sequences,
+//!   LISTEN, temporary tables (they become ordinary tables) or cursors WITH HOLD.
+//! - The whole log stays in memory, about 1 KB for each small write in a group of
+//!   three; a group is meant to run for minutes, not days.
 
 mod advisory;
 mod connections;
--- a/lab/standin/src/database/node.rs
+++ b/lab/standin/src/database/node.rs
@@ -1,4 +1,4 @@
-//! One database of a group: its log, its rows and its part in the group.
+//! One database of a group: its log, its rows and its consensus state.
 //!
 //! Lock order: `inner`, then a working store, then `committed`.
 
@@ -20,7 +20,7 @@
 use super::store::Store;
 use super::timestamp;
 use super::view::{ReplicaView, SystemView};
-use super::working::{Working, WriteTransaction};
+use super::working::{WorkingRows, WriteTransaction};
 
 mod agreement;
 mod control;
@@ -28,60 +28,64 @@
 
 use replay::Committed;
 
-/// Time after which a silent replica leaves `pg_stat_replication`.
-const REPLICA_SILENCE: Duration = Duration::from_secs(2);
+/// Time after which a replica that sends no messages is removed from
+/// `pg_stat_replication`.
+const REPLICA_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How the connections of a database last ended together.
+/// Generation of the client connections of a database. All connections of a
+/// generation are closed when the next one begins.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Epoch {
-    /// How often they ended.
+    /// Number of times that all connections were closed.
     pub number: u64,
-    /// Whether the last time was without a word, as in a crash.
+    /// Whether the last time they were reset without an error message, as in a
+    /// crash.
     pub abrupt: bool,
 }
 
 struct Inner {
     consensus: Consensus,
-    received: Vec<Instant>,
-    cuts: u64,
+    received_at: Vec<Instant>,
+    truncations: u64,
     alive: bool,
     paused: bool,
-    working: Option<Arc<Working>>,
+    working: Option<Arc<WorkingRows>>,
 }
 
 /// One database.
 pub struct Node {
-    /// Its number in the group.
+    /// Index of the database in its group.
     pub member: Member,
-    /// Its settings.
+    /// Settings of the database.
     pub settings: DatabaseSettings,
-    /// Its group's settings.
+    /// Settings of the group.
     pub group: Arc<GroupSettings>,
-    /// Its client connections.
+    /// Client connections and slots.
     pub connections: Connections,
-    /// Its advisory locks.
+    /// Advisory locks held on this database.
     pub advisory: AdvisoryLocks,
-    /// What happened in the group.
+    /// Election history of the group.
     pub history: Arc<History>,
     inner: Mutex<Inner>,
     committed: Mutex<Committed>,
-    /// Copies of the committed rows' counters, read without their lock.
+    /// Copy of [`Committed::applied`] that can be read without the lock.
     applied: AtomicUsize,
+    /// Copy of the position of the committed rows that can be read without the lock.
     replayed: AtomicU64,
     links: OnceLock<Links>,
     epoch: watch::Sender<Epoch>,
-    majority: watch::Sender<usize>,
+    majority_flushed: watch::Sender<usize>,
     gate: watch::Sender<bool>,
     replay_lag: Mutex<Duration>,
     replay_wake: Notify,
     tick_wake: Notify,
     isolated: AtomicBool,
-    clients_cut: AtomicBool,
+    clients_isolated: AtomicBool,
     seeds: AtomicU64,
 }
 
 impl Node {
-    /// A database whose log and rows start with `first`.
+    /// Creates a database whose log and rows start with the entry `first`.
     pub fn new(
         member: Member,
         group: Arc<GroupSettings>,
@@ -93,7 +97,7 @@
         store.replay(first)?;
         let settings = group.databases[member].clone();
         let working = match consensus.role() {
-            Role::Primary => Some(Arc::new(Working::new(Store::copy(&store)?))),
+            Role::Primary => Some(Arc::new(WorkingRows::new(Store::copy(&store)?))),
             _ => None,
         };
         Ok(Self {
@@ -103,8 +107,8 @@
             history,
             inner: Mutex::new(Inner {
                 consensus,
-                received: vec![Instant::now()],
-                cuts: 0,
+                received_at: vec![Instant::now()],
+                truncations: 0,
                 alive: true,
                 paused: false,
                 working,
@@ -114,62 +118,64 @@
             replayed: AtomicU64::new(first.end.0),
             links: OnceLock::new(),
             epoch: watch::Sender::new(Epoch::default()),
-            majority: watch::Sender::new(1),
+            majority_flushed: watch::Sender::new(1),
             gate: watch::Sender::new(true),
             replay_lag: Mutex::new(settings.replay_lag),
             replay_wake: Notify::new(),
             tick_wake: Notify::new(),
             isolated: AtomicBool::new(false),
-            clients_cut: AtomicBool::new(false),
+            clients_isolated: AtomicBool::new(false),
             seeds: AtomicU64::new(group.seed),
             settings,
             group,
         })
     }
 
-    /// Connects the database to its peers; later calls change nothing.
+    /// Connects the database to its peers; only the first call has an effect.
     pub fn connect(&self, links: Links) {
         let _ = self.links.set(links);
     }
 
-    /// A seed for the chance of one statement.
+    /// Returns a new random seed for one statement.
     pub fn next_seed(&self) -> u64 {
         self.seeds.fetch_add(1, Ordering::Relaxed)
     }
 
-    /// Tells of the ends of all connections.
+    /// Subscribes to the connection epoch, which changes when all connections are
+    /// closed.
     pub fn epochs(&self) -> watch::Receiver<Epoch> {
         self.epoch.subscribe()
     }
 
-    /// Tells whether clients are answered.
+    /// Subscribes to whether clients are served.
     pub fn gate(&self) -> watch::Receiver<bool> {
         self.gate.subscribe()
     }
 
-    /// Tells how many entries a majority has flushed.
-    pub fn majorities(&self) -> watch::Receiver<usize> {
-        self.majority.subscribe()
+    /// Subscribes to the number of entries that a majority has flushed.
+    pub fn subscribe_majority_flushed(&self) -> watch::Receiver<usize> {
+        self.majority_flushed.subscribe()
     }
 
-    /// Whether the process runs.
+    /// Returns whether the simulated process is running.
     pub fn is_alive(&self) -> bool {
         self.inner.lock().alive
     }
 
-    /// Whether it is cut off from its peers.
+    /// Returns whether the database is isolated from its peers.
     pub fn is_isolated(&self) -> bool {
         self.isolated.load(Ordering::Relaxed)
     }
 
-    /// The rows for writing, if this is a primary.
-    pub fn working(&self) -> Option<Arc<Working>> {
+    /// Returns the working rows if this database is a running primary.
+    pub fn working(&self) -> Option<Arc<WorkingRows>> {
         let inner = self.inner.lock();
         inner.working.clone().filter(|_| inner.alive)
     }
 
-    /// Commits here and adds to the log. Returns how many entries a majority
-    /// must flush before the transaction is safe, or none if it changed nothing.
+    /// Commits a transaction locally and appends it to the log. Returns the number
+    /// of entries that a majority must flush before the transaction is durable, or
+    /// `None` if it changed nothing.
     pub fn commit(&self, transaction: WriteTransaction) -> Result<Option<usize>, SqlError> {
         let mut inner = self.inner.lock();
         let current = inner
@@ -189,18 +195,20 @@
         self.apply(&mut inner, actions);
         drop(inner);
         if !self.group.synchronous_commit {
-            self.catch_up_to(length);
+            self.replay_up_to(length);
         }
         Ok(Some(length))
     }
 
-    /// What the database tells of itself now.
+    /// Returns the current replication state that the system views show.
     pub fn view(&self) -> SystemView {
         let inner = self.inner.lock();
         let consensus = &inner.consensus;
         let primary = consensus.role() == Role::Primary;
         let now = Instant::now();
-        let heard = consensus.heard_primary(now).filter(|_| !self.is_isolated());
+        let reachable = consensus
+            .reachable_primary(now)
+            .filter(|_| !self.is_isolated());
         SystemView {
             in_recovery: !primary,
             timeline: if primary {
@@ -210,7 +218,7 @@
             },
             flushed: consensus.flushed(),
             replayed: self.replayed(),
-            primary: heard.map(|member| self.group.databases[member].name.clone()),
+            primary: reachable.map(|member| self.group.databases[member].name.clone()),
             replicas: if primary {
                 self.replicas(consensus, now)
             } else {
@@ -222,33 +230,35 @@
     fn replicas(&self, consensus: &Consensus, now: Instant) -> Vec<ReplicaView> {
         let mut replicas = Vec::new();
         for (member, peer) in consensus.peers().iter().enumerate() {
-            let silence = peer.heard_at.map(|at| now.saturating_duration_since(at));
-            let Some(silence) = silence.filter(|silence| *silence < REPLICA_SILENCE) else {
+            let elapsed = peer
+                .last_message_at
+                .map(|at| now.saturating_duration_since(at));
+            let Some(elapsed) = elapsed.filter(|elapsed| *elapsed < REPLICA_TIMEOUT) else {
                 continue;
             };
             replicas.push(ReplicaView {
                 name: self.group.databases[member].name.clone(),
                 flushed: consensus.position(peer.flushed),
                 replayed: peer.replayed,
-                heard_at: timestamp::now_micros() - silence.as_micros() as i64,
+                last_message_at: timestamp::now_micros() - elapsed.as_micros() as i64,
             });
         }
         replicas
     }
 
-    /// Whether it is no primary now.
+    /// Returns whether the database is currently not a primary.
     pub fn in_recovery(&self) -> bool {
         self.inner.lock().consensus.role() != Role::Primary
     }
 
-    /// Role and term; no role when the process is down.
+    /// Returns the role and the term; the role is `None` when the process is down.
     pub fn role(&self) -> (Option<Role>, u64) {
         let inner = self.inner.lock();
         let role = inner.alive.then(|| inner.consensus.role());
         (role, inner.consensus.term())
     }
 
-    /// A copy of the log.
+    /// Returns a copy of the log.
     pub fn log(&self) -> Vec<Arc<Entry>> {
         self.inner.lock().consensus.log().to_vec()
     }
--- a/lab/standin/src/database/node/agreement.rs
+++ b/lab/standin/src/database/node/agreement.rs
@@ -1,4 +1,4 @@
-//! A database's part in the agreement of its group.
+//! Connects the consensus state machine of a database to its storage and network.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -7,10 +7,11 @@
 use super::{Inner, Node};
 use crate::database::consensus::{Action, Consensus, Member, Message};
 use crate::database::store::Store;
-use crate::database::working::Working;
+use crate::database::working::WorkingRows;
 
 impl Node {
-    /// Runs one step of the agreement and does what it asks.
+    /// Runs one step of the consensus state machine and executes the resulting
+    /// actions. Does nothing while the process is down or paused.
     pub(super) fn step(&self, run: impl FnOnce(&mut Consensus, Instant) -> Vec<Action>) {
         let mut inner = self.inner.lock();
         if inner.alive && !inner.paused {
@@ -21,29 +22,29 @@
         self.tick_wake.notify_one();
     }
 
-    /// Takes in a message from a peer.
+    /// Handles a message from a peer.
     pub fn receive(&self, from: Member, message: Message) {
         let replayed = self.replayed();
         self.step(|consensus, now| consensus.receive(now, from, message, replayed));
     }
 
-    /// Drives heartbeats and elections until dropped.
+    /// Drives heartbeats and elections until the task is aborted.
     pub async fn run_ticks(self: Arc<Self>) {
         loop {
             let next = self.inner.lock().consensus.next_tick();
-            let asleep = tokio::time::sleep_until(next.into());
+            let tick_due = tokio::time::sleep_until(next.into());
             tokio::select! {
-                () = asleep => {}
+                () = tick_due => {}
                 () = self.tick_wake.notified() => continue,
             }
-            if self.stands_still() {
+            if self.is_stopped_or_paused() {
                 tokio::time::sleep(self.group.heartbeat_interval).await;
             }
             self.step(Consensus::tick);
         }
     }
 
-    fn stands_still(&self) -> bool {
+    fn is_stopped_or_paused(&self) -> bool {
         let inner = self.inner.lock();
         !inner.alive || inner.paused
     }
@@ -61,11 +62,12 @@
                 Action::BecamePrimary => self.promote(inner),
                 Action::SteppedDown => {
                     inner.working = None;
-                    log::info!("database: {} leads no more.", self.settings.name);
-                    self.end_connections(false);
+                    log::info!("database: {} stepped down as primary.", self.settings.name);
+                    self.close_connections(false);
                 }
-                Action::MajorityAdvanced => {
-                    self.majority.send_replace(inner.consensus.majority());
+                Action::MajorityFlushedAdvanced => {
+                    self.majority_flushed
+                        .send_replace(inner.consensus.majority_flushed());
                     self.replay_wake.notify_one();
                 }
             }
@@ -74,31 +76,34 @@
 
     fn flushed(&self, inner: &mut Inner) {
         let length = inner.consensus.log().len();
-        inner.received.resize(length, Instant::now());
+        inner.received_at.resize(length, Instant::now());
         self.replay_wake.notify_one();
     }
 
     fn truncate(&self, inner: &mut Inner, length: usize) {
-        inner.received.truncate(length);
-        inner.cuts += 1;
+        inner.received_at.truncate(length);
+        inner.truncations += 1;
         let mut committed = self.committed.lock();
-        // What is due of the old log must not be replayed any more.
-        committed.cuts = inner.cuts;
+        // Entries selected from the old log must no longer be replayed.
+        committed.truncations = inner.truncations;
         if committed.applied <= length {
             return;
         }
         log::info!(
-            "database: {} discards {} entries.",
+            "database: {} discards {} replayed entries that the new primary does not have.",
             self.settings.name,
             committed.applied - length
         );
-        self.end_connections(false);
-        match Committed::rebuild(&inner.consensus.log()[..length], inner.cuts) {
+        self.close_connections(false);
+        match Committed::rebuild(&inner.consensus.log()[..length], inner.truncations) {
             Ok(rebuilt) => {
                 *committed = rebuilt;
                 self.publish(&committed);
             }
-            Err(error) => log::error!("database: {} cannot rebuild: {error}.", self.settings.name),
+            Err(error) => log::error!(
+                "database: {} cannot rebuild its rows: {error}.",
+                self.settings.name
+            ),
         }
     }
 
@@ -110,17 +115,23 @@
         }
         self.publish(&committed);
         match Store::copy(&committed.store) {
-            Ok(copy) => inner.working = Some(Arc::new(Working::new(copy))),
-            Err(error) => log::error!("database: {} cannot promote: {error}.", self.settings.name),
+            Ok(copy) => inner.working = Some(Arc::new(WorkingRows::new(copy))),
+            Err(error) => log::error!(
+                "database: {} cannot copy its rows for promotion: {error}.",
+                self.settings.name
+            ),
         }
         let term = inner.consensus.term();
-        log::info!("database: {} leads term {term}.", self.settings.name);
-        let heard_at = inner.consensus.heard_at();
+        log::info!(
+            "database: {} became primary in term {term}.",
+            self.settings.name
+        );
+        let last_primary_message = inner.consensus.last_primary_message_at();
         self.history
-            .elected(term, &self.settings.name, Some(heard_at));
+            .elected(term, &self.settings.name, Some(last_primary_message));
     }
 
-    pub(super) fn end_connections(&self, abrupt: bool) {
+    pub(super) fn close_connections(&self, abrupt: bool) {
         self.epoch.send_modify(|epoch| {
             epoch.number += 1;
             epoch.abrupt = abrupt;
--- a/lab/standin/src/database/node/replay.rs
+++ b/lab/standin/src/database/node/replay.rs
@@ -11,35 +11,35 @@
 use crate::database::position::Lsn;
 use crate::database::store::Store;
 
-/// Entries replayed before the locks are given up for others.
+/// Maximum number of entries replayed before the locks are released.
 const REPLAY_BATCH: usize = 64;
-/// Pause of the replay task while nothing is due.
+/// Maximum sleep of the replay task while no entry is due.
 const REPLAY_IDLE: Duration = Duration::from_millis(500);
 
-/// The rows that reads outside a writing transaction see.
+/// The committed rows, which reads outside writing transactions see.
 pub(super) struct Committed {
     pub(super) store: Store,
     pub(super) applied: usize,
     position: Lsn,
-    /// How often the log was cut.
-    pub(super) cuts: u64,
+    /// Number of times the log was truncated.
+    pub(super) truncations: u64,
 }
 
-/// Entries that are to be replayed next.
+/// Entries to be replayed next.
 struct Due {
     entries: Vec<Arc<Entry>>,
-    /// Number of entries before them.
+    /// Number of log entries before the first of `entries`.
     start: usize,
-    cuts: u64,
-    /// When there will be more, if that is known.
+    truncations: u64,
+    /// When the next entries become due, if known.
     next: Option<Instant>,
 }
 
 impl Node {
-    /// Replays entries as they come due until dropped.
+    /// Replays entries as they become due until the task is aborted.
     pub async fn run_replay(self: Arc<Self>) {
         loop {
-            let next = self.catch_up();
+            let next = self.replay_due();
             let wait = next.unwrap_or_else(|| Instant::now() + REPLAY_IDLE);
             if wait > Instant::now() {
                 tokio::select! {
@@ -52,15 +52,15 @@
         }
     }
 
-    /// Replays what is due, without keeping the group waiting for readers;
-    /// returns when there will be more, if that is known.
-    pub fn catch_up(&self) -> Option<Instant> {
+    /// Replays the due entries without holding the consensus lock, so that readers
+    /// do not block consensus. Returns when the next entries become due, if known.
+    pub fn replay_due(&self) -> Option<Instant> {
         let due = self.due();
         if due.entries.is_empty() {
             return due.next;
         }
         let mut committed = self.committed.lock();
-        if committed.cuts == due.cuts {
+        if committed.truncations == due.truncations {
             let done = committed.applied.saturating_sub(due.start);
             for entry in due.entries.iter().skip(done) {
                 committed.apply(entry);
@@ -78,7 +78,7 @@
         let mut due = Due {
             entries: Vec::new(),
             start,
-            cuts: inner.cuts,
+            truncations: inner.truncations,
             next: None,
         };
         if !inner.alive || inner.paused {
@@ -88,8 +88,8 @@
         let visible = self.visible(&inner);
         let end = visible.min(start + REPLAY_BATCH);
         let following = inner.consensus.role() != Role::Primary;
-        for (entry, received) in log.iter().zip(&inner.received).take(end).skip(start) {
-            let ready = *received + lag;
+        for (entry, received_at) in log.iter().zip(&inner.received_at).take(end).skip(start) {
+            let ready = *received_at + lag;
             if following && ready > now {
                 due.next = Some(ready);
                 return due;
@@ -102,10 +102,10 @@
         due
     }
 
-    /// How many entries reads may see now.
+    /// Returns the number of log entries that reads may see.
     fn visible(&self, inner: &Inner) -> usize {
         if inner.consensus.role() == Role::Primary && self.group.synchronous_commit {
-            inner.consensus.majority()
+            inner.consensus.majority_flushed()
         } else {
             inner.consensus.log().len()
         }
@@ -120,17 +120,17 @@
         Lsn(self.replayed.load(Ordering::Acquire))
     }
 
-    /// Makes the first `length` entries visible, if they may be.
-    pub fn catch_up_to(&self, length: usize) {
+    /// Replays up to the first `length` entries, as far as they are due.
+    pub fn replay_up_to(&self, length: usize) {
         while self.applied.load(Ordering::Acquire) < length {
-            if self.catch_up().is_none() {
+            if self.replay_due().is_none() {
                 return;
             }
         }
     }
 
-    /// Runs `read` on the rows that have been replayed, with their position,
-    /// unless the connections of `epoch` have ended.
+    /// Runs `read` on the replayed rows and their position. Fails if the connections
+    /// of `epoch` have been closed.
     pub fn read<R>(
         &self,
         epoch: u64,
@@ -146,22 +146,22 @@
 }
 
 impl Committed {
-    /// Rows into which the first entry has been replayed.
+    /// Wraps a store into which the first entry has already been replayed.
     pub(super) fn new(store: Store, first: &Entry) -> Self {
         Self {
             store,
             applied: 1,
             position: first.end,
-            cuts: 0,
+            truncations: 0,
         }
     }
 
-    pub(super) fn rebuild(log: &[Arc<Entry>], cuts: u64) -> Result<Self, SqlError> {
+    pub(super) fn rebuild(log: &[Arc<Entry>], truncations: u64) -> Result<Self, SqlError> {
         let mut rebuilt = Self {
             store: Store::open()?,
             applied: 0,
             position: Lsn(0),
-            cuts,
+            truncations,
         };
         for entry in log {
             rebuilt.apply(entry);
@@ -173,7 +173,7 @@
     pub(super) fn apply(&mut self, entry: &Entry) {
         if let Err(error) = self.store.replay(entry) {
             log::error!(
-                "database: an entry at {} fails to replay: {error}.",
+                "database: replaying the entry that ends at {} failed: {error}.",
                 entry.end
             );
         }
--- a/lab/standin/src/database/outcome.rs
+++ b/lab/standin/src/database/outcome.rs
@@ -1,4 +1,4 @@
-//! What a statement answers, and its messages.
+//! Results of statements and their protocol messages.
 
 use std::collections::VecDeque;
 
@@ -14,17 +14,17 @@
 use super::store::EngineColumn;
 use super::value;
 
-/// A column of an answer.
+/// A column of a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Column {
-    /// Its name.
+    /// Name of the column.
     pub name: String,
-    /// Its type.
+    /// Type of the column.
     pub kind: Type,
 }
 
 impl Column {
-    /// A column.
+    /// Creates a column.
     pub fn new(name: &str, kind: Type) -> Self {
         Self {
             name: name.to_owned(),
@@ -33,21 +33,21 @@
     }
 }
 
-/// What a statement answers.
+/// Result of a statement.
 #[derive(Debug, Default)]
 pub struct Outcome {
-    /// The columns, if it returns rows.
+    /// Columns, or `None` if the statement returns no rows.
     pub columns: Option<Vec<Column>>,
-    /// The rows not sent yet.
+    /// Rows that have not been sent yet.
     pub rows: VecDeque<Vec<Value>>,
-    /// The command tag.
+    /// Command tag, without the row count if `counts_rows` is set.
     pub tag: String,
     /// Whether the number of rows sent is added to the tag.
     pub counts_rows: bool,
 }
 
 impl Outcome {
-    /// An answer without rows.
+    /// Creates a result without rows.
     pub fn done(tag: impl Into<String>) -> Self {
         Self {
             tag: tag.into(),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// An answer with rows, whose tag counts them.
+    /// Creates a result with rows, whose count is appended to the tag.
     pub fn rows(columns: Vec<Column>, rows: Vec<Vec<Value>>, tag: impl Into<String>) -> Self {
         Self {
             columns: Some(columns),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The tag after `sent` rows.
+    /// Returns the command tag after `sent` rows.
     pub fn final_tag(&self, sent: usize) -> String {
         if self.counts_rows {
             format!("{} {sent}", self.tag)
@@ -75,7 +75,7 @@
     }
 }
 
-/// Names and types of the columns that the engine describes.
+/// Returns the names and types of the columns that the engine describes.
 pub fn columns_of(
     engine: &[EngineColumn],
     tokens: &[Token],
@@ -104,7 +104,7 @@
         .collect()
 }
 
-/// PostgreSQL's name for a column that the engine names by its expression.
+/// Returns PostgreSQL's name for a column that the engine names by its expression.
 fn column_name(engine: &str) -> String {
     let is_name = engine
         .chars()
@@ -129,7 +129,7 @@
     }
 }
 
-/// The format of column `at`, by the rule of the Bind message.
+/// Returns the format code of column `at`, by the rule of the Bind message.
 pub fn format_of(formats: &[i16], at: usize) -> i16 {
     match formats {
         [] => 0,
@@ -138,7 +138,7 @@
     }
 }
 
-/// The message that describes columns.
+/// Returns the message that describes columns.
 pub fn describe(columns: &[Column], formats: &[i16]) -> PgWireBackendMessage {
     let fields = columns
         .iter()
@@ -160,7 +160,7 @@
     PgWireBackendMessage::RowDescription(RowDescription::new(fields))
 }
 
-/// The message that carries one row.
+/// Returns the message that contains one row.
 pub fn encode_row(
     row: &[Value],
     columns: &[Column],
--- a/lab/standin/src/database/position.rs
+++ b/lab/standin/src/database/position.rs
@@ -1,15 +1,15 @@
-//! Log positions in PostgreSQL's text form.
+//! Log positions in PostgreSQL's text format.
 
 use std::fmt;
 
-/// A byte position in a database's write-ahead log.
+/// Log sequence number: a byte position in a database's write-ahead log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Lsn(pub u64);
 
 /// Position at which the log of a new group starts.
 pub const FIRST_LSN: Lsn = Lsn(0x0300_0000);
 
-/// Size of one log segment in bytes, which `pg_walfile_name` counts in.
+/// Size of one log segment in bytes, the unit of `pg_walfile_name`.
 const SEGMENT_BYTES: u64 = 16 * 1024 * 1024;
 
 impl fmt::Display for Lsn {
@@ -18,7 +18,8 @@
     }
 }
 
-/// Name of the log segment holding the byte before `position` on `timeline`.
+/// Returns the name of the log segment that contains the byte before `position`
+/// on `timeline`.
 pub fn segment_name(timeline: u64, position: Lsn) -> String {
     let segment = position.0.saturating_sub(1) / SEGMENT_BYTES;
     let segments_per_file_id = (1_u64 << 32) / SEGMENT_BYTES;
--- a/lab/standin/src/database/rewrite.rs
+++ b/lab/standin/src/database/rewrite.rs
@@ -1,4 +1,4 @@
-//! Rewrites PostgreSQL's spellings into those of the embedded engine.
+//! Rewrites PostgreSQL syntax into the syntax of the embedded engine.
 
 use super::definition;
 use super::lexer::{Token, TokenKind};
@@ -8,7 +8,8 @@
 /// Schemas whose names become a prefix of the table's name.
 const PREFIX_SCHEMAS: [&str; 1] = ["hookpoint"];
 
-/// Drops or folds schema names, which the embedded engine doesn't have.
+/// Drops schema names or folds them into the table name, because the embedded
+/// engine has no schemas.
 pub fn drop_schema_names(tokens: Vec<Token>) -> Vec<Token> {
     let mut result = Vec::with_capacity(tokens.len());
     let mut tokens = tokens.into_iter().peekable();
@@ -34,14 +35,16 @@
     result
 }
 
-/// Whether the name that follows `before` is that of a setting.
+/// Returns whether the name that follows the tokens `before` is the name of a
+/// setting.
 fn is_setting(before: &[Token]) -> bool {
     before
         .first()
         .is_some_and(|token| token.is_any_word(&["SET", "SHOW", "RESET"]))
 }
 
-/// Whether a query ends with FOR UPDATE or its kin.
+/// Returns whether a query has a row locking clause such as FOR UPDATE or FOR
+/// SHARE.
 pub fn locks_rows(tokens: &[Token]) -> bool {
     tokens
         .windows(2)
@@ -52,7 +55,7 @@
     first.is_word("FOR") && second.is_any_word(&["UPDATE", "SHARE", "NO", "KEY"])
 }
 
-/// The statement in the embedded engine's spelling.
+/// Returns the statement in the syntax of the embedded engine.
 pub fn to_engine(tokens: &[Token]) -> String {
     let tokens = drop_locking(tokens);
     let tokens = rename_calls(&tokens);
@@ -85,7 +88,8 @@
     result
 }
 
-/// Words that are calls without parentheses in PostgreSQL.
+/// Keywords that PostgreSQL evaluates as function calls without parentheses, and
+/// the functions to call instead.
 const BARE_CALLS: [(&str, &str); 5] = [
     ("current_timestamp", "now"),
     ("localtimestamp", "now"),
@@ -93,9 +97,9 @@
     ("session_user", "pg_user"),
     ("current_role", "pg_user"),
 ];
-/// Set-returning functions that are tables here.
+/// Set-returning functions that are implemented as tables.
 const TABLE_CALLS: [&str; 1] = ["pg_control_checkpoint"];
-/// Functions with another name in the embedded engine.
+/// Functions that have a different name in the embedded engine.
 const RENAMED_CALLS: [(&str, &str); 2] = [("greatest", "max"), ("least", "min")];
 
 fn rename_calls(tokens: &[Token]) -> Vec<Token> {
@@ -126,8 +130,8 @@
     result
 }
 
-/// Rewrites `generate_series(a, b) AS name` into a subquery whose column has
-/// that name; returns where to go on.
+/// Rewrites `generate_series(a, b) AS name` into a subquery whose column has that
+/// name. Returns the index of the first token after the call and its alias.
 fn rewrite_series(tokens: &[Token], at: usize, result: &mut Vec<Token>) -> usize {
     let close = matching_close(tokens, at + 1);
     let call = &tokens[at..=close.min(tokens.len() - 1)];
@@ -172,7 +176,7 @@
     "INNER", "CROSS", "ON", "FROM", "FOR", "FULL",
 ];
 
-/// Index of the parenthesis that closes the one at `open`.
+/// Returns the index of the parenthesis that closes the one at `open`.
 pub fn matching_close(tokens: &[Token], open: usize) -> usize {
     let mut depth = 0;
     for (at, token) in tokens.iter().enumerate().skip(open) {
@@ -190,7 +194,7 @@
 
 fn rewrite_casts(tokens: &[Token]) -> Vec<Token> {
     let mut result: Vec<Token> = Vec::with_capacity(tokens.len());
-    // For each open parenthesis, where a CAST that it belongs to starts.
+    // For each open parenthesis, the start of the CAST to which it belongs.
     let mut opened: Vec<Option<usize>> = Vec::new();
     let mut at = 0;
     while at < tokens.len() {
@@ -245,7 +249,8 @@
     result.extend([Token::symbol(factor), Token::symbol(")")]);
 }
 
-/// Reads a type's name from `at`; returns it in lower case with where it ends.
+/// Reads a type name from `at`; returns it in lower case with the index of the
+/// token after it.
 pub fn read_type(tokens: &[Token], at: usize) -> (String, usize) {
     let word = |at: usize| tokens.get(at).map(Token::name).unwrap_or_default();
     let mut name = word(at);
@@ -271,7 +276,7 @@
     (name, next)
 }
 
-/// Where the operand that ends `tokens` starts.
+/// Returns the start of the operand at the end of `tokens`.
 fn operand_start(tokens: &[Token]) -> usize {
     let Some(last) = tokens.len().checked_sub(1) else {
         return 0;
@@ -330,7 +335,7 @@
     token.is_name() && !token.is_any_word(&NOT_CALLS)
 }
 
-/// How the embedded engine casts to a type.
+/// How a cast to a type is expressed in the embedded engine.
 enum Cast {
     Function(&'static str),
     Engine(&'static str),
--- a/lab/standin/src/database/server.rs
+++ b/lab/standin/src/database/server.rs
@@ -11,17 +11,17 @@
 use super::node::Node;
 use super::startup;
 
-/// Connections that may wait to be accepted.
+/// Length of the listener's accept queue.
 const BACKLOG: u32 = 1024;
 
-/// A loopback port that stays this database's own while it is down.
+/// A loopback port that stays reserved for a database while it is down.
 pub struct Port {
     address: SocketAddr,
     _reservation: TcpSocket,
 }
 
 impl Port {
-    /// Reserves a port chosen by the system.
+    /// Reserves a port that the operating system chooses.
     pub fn reserve() -> io::Result<Self> {
         let socket = new_socket()?;
         socket.bind((Ipv4Addr::LOCALHOST, 0).into())?;
@@ -31,12 +31,13 @@
         })
     }
 
-    /// Where clients connect.
+    /// Returns the address to which clients connect.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Listens until the result is dropped; connections are refused after.
+    /// Starts listening. Connections are refused once the returned listener is
+    /// dropped.
     pub fn listen(&self) -> io::Result<TcpListener> {
         let socket = new_socket()?;
         socket.bind(self.address)?;
@@ -47,12 +48,12 @@
 fn new_socket() -> io::Result<TcpSocket> {
     let socket = TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
-    // Without this the reservation and the listener could not share the port.
+    // Required for the reservation and the listener to share the port.
     socket.set_reuseport(true)?;
     Ok(socket)
 }
 
-/// Serves clients while `listening` holds, until dropped.
+/// Accepts clients while `listening` is true, until the task is aborted.
 pub async fn run(
     node: Arc<Node>,
     port: Arc<Port>,
@@ -86,7 +87,7 @@
     match port.listen() {
         Ok(listener) => Some(listener),
         Err(error) => {
-            log::error!("database: cannot listen again: {error}.");
+            log::error!("database: listening after a restart failed: {error}.");
             None
         }
     }
@@ -96,7 +97,7 @@
     match listener?.accept().await {
         Ok((stream, _)) => Some(stream),
         Err(error) => {
-            log::warn!("database: a connection could not be accepted: {error}.");
+            log::warn!("database: accepting a connection failed: {error}.");
             None
         }
     }
--- a/lab/standin/src/database/session.rs
+++ b/lab/standin/src/database/session.rs
@@ -1,4 +1,4 @@
-//! One client's session: takes messages in and answers them.
+//! A client session: handles protocol messages and sends the responses.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -21,33 +21,33 @@
 use super::wire::{Wire, WireError};
 use super::working::WriteTransaction;
 
-/// Who a session is.
+/// Identity and initial settings of a session.
 pub struct Identity {
-    /// Its slot.
+    /// Connection slot of the session.
     pub slot: Slot,
-    /// Its user.
+    /// User name.
     pub user: String,
-    /// The database name it gave.
+    /// Database name that the client requested.
     pub database: String,
-    /// Its first settings.
+    /// Current settings of the session.
     pub settings: SessionSettings,
 }
 
-/// Why a session ends.
+/// Reasons why a session ends.
 #[derive(Debug, thiserror::Error)]
-pub enum End {
+pub enum SessionEnd {
     /// The connection failed.
     #[error(transparent)]
     Wire(#[from] WireError),
-    /// The client must be told.
+    /// The session ends with an error that is sent to the client.
     #[error(transparent)]
     Fatal(SqlError),
-    /// The client said good-bye.
+    /// The client sent Terminate.
     #[error("the client closed the session")]
     Closed,
 }
 
-/// One client's session.
+/// A client session.
 pub struct Session {
     pub(super) node: Arc<Node>,
     pub(super) wire: Wire,
@@ -58,11 +58,11 @@
     pub(super) portals: HashMap<String, Portal>,
     pub(super) cursors: HashMap<String, Outcome>,
     reported: Vec<(&'static str, String)>,
-    skipping: bool,
+    skipping_until_sync: bool,
 }
 
 impl Session {
-    /// A session that was opened in `epoch`.
+    /// Creates a session that was opened in connection epoch `epoch`.
     pub fn new(node: Arc<Node>, wire: Wire, identity: Identity, epoch: u64) -> Self {
         Self {
             reported: identity.settings.reported(),
@@ -74,11 +74,12 @@
             statements: HashMap::new(),
             portals: HashMap::new(),
             cursors: HashMap::new(),
-            skipping: false,
+            skipping_until_sync: false,
         }
     }
 
-    /// Serves the client until it leaves or the connections of its epoch end.
+    /// Serves the client until it disconnects or the connections of its epoch are
+    /// closed.
     pub async fn run_until(&mut self, mut epochs: watch::Receiver<Epoch>) {
         let end = tokio::select! {
             end = self.run() => end,
@@ -87,20 +88,21 @@
                     self.wire.reset();
                     return;
                 }
-                Err(End::Fatal(SqlError::terminated()))
+                Err(SessionEnd::Fatal(SqlError::terminated()))
             }
         };
         self.transaction.write = None;
-        if let Err(End::Fatal(error)) = end {
-            let told = tokio::time::timeout(FAREWELL_WAIT, self.wire.farewell(&error)).await;
+        if let Err(SessionEnd::Fatal(error)) = end {
+            let sent_in_time =
+                tokio::time::timeout(DISCONNECT_TIMEOUT, self.wire.disconnect(&error)).await;
             log::debug!(
-                "database: a session ends with {error}; told: {}.",
-                told.is_ok()
+                "database: a session ended with an error: {error}; sent to the client: {}.",
+                sent_in_time.is_ok()
             );
         }
     }
 
-    async fn run(&mut self) -> Result<(), End> {
+    async fn run(&mut self) -> Result<(), SessionEnd> {
         self.ready().await?;
         loop {
             let Some(message) = self.next_message().await? else {
@@ -112,15 +114,15 @@
             cancellation.end();
             match handled {
                 Ok(()) => {}
-                Err(End::Closed) => return Ok(()),
+                Err(SessionEnd::Closed) => return Ok(()),
                 Err(end) => return Err(end),
             }
         }
     }
 
-    /// The next message. While the client is waited for, a transaction gives
-    /// way to others that want to write.
-    async fn next_message(&mut self) -> Result<Option<PgWireFrontendMessage>, End> {
+    /// Returns the next message. While waiting for it, suspends the open transaction
+    /// when other transactions want to write.
+    async fn next_message(&mut self) -> Result<Option<PgWireFrontendMessage>, SessionEnd> {
         let write = self.transaction.write.as_ref();
         let contention = write.and_then(WriteTransaction::contention);
         if let Some(mut waiting) = contention {
@@ -136,7 +138,7 @@
         self.read_message().await
     }
 
-    async fn read_message(&mut self) -> Result<Option<PgWireFrontendMessage>, End> {
+    async fn read_message(&mut self) -> Result<Option<PgWireFrontendMessage>, SessionEnd> {
         let (name, state, message) = match self.transaction.stage {
             Stage::Implicit => return Ok(self.wire.read().await?),
             Stage::Idle => (
@@ -155,23 +157,23 @@
         };
         match tokio::time::timeout(limit, self.wire.read()).await {
             Ok(message) => Ok(message?),
-            Err(_) => Err(End::Fatal(SqlError::fatal(state, message))),
+            Err(_) => Err(SessionEnd::Fatal(SqlError::fatal(state, message))),
         }
     }
 
-    async fn handle(&mut self, message: PgWireFrontendMessage) -> Result<(), End> {
+    async fn handle(&mut self, message: PgWireFrontendMessage) -> Result<(), SessionEnd> {
         match message {
-            PgWireFrontendMessage::Terminate(_) => return Err(End::Closed),
+            PgWireFrontendMessage::Terminate(_) => return Err(SessionEnd::Closed),
             PgWireFrontendMessage::Sync(_) => return self.sync().await,
-            PgWireFrontendMessage::Query(query) if !self.skipping => {
+            PgWireFrontendMessage::Query(query) if !self.skipping_until_sync => {
                 return self.simple_query(&query.query).await;
             }
             PgWireFrontendMessage::Flush(_) => return Ok(self.wire.flush().await?),
-            // These belong to a copy that has failed already.
+            // These messages belong to a COPY that has already failed.
             PgWireFrontendMessage::CopyData(_)
             | PgWireFrontendMessage::CopyDone(_)
             | PgWireFrontendMessage::CopyFail(_) => return Ok(()),
-            _ if self.skipping => return Ok(()),
+            _ if self.skipping_until_sync => return Ok(()),
             _ => {}
         }
         let result = match message {
@@ -190,21 +192,21 @@
             Err(Failure::Wire(error)) => Err(error.into()),
             Err(Failure::Sql(error)) => {
                 self.fail(&error)?;
-                self.skipping = true;
+                self.skipping_until_sync = true;
                 Ok(())
             }
         }
     }
 
-    async fn sync(&mut self) -> Result<(), End> {
-        let skipped = std::mem::take(&mut self.skipping);
+    async fn sync(&mut self) -> Result<(), SessionEnd> {
+        let skipped = std::mem::take(&mut self.skipping_until_sync);
         if !skipped && let Err(error) = self.finish_implicit().await {
             self.fail(&error)?;
         }
         self.ready().await
     }
 
-    async fn simple_query(&mut self, sql: &str) -> Result<(), End> {
+    async fn simple_query(&mut self, sql: &str) -> Result<(), SessionEnd> {
         match self.run_simple(sql).await {
             Ok(()) => {}
             Err(Failure::Wire(error)) => return Err(error.into()),
@@ -236,7 +238,7 @@
         Ok(())
     }
 
-    /// Sends up to `limit` rows of an answer; returns how many.
+    /// Sends up to `limit` rows of a result and returns how many were sent.
     pub(super) async fn send_rows(
         &mut self,
         outcome: &mut Outcome,
@@ -270,16 +272,16 @@
             .push(PgWireBackendMessage::CommandComplete(complete))
     }
 
-    /// Tells the client of an error and marks the transaction.
-    fn fail(&mut self, error: &SqlError) -> Result<(), End> {
+    /// Sends an error to the client and marks the transaction as failed.
+    fn fail(&mut self, error: &SqlError) -> Result<(), SessionEnd> {
         self.fail_transaction();
         if error.fatal {
-            return Err(End::Fatal(error.clone()));
+            return Err(SessionEnd::Fatal(error.clone()));
         }
         Ok(self.wire.push_error(error)?)
     }
 
-    async fn ready(&mut self) -> Result<(), End> {
+    async fn ready(&mut self) -> Result<(), SessionEnd> {
         let standby = if self.node.in_recovery() { "on" } else { "off" };
         self.identity
             .settings
@@ -299,10 +301,10 @@
     }
 }
 
-/// How long a client may take to read why it is disconnected.
-const FAREWELL_WAIT: Duration = Duration::from_millis(500);
+/// Timeout of sending the error that ends a session.
+const DISCONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Why a message could not be answered as asked.
+/// Reasons why handling a message failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Failure {
     /// The connection failed.
--- a/lab/standin/src/database/session_settings.rs
+++ b/lab/standin/src/database/session_settings.rs
@@ -1,34 +1,34 @@
-//! The settings of one session, as SET and SHOW know them.
+//! The settings of one session, as used by SET and SHOW.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::error::{SqlError, SqlState};
 
-/// A setting that the stand-in knows.
-struct Known {
+/// A supported setting.
+struct KnownSetting {
     name: &'static str,
     default: &'static str,
     reported: bool,
 }
 
-const fn reported(name: &'static str, default: &'static str) -> Known {
-    Known {
+const fn reported(name: &'static str, default: &'static str) -> KnownSetting {
+    KnownSetting {
         name,
         default,
         reported: true,
     }
 }
 
-const fn plain(name: &'static str, default: &'static str) -> Known {
-    Known {
+const fn plain(name: &'static str, default: &'static str) -> KnownSetting {
+    KnownSetting {
         name,
         default,
         reported: false,
     }
 }
 
-const KNOWN: [Known; 34] = [
+const KNOWN_SETTINGS: [KnownSetting; 34] = [
     reported("application_name", ""),
     reported("client_encoding", "UTF8"),
     reported("DateStyle", "ISO, MDY"),
@@ -77,14 +77,14 @@
     "wal_level",
 ];
 
-/// Longest timeout, in milliseconds.
+/// Maximum timeout, in milliseconds.
 const MAXIMUM_MILLISECONDS: u64 = i32::MAX as u64;
 
-/// Settings that a session may define at most.
-const MAXIMUM_CUSTOM: usize = 256;
+/// Maximum number of settings that a session may change.
+const MAXIMUM_CHANGED_SETTINGS: usize = 256;
 
-fn known(name: &str) -> Option<&'static Known> {
-    KNOWN
+fn known(name: &str) -> Option<&'static KnownSetting> {
+    KNOWN_SETTINGS
         .iter()
         .find(|known| known.name.eq_ignore_ascii_case(name))
 }
@@ -92,24 +92,24 @@
 /// The settings of one session.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SessionSettings {
-    first: BTreeMap<String, String>,
+    defaults: BTreeMap<String, String>,
     changed: BTreeMap<String, String>,
 }
 
 impl SessionSettings {
-    /// Sets a default of this session, as a start-up parameter does.
-    pub fn set_first(&mut self, name: &str, value: &str) -> Result<(), SqlError> {
+    /// Sets a default of this session, as by a start-up parameter.
+    pub fn set_default(&mut self, name: &str, value: &str) -> Result<(), SqlError> {
         check(name)?;
-        self.first.insert(name.to_lowercase(), value.to_owned());
+        self.defaults.insert(name.to_lowercase(), value.to_owned());
         Ok(())
     }
 
-    /// Sets a value that only the database itself may set.
+    /// Sets a value that clients cannot change.
     pub fn set_internal(&mut self, name: &str, value: &str) {
-        self.first.insert(name.to_lowercase(), value.to_owned());
+        self.defaults.insert(name.to_lowercase(), value.to_owned());
     }
 
-    /// Changes a setting; no value means its default.
+    /// Changes a setting; `None` resets it to its default.
     pub fn set(&mut self, name: &str, value: Option<&str>) -> Result<(), SqlError> {
         check(name)?;
         if FIXED.iter().any(|fixed| fixed.eq_ignore_ascii_case(name)) {
@@ -127,7 +127,7 @@
         }
         let name = name.to_lowercase();
         match value {
-            Some(value) if self.changed.len() < MAXIMUM_CUSTOM => {
+            Some(value) if self.changed.len() < MAXIMUM_CHANGED_SETTINGS => {
                 self.changed.insert(name, value.to_owned());
             }
             Some(_) => {
@@ -143,29 +143,29 @@
         Ok(())
     }
 
-    /// Gives all settings their defaults.
+    /// Resets all settings to their defaults.
     pub fn reset_all(&mut self) {
         self.changed.clear();
     }
 
-    /// The value of a setting.
+    /// Returns the value of a setting, or `None` if it does not exist.
     pub fn get(&self, name: &str) -> Option<&str> {
         let lower = name.to_lowercase();
         self.changed
             .get(&lower)
-            .or_else(|| self.first.get(&lower))
+            .or_else(|| self.defaults.get(&lower))
             .map(String::as_str)
             .or_else(|| known(name).map(|known| known.default))
     }
 
-    /// The value of a setting, or the error that SHOW gives.
+    /// Returns the value of a setting, or the error that SHOW reports.
     pub fn show(&self, name: &str) -> Result<&str, SqlError> {
         self.get(name).ok_or_else(|| unrecognized(name))
     }
 
-    /// All settings with their values.
+    /// Returns all supported settings with their values.
     pub fn all(&self) -> Vec<(String, String)> {
-        KNOWN
+        KNOWN_SETTINGS
             .iter()
             .map(|known| {
                 let value = self.get(known.name).unwrap_or(known.default);
@@ -174,20 +174,20 @@
             .collect()
     }
 
-    /// All settings with their values, by name in lower case.
+    /// Returns all settings with their values, keyed by lower-case name.
     pub fn by_name(&self) -> BTreeMap<String, String> {
-        let mut values: BTreeMap<String, String> = KNOWN
+        let mut values: BTreeMap<String, String> = KNOWN_SETTINGS
             .iter()
             .map(|known| (known.name.to_lowercase(), known.default.to_owned()))
             .collect();
-        values.extend(self.first.clone());
+        values.extend(self.defaults.clone());
         values.extend(self.changed.clone());
         values
     }
 
-    /// The settings whose changes the client is told.
+    /// Returns the settings whose changes are reported to the client.
     pub fn reported(&self) -> Vec<(&'static str, String)> {
-        KNOWN
+        KNOWN_SETTINGS
             .iter()
             .filter(|known| known.reported)
             .map(|known| {
@@ -199,13 +199,13 @@
             .collect()
     }
 
-    /// A timeout; none when it is 0.
+    /// Returns a timeout, or `None` when it is 0.
     pub fn timeout(&self, name: &str) -> Option<Duration> {
         let duration = parse_duration(self.get(name)?)?;
         (!duration.is_zero()).then_some(duration)
     }
 
-    /// A setting that is on or off.
+    /// Returns whether a boolean setting is on.
     pub fn is_on(&self, name: &str) -> bool {
         self.get(name)
             .and_then(super::value::parse_bool)
@@ -228,7 +228,7 @@
     )
 }
 
-/// Reads a duration such as `5s`; a number alone counts milliseconds.
+/// Parses a duration such as `5s`; a number without a unit is in milliseconds.
 pub fn parse_duration(text: &str) -> Option<Duration> {
     let text = text.trim();
     let digits = text
--- a/lab/standin/src/database/settings.rs
+++ b/lab/standin/src/database/settings.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-/// Default time without a heartbeat after which replicas elect.
+/// Default time without a heartbeat after which a replica starts an election.
 pub const DEFAULT_ELECTION_TIMEOUT: Duration = Duration::from_millis(300);
 /// Default time between heartbeats of a primary.
 pub const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(50);
-/// Default time that opening a connection takes.
+/// Default simulated delay of opening a connection.
 pub const DEFAULT_CONNECT_DELAY: Duration = Duration::from_millis(10);
-/// Default time that a COMMIT waits for a majority before it gives up.
+/// Default timeout of a COMMIT that waits for a majority.
 pub const DEFAULT_COMMIT_WAIT: Duration = Duration::from_secs(10);
-/// Default time that a write waits for another transaction's writes.
+/// Default timeout of a write that waits for another writing transaction.
 pub const DEFAULT_LOCK_WAIT: Duration = Duration::from_secs(5);
 
 /// Settings of one group of replicated databases.
@@ -18,26 +18,26 @@
 pub struct GroupSettings {
     /// Name of the group, for logs.
     pub name: String,
-    /// The databases; the first is the first primary.
+    /// Databases of the group; the first one is the initial primary.
     pub databases: Vec<DatabaseSettings>,
-    /// Seed of all chance in the group.
+    /// Seed of all random numbers in the group.
     pub seed: u64,
-    /// Time without a heartbeat after which a replica stands for election;
-    /// each try adds up to the same again.
+    /// Time without a heartbeat after which a replica starts an election; a random
+    /// time of up to the same length is added to each attempt.
     pub election_timeout: Duration,
     /// Time between heartbeats of a primary.
     pub heartbeat_interval: Duration,
-    /// Whether COMMIT returns only once a majority has flushed it.
+    /// Whether COMMIT returns only after a majority has flushed the transaction.
     pub synchronous_commit: bool,
-    /// Time between a start-up message and its answer.
+    /// Delay between a start-up message and its response.
     pub connect_delay: Duration,
     /// SQL run on all databases before they accept connections.
     pub schema: Vec<String>,
-    /// With `synchronous_commit`, how long a COMMIT waits for a majority
-    /// before its connection is closed with 57P01 and the outcome is unknown.
+    /// With `synchronous_commit`, how long a COMMIT waits for a majority before its
+    /// connection is closed with 57P01; the outcome is then unknown.
     pub commit_wait: Duration,
-    /// How long a write waits for another transaction that writes, before it
-    /// fails with 55P03. The session's `lock_timeout` overrides it.
+    /// How long a write waits for another writing transaction before it fails with
+    /// 55P03. The session's `lock_timeout` overrides it.
     pub lock_wait: Duration,
 }
 
@@ -63,21 +63,23 @@
 pub struct DatabaseSettings {
     /// Name of the database, unique in its group.
     pub name: String,
-    /// Zone it stands in.
+    /// Zone of the database.
     pub zone: String,
-    /// Connections it accepts at once; one more is refused with 53300.
+    /// Maximum number of concurrent connections; further ones are refused with
+    /// 53300.
     pub slots: u32,
     /// Time between flushing and replaying an entry on a replica.
     pub replay_lag: Duration,
-    /// Password of every user, checked by SCRAM-SHA-256; none means trust.
+    /// Password of every user, verified by SCRAM-SHA-256; `None` accepts all
+    /// connections without a password.
     pub password: Option<String>,
 }
 
-/// The network between zones, as the databases of a group meet it.
+/// The network between the zones of the databases of a group.
 pub trait ZoneNetwork: Send + Sync {
-    /// One-way delay of a message.
+    /// Returns the one-way delay of a message.
     fn delay(&self, from_zone: &str, to_zone: &str) -> Duration;
-    /// Whether messages are lost.
+    /// Returns whether messages are lost.
     fn is_cut(&self, from_zone: &str, to_zone: &str) -> bool;
 }
 
--- a/lab/standin/src/database/side_effect.rs
+++ b/lab/standin/src/database/side_effect.rs
@@ -1,12 +1,13 @@
-//! Calls in a statement that act outside the row store: sleeping and advisory
-//! locks. They run before the statement; the engine then sees their results.
+//! Function calls in a statement with effects outside the row store: sleeping and
+//! advisory locks. They run before the statement; the engine then receives their
+//! results.
 
 use rusqlite::types::Value;
 
 use super::error::{SqlError, SqlState};
 use super::lexer::{Token, TokenKind};
 
-/// The functions that act outside the row store.
+/// The functions with effects outside the row store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SideEffectKind {
     /// `pg_sleep`
@@ -25,7 +26,7 @@
     AdvisoryUnlockAll,
 }
 
-/// Names of the functions that act outside the row store.
+/// Names of the functions with effects outside the row store.
 pub const NAMES: [(&str, SideEffectKind); 7] = [
     ("pg_sleep", SideEffectKind::Sleep),
     ("pg_advisory_lock", SideEffectKind::AdvisoryLock),
@@ -42,16 +43,16 @@
     ("pg_advisory_unlock_all", SideEffectKind::AdvisoryUnlockAll),
 ];
 
-/// One such call.
+/// One call of such a function.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SideEffect {
-    /// The function.
+    /// Function that is called.
     pub kind: SideEffectKind,
-    /// Its arguments.
+    /// Arguments of the call, in order.
     pub arguments: Vec<Argument>,
 }
 
-/// An argument known before the statement runs.
+/// An argument whose value is known before the statement runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Argument {
     /// A literal, as written.
@@ -61,7 +62,7 @@
 }
 
 impl Argument {
-    /// The argument as a number.
+    /// Returns the argument as a number.
     pub fn number(&self, parameters: &[Value]) -> Result<f64, SqlError> {
         let invalid = || {
             SqlError::new(
@@ -81,7 +82,7 @@
     }
 }
 
-/// Finds the calls in a statement, in the order in which they are written.
+/// Finds the calls in a statement, in textual order.
 pub fn find(tokens: &[Token]) -> Result<Vec<SideEffect>, SqlError> {
     let mut found = Vec::new();
     for (at, token) in tokens.iter().enumerate() {
--- a/lab/standin/src/database/startup.rs
+++ b/lab/standin/src/database/startup.rs
@@ -22,18 +22,18 @@
 use super::wire::{Wire, WireError};
 use crate::links;
 
-/// The mechanism offered when a password is set.
+/// SASL mechanism offered when a password is set.
 const MECHANISM: &str = "SCRAM-SHA-256";
-/// Time that a client may take to start up and authenticate.
+/// Timeout of start-up and authentication.
 const STARTUP_LIMIT: Duration = Duration::from_secs(60);
 /// Length of the salt in bytes.
 const SALT_BYTES: usize = 16;
 
-/// Serves one connection to its end.
+/// Serves one connection until it ends.
 pub async fn serve(node: Arc<Node>, stream: TcpStream) {
     if let Err(error) = stream.set_nodelay(true) {
         log::debug!(
-            "database: {} cannot set nodelay: {error}.",
+            "database: {}: setting TCP_NODELAY failed: {error}.",
             node.settings.name
         );
     }
@@ -41,17 +41,17 @@
     let first = *epochs.borrow_and_update();
     let mut wire = Wire::new(stream, node.gate());
     if !node.is_alive() {
-        // The connection came in while the process was being killed.
+        // The connection was accepted while the process was being killed.
         wire.reset();
         return;
     }
-    // A slot is given back when the connection ends, however it ends.
-    let mut lease = Lease {
+    // Releases the slot however the connection ends.
+    let mut slot_guard = SlotGuard {
         node: &node,
         slot: None,
     };
     let opened = tokio::select! {
-        opened = open(&node, &mut wire, &mut lease.slot) => opened,
+        opened = open(&node, &mut wire, &mut slot_guard.slot) => opened,
         () = tokio::time::sleep(STARTUP_LIMIT) => return,
         _ = epochs.changed() => {
             if epochs.borrow().abrupt {
@@ -65,7 +65,7 @@
         Ok(None) => return,
         Err(error) => {
             log::debug!(
-                "database: {} lost a connection at start-up: {error}.",
+                "database: {}: a connection failed during start-up: {error}.",
                 node.settings.name
             );
             return;
@@ -75,12 +75,12 @@
     session.run_until(epochs).await;
 }
 
-struct Lease<'a> {
+struct SlotGuard<'a> {
     node: &'a Node,
     slot: Option<Slot>,
 }
 
-impl Drop for Lease<'_> {
+impl Drop for SlotGuard<'_> {
     fn drop(&mut self) {
         if let Some(slot) = &self.slot {
             self.node.advisory.unlock_session(slot.process);
@@ -90,7 +90,7 @@
     }
 }
 
-/// Does the start-up; none when the connection ends with it.
+/// Performs the start-up; returns `None` when it ends the connection.
 async fn open(
     node: &Node,
     wire: &mut Wire,
@@ -99,13 +99,13 @@
     let Some(startup) = read_startup(node, wire).await? else {
         return Ok(None);
     };
-    wire.started();
+    wire.startup_received();
     let Some(slot) = node.connections.open() else {
         let error = SqlError::fatal(
             SqlState::TooManyConnections,
             "sorry, too many clients already",
         );
-        wire.farewell(&error).await?;
+        wire.disconnect(&error).await?;
         return Ok(None);
     };
     *taken = Some(slot.clone());
@@ -117,17 +117,17 @@
     if let Some(password) = &node.settings.password
         && let Err(error) = authenticate(wire, password).await?
     {
-        wire.farewell(&error).await?;
+        wire.disconnect(&error).await?;
         return Ok(None);
     }
     let identity = match identify(node, slot, &startup) {
         Ok(identity) => identity,
         Err(error) => {
-            wire.farewell(&error).await?;
+            wire.disconnect(&error).await?;
             return Ok(None);
         }
     };
-    greet(wire, &identity)?;
+    send_startup_responses(wire, &identity)?;
     Ok(Some(identity))
 }
 
@@ -146,7 +146,7 @@
                 wire.flush().await?;
             }
             PgWireFrontendMessage::SslNegotiation(SslNegotiationMetaMessage::None) => {
-                wire.negotiated();
+                wire.encryption_negotiated();
             }
             PgWireFrontendMessage::CancelRequest(request) => {
                 if let Some(secret) = request.secret_key.as_i32() {
@@ -178,19 +178,19 @@
         salted_password: gen_salted_password(password, &salt, SCRAM_ITERATIONS),
         salt,
     };
-    let (first, waiting) =
+    let (first, scram) =
         ScramServerAuth::new().on_client_first_message_with_secret(&data, secret)?;
-    let answer = Authentication::SASLContinue(first.into());
-    wire.push(PgWireBackendMessage::Authentication(answer))?;
+    let response = Authentication::SASLContinue(first.into());
+    wire.push(PgWireBackendMessage::Authentication(response))?;
     wire.flush().await?;
     let Some(PgWireFrontendMessage::PasswordMessageFamily(message)) = wire.read().await? else {
         return Ok(Err(refused()));
     };
     let last = message.into_sasl_response()?;
-    match waiting.on_client_final_message(&last.data) {
+    match scram.on_client_final_message(&last.data) {
         Ok(proof) => {
-            let answer = Authentication::SASLFinal(proof.into());
-            wire.push(PgWireBackendMessage::Authentication(answer))?;
+            let response = Authentication::SASLFinal(proof.into());
+            wire.push(PgWireBackendMessage::Authentication(response))?;
             Ok(Ok(()))
         }
         Err(_) => Ok(Err(refused())),
@@ -208,7 +208,7 @@
             "options" => set_options(&mut settings, value)?,
             "replication" => {}
             name if name.starts_with("_pq_.") => {}
-            name => settings.set_first(name, value)?,
+            name => settings.set_default(name, value)?,
         }
     }
     if database.is_empty() {
@@ -225,7 +225,7 @@
     })
 }
 
-/// Takes `-c name=value` and `--name=value` from the `options` parameter.
+/// Applies `-c name=value` and `--name=value` from the `options` parameter.
 fn set_options(settings: &mut SessionSettings, options: &str) -> Result<(), SqlError> {
     let mut words = options.split_whitespace();
     while let Some(word) = words.next() {
@@ -234,13 +234,13 @@
             _ => word.strip_prefix("-c").or_else(|| word.strip_prefix("--")),
         };
         if let Some((name, value)) = assignment.and_then(|text| text.split_once('=')) {
-            settings.set_first(&name.replace('-', "_"), value)?;
+            settings.set_default(&name.replace('-', "_"), value)?;
         }
     }
     Ok(())
 }
 
-fn greet(wire: &mut Wire, identity: &Identity) -> Result<(), WireError> {
+fn send_startup_responses(wire: &mut Wire, identity: &Identity) -> Result<(), WireError> {
     wire.push(PgWireBackendMessage::Authentication(Authentication::Ok))?;
     for (name, value) in identity.settings.reported() {
         let status = ParameterStatus::new(name.to_owned(), value);
--- a/lab/standin/src/database/statement.rs
+++ b/lab/standin/src/database/statement.rs
@@ -1,4 +1,4 @@
-//! Tells what a statement does.
+//! Classifies statements and translates them for the embedded engine.
 
 use super::cursor::CursorStatement;
 use super::error::{SqlError, SqlState};
@@ -9,16 +9,16 @@
 #[cfg(test)]
 mod tests;
 
-/// Modes named by BEGIN or SET TRANSACTION.
+/// Transaction modes of BEGIN or SET TRANSACTION; `None` where not specified.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TransactionModes {
-    /// READ ONLY or READ WRITE, when named.
+    /// READ ONLY (true) or READ WRITE (false).
     pub read_only: Option<bool>,
     /// REPEATABLE READ or SERIALIZABLE (true), or a weaker level (false).
     pub snapshot: Option<bool>,
 }
 
-/// What a statement does.
+/// Kind of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementKind {
     /// Reads rows.
@@ -29,51 +29,51 @@
     Write,
     /// Changes the schema.
     Definition,
-    /// The status query of proxies, answered natively.
+    /// The status query of the proxies, which bypasses the embedded engine.
     Status,
     /// Opens a transaction.
     Begin(TransactionModes),
-    /// Ends a transaction.
+    /// Commits a transaction.
     Commit,
-    /// Gives a transaction up.
+    /// Rolls back a transaction.
     Rollback,
-    /// Marks a point in a transaction.
+    /// Creates a savepoint.
     Savepoint(String),
-    /// Forgets a savepoint.
+    /// Releases a savepoint.
     Release(String),
-    /// Goes back to a savepoint.
+    /// Rolls back to a savepoint.
     RollbackTo(String),
     /// Changes the modes of the open transaction.
     SetTransaction(TransactionModes),
     /// Changes the modes of later transactions.
     SetSessionModes(TransactionModes),
-    /// Changes a setting; no value means its default.
+    /// Changes a setting; without a value, resets it to its default.
     Set {
         /// Whether the change ends with the transaction.
         local: bool,
         /// Name of the setting.
         name: String,
-        /// Its new value.
+        /// New value.
         value: Option<String>,
     },
-    /// Gives all settings their defaults.
+    /// Resets all settings to their defaults.
     ResetAll,
-    /// Reads a setting; no name means all.
+    /// Reads a setting, or all settings without a name.
     Show(Option<String>),
-    /// Gives the whole session its first state.
+    /// Resets the whole session to its initial state.
     DiscardAll,
-    /// Forgets one prepared statement, or all.
+    /// Deallocates one prepared statement, or all without a name.
     Deallocate(Option<String>),
     /// COPY ... FROM STDIN
     CopyIn {
-        /// Table that the rows go to, as the embedded engine names it.
+        /// Target table, as named in the embedded engine.
         table: String,
-        /// Columns named, or none for all.
+        /// Target columns; empty for all.
         columns: Vec<String>,
     },
     /// COPY ... TO STDOUT; the statement's SQL reads the rows.
     CopyOut,
-    /// Works with cursors or prepared statements.
+    /// Operates on cursors or prepared statements.
     Cursor(CursorStatement),
     /// Accepted and ignored.
     NoOperation,
@@ -82,23 +82,23 @@
 /// A statement ready to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
-    /// The text as written.
+    /// Original text.
     pub text: String,
-    /// Its tokens as written, without schema names.
+    /// Original tokens, without schema names.
     pub tokens: Vec<Token>,
-    /// What it does.
+    /// Kind of the statement.
     pub kind: StatementKind,
-    /// SQL for the embedded engine.
+    /// SQL for the embedded engine; empty if the engine does not run the statement.
     pub sql: String,
     /// First words of the command tag, such as `INSERT 0`.
     pub tag: String,
     /// Number of the highest parameter.
     pub parameters: usize,
-    /// Calls that act outside the row store, in order.
+    /// Calls with effects outside the row store, in order.
     pub side_effects: Vec<SideEffect>,
 }
 
-/// The status query of proxies, with single blanks.
+/// The status query of the proxies, with single spaces between words.
 const STATUS_QUERY: &str = "SELECT pg_is_in_recovery() AS in_recovery, CASE WHEN pg_is_in_recovery() THEN (SELECT timeline_id FROM pg_control_checkpoint()) ELSE ('x' || substr(pg_walfile_name(pg_current_wal_lsn()), 1, 8))::bit(32)::int END AS term, CASE WHEN pg_is_in_recovery() THEN pg_last_wal_replay_lsn() ELSE pg_current_wal_flush_lsn() END AS position, COALESCE((SELECT string_agg(application_name || '=' || flush_lsn::text, ',') FROM pg_stat_replication), '') AS flushed";
 
 impl Statement {
@@ -130,7 +130,7 @@
         Ok(statement)
     }
 
-    /// Whether the embedded engine runs it.
+    /// Returns whether the embedded engine runs the statement.
     pub fn runs_in_store(&self) -> bool {
         matches!(
             self.kind,
@@ -142,7 +142,7 @@
         )
     }
 
-    /// Whether it needs a read-write transaction.
+    /// Returns whether the statement needs a read-write transaction.
     pub fn writes(&self) -> bool {
         const IGNORED_CHANGES: [&str; 6] =
             ["CREATE", "DROP", "ALTER", "GRANT", "REVOKE", "COMMENT"];
@@ -160,8 +160,8 @@
         )
     }
 
-    /// Whether it may run in a failed transaction.
-    pub fn ends_failure(&self) -> bool {
+    /// Returns whether the statement is allowed in a failed transaction.
+    pub fn is_allowed_in_failed_transaction(&self) -> bool {
         matches!(
             self.kind,
             StatementKind::Commit | StatementKind::Rollback | StatementKind::RollbackTo(_)
@@ -386,10 +386,11 @@
     }
 }
 
-/// Parentheses and brackets that may be open at once.
+/// Maximum nesting depth of parentheses and brackets.
 const MAXIMUM_NESTING: usize = 200;
 
-/// Refuses parentheses and brackets without their counterparts.
+/// Rejects empty statements, unbalanced parentheses and brackets, and too deep
+/// nesting.
 fn check_balance(tokens: &[Token]) -> Result<(), SqlError> {
     let mut open = Vec::new();
     for token in tokens {
@@ -452,7 +453,7 @@
     Ok(highest)
 }
 
-/// The verb of a query after its WITH clause.
+/// Returns the main verb of a query, after its WITH clause.
 fn main_verb(tokens: &[Token]) -> String {
     let mut depth = 0;
     for token in tokens {
@@ -469,7 +470,8 @@
     "SELECT".to_owned()
 }
 
-/// Whether the token at `at` begins a change inside a query.
+/// Returns whether the token at `at` starts a data-modifying statement inside a
+/// query.
 fn starts_change(tokens: &[Token], at: usize, token: &Token) -> bool {
     if !token.is_any_word(&["INSERT", "UPDATE", "DELETE"]) {
         return false;
--- a/lab/standin/src/database/statement/tests.rs
+++ b/lab/standin/src/database/statement/tests.rs
@@ -1,5 +1,5 @@
-//! Statements made of random tokens and bytes: they are refused or taken, and
-//! nothing breaks.
+//! Statements of random tokens and bytes must be accepted or rejected without a
+//! panic.
 
 use pgwire::api::Type;
 use rand::seq::IndexedRandom;
@@ -7,7 +7,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::{Statement, StatementKind};
-use crate::database::infer::{ColumnTypes, mentioned_tables, parameter_types};
+use crate::database::infer::{ColumnTypes, parameter_types, referenced_tables};
 use crate::database::lexer;
 use crate::database::outcome::columns_of;
 use crate::database::store::{EngineColumn, Store};
@@ -110,17 +110,18 @@
     "TRUNCATE",
 ];
 
-/// Takes `sql` the whole way that a Parse message takes it.
-fn take(sql: &str, store: &mut Store) -> usize {
+/// Processes `sql` through all steps that a Parse message goes through. Returns
+/// the number of statements that the engine accepted.
+fn process(sql: &str, store: &mut Store) -> usize {
     let Ok(statements) = lexer::split(sql) else {
         return 0;
     };
-    let mut taken = 0;
+    let mut accepted = 0;
     for raw in statements {
         let Ok(statement) = Statement::prepare(raw) else {
             continue;
         };
-        let known = store.column_types(&mentioned_tables(&statement.tokens));
+        let known = store.column_types(&referenced_tables(&statement.tokens));
         let known = known.unwrap_or_else(|_| ColumnTypes::default());
         let count = statement.parameters.min(100);
         let types = parameter_types(&statement.tokens, count, &[], &known);
@@ -132,33 +133,33 @@
         let columns = columns_of(&[column], &statement.tokens, &[Type::INT4], &known);
         assert_eq!(columns.len(), 1);
         if statement.kind == StatementKind::Read && store.describe(&statement.sql).is_ok() {
-            taken += 1;
+            accepted += 1;
         }
     }
-    taken
+    accepted
 }
 
 #[test]
-fn random_tokens_break_nothing() {
+fn random_tokens_do_not_panic() {
     let mut store = Store::open().expect("an empty store opens");
     store
         .run_batch("CREATE TABLE notes (id INT8, body TEXT)")
-        .expect("the table is made");
+        .expect("the table is created");
     let mut random = ChaCha8Rng::seed_from_u64(7);
-    let mut taken = 0;
+    let mut accepted = 0;
     for _ in 0..STATEMENTS {
-        let mut sql = (*STARTS.choose(&mut random).expect("there are some")).to_owned();
+        let mut sql = (*STARTS.choose(&mut random).expect("a nonempty list")).to_owned();
         for _ in 0..random.random_range(0..12) {
             sql.push(' ');
-            sql.push_str(WORDS.choose(&mut random).expect("there are some"));
+            sql.push_str(WORDS.choose(&mut random).expect("a nonempty list"));
         }
-        taken += take(&sql, &mut store);
+        accepted += process(&sql, &mut store);
     }
-    assert!(taken > 10, "only {taken} were taken");
+    assert!(accepted > 10, "only {accepted} were accepted");
 }
 
-/// Statements that are changed at random.
-const WHOLE: [&str; 12] = [
+/// Statements that are mutated at random.
+const VALID_STATEMENTS: [&str; 12] = [
     "SELECT id , body :: text FROM notes WHERE id = $1 AND body IN ( $2 , 'x' ) LIMIT $3 FOR UPDATE",
     "SELECT CASE WHEN id > 1 THEN CAST ( id AS int ) ELSE - 1 END AS size , count ( * ) FROM notes",
     "INSERT INTO notes ( id , body ) VALUES ( $1 , $2 ) , ( $3 , now ( ) ) RETURNING id + 1 AS next",
@@ -174,41 +175,43 @@
 ];
 
 #[test]
-fn changed_statements_break_nothing() {
+fn mutated_statements_do_not_panic() {
     let mut store = Store::open().expect("an empty store opens");
     store
         .run_batch("CREATE TABLE notes (id INT8, body TEXT)")
-        .expect("the table is made");
+        .expect("the table is created");
     let mut random = ChaCha8Rng::seed_from_u64(9);
-    let mut taken = 0;
+    let mut accepted = 0;
     for _ in 0..STATEMENTS {
-        let whole = WHOLE.choose(&mut random).expect("there are some");
-        let mut words: Vec<&str> = whole.split(' ').collect();
+        let valid = VALID_STATEMENTS
+            .choose(&mut random)
+            .expect("a nonempty list");
+        let mut words: Vec<&str> = valid.split(' ').collect();
         for _ in 0..random.random_range(0..4) {
             let at = random.random_range(0..words.len());
             match random.random_range(0..3) {
                 0 if words.len() > 1 => drop(words.remove(at)),
                 1 => words.truncate(at.max(1)),
-                _ => words[at] = WORDS.choose(&mut random).expect("there are some"),
+                _ => words[at] = WORDS.choose(&mut random).expect("a nonempty list"),
             }
         }
-        taken += take(&words.join(" "), &mut store);
+        accepted += process(&words.join(" "), &mut store);
     }
-    assert!(taken > 500, "only {taken} were taken");
+    assert!(accepted > 500, "only {accepted} were accepted");
 }
 
 #[test]
-fn random_bytes_break_nothing() {
+fn random_bytes_do_not_panic() {
     let mut store = Store::open().expect("an empty store opens");
     let mut random = ChaCha8Rng::seed_from_u64(8);
     for _ in 0..STATEMENTS {
         let length = random.random_range(0..40);
         let bytes: Vec<u8> = (0..length).map(|_| random.random()).collect();
-        take(&String::from_utf8_lossy(&bytes), &mut store);
+        process(&String::from_utf8_lossy(&bytes), &mut store);
         let ascii: String = bytes
             .iter()
             .map(|byte| char::from(byte % 95 + 32))
             .collect();
-        take(&ascii, &mut store);
+        process(&ascii, &mut store);
     }
 }
--- a/lab/standin/src/database/store.rs
+++ b/lab/standin/src/database/store.rs
@@ -1,4 +1,4 @@
-//! The rows of one database, kept by an embedded SQL engine in memory.
+//! The rows of one database, stored in memory by an embedded SQL engine.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -20,9 +20,9 @@
 use super::value::type_by_declaration;
 use super::view::{SystemView, refresh};
 
-/// Prepared statements that the engine keeps.
+/// Number of prepared statements that the engine caches.
 const STATEMENT_CACHE: usize = 256;
-/// Size of one result in bytes past which it is refused.
+/// Maximum size of one result, in bytes; larger ones fail.
 const MAXIMUM_RESULT_BYTES: usize = 256 * 1024 * 1024;
 /// Assumed overhead of a value in a result, in bytes.
 const VALUE_OVERHEAD: usize = 32;
@@ -30,20 +30,20 @@
 /// A column of a result, as the engine describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineColumn {
-    /// Its name, or the expression's text.
+    /// Column name, or the text of the expression.
     pub name: String,
-    /// Type of the table's column behind it, if any.
+    /// Declared type of the underlying table column, if any.
     pub declared: Option<Type>,
 }
 
 /// The rows and the number of changes that a statement made.
 #[derive(Debug, Default)]
 pub struct RowSet {
-    /// The columns; empty when the statement returns no rows.
+    /// Columns of the result; empty when the statement returns no rows.
     pub columns: Vec<EngineColumn>,
-    /// The rows.
+    /// Rows of the result.
     pub rows: Vec<Vec<Value>>,
-    /// How many rows were inserted, changed or deleted.
+    /// Number of rows that were inserted, updated or deleted.
     pub changed: u64,
 }
 
@@ -55,7 +55,7 @@
     limit: Arc<Mutex<Option<Limit>>>,
 }
 
-/// What ends a statement early.
+/// Deadline and cancellation that interrupt a statement.
 struct Limit {
     deadline: Instant,
     cancellation: Arc<Cancellation>,
@@ -67,11 +67,11 @@
     }
 }
 
-/// Steps of the engine between two looks at the limit.
-const STEPS_BETWEEN_LOOKS: i32 = 10_000;
+/// Number of engine steps between two checks of the limit.
+const STEPS_BETWEEN_LIMIT_CHECKS: i32 = 10_000;
 
 impl Store {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn open() -> rusqlite::Result<Self> {
         let connection = Connection::open_in_memory()?;
         connection.set_prepared_statement_cache_capacity(STATEMENT_CACHE);
@@ -81,10 +81,10 @@
         connection.execute_batch("PRAGMA foreign_keys = ON; PRAGMA case_sensitive_like = ON;")?;
         super::view::create(&connection)?;
         let limit: Arc<Mutex<Option<Limit>>> = Arc::default();
-        let looked_at = limit.clone();
+        let checked_limit = limit.clone();
         connection.progress_handler(
-            STEPS_BETWEEN_LOOKS,
-            Some(move || looked_at.lock().as_ref().is_some_and(Limit::is_reached)),
+            STEPS_BETWEEN_LIMIT_CHECKS,
+            Some(move || checked_limit.lock().as_ref().is_some_and(Limit::is_reached)),
         );
         Ok(Self {
             connection,
@@ -94,7 +94,7 @@
         })
     }
 
-    /// A copy of another store.
+    /// Creates a copy of another store.
     pub fn copy(source: &Self) -> rusqlite::Result<Self> {
         let mut copy = Self::open()?;
         let backup = Backup::new(&source.connection, &mut copy.connection)?;
@@ -103,7 +103,7 @@
         Ok(copy)
     }
 
-    /// Sets what the functions answer from.
+    /// Sets the replication state that the functions return.
     pub fn set_view(&mut self, view: &SystemView) {
         let mut context = self.context.lock();
         context.in_recovery = view.in_recovery;
@@ -112,7 +112,8 @@
         context.replayed = view.replayed;
     }
 
-    /// Sets who asks.
+    /// Sets the session that runs the next statements, and the results of its advisory
+    /// lock calls.
     pub fn set_session(&mut self, process: i32, user: &str, database: &str, locks: Vec<bool>) {
         let mut context = self.context.lock();
         context.process = process;
@@ -121,24 +122,24 @@
         context.lock_results = locks;
     }
 
-    /// Sets what `current_setting` answers.
+    /// Sets the settings that `current_setting` returns.
     pub fn set_settings(&mut self, settings: BTreeMap<String, String>) {
         self.context.lock().settings = settings;
     }
 
-    /// Sets the time and the source of chance of the next statement.
-    pub fn set_chance(&mut self, timestamp: i64, seed: u64) {
+    /// Sets the time and the random seed of the next statement.
+    pub fn set_time_and_seed(&mut self, timestamp: i64, seed: u64) {
         let mut context = self.context.lock();
         context.timestamp = timestamp;
         context.random = ChaCha8Rng::seed_from_u64(seed);
     }
 
-    /// Fills the system views that a statement reads.
+    /// Refreshes the system views before a statement that reads them.
     pub fn fill_views(&mut self, view: &SystemView) -> Result<(), SqlError> {
         Ok(refresh(&self.connection, view)?)
     }
 
-    /// Sets what ends the next statements early.
+    /// Sets the deadline and the cancellation that interrupt the next statements.
     pub fn set_limit(&mut self, deadline: Instant, cancellation: Arc<Cancellation>) {
         *self.limit.lock() = Some(Limit {
             deadline,
@@ -146,7 +147,7 @@
         });
     }
 
-    /// Lets the next statements run to their end.
+    /// Removes the limit, so that the next statements run to completion.
     pub fn clear_limit(&mut self) {
         *self.limit.lock() = None;
     }
@@ -188,18 +189,18 @@
         Ok(self.connection.execute_batch(sql)?)
     }
 
-    /// Forgets what was learned about tables; call after a change of schema.
+    /// Clears the cached table columns; must be called after a schema change.
     pub fn schema_changed(&mut self) {
         self.columns.clear();
     }
 
-    /// The columns that a statement would return.
+    /// Returns the columns that a statement would return.
     pub fn describe(&mut self, sql: &str) -> Result<Vec<EngineColumn>, SqlError> {
         let statement = self.connection.prepare_cached(sql)?;
         Ok(describe_columns(&statement))
     }
 
-    /// The columns of the tables named.
+    /// Returns the columns of the given tables.
     pub fn column_types(&mut self, tables: &[String]) -> Result<ColumnTypes, SqlError> {
         let mut found = ColumnTypes::default();
         for table in tables {
@@ -227,7 +228,7 @@
         Ok(rows.collect::<rusqlite::Result<_>>()?)
     }
 
-    /// Applies one entry of the log.
+    /// Applies one log entry in a transaction.
     pub fn replay(&mut self, entry: &Entry) -> Result<(), SqlError> {
         if entry.statements.is_empty() {
             return Ok(());
@@ -235,7 +236,7 @@
         self.clear_limit();
         self.run_batch("BEGIN")?;
         let result = entry.statements.iter().try_for_each(|statement| {
-            self.set_chance(entry.timestamp, statement.seed);
+            self.set_time_and_seed(entry.timestamp, statement.seed);
             self.run(&statement.sql, &statement.parameters).map(drop)
         });
         self.schema_changed();
--- a/lab/standin/src/database/timestamp.rs
+++ b/lab/standin/src/database/timestamp.rs
@@ -2,27 +2,27 @@
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Microseconds from 1970 to 2000, where PostgreSQL's binary form starts.
+/// Microseconds from 1970 to 2000, the epoch of PostgreSQL's binary format.
 pub const MICROS_1970_TO_2000: i64 = 946_684_800_000_000;
 
 const MICROS_PER_SECOND: i64 = 1_000_000;
 const SECONDS_PER_DAY: i64 = 86_400;
 
-/// Years that a timestamp may name.
+/// Valid years of a timestamp.
 const YEARS: std::ops::RangeInclusive<i64> = 1..=9999;
-/// Hours of a day or of an offset.
+/// Valid hours of a time of day or a zone offset.
 const HOURS: std::ops::RangeInclusive<i64> = 0..=24;
-/// Minutes of an hour.
+/// Valid minutes of a time of day or a zone offset.
 const MINUTES: std::ops::RangeInclusive<i64> = 0..=59;
 
-/// The present in microseconds since 1970.
+/// Returns the current time in microseconds since 1970.
 pub fn now_micros() -> i64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |elapsed| elapsed.as_micros() as i64)
 }
 
-/// Writes microseconds since 1970 as text.
+/// Formats microseconds since 1970 as text.
 pub fn format(micros: i64) -> String {
     let seconds = micros.div_euclid(MICROS_PER_SECOND);
     let fraction = micros.rem_euclid(MICROS_PER_SECOND);
@@ -36,7 +36,8 @@
     )
 }
 
-/// Reads a timestamp, or a date, with an optional zone offset.
+/// Parses a timestamp with an optional zone offset, or a date, into microseconds
+/// since 1970.
 pub fn parse(text: &str) -> Option<i64> {
     let text = text.trim();
     let (date, rest) = match text.find([' ', 'T']) {
@@ -88,7 +89,7 @@
     Some((hours * 3600 + minutes * 60) * MICROS_PER_SECOND + micros)
 }
 
-/// Days since 1970-01-01 of a date, by Howard Hinnant's algorithm.
+/// Returns the days since 1970-01-01 of a date, by Howard Hinnant's algorithm.
 fn days_from_civil(year: i64, month: i64, day: i64) -> i64 {
     let year = if month <= 2 { year - 1 } else { year };
     let era = year.div_euclid(400);
@@ -98,7 +99,7 @@
     era * 146_097 + day_of_era - 719_468
 }
 
-/// The date of a day counted from 1970-01-01.
+/// Returns the year, month and day of a number of days since 1970-01-01.
 fn civil_from_days(days: i64) -> (i64, i64, i64) {
     let days = days + 719_468;
     let era = days.div_euclid(146_097);
@@ -117,7 +118,7 @@
     (year, month, day)
 }
 
-/// Reads an interval such as `1 day 2 hours`, in microseconds; months count
+/// Parses an interval such as `1 day 2 hours` into microseconds; a month has
 /// thirty days.
 pub fn parse_interval(text: &str) -> Option<i64> {
     let mut words = text.split_whitespace();
--- a/lab/standin/src/database/transaction.rs
+++ b/lab/standin/src/database/transaction.rs
@@ -8,43 +8,44 @@
 use super::timestamp;
 use super::working::WriteTransaction;
 
-/// Where a session stands.
+/// Transaction stage of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
     /// No transaction is open.
     #[default]
     Idle,
-    /// One is open until the end of the message or the next Sync.
+    /// An implicit transaction is open until the end of the message or the next
+    /// Sync.
     Implicit,
-    /// One was opened by BEGIN.
+    /// A transaction was opened by BEGIN.
     Explicit,
-    /// One that was opened by BEGIN has failed.
+    /// A transaction that was opened by BEGIN has failed.
     Failed,
 }
 
 /// A session's transaction.
 #[derive(Default)]
 pub struct Transaction {
-    /// Where the session stands.
+    /// Stage of the transaction.
     pub stage: Stage,
-    /// Whether it may not write.
+    /// Whether the transaction is read-only.
     pub read_only: bool,
-    /// Whether its reads must not see later commits.
+    /// Whether all reads use one snapshot, so that they do not see later commits.
     pub snapshot: bool,
-    /// Its `now()`, in microseconds since 1970.
+    /// Result of `now()` in the transaction, in microseconds since 1970.
     pub timestamp: i64,
-    /// Its writes, once it has any.
+    /// The write transaction, once the transaction has started writing.
     pub write: Option<WriteTransaction>,
-    /// The rows as they were at its first read, for a snapshot that only reads.
+    /// Copy of the rows as of the first read, for a read-only snapshot transaction.
     pub rows: Option<Mutex<Store>>,
-    /// Settings after a commit, where SET LOCAL made a difference.
+    /// Settings that apply after a commit: without the changes of SET LOCAL.
     pub after_commit: SessionSettings,
-    /// Settings after a rollback.
+    /// Settings that apply after a rollback.
     pub after_rollback: SessionSettings,
 }
 
 impl Transaction {
-    /// A transaction that opens now.
+    /// Opens a transaction at the current time.
     pub fn open(stage: Stage, settings: &SessionSettings) -> Self {
         let isolation = settings
             .get("default_transaction_isolation")
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The status told with ReadyForQuery.
+    /// Returns the status reported in ReadyForQuery.
     pub fn status(&self) -> TransactionStatus {
         match self.stage {
             Stage::Idle | Stage::Implicit => TransactionStatus::Idle,
--- a/lab/standin/src/database/utility.rs
+++ b/lab/standin/src/database/utility.rs
@@ -1,4 +1,5 @@
-//! Statements that touch no rows: transactions, settings and the like.
+//! Statements that access no rows: transaction control, settings, and DISCARD and
+//! DEALLOCATE.
 
 use pgwire::api::Type;
 use rusqlite::types::Value;
@@ -35,14 +36,14 @@
         Ok(Outcome::done(statement.tag.clone()))
     }
 
-    /// Opens a transaction for one message, if none is open.
+    /// Opens an implicit transaction if no transaction is open.
     pub(super) fn open_implicit(&mut self) {
         if self.transaction.stage == Stage::Idle {
             self.transaction = Transaction::open(Stage::Implicit, &self.identity.settings);
         }
     }
 
-    /// Commits a transaction that no BEGIN opened.
+    /// Commits the open transaction if it is implicit.
     pub(super) async fn finish_implicit(&mut self) -> Result<(), SqlError> {
         if self.transaction.stage == Stage::Implicit {
             self.commit().await?;
@@ -50,7 +51,9 @@
         Ok(())
     }
 
-    /// Marks the transaction as failed and gives up what it did.
+    /// Marks an explicit transaction as failed, or rolls back an implicit one. The
+    /// writes of a failed transaction are kept only if it has savepoints to roll back
+    /// to.
     pub(super) fn fail_transaction(&mut self) {
         match self.transaction.stage {
             Stage::Idle => {}
@@ -71,7 +74,7 @@
 
     fn warn(&mut self, code: &str, message: &str) {
         if let Err(error) = self.wire.push_warning(code, message) {
-            log::debug!("database: a warning was not sent: {error}.");
+            log::debug!("database: encoding a warning failed: {error}.");
         }
     }
 
@@ -200,8 +203,8 @@
         Ok(())
     }
 
-    /// Commits the open transaction; returns once it is as safe as the group's
-    /// settings ask.
+    /// Commits the open transaction. With `synchronous_commit`, returns once a
+    /// majority has flushed it.
     async fn commit(&mut self) -> Result<(), SqlError> {
         self.resume_write().await?;
         let transaction = std::mem::take(&mut self.transaction);
@@ -223,10 +226,11 @@
     }
 
     async fn wait_for_majority(&self, length: usize) -> Result<(), SqlError> {
-        let mut majorities = self.node.majorities();
-        let reached = majorities.wait_for(|majority| *majority >= length);
+        let mut subscribe_majority_flushed = self.node.subscribe_majority_flushed();
+        let reached = subscribe_majority_flushed.wait_for(|majority| *majority >= length);
         let waited = tokio::time::timeout(self.node.group.commit_wait, reached).await;
-        // What the wait answers is a lock, which must go before anything else.
+        // The result of the wait holds a read lock on the channel, which must be
+        // released before continuing.
         let reached = waited.is_ok_and(|majority| majority.is_ok());
         if !reached {
             return Err(SqlError::fatal(
@@ -234,11 +238,11 @@
                 "terminating connection: no majority confirmed the commit in time",
             ));
         }
-        self.node.catch_up_to(length);
+        self.node.replay_up_to(length);
         Ok(())
     }
 
-    /// Gives the open transaction up.
+    /// Rolls back the open transaction.
     pub(super) fn roll_back(&mut self) {
         if self.transaction.stage != Stage::Idle {
             let transaction = std::mem::take(&mut self.transaction);
--- a/lab/standin/src/database/value.rs
+++ b/lab/standin/src/database/value.rs
@@ -10,7 +10,7 @@
 /// Format code of the binary format.
 pub const BINARY: i16 = 1;
 
-/// The type that a PostgreSQL type name stands for, if the stand-in knows it.
+/// Returns the type of a PostgreSQL type name, or `None` if it is not supported.
 pub fn type_by_name(name: &str) -> Option<Type> {
     let base = name.split('(').next().unwrap_or(name).trim();
     let known = match base.to_ascii_lowercase().as_str() {
@@ -39,16 +39,16 @@
     Some(known)
 }
 
-/// The type of a column from its declared type in the embedded engine.
+/// Returns the type of a column from its declared type in the embedded engine.
 pub fn type_by_declaration(declared: &str) -> Option<Type> {
-    // `INTEGER` is what serial columns are declared as, see `definition`.
+    // Only serial columns are declared as `INTEGER`, see `definition`.
     if declared.eq_ignore_ascii_case("integer") {
         return Some(Type::INT8);
     }
     type_by_name(declared)
 }
 
-/// Size of a type's values in bytes, or -1 when it varies.
+/// Returns the size of a type's values in bytes, or -1 when it is variable.
 pub fn type_size(kind: &Type) -> i16 {
     match *kind {
         Type::BOOL => 1,
@@ -60,7 +60,7 @@
     }
 }
 
-/// Reads one bound parameter.
+/// Decodes one bound parameter.
 pub fn decode(bytes: Option<&[u8]>, kind: &Type, format: i16) -> Result<Value, SqlError> {
     match bytes {
         None => Ok(Value::Null),
@@ -79,7 +79,7 @@
     parse_text(text, kind)
 }
 
-/// Reads a value in the text format.
+/// Parses a value in the text format.
 pub fn parse_text(text: &str, kind: &Type) -> Result<Value, SqlError> {
     let invalid = || {
         SqlError::new(
@@ -103,7 +103,7 @@
     Ok(value)
 }
 
-/// Reads a truth value as PostgreSQL spells it.
+/// Parses a boolean in any of PostgreSQL's spellings.
 pub fn parse_bool(text: &str) -> Option<bool> {
     match text.trim().to_ascii_lowercase().as_str() {
         "t" | "true" | "yes" | "on" | "1" | "y" => Some(true),
@@ -173,7 +173,7 @@
     bytes.try_into().ok()
 }
 
-/// Appends one column of a DataRow: its length and its bytes.
+/// Appends one column of a DataRow: its length followed by its bytes.
 pub fn encode(
     value: &Value,
     kind: &Type,
@@ -226,24 +226,24 @@
         Type::TIMESTAMP | Type::TIMESTAMPTZ => {
             let micros = text_of(value)
                 .and_then(timestamp::parse)
-                .ok_or_else(|| unfit(kind))?;
+                .ok_or_else(|| datatype_mismatch(kind))?;
             target.put_i64(micros - timestamp::MICROS_1970_TO_2000);
         }
         Type::UUID => {
             let digits: String = text_of(value)
-                .ok_or_else(|| unfit(kind))?
+                .ok_or_else(|| datatype_mismatch(kind))?
                 .chars()
                 .filter(|letter| *letter != '-')
                 .collect();
-            let number = u128::from_str_radix(&digits, 16).map_err(|_| unfit(kind))?;
+            let number = u128::from_str_radix(&digits, 16).map_err(|_| datatype_mismatch(kind))?;
             target.put_u128(number);
         }
         Type::PG_LSN => {
             let (high, low) = text_of(value)
                 .and_then(|text| text.split_once('/'))
-                .ok_or_else(|| unfit(kind))?;
-            target.put_u32(u32::from_str_radix(high, 16).map_err(|_| unfit(kind))?);
-            target.put_u32(u32::from_str_radix(low, 16).map_err(|_| unfit(kind))?);
+                .ok_or_else(|| datatype_mismatch(kind))?;
+            target.put_u32(u32::from_str_radix(high, 16).map_err(|_| datatype_mismatch(kind))?);
+            target.put_u32(u32::from_str_radix(low, 16).map_err(|_| datatype_mismatch(kind))?);
         }
         Type::JSONB => {
             target.put_u8(1);
@@ -275,11 +275,11 @@
     match value {
         Value::Integer(number) => Ok(*number),
         Value::Real(number) => Ok(*number as i64),
-        Value::Text(text) if *kind == Type::BOOL => {
-            parse_bool(text).map(i64::from).ok_or_else(|| unfit(kind))
-        }
-        Value::Text(text) => text.parse().map_err(|_| unfit(kind)),
-        _ => Err(unfit(kind)),
+        Value::Text(text) if *kind == Type::BOOL => parse_bool(text)
+            .map(i64::from)
+            .ok_or_else(|| datatype_mismatch(kind)),
+        Value::Text(text) => text.parse().map_err(|_| datatype_mismatch(kind)),
+        _ => Err(datatype_mismatch(kind)),
     }
 }
 
@@ -287,23 +287,23 @@
     match value {
         Value::Integer(number) => Ok(*number as f64),
         Value::Real(number) => Ok(*number),
-        Value::Text(text) => text.parse().map_err(|_| unfit(kind)),
-        _ => Err(unfit(kind)),
+        Value::Text(text) => text.parse().map_err(|_| datatype_mismatch(kind)),
+        _ => Err(datatype_mismatch(kind)),
     }
 }
 
 fn narrow<N: TryFrom<i64>>(number: i64, kind: &Type) -> Result<N, SqlError> {
-    N::try_from(number).map_err(|_| unfit(kind))
+    N::try_from(number).map_err(|_| datatype_mismatch(kind))
 }
 
-fn unfit(kind: &Type) -> SqlError {
+fn datatype_mismatch(kind: &Type) -> SqlError {
     SqlError::new(
         SqlState::DatatypeMismatch,
         format!("a stored value does not fit type {}", kind.name()),
     )
 }
 
-/// Writes sixteen bytes in the form of a UUID.
+/// Formats sixteen bytes as a UUID.
 pub fn format_uuid(bytes: [u8; 16]) -> String {
     let number = u128::from_be_bytes(bytes);
     format!(
@@ -316,7 +316,7 @@
     )
 }
 
-/// The value as an SQL literal, for histories.
+/// Returns the value as an SQL literal, for committed-entry histories.
 pub fn literal(value: &Value) -> String {
     match value {
         Value::Null => "NULL".to_owned(),
