--- a/lab/standin/src/database/view.rs
+++ b/lab/standin/src/database/view.rs
@@ -1,41 +1,41 @@
-//! What a database tells of itself, and the system views that show it.
+//! The replication state of a database and the system views that expose it.
 
 use rusqlite::{Connection, params};
 
 use super::position::Lsn;
 use super::timestamp;
 
-/// A replica as its primary sees it.
+/// State of a replica as reported by its primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaView {
     /// Name of the replica.
     pub name: String,
-    /// End of what it has flushed.
+    /// End position of the entries that the replica has flushed.
     pub flushed: Lsn,
     /// End of what it has replayed.
     pub replayed: Lsn,
-    /// When it was last heard, in microseconds since 1970.
-    pub heard_at: i64,
+    /// Time of its last message, in microseconds since 1970.
+    pub last_message_at: i64,
 }
 
-/// What a database tells of itself at one moment.
+/// Snapshot of the replication state of a database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SystemView {
-    /// Whether it is a replica.
+    /// Whether the database is not a primary.
     pub in_recovery: bool,
-    /// Timeline that it writes or follows.
+    /// Timeline that the database writes or follows.
     pub timeline: u64,
-    /// End of its log.
+    /// End position of the local log.
     pub flushed: Lsn,
     /// End of what it has replayed.
     pub replayed: Lsn,
-    /// On a replica, the name of the primary it hears.
+    /// On a replica, the name of the primary from which it receives messages.
     pub primary: Option<String>,
-    /// On a primary, the replicas it hears.
+    /// On a primary, the replicas from which it receives messages.
     pub replicas: Vec<ReplicaView>,
 }
 
-/// Names of the views, by which statements that read them are known.
+/// Names of the views; a statement that contains one of them reads the views.
 pub const NAMES: [&str; 3] = [
     "pg_stat_replication",
     "pg_stat_wal_receiver",
@@ -43,7 +43,7 @@
 ];
 
 impl SystemView {
-    /// The `flushed` column of the proxies' status query.
+    /// Returns the `flushed` column of the proxies' status query.
     pub fn flushed_list(&self) -> String {
         let replicas: Vec<String> = self
             .replicas
@@ -54,7 +54,7 @@
     }
 }
 
-/// Makes the views as temporary tables.
+/// Creates the views as temporary tables.
 pub fn create(connection: &Connection) -> rusqlite::Result<()> {
     connection.execute_batch(
         "CREATE TEMP TABLE pg_stat_replication (
@@ -68,7 +68,7 @@
     )
 }
 
-/// Fills the views.
+/// Replaces the contents of the views.
 pub fn refresh(connection: &Connection, view: &SystemView) -> rusqlite::Result<()> {
     connection.execute_batch(
         "DELETE FROM temp.pg_stat_replication; DELETE FROM temp.pg_stat_wal_receiver;
@@ -85,7 +85,7 @@
                 flushed,
                 replica.flushed.to_string(),
                 replica.replayed.to_string(),
-                timestamp::format(replica.heard_at),
+                timestamp::format(replica.last_message_at),
             ],
         )?;
     }
--- a/lab/standin/src/database/wire.rs
+++ b/lab/standin/src/database/wire.rs
@@ -1,4 +1,4 @@
-//! Frames of the PostgreSQL protocol on one connection.
+//! Message framing of the PostgreSQL protocol on one connection.
 
 use std::io;
 
@@ -14,42 +14,42 @@
 
 use super::error::SqlError;
 
-/// Size of a message in bytes past which the connection is closed.
+/// Maximum size of a message in bytes; a larger one closes the connection.
 const MAXIMUM_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
-/// Size of a message's length, which counts itself.
+/// Size of the length field of a message, in bytes; the length includes it.
 const LENGTH_BYTES: usize = 4;
-/// Output collected before it is written.
+/// Size of the output buffer, in bytes, at which it should be written.
 const OUTPUT_BYTES: usize = 64 * 1024;
-/// Length of an error's text past which it is cut.
+/// Maximum length of an error text, in characters; longer ones are truncated.
 const MAXIMUM_ERROR_TEXT: usize = 4000;
 
-/// Why a connection ends.
+/// Errors that end a connection.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
     /// The socket failed or was closed.
-    #[error("the socket failed")]
+    #[error("socket error")]
     Socket(#[from] io::Error),
-    /// The client sent what is no message.
-    #[error("a malformed message")]
+    /// The client sent bytes that are not a valid message.
+    #[error("malformed message")]
     Malformed(#[from] PgWireError),
-    /// The client sent a length that no message has.
-    #[error("a message of {0} bytes")]
+    /// The client sent an invalid message length.
+    #[error("invalid message length of {0} bytes")]
     BadLength(usize),
 }
 
-/// One connection's socket with its buffers.
+/// The socket of one connection with its buffers.
 pub struct Wire {
     stream: TcpStream,
     input: BytesMut,
     output: BytesMut,
     context: DecodeContext,
     gate: watch::Receiver<bool>,
-    /// Whether a part of the output has been written and the rest not.
+    /// Whether the output has been written only partially.
     writing: bool,
 }
 
 impl Wire {
-    /// Wraps an accepted socket; nothing passes while `gate` is closed.
+    /// Wraps an accepted socket; nothing is read or written while `gate` is closed.
     pub fn new(stream: TcpStream, gate: watch::Receiver<bool>) -> Self {
         Self {
             stream,
@@ -61,30 +61,32 @@
         }
     }
 
-    /// Notes that the next message is the start-up message.
-    pub fn negotiated(&mut self) {
+    /// Records that encryption negotiation is complete and the start-up message
+    /// follows.
+    pub fn encryption_negotiated(&mut self) {
         self.context.awaiting_frontend_ssl = false;
     }
 
-    /// Notes that the start-up message has come.
-    pub fn started(&mut self) {
+    /// Records that the start-up message has been received.
+    pub fn startup_received(&mut self) {
         self.context.awaiting_frontend_ssl = false;
         self.context.awaiting_frontend_startup = false;
     }
 
-    /// Waits until the database answers clients.
-    pub async fn pass_gate(&mut self) {
-        // The sender lives as long as the database; without it nothing waits.
+    /// Waits until the database serves clients.
+    pub async fn wait_until_serving(&mut self) {
+        // The sender exists as long as the database; without it there is no wait.
         let _ = self.gate.wait_for(|open| *open).await;
     }
 
-    /// Reads the next message; none when the client has closed.
+    /// Reads the next message, or returns `None` when the client has closed the
+    /// connection. Cancel-safe.
     pub async fn read(&mut self) -> Result<Option<PgWireFrontendMessage>, WireError> {
         loop {
             self.check_length()?;
-            // Nothing is waited for between decoding a message and returning
-            // it, so that a caller that gives up waiting loses none.
-            self.pass_gate().await;
+            // There is no await between decoding a message and returning it, so
+            // that no message is lost when the caller drops the future.
+            self.wait_until_serving().await;
             if let Some(message) = PgWireFrontendMessage::decode(&mut self.input, &self.context)? {
                 return Ok(Some(message));
             }
@@ -129,17 +131,17 @@
         )))
     }
 
-    /// Whether the output should be written before more is added.
+    /// Returns whether the output should be flushed before more is added.
     pub fn is_full(&self) -> bool {
         self.output.len() >= OUTPUT_BYTES
     }
 
-    /// Writes the output; waits for a slow reader.
+    /// Writes the output, waiting for a slow reader.
     pub async fn flush(&mut self) -> Result<(), WireError> {
         if self.output.is_empty() {
             return Ok(());
         }
-        self.pass_gate().await;
+        self.wait_until_serving().await;
         self.writing = true;
         while !self.output.is_empty() {
             let written = self.stream.write_buf(&mut self.output).await?;
@@ -151,8 +153,9 @@
         Ok(())
     }
 
-    /// Tells the client why it is disconnected, if it can be told.
-    pub async fn farewell(&mut self, error: &SqlError) -> Result<(), WireError> {
+    /// Sends the error that ends the connection, unless a message was written only
+    /// partially, and closes the connection.
+    pub async fn disconnect(&mut self, error: &SqlError) -> Result<(), WireError> {
         if !self.writing {
             self.push_error(error)?;
         }
@@ -160,11 +163,11 @@
         Ok(self.stream.shutdown().await?)
     }
 
-    /// Makes the socket's end a reset, as that of a killed process.
+    /// Makes closing the socket a reset, as if the process were killed.
     pub fn reset(&self) {
         #[expect(deprecated, reason = "a zero linger never blocks")]
         if let Err(error) = self.stream.set_linger(Some(std::time::Duration::ZERO)) {
-            log::debug!("database: a socket cannot be reset: {error}.");
+            log::debug!("database: setting the linger option of a socket failed: {error}.");
         }
     }
 }
--- a/lab/standin/src/database/working.rs
+++ b/lab/standin/src/database/working.rs
@@ -1,9 +1,10 @@
-//! The rows that a primary's writing transactions change, one at a time.
+//! The working rows of a primary, which one writing transaction at a time changes.
 //!
-//! A transaction has the rows to itself while its statements run. While it
-//! waits for its client and others want to write, it is suspended: its changes
-//! are undone, and its statements run again when it goes on. If one of them
-//! then has another result than its client saw, the transaction fails.
+//! A transaction has exclusive access to the rows while its statements run. When
+//! it waits for its client and other transactions want to write, it is suspended:
+//! its changes are undone, and its statements are re-executed when it resumes. If
+//! the result of any of them then differs from the result sent to the client, the
+//! transaction fails.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
@@ -16,31 +17,31 @@
 use super::error::{SqlError, SqlState};
 use super::store::{RowSet, Store};
 
-/// A copy of the rows that is ahead of the committed one by the open
-/// transaction and by what a majority has not flushed yet.
-pub struct Working {
+/// A copy of the rows that also contains the changes of the open transaction and of
+/// the transactions that a majority has not flushed yet.
+pub struct WorkingRows {
     store: Mutex<Store>,
-    turn: Arc<Semaphore>,
-    waiting: watch::Sender<usize>,
+    write_permit: Arc<Semaphore>,
+    waiters: watch::Sender<usize>,
 }
 
-impl Working {
-    /// Starts from `store`.
+impl WorkingRows {
+    /// Creates working rows from `store`.
     pub fn new(store: Store) -> Self {
         Self {
             store: Mutex::new(store),
-            turn: Arc::new(Semaphore::new(1)),
-            waiting: watch::Sender::new(0),
+            write_permit: Arc::new(Semaphore::new(1)),
+            waiters: watch::Sender::new(0),
         }
     }
 
-    /// Waits for the turn to write. Dropping the future gives the place up.
-    pub async fn turn(&self) -> Result<OwnedSemaphorePermit, SqlError> {
-        if let Ok(turn) = self.turn.clone().try_acquire_owned() {
-            return Ok(turn);
+    /// Waits for the write permit. Dropping the future leaves the queue.
+    pub async fn write_permit(&self) -> Result<OwnedSemaphorePermit, SqlError> {
+        if let Ok(write_permit) = self.write_permit.clone().try_acquire_owned() {
+            return Ok(write_permit);
         }
-        let _waiting = Waiting::new(&self.waiting);
-        self.turn
+        let _waiter_guard = WaiterGuard::new(&self.waiters);
+        self.write_permit
             .clone()
             .acquire_owned()
             .await
@@ -48,112 +49,115 @@
     }
 }
 
-/// Counts one who waits for the turn.
-struct Waiting<'a>(&'a watch::Sender<usize>);
+/// Counts one waiter for the write permit while it exists.
+struct WaiterGuard<'a>(&'a watch::Sender<usize>);
 
-impl<'a> Waiting<'a> {
+impl<'a> WaiterGuard<'a> {
     fn new(count: &'a watch::Sender<usize>) -> Self {
         count.send_modify(|count| *count += 1);
         Self(count)
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaiterGuard<'_> {
     fn drop(&mut self) {
         self.0.send_modify(|count| *count -= 1);
     }
 }
 
-/// A statement of an open transaction.
-struct Step {
+/// An executed statement of an open transaction.
+struct ExecutedStatement {
     statement: LoggedStatement,
-    /// Whether it changed anything, and so belongs in the log.
+    /// Whether the statement changed anything and must be logged.
     logged: bool,
-    /// What it answered.
+    /// Digest of its result.
     digest: u64,
 }
 
-/// A transaction that writes; rolled back when dropped.
+/// A writing transaction; rolled back when dropped.
 pub struct WriteTransaction {
-    working: Arc<Working>,
-    steps: Vec<Step>,
+    working: Arc<WorkingRows>,
+    executed: Vec<ExecutedStatement>,
     savepoints: Vec<(String, usize)>,
     timestamp: i64,
-    /// Whether it can't be suspended, because it changes the schema.
+    /// Whether the transaction cannot be suspended because it changes the schema.
     pinned: bool,
-    /// The turn to write; none while suspended.
-    turn: Option<OwnedSemaphorePermit>,
+    /// The write permit; `None` while suspended.
+    write_permit: Option<OwnedSemaphorePermit>,
 }
 
 impl WriteTransaction {
-    /// Opens a transaction with `now()` at `timestamp`.
+    /// Opens a transaction whose `now()` returns `timestamp`.
     pub fn begin(
-        working: Arc<Working>,
-        turn: OwnedSemaphorePermit,
+        working: Arc<WorkingRows>,
+        write_permit: OwnedSemaphorePermit,
         timestamp: i64,
     ) -> Result<Self, SqlError> {
         let mut transaction = Self {
             working,
-            steps: Vec::new(),
+            executed: Vec::new(),
             savepoints: Vec::new(),
             timestamp,
             pinned: false,
-            turn: None,
+            write_permit: None,
         };
-        transaction.resume(turn)?;
+        transaction.resume(write_permit)?;
         Ok(transaction)
     }
 
-    /// Whether it writes to `working`.
-    pub fn belongs_to(&self, working: &Arc<Working>) -> bool {
+    /// Returns whether the transaction writes to `working`.
+    pub fn belongs_to(&self, working: &Arc<WorkingRows>) -> bool {
         Arc::ptr_eq(&self.working, working)
     }
 
-    /// The rows it writes to.
-    pub fn working(&self) -> Arc<Working> {
+    /// Returns the rows to which the transaction writes.
+    pub fn working(&self) -> Arc<WorkingRows> {
         self.working.clone()
     }
 
-    /// Its `now()`, in microseconds since 1970.
+    /// Returns the result of `now()`, in microseconds since 1970.
     pub fn timestamp(&self) -> i64 {
         self.timestamp
     }
 
-    /// Whether it has savepoints.
+    /// Returns whether the transaction has savepoints.
     pub fn has_savepoints(&self) -> bool {
         !self.savepoints.is_empty()
     }
 
-    /// Whether it must be resumed before its next statement.
+    /// Returns whether the transaction must be resumed before its next statement.
     pub fn is_suspended(&self) -> bool {
-        self.turn.is_none()
+        self.write_permit.is_none()
     }
 
-    /// Tells how many wait for its turn, if it could give that up.
+    /// Subscribes to the number of waiters for the write permit; `None` if the
+    /// transaction cannot be suspended.
     pub fn contention(&self) -> Option<watch::Receiver<usize>> {
-        let movable = !self.pinned && self.savepoints.is_empty() && !self.is_suspended();
-        movable.then(|| self.working.waiting.subscribe())
+        let can_suspend = !self.pinned && self.savepoints.is_empty() && !self.is_suspended();
+        can_suspend.then(|| self.working.waiters.subscribe())
     }
 
-    /// Undoes its changes for now and lets others write.
+    /// Undoes the changes and releases the write permit until the transaction is
+    /// resumed.
     pub fn suspend(&mut self) {
-        if let Some(turn) = self.turn.take() {
+        if let Some(write_permit) = self.write_permit.take() {
             self.undo();
-            drop(turn);
+            drop(write_permit);
         }
     }
 
-    /// Goes on after a suspension: runs its statements again.
-    pub fn resume(&mut self, turn: OwnedSemaphorePermit) -> Result<(), SqlError> {
+    /// Resumes after a suspension by re-executing the statements. Fails with 40001 if
+    /// a result differs.
+    pub fn resume(&mut self, write_permit: OwnedSemaphorePermit) -> Result<(), SqlError> {
         let mut store = self.working.store.lock();
         store.clear_limit();
         store.run_batch("BEGIN")?;
-        self.turn = Some(turn);
-        for step in &self.steps {
-            let statement = &step.statement;
-            store.set_chance(self.timestamp, statement.seed);
+        self.write_permit = Some(write_permit);
+        for previous in &self.executed {
+            let statement = &previous.statement;
+            store.set_time_and_seed(self.timestamp, statement.seed);
             let rows = store.run(&statement.sql, &statement.parameters)?;
-            if digest(&rows) != step.digest {
+            if digest(&rows) != previous.digest {
                 return Err(SqlError::new(
                     SqlState::SerializationFailure,
                     "could not serialize access due to concurrent update",
@@ -171,33 +175,35 @@
         }
     }
 
-    /// Runs `work` on the rows as this transaction sees them.
+    /// Runs `work` on the rows visible to this transaction.
     pub fn with_store<R>(&self, work: impl FnOnce(&mut Store) -> R) -> R {
         work(&mut self.working.store.lock())
     }
 
-    /// Notes a statement with what it answered; `logged` if it changed rows.
+    /// Records an executed statement and the digest of its result; `logged`
+    /// specifies whether it must be logged.
     pub fn record(&mut self, statement: LoggedStatement, rows: &RowSet, logged: bool) {
-        self.steps.push(Step {
+        self.executed.push(ExecutedStatement {
             statement,
             logged,
             digest: digest(rows),
         });
     }
 
-    /// Keeps the turn to the end, as a change of the schema needs.
+    /// Prevents suspension until the end of the transaction, as a schema change
+    /// requires.
     pub fn pin(&mut self) {
         self.pinned = true;
     }
 
-    /// Marks a point to go back to.
+    /// Creates a savepoint.
     pub fn savepoint(&mut self, name: &str) -> Result<(), SqlError> {
         self.run_savepoint("SAVEPOINT", name)?;
-        self.savepoints.push((name.to_owned(), self.steps.len()));
+        self.savepoints.push((name.to_owned(), self.executed.len()));
         Ok(())
     }
 
-    /// Forgets a savepoint and those after it.
+    /// Releases a savepoint and all later ones.
     pub fn release(&mut self, name: &str) -> Result<(), SqlError> {
         let at = self.find(name)?;
         self.run_savepoint("RELEASE", name)?;
@@ -205,11 +211,11 @@
         Ok(())
     }
 
-    /// Undoes everything after a savepoint.
+    /// Rolls back to a savepoint.
     pub fn rollback_to(&mut self, name: &str) -> Result<(), SqlError> {
         let at = self.find(name)?;
         self.run_savepoint("ROLLBACK TO", name)?;
-        self.steps.truncate(self.savepoints[at].1);
+        self.executed.truncate(self.savepoints[at].1);
         self.savepoints.truncate(at + 1);
         Ok(())
     }
@@ -217,7 +223,7 @@
     fn find(&self, name: &str) -> Result<usize, SqlError> {
         self.savepoints
             .iter()
-            .rposition(|(known, _)| known == name)
+            .rposition(|(existing, _)| existing == name)
             .ok_or_else(|| {
                 SqlError::new(
                     SqlState::InvalidSavepoint,
@@ -234,15 +240,15 @@
         })
     }
 
-    /// Commits the rows and hands the statements over for the log.
+    /// Commits the changes to the working rows and returns the statements to log.
     pub fn finish(mut self) -> Result<Vec<LoggedStatement>, SqlError> {
         self.with_store(|store| store.run_batch("COMMIT"))?;
-        // With the turn gone, dropping rolls nothing back.
-        let turn = self.turn.take();
-        let steps = std::mem::take(&mut self.steps);
-        drop(turn);
-        let logged = steps.into_iter().filter(|step| step.logged);
-        Ok(logged.map(|step| step.statement).collect())
+        // Without the permit, dropping the transaction rolls nothing back.
+        let write_permit = self.write_permit.take();
+        let executed = std::mem::take(&mut self.executed);
+        drop(write_permit);
+        let logged = executed.into_iter().filter(|statement| statement.logged);
+        Ok(logged.map(|executed| executed.statement).collect())
     }
 }
 
@@ -252,7 +258,7 @@
     }
 }
 
-/// A summary of what a statement answered.
+/// Returns a digest of the result of a statement.
 fn digest(rows: &RowSet) -> u64 {
     let mut hasher = DefaultHasher::new();
     rows.changed.hash(&mut hasher);
--- a/lab/standin/tests/database_failover.rs
+++ b/lab/standin/tests/database_failover.rs
@@ -1,4 +1,4 @@
-//! Loss, isolation and planned change of a group's primary.
+//! Tests of failover: loss and isolation of the primary, and switchover.
 
 mod database_support;
 
@@ -6,13 +6,14 @@
 use std::time::Duration;
 
 use database_support::{
-    STATUS_QUERY, code, connect, database, failure, group_of_three, number, start, status_of,
-    texts, try_connect, until, until_elected, until_replayed,
+    STATUS_QUERY, code, connect, database, expect_failure, group_of_three, query_number,
+    query_texts, start, status_of, try_connect, wait_until, wait_until_elected,
+    wait_until_replayed,
 };
 use hookpoint_standin::database::{DatabaseGroup, DatabaseRole, GroupSettings, Lsn};
 use tokio_postgres::types::ToSql;
 
-/// A way to lose a primary, and the way back.
+/// A fault that makes a group lose its primary.
 #[derive(Clone, Copy, Debug)]
 enum Loss {
     Kill,
@@ -29,7 +30,7 @@
 ];
 
 impl Loss {
-    fn strike(self, group: &DatabaseGroup, name: &str) {
+    fn inject(self, group: &DatabaseGroup, name: &str) {
         match self {
             Self::Kill => group.kill(name),
             Self::Pause => group.pause(name),
@@ -38,7 +39,7 @@
         }
     }
 
-    fn mend(self, group: &DatabaseGroup, name: &str) {
+    fn undo(self, group: &DatabaseGroup, name: &str) {
         match self {
             Self::Kill => group.restart(name),
             Self::Pause => group.resume(name),
@@ -47,7 +48,7 @@
     }
 }
 
-fn quick_group() -> GroupSettings {
+fn fast_failover_group() -> GroupSettings {
     GroupSettings {
         election_timeout: Duration::from_millis(100),
         heartbeat_interval: Duration::from_millis(20),
@@ -56,8 +57,8 @@
     }
 }
 
-/// Writes notes from `first` on until a write fails; returns the identifiers
-/// of the acknowledged ones.
+/// Writes notes with identifiers from `first` on until a write fails. Returns the
+/// identifiers of the acknowledged writes.
 async fn write_until_failure(client: &tokio_postgres::Client, first: i64) -> Vec<i64> {
     let mut acknowledged = Vec::new();
     for id in first.. {
@@ -80,28 +81,28 @@
     rows.iter().map(|row| row.get(0)).collect()
 }
 
-async fn until_same_logs(group: &DatabaseGroup) {
-    until("all logs are the same", || {
+async fn wait_until_logs_are_identical(group: &DatabaseGroup) {
+    wait_until("all logs are identical", || {
         let (a, b, c) = (group.history("a"), group.history("b"), group.history("c"));
         a == b && b == c
     })
     .await;
-    until_replayed(group).await;
+    wait_until_replayed(group).await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn no_acknowledged_write_is_lost() {
     for loss in LOSSES {
-        let group = start(quick_group()).await;
+        let group = start(fast_failover_group()).await;
         let client = connect(&group, "a").await;
-        let strike = async {
+        let inject = async {
             tokio::time::sleep(Duration::from_millis(50)).await;
-            loss.strike(&group, "a");
+            loss.inject(&group, "a");
         };
-        let (mut acknowledged, ()) = tokio::join!(write_until_failure(&client, 0), strike);
+        let (mut acknowledged, ()) = tokio::join!(write_until_failure(&client, 0), inject);
         assert!(!acknowledged.is_empty(), "{loss:?}");
-        let primary = until_elected(&group, "a").await;
-        let election = group.elections().pop().expect("an election was seen");
+        let primary = wait_until_elected(&group, "a").await;
+        let election = group.elections().pop().expect("an election");
         assert_eq!(election.primary, primary, "{loss:?}");
         assert!(election.old_primary_lost_at.is_some(), "{loss:?}");
         let client = connect(&group, &primary).await;
@@ -109,11 +110,11 @@
             client
                 .execute("INSERT INTO notes VALUES ($1, 'y')", &[&id])
                 .await
-                .expect("the new primary writes");
+                .expect("the new primary accepts writes");
             acknowledged.push(id);
         }
-        loss.mend(&group, "a");
-        until_same_logs(&group).await;
+        loss.undo(&group, "a");
+        wait_until_logs_are_identical(&group).await;
         for name in ["a", "b", "c"] {
             let stored = stored_ids(&group, name).await;
             assert!(
@@ -126,27 +127,27 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn the_most_advanced_replica_is_elected() {
-    for behind in ["b", "c"] {
-        let group = start(quick_group()).await;
+async fn most_advanced_replica_is_elected() {
+    for lagging_replica in ["b", "c"] {
+        let group = start(fast_failover_group()).await;
         let client = connect(&group, "a").await;
-        group.isolate(behind, true);
+        group.isolate(lagging_replica, true);
         client
             .simple_query("INSERT INTO notes VALUES (1, 'x')")
             .await
             .expect("the write runs");
         group.kill("a");
-        group.heal(behind);
-        let primary = until_elected(&group, "a").await;
-        assert_ne!(primary, behind);
+        group.heal(lagging_replica);
+        let primary = wait_until_elected(&group, "a").await;
+        assert_ne!(primary, lagging_replica);
         assert_eq!(stored_ids(&group, &primary).await, BTreeSet::from([1]));
         group.stop().await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn isolated_primary_acknowledges_nothing_with_synchronous_commit() {
-    let group = start(quick_group()).await;
+async fn isolated_primary_acknowledges_no_commit_with_synchronous_commit() {
+    let group = start(fast_failover_group()).await;
     let client = connect(&group, "a").await;
     group.isolate("a", true);
     let error = client
@@ -158,10 +159,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn isolated_primary_gets_no_flush_positions() {
+async fn isolated_primary_receives_no_flush_positions() {
     let group = start(GroupSettings {
         synchronous_commit: false,
-        ..quick_group()
+        ..fast_failover_group()
     })
     .await;
     let client = connect(&group, "a").await;
@@ -169,15 +170,15 @@
         .simple_query("INSERT INTO notes VALUES (1, 'x')")
         .await
         .expect("the write runs");
-    until_replayed(&group).await;
+    wait_until_replayed(&group).await;
     group.isolate("a", true);
     let before = status_of(&group, "a").flushed;
-    let primary = until_elected(&group, "a").await;
+    let primary = wait_until_elected(&group, "a").await;
     client
         .simple_query("INSERT INTO notes VALUES (2, 'lost')")
         .await
-        .expect("answered at once");
-    let status = texts(&client, STATUS_QUERY).await;
+        .expect("the write returns without a majority");
+    let status = query_texts(&client, STATUS_QUERY).await;
     let own = status_of(&group, "a").flushed;
     assert!(own > before);
     assert_eq!(
@@ -186,18 +187,18 @@
     );
     for replica in status[3].split(',').filter(|text| !text.is_empty()) {
         let position = replica.split('=').nth(1).expect("name=position");
-        assert!(parse(position) <= before, "{status:?}");
+        assert!(parse_lsn(position) <= before, "{status:?}");
     }
     let other = connect(&group, &primary).await;
     other
         .simple_query("INSERT INTO notes VALUES (3, 'kept')")
         .await
         .expect("the write runs");
-    let newer = texts(&other, STATUS_QUERY).await;
+    let newer = query_texts(&other, STATUS_QUERY).await;
     assert_eq!(newer[..2], ["f".to_owned(), "2".to_owned()]);
 
     group.heal("a");
-    until_same_logs(&group).await;
+    wait_until_logs_are_identical(&group).await;
     assert!(
         client.simple_query("SELECT 1").await.is_err(),
         "old connections are closed"
@@ -205,55 +206,58 @@
     assert_eq!(stored_ids(&group, "a").await, BTreeSet::from([1, 3]));
     assert_eq!(status_of(&group, "a").role, DatabaseRole::Replica);
     let client = connect(&group, "a").await;
-    assert_eq!(texts(&client, STATUS_QUERY).await[..2], ["t", "2"]);
-    assert_eq!(failure(&client, "DELETE FROM notes").await, "25006");
+    assert_eq!(query_texts(&client, STATUS_QUERY).await[..2], ["t", "2"]);
+    assert_eq!(expect_failure(&client, "DELETE FROM notes").await, "25006");
     group.stop().await;
 }
 
-fn parse(position: &str) -> Lsn {
+fn parse_lsn(position: &str) -> Lsn {
     let (high, low) = position.split_once('/').expect("a position has two parts");
     let high = u64::from_str_radix(high, 16).expect("hexadecimal");
     Lsn(high << 32 | u64::from_str_radix(low, 16).expect("hexadecimal"))
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn without_a_majority_nobody_leads() {
-    let group = start(quick_group()).await;
+async fn no_primary_without_a_majority() {
+    let group = start(fast_failover_group()).await;
     group.kill("a");
     group.kill("b");
     tokio::time::sleep(Duration::from_millis(600)).await;
     assert_eq!(group.primary(), None);
     let client = connect(&group, "c").await;
     assert_eq!(
-        failure(&client, "INSERT INTO notes VALUES (1, 'x')").await,
+        expect_failure(&client, "INSERT INTO notes VALUES (1, 'x')").await,
         "25006"
     );
-    let receivers = number(&client, "SELECT count(*) FROM pg_stat_wal_receiver").await;
+    let receivers = query_number(&client, "SELECT count(*) FROM pg_stat_wal_receiver").await;
     assert_eq!(receivers, 0);
     let refused = try_connect(&group, "a")
         .await
         .expect_err("the process is down");
     assert_eq!(code(&refused), "");
     group.restart("b");
-    until("a primary again", || group.primary().is_some()).await;
+    wait_until("there is a primary again", || group.primary().is_some()).await;
     group.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn switchover_loses_nothing() {
-    let group = start(quick_group()).await;
+async fn switchover_loses_no_acknowledged_write() {
+    let group = start(fast_failover_group()).await;
     let client = connect(&group, "a").await;
-    let change = async {
+    let switchover = async {
         tokio::time::sleep(Duration::from_millis(30)).await;
         group.switchover("c");
     };
-    let (acknowledged, ()) = tokio::join!(write_until_failure(&client, 0), change);
-    until("the change", || group.primary().as_deref() == Some("c")).await;
+    let (acknowledged, ()) = tokio::join!(write_until_failure(&client, 0), switchover);
+    wait_until("the switchover is complete", || {
+        group.primary().as_deref() == Some("c")
+    })
+    .await;
     assert_eq!(
-        failure(&connect(&group, "a").await, "DELETE FROM notes").await,
+        expect_failure(&connect(&group, "a").await, "DELETE FROM notes").await,
         "25006"
     );
-    until_same_logs(&group).await;
+    wait_until_logs_are_identical(&group).await;
     let stored = stored_ids(&group, "c").await;
     assert!(acknowledged.iter().all(|id| stored.contains(id)));
     assert_eq!(status_of(&group, "c").term, 2);
@@ -261,8 +265,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn replicas_lag_and_their_positions_only_grow() {
-    let mut settings = quick_group();
+async fn replicas_lag_and_their_positions_never_decrease() {
+    let mut settings = fast_failover_group();
     settings.databases.push(database("d"));
     settings.databases[1].replay_lag = Duration::from_secs(3600);
     settings.databases[2].replay_lag = Duration::from_millis(100);
@@ -281,25 +285,31 @@
         }
     }
     let all = status_of(&group, "a").flushed;
-    until("b has flushed", || status_of(&group, "b").flushed == all).await;
-    until("c has replayed", || status_of(&group, "c").replayed == all).await;
+    wait_until("b has flushed", || status_of(&group, "b").flushed == all).await;
+    wait_until("c has replayed", || status_of(&group, "c").replayed == all).await;
     let lagging = connect(&group, "b").await;
-    assert_eq!(number(&lagging, "SELECT count(*) FROM notes").await, 0);
+    assert_eq!(
+        query_number(&lagging, "SELECT count(*) FROM notes").await,
+        0
+    );
     group.set_replay_lag("b", Duration::ZERO);
-    until("b has replayed", || status_of(&group, "b").replayed == all).await;
-    assert_eq!(number(&lagging, "SELECT count(*) FROM notes").await, 50);
+    wait_until("b has replayed", || status_of(&group, "b").replayed == all).await;
+    assert_eq!(
+        query_number(&lagging, "SELECT count(*) FROM notes").await,
+        50
+    );
     group.stop().await;
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn many_sessions_share_a_group_on_many_threads() {
-    let group = start(quick_group()).await;
+async fn concurrent_sessions_use_a_group_from_many_threads() {
+    let group = start(fast_failover_group()).await;
     let mut writers = Vec::new();
     for writer in 0..5_i64 {
         let client = connect(&group, "a").await;
         writers.push(tokio::spawn(async move {
-            for number in 0..100 {
-                let id = writer * 1000 + number;
+            for offset in 0..100 {
+                let id = writer * 1000 + offset;
                 let parameters: [&(dyn ToSql + Sync); 1] = [&id];
                 client
                     .execute("INSERT INTO notes VALUES ($1, 'x')", &parameters)
@@ -309,18 +319,18 @@
                 client
                     .query_one(read, &parameters)
                     .await
-                    .expect("the write is seen");
-                texts(&client, STATUS_QUERY).await;
+                    .expect("the write is visible");
+                query_texts(&client, STATUS_QUERY).await;
             }
         }));
     }
     for writer in writers {
-        tokio::time::timeout(database_support::PATIENCE, writer)
+        tokio::time::timeout(database_support::TIMEOUT, writer)
             .await
-            .expect("nobody waits for ever")
+            .expect("the writer is not blocked")
             .expect("the writer ends");
     }
-    until_same_logs(&group).await;
+    wait_until_logs_are_identical(&group).await;
     assert_eq!(stored_ids(&group, "b").await.len(), 500);
     group.stop().await;
 }
--- a/lab/standin/tests/database_sessions.rs
+++ b/lab/standin/tests/database_sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions: transactions, settings, portals, copies, authentication and
+//! Tests of sessions: transactions, settings, portals, COPY, authentication and
 //! malformed input.
 
 mod database_support;
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use database_support::{
-    code, config, connect, failure, group_of_three, number, start, status_of, texts, try_connect,
-    until, until_replayed,
+    code, config, connect, expect_failure, group_of_three, query_number, query_texts, start,
+    status_of, try_connect, wait_until, wait_until_replayed,
 };
 use futures::{SinkExt, TryStreamExt};
 use hookpoint_standin::database::GroupSettings;
@@ -23,10 +23,10 @@
 }
 
 #[tokio::test]
-async fn transactions_are_whole() {
+async fn transactions_are_atomic() {
     let group = start(group_of_three()).await;
     let client = connect(&group, "a").await;
-    // Statements, and how many notes there are after them.
+    // Statements, and the number of notes after them.
     let cases: [(&[&str], i64); 9] = [
         (&["BEGIN", "INSERT INTO notes VALUES (1, 'x')", "COMMIT"], 1),
         (
@@ -83,74 +83,78 @@
     ];
     for (statements, expected) in cases {
         for sql in statements {
-            // Some of them are meant to fail.
+            // Some of the statements are expected to fail.
             let _ = client.simple_query(sql).await;
         }
         assert_eq!(
-            number(&client, "SELECT count(*) FROM notes").await,
+            query_number(&client, "SELECT count(*) FROM notes").await,
             expected,
             "{statements:?}"
         );
     }
-    until_replayed(&group).await;
+    wait_until_replayed(&group).await;
     let replica = connect(&group, "c").await;
-    assert_eq!(number(&replica, "SELECT count(*) FROM notes").await, 3);
+    assert_eq!(
+        query_number(&replica, "SELECT count(*) FROM notes").await,
+        3
+    );
     group.stop().await;
 }
 
 #[tokio::test]
-async fn open_transactions_hide_their_writes() {
+async fn uncommitted_writes_are_invisible_to_other_sessions() {
     let mut settings = group_of_three();
     settings.lock_wait = Duration::from_millis(50);
     let group = start(settings).await;
     let writer = connect(&group, "a").await;
     let reader = connect(&group, "a").await;
     run(&reader, "BEGIN ISOLATION LEVEL REPEATABLE READ READ ONLY").await;
-    assert_eq!(number(&reader, "SELECT count(*) FROM notes").await, 0);
-    // A change of the schema keeps others from writing to the end.
+    assert_eq!(query_number(&reader, "SELECT count(*) FROM notes").await, 0);
+    // A schema change blocks other writers until the transaction ends.
     run(
         &writer,
         "BEGIN; INSERT INTO notes VALUES (1, 'x'); CREATE TABLE held (id INT)",
     )
     .await;
-    assert_eq!(number(&writer, "SELECT count(*) FROM notes").await, 1);
+    assert_eq!(query_number(&writer, "SELECT count(*) FROM notes").await, 1);
     let other = connect(&group, "a").await;
-    assert_eq!(number(&other, "SELECT count(*) FROM notes").await, 0);
+    assert_eq!(query_number(&other, "SELECT count(*) FROM notes").await, 0);
     assert_eq!(
-        failure(&other, "INSERT INTO notes VALUES (2, 'x')").await,
+        expect_failure(&other, "INSERT INTO notes VALUES (2, 'x')").await,
         "55P03"
     );
     run(&writer, "COMMIT").await;
-    assert_eq!(number(&other, "SELECT count(*) FROM notes").await, 1);
-    assert_eq!(number(&reader, "SELECT count(*) FROM notes").await, 0);
+    assert_eq!(query_number(&other, "SELECT count(*) FROM notes").await, 1);
+    assert_eq!(query_number(&reader, "SELECT count(*) FROM notes").await, 0);
     run(&reader, "COMMIT").await;
-    assert_eq!(number(&reader, "SELECT count(*) FROM notes").await, 1);
+    assert_eq!(query_number(&reader, "SELECT count(*) FROM notes").await, 1);
     group.stop().await;
 }
 
 #[tokio::test]
-async fn idle_transactions_let_others_write() {
+async fn idle_transactions_do_not_block_other_writers() {
     let group = start(group_of_three()).await;
     let idle = connect(&group, "a").await;
     let other = connect(&group, "a").await;
-    // What the idle transaction does, what the other session commits then,
-    // what the idle one does next, and with which error, if any.
+    // Statement of the idle transaction, statement that the other session commits
+    // meanwhile, next statement of the idle transaction and its expected error,
+    // and the expected number of notes.
     let update = "UPDATE notes SET body = body || '!' WHERE id = 1";
     let lock = "SELECT body FROM notes WHERE id = 1 FOR UPDATE";
     let insert = "INSERT INTO notes VALUES (9, 'x')";
-    let touch = "UPDATE notes SET body = 'other' WHERE id = 2";
-    let gone = "DELETE FROM notes WHERE id = 1";
+    let update_other = "UPDATE notes SET body = 'other' WHERE id = 2";
+    let delete = "DELETE FROM notes WHERE id = 1";
     let cases = [
-        (update, touch, "COMMIT", None, 2),
+        (update, update_other, "COMMIT", None, 2),
         (update, update, "COMMIT", None, 2),
-        (lock, touch, update, None, 2),
+        (lock, update_other, update, None, 2),
         (lock, update, update, Some("40001"), 2),
-        (update, gone, "COMMIT", Some("40001"), 1),
+        (update, delete, "COMMIT", Some("40001"), 1),
         (insert, insert, "SELECT 1", Some("23505"), 3),
     ];
     for (first, meanwhile, then, expected, count) in cases {
-        let fresh = "DELETE FROM notes; INSERT INTO notes VALUES (1, 'x'), (2, 'x')";
-        run(&other, fresh).await;
+        let reset = "DELETE FROM notes; INSERT INTO notes VALUES (1, 'x'), (2, 'x')";
+        run(&other, reset).await;
         run(&idle, "BEGIN").await;
         run(&idle, first).await;
         run(&other, meanwhile).await;
@@ -158,7 +162,7 @@
         let failed = outcome.err().map(|error| code(&error));
         assert_eq!(failed.as_deref(), expected, "{first}; {meanwhile}; {then}");
         run(&idle, "COMMIT").await;
-        let stored = number(&other, "SELECT count(*) FROM notes").await;
+        let stored = query_number(&other, "SELECT count(*) FROM notes").await;
         assert_eq!(stored, count, "{first}; {meanwhile}; {then}");
     }
     run(
@@ -168,23 +172,24 @@
     .await;
     run(&idle, &format!("BEGIN; {update}; {update}")).await;
     run(&other, update).await;
-    assert_eq!(texts(&idle, "SELECT body FROM notes").await, ["x!!!"]);
+    assert_eq!(query_texts(&idle, "SELECT body FROM notes").await, ["x!!!"]);
     run(&idle, "ROLLBACK").await;
-    assert_eq!(texts(&idle, "SELECT body FROM notes").await, ["x!"]);
-    until_replayed(&group).await;
+    assert_eq!(query_texts(&idle, "SELECT body FROM notes").await, ["x!"]);
+    wait_until_replayed(&group).await;
     assert_eq!(
-        texts(&connect(&group, "c").await, "SELECT body FROM notes").await,
+        query_texts(&connect(&group, "c").await, "SELECT body FROM notes").await,
         ["x!"]
     );
     group.stop().await;
 }
 
-/// Moves one unit from one account to another; false if that must be retried.
+/// Moves one unit between two accounts. Returns false if the transfer must be
+/// retried.
 async fn transfer(client: &Client, from: i64, to: i64) -> bool {
     let lock = format!("SELECT balance FROM accounts WHERE id IN ({from}, {to}) FOR UPDATE");
-    let give = format!("UPDATE accounts SET balance = balance - 1 WHERE id = {from}");
-    let take = format!("UPDATE accounts SET balance = balance + 1 WHERE id = {to}");
-    for sql in ["BEGIN", &lock, &give, &take, "COMMIT"] {
+    let withdraw = format!("UPDATE accounts SET balance = balance - 1 WHERE id = {from}");
+    let deposit = format!("UPDATE accounts SET balance = balance + 1 WHERE id = {to}");
+    for sql in ["BEGIN", &lock, &withdraw, &deposit, "COMMIT"] {
         if let Err(error) = client.simple_query(sql).await {
             assert_eq!(code(&error), "40001", "{sql}");
             run(client, "ROLLBACK").await;
@@ -195,7 +200,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn concurrent_transfers_keep_their_sum() {
+async fn concurrent_transfers_preserve_the_total_balance() {
     let mut settings = group_of_three();
     settings.schema = vec![
         "CREATE TABLE accounts (id BIGINT PRIMARY KEY, balance BIGINT NOT NULL)".to_owned(),
@@ -221,36 +226,36 @@
     for session in sessions {
         session.await.expect("the session ends");
     }
-    until_replayed(&group).await;
+    wait_until_replayed(&group).await;
     for name in ["a", "b", "c"] {
         let client = connect(&group, name).await;
         assert_eq!(
-            number(&client, "SELECT sum(balance) FROM accounts").await,
+            query_number(&client, "SELECT sum(balance) FROM accounts").await,
             400
         );
     }
-    // Two updates for each transfer are in the log.
+    // The log has two updates per transfer.
     assert_eq!(group.history("b").len(), 200);
     group.stop().await;
 }
 
 #[tokio::test]
-async fn a_lost_client_rolls_back_and_frees_its_turn() {
+async fn disconnected_client_is_rolled_back_and_releases_its_write_permit() {
     let group = start(group_of_three()).await;
     let lost = connect(&group, "a").await;
     run(&lost, "BEGIN; INSERT INTO notes VALUES (1, 'x')").await;
     drop(lost);
     let client = connect(&group, "a").await;
     run(&client, "INSERT INTO notes VALUES (1, 'y')").await;
-    assert_eq!(texts(&client, "SELECT body FROM notes").await, ["y"]);
+    assert_eq!(query_texts(&client, "SELECT body FROM notes").await, ["y"]);
     group.stop().await;
 }
 
 #[tokio::test]
-async fn settings_follow_their_rules() {
+async fn settings_have_session_and_transaction_scope() {
     let group = start(group_of_three()).await;
     let client = connect(&group, "a").await;
-    // Statements, a setting, and its value after them.
+    // Statements, the name of a setting, and its expected value after them.
     let cases = [
         ("SET hookpoint.token = 'a b'", "hookpoint.token", "a b"),
         ("SET search_path TO one, \"Two\"", "search_path", "one, Two"),
@@ -287,42 +292,52 @@
     for (sql, name, expected) in cases {
         run(&client, sql).await;
         assert_eq!(
-            texts(&client, &format!("SHOW {name}")).await,
+            query_texts(&client, &format!("SHOW {name}")).await,
             [expected],
             "{sql}"
         );
     }
-    assert_eq!(failure(&client, "DELETE FROM notes").await, "25006");
-    let asked = "SELECT current_setting('TimeZone'), current_setting('hookpoint.none', true)";
-    assert_eq!(texts(&client, asked).await, ["UTC", "NULL"]);
+    assert_eq!(expect_failure(&client, "DELETE FROM notes").await, "25006");
+    let current_settings =
+        "SELECT current_setting('TimeZone'), current_setting('hookpoint.none', true)";
+    assert_eq!(
+        query_texts(&client, current_settings).await,
+        ["UTC", "NULL"]
+    );
     assert_eq!(
-        failure(&client, "SELECT current_setting('none')").await,
+        expect_failure(&client, "SELECT current_setting('none')").await,
         "42704"
     );
     let replica = connect(&group, "b").await;
-    assert_eq!(texts(&replica, "SHOW in_hot_standby").await, ["on"]);
+    assert_eq!(query_texts(&replica, "SHOW in_hot_standby").await, ["on"]);
     let mut options = config(&group, "a");
     options.options("-c search_path=four -c hookpoint.token=five");
-    let (client, connection) = options.connect(NoTls).await.expect("the options are taken");
+    let (client, connection) = options
+        .connect(NoTls)
+        .await
+        .expect("the options are accepted");
     tokio::spawn(connection);
-    assert_eq!(texts(&client, "SHOW search_path").await, ["four"]);
-    assert_eq!(texts(&client, "SHOW hookpoint.token").await, ["five"]);
+    assert_eq!(query_texts(&client, "SHOW search_path").await, ["four"]);
+    assert_eq!(query_texts(&client, "SHOW hookpoint.token").await, ["five"]);
     group.stop().await;
 }
 
 #[tokio::test]
-async fn portals_give_rows_in_parts() {
+async fn portals_return_rows_in_batches() {
     let group = start(group_of_three()).await;
     let mut client = connect(&group, "a").await;
     let transaction = client.transaction().await.expect("BEGIN runs");
     let sql = "SELECT value FROM generate_series(1, 10) AS value";
-    let portal = transaction.bind(sql, &[]).await.expect("it binds");
+    let portal = transaction
+        .bind(sql, &[])
+        .await
+        .expect("the portal is bound");
     let mut sizes = Vec::new();
     loop {
         let rows = transaction
             .query_portal(&portal, 4)
             .await
-            .expect("rows come");
+            .expect("the query returns rows");
         sizes.push(rows.len());
         if rows.len() < 4 {
             break;
@@ -334,7 +349,7 @@
 }
 
 #[tokio::test]
-async fn cursors_and_prepared_statements_work_by_sql() {
+async fn sql_cursors_and_prepared_statements_work() {
     let group = start(group_of_three()).await;
     let client = connect(&group, "a").await;
     run(
@@ -345,13 +360,13 @@
     for id in 1..=5 {
         run(&client, &format!("EXECUTE write ({id}, 'x')")).await;
     }
-    assert_eq!(failure(&client, "EXECUTE write (6)").await, "42601");
+    assert_eq!(expect_failure(&client, "EXECUTE write (6)").await, "42601");
     assert_eq!(
-        failure(&client, "PREPARE loop AS EXECUTE loop").await,
+        expect_failure(&client, "PREPARE loop AS EXECUTE loop").await,
         "42601"
     );
     assert_eq!(
-        failure(&client, "DECLARE some CURSOR FOR SELECT 1").await,
+        expect_failure(&client, "DECLARE some CURSOR FOR SELECT 1").await,
         "25P01"
     );
     run(
@@ -359,14 +374,17 @@
         "BEGIN; DECLARE some CURSOR FOR SELECT id FROM notes ORDER BY id",
     )
     .await;
-    // Statements, and the first and the number of the rows they return.
+    // Statement, and the first value and the number of the rows it returns.
     let cases = [
         ("FETCH some", 1, 1),
         ("FETCH 2 FROM some", 2, 2),
         ("FETCH FORWARD ALL FROM some", 4, 2),
     ];
     for (sql, first, count) in cases {
-        let rows = client.query(sql, &[]).await.expect("rows come");
+        let rows = client
+            .query(sql, &[])
+            .await
+            .expect("the query returns rows");
         assert_eq!(
             (rows[0].get::<_, i64>(0), rows.len()),
             (first, count),
@@ -374,44 +392,47 @@
         );
     }
     run(&client, "CLOSE some; COMMIT; DEALLOCATE write").await;
-    assert_eq!(failure(&client, "EXECUTE write (7, 'x')").await, "26000");
-    until_replayed(&group).await;
     assert_eq!(
-        number(&connect(&group, "b").await, "SELECT count(*) FROM notes").await,
+        expect_failure(&client, "EXECUTE write (7, 'x')").await,
+        "26000"
+    );
+    wait_until_replayed(&group).await;
+    assert_eq!(
+        query_number(&connect(&group, "b").await, "SELECT count(*) FROM notes").await,
         5
     );
     group.stop().await;
 }
 
 #[tokio::test]
-async fn copies_go_both_ways() {
+async fn copy_works_in_both_directions() {
     let group = start(group_of_three()).await;
     let client = connect(&group, "a").await;
     let sink = client
         .copy_in("COPY notes (id, body) FROM STDIN")
         .await
-        .expect("it starts");
+        .expect("the copy starts");
     futures::pin_mut!(sink);
     sink.send(bytes::Bytes::from("1\tone\\ttab\n2\ttwo\n"))
         .await
-        .expect("data is taken");
-    assert_eq!(sink.finish().await.expect("it ends"), 2);
+        .expect("the data is accepted");
+    assert_eq!(sink.finish().await.expect("the copy completes"), 2);
     let stream = client
         .copy_out("COPY notes TO STDOUT")
         .await
-        .expect("it starts");
-    let chunks: Vec<bytes::Bytes> = stream.try_collect().await.expect("data comes");
+        .expect("the copy starts");
+    let chunks: Vec<bytes::Bytes> = stream.try_collect().await.expect("the data is received");
     assert_eq!(chunks.concat(), b"1\tone\\ttab\n2\ttwo\n");
-    until_replayed(&group).await;
+    wait_until_replayed(&group).await;
     assert_eq!(
-        number(&connect(&group, "b").await, "SELECT count(*) FROM notes").await,
+        query_number(&connect(&group, "b").await, "SELECT count(*) FROM notes").await,
         2
     );
     group.stop().await;
 }
 
 #[tokio::test]
-async fn passwords_are_checked() {
+async fn passwords_are_verified() {
     let mut settings = group_of_three();
     settings.databases[0].password = Some("secret".to_owned());
     let group = start(settings).await;
@@ -422,7 +443,7 @@
         let refused = outcome.err().map(|error| code(&error));
         assert_eq!(refused.as_deref(), expected, "{password}");
     }
-    until("no slot is kept", || {
+    wait_until("all slots are released", || {
         status_of(&group, "a").open_connections == 0
     })
     .await;
@@ -442,7 +463,7 @@
         (&two, "SELECT pg_try_advisory_lock(7)", "t"),
     ];
     for (client, sql, expected) in cases {
-        assert_eq!(texts(client, sql).await, [expected], "{sql}");
+        assert_eq!(query_texts(client, sql).await, [expected], "{sql}");
     }
     let waiting = one.simple_query("SELECT pg_advisory_lock(7)");
     let unlocking = async {
@@ -450,29 +471,35 @@
         run(&two, "SELECT pg_advisory_unlock_all()").await;
     };
     let (locked, ()) = tokio::join!(waiting, unlocking);
-    locked.expect("the lock is taken");
+    locked.expect("the lock is acquired");
     group.stop().await;
 }
 
 #[tokio::test]
-async fn long_statements_and_large_answers_are_bounded() {
+async fn long_statements_time_out_and_large_results_are_complete() {
     let group = start(group_of_three()).await;
     let client = connect(&group, "a").await;
     let endless =
         "WITH RECURSIVE n (x) AS (SELECT 1 UNION ALL SELECT x + 1 FROM n) SELECT count(*) FROM n";
     run(&client, "SET statement_timeout = '50ms'").await;
-    assert_eq!(failure(&client, endless).await, "57014");
-    assert_eq!(failure(&client, "SELECT pg_sleep(60)").await, "57014");
+    assert_eq!(expect_failure(&client, endless).await, "57014");
+    assert_eq!(
+        expect_failure(&client, "SELECT pg_sleep(60)").await,
+        "57014"
+    );
     run(&client, "RESET statement_timeout").await;
     let large = "SELECT value, repeat('x', 1000) AS body FROM generate_series(1, 20000) AS value";
-    let rows = client.query(large, &[]).await.expect("the rows come");
+    let rows = client
+        .query(large, &[])
+        .await
+        .expect("the query returns rows");
     assert_eq!(rows.len(), 20_000);
     assert_eq!(rows[19_999].get::<_, &str>("body").len(), 1000);
     group.stop().await;
 }
 
 #[tokio::test]
-async fn request_ledger_works_in_its_schema() {
+async fn request_ledger_works_in_the_hookpoint_schema() {
     let mut settings = group_of_three();
     settings.schema = vec![
         "CREATE SCHEMA IF NOT EXISTS hookpoint".to_owned(),
@@ -487,16 +514,19 @@
         assert_eq!(result.expect("the write runs"), changed, "{request}");
     }
     let twice = "INSERT INTO hookpoint.request_ledger (request_id) VALUES ('one')";
-    assert_eq!(failure(&client, twice).await, "23505");
-    until_replayed(&group).await;
+    assert_eq!(expect_failure(&client, twice).await, "23505");
+    wait_until_replayed(&group).await;
     let made = "SELECT made FROM hookpoint.request_ledger WHERE request_id = 'one'";
     let replica = connect(&group, "b").await;
-    assert_eq!(texts(&replica, made).await, texts(&client, made).await);
+    assert_eq!(
+        query_texts(&replica, made).await,
+        query_texts(&client, made).await
+    );
     group.stop().await;
 }
 
 #[tokio::test]
-async fn hostile_statements_are_refused() {
+async fn malformed_statements_are_rejected() {
     let group = start(group_of_three()).await;
     let client = connect(&group, "a").await;
     let cases = [
@@ -521,7 +551,7 @@
         ("PREPARE", "42601"),
     ];
     for (sql, expected) in cases {
-        assert_eq!(failure(&client, sql).await, expected, "{sql}");
+        assert_eq!(expect_failure(&client, sql).await, expected, "{sql}");
         let prepared = client.prepare(sql).await;
         assert!(
             prepared.is_err() || client.execute(sql, &[]).await.is_err(),
@@ -529,15 +559,15 @@
         );
     }
     let deep = format!("SELECT {}1{}", "(".repeat(100_000), ")".repeat(100_000));
-    assert_eq!(failure(&client, &deep).await, "54000");
+    assert_eq!(expect_failure(&client, &deep).await, "54000");
     let far = "SELECT now() + interval '99999999999 years' IS NOT NULL";
-    assert_eq!(texts(&client, far).await, ["t"]);
+    assert_eq!(query_texts(&client, far).await, ["t"]);
     assert_eq!(status_of(&group, "a").open_connections, 1);
     group.stop().await;
 }
 
 #[tokio::test]
-async fn malformed_input_closes_its_own_connection_only() {
+async fn malformed_input_closes_only_its_own_connection() {
     let group = start(GroupSettings {
         connect_delay: Duration::ZERO,
         ..group_of_three()
@@ -545,7 +575,7 @@
     .await;
     let client = connect(&group, "a").await;
     let startup: &[u8] = b"\0\0\0\x12\0\x03\0\0user\0eve\0\0";
-    // What is sent after the start-up message, if that is sent.
+    // Whether the start-up message is sent first, and the malformed bytes.
     let cases: [(bool, &[u8]); 6] = [
         (false, b"GET / HTTP/1.1\r\n\r\n"),
         (false, b"\0\0\0\x01\0\x03\0\0"),
@@ -557,22 +587,24 @@
     for (starts, bytes) in cases {
         let mut stream = TcpStream::connect(group.address("a"))
             .await
-            .expect("it connects");
+            .expect("a connection");
         if starts {
-            stream.write_all(startup).await.expect("it is taken");
+            stream.write_all(startup).await.expect("the bytes are sent");
         }
-        stream.write_all(bytes).await.expect("it is taken");
-        let mut answer = Vec::new();
-        // A reset is as good an end as a closed stream.
-        let read = stream.read_to_end(&mut answer);
-        let ended = tokio::time::timeout(database_support::PATIENCE, read).await;
+        stream.write_all(bytes).await.expect("the bytes are sent");
+        let mut response = Vec::new();
+        // The connection may end by a reset or by an orderly close.
+        let read = stream.read_to_end(&mut response);
+        let ended = tokio::time::timeout(database_support::TIMEOUT, read).await;
         assert!(ended.is_ok(), "{bytes:?}");
     }
-    assert_eq!(texts(&client, "SELECT 1").await, ["1"]);
-    until("their slots are free", || {
+    assert_eq!(query_texts(&client, "SELECT 1").await, ["1"]);
+    wait_until("the slots of the closed connections are free", || {
         status_of(&group, "a").open_connections == 1
     })
     .await;
-    try_connect(&group, "a").await.expect("others are served");
+    try_connect(&group, "a")
+        .await
+        .expect("other clients are still served");
     group.stop().await;
 }
--- a/lab/standin/tests/database_sql.rs
+++ b/lab/standin/tests/database_sql.rs
@@ -1,12 +1,12 @@
-//! What a client sees of one database: protocol, SQL and errors.
+//! Tests of one database from a client: protocol, SQL and errors.
 
 mod database_support;
 
 use std::time::Duration;
 
 use database_support::{
-    STATUS_QUERY, code, connect, failure, group_of_three, number, start, status_of, texts,
-    try_connect, until, until_replayed,
+    STATUS_QUERY, code, connect, expect_failure, group_of_three, query_number, query_texts, start,
+    status_of, try_connect, wait_until, wait_until_replayed,
 };
 use futures::future::join_all;
 use tokio_postgres::types::Type;
@@ -23,14 +23,17 @@
             .expect("the write runs");
         assert_eq!(changed, 1);
     }
-    until_replayed(&group).await;
+    wait_until_replayed(&group).await;
     for name in ["a", "b", "c"] {
         let client = connect(&group, name).await;
-        assert_eq!(number(&client, "SELECT count(*) FROM notes").await, 20);
+        assert_eq!(
+            query_number(&client, "SELECT count(*) FROM notes").await,
+            20
+        );
         let row = client
             .query_one("SELECT id, body FROM notes WHERE id = $1", &[&7_i64])
             .await
-            .expect("the row is there");
+            .expect("the row exists");
         assert_eq!((row.get::<_, i64>(0), row.get::<_, &str>(1)), (7, "text"));
         assert_eq!(group.history(name).len(), 20);
     }
@@ -45,28 +48,31 @@
         .simple_query("INSERT INTO notes VALUES (1, 'x')")
         .await
         .expect("the write runs");
-    until_replayed(&group).await;
-    until("both replicas are heard", || {
+    wait_until_replayed(&group).await;
+    wait_until("both replicas have flushed the same position", || {
         status_of(&group, "b").flushed == status_of(&group, "c").flushed
     })
     .await;
     let position = status_of(&group, "a").flushed.to_string();
-    let leading = texts(&primary, STATUS_QUERY).await;
+    let primary_status = query_texts(&primary, STATUS_QUERY).await;
     assert_eq!(
-        leading[..3],
+        primary_status[..3],
         ["f".to_owned(), "1".to_owned(), position.clone()]
     );
-    assert!(leading[3].contains(&format!("b={position}")), "{leading:?}");
+    assert!(
+        primary_status[3].contains(&format!("b={position}")),
+        "{primary_status:?}"
+    );
     let replica = connect(&group, "b").await;
     let expected = ["t", "1", position.as_str(), ""];
-    assert_eq!(texts(&replica, STATUS_QUERY).await, expected);
+    assert_eq!(query_texts(&replica, STATUS_QUERY).await, expected);
     let both = format!("BEGIN; {STATUS_QUERY}; COMMIT");
-    assert_eq!(texts(&replica, &both).await, expected);
+    assert_eq!(query_texts(&replica, &both).await, expected);
     group.stop().await;
 }
 
 #[tokio::test]
-async fn errors_have_their_codes() {
+async fn errors_have_the_expected_sqlstate() {
     let group = start(group_of_three()).await;
     let primary = connect(&group, "a").await;
     let replica = connect(&group, "b").await;
@@ -79,7 +85,7 @@
             "CREATE TABLE tags (note BIGINT REFERENCES notes (id), size INT CHECK (size > 0))",
         )
         .await
-        .expect("the table is made");
+        .expect("the table is created");
     let on_primary = [
         ("INSERT INTO notes VALUES (1, 'y')", "23505"),
         ("INSERT INTO notes VALUES (2, NULL)", "23502"),
@@ -101,7 +107,7 @@
         ("INSERT INTO notes VALUES (3, 'z')", "25P02"),
     ];
     for (sql, expected) in on_primary {
-        assert_eq!(failure(&primary, sql).await, expected, "{sql}");
+        assert_eq!(expect_failure(&primary, sql).await, expected, "{sql}");
     }
     primary
         .simple_query("ROLLBACK")
@@ -121,14 +127,17 @@
         ("SELECT pg_walfile_name('0/1')", "55000"),
     ];
     for (sql, expected) in on_replica {
-        assert_eq!(failure(&replica, sql).await, expected, "{sql}");
+        assert_eq!(expect_failure(&replica, sql).await, expected, "{sql}");
     }
-    assert_eq!(number(&primary, "SELECT count(*) FROM notes").await, 1);
+    assert_eq!(
+        query_number(&primary, "SELECT count(*) FROM notes").await,
+        1
+    );
     group.stop().await;
 }
 
 #[tokio::test]
-async fn slots_are_enforced() {
+async fn connection_slots_are_enforced() {
     let mut settings = group_of_three();
     settings.databases[0].slots = 2;
     let group = start(settings).await;
@@ -136,7 +145,7 @@
     let second = connect(&group, "a").await;
     let refusal = try_connect(&group, "a")
         .await
-        .expect_err("the third is refused");
+        .expect_err("the third connection is refused");
     assert_eq!(code(&refusal), "53300");
     let status = status_of(&group, "a");
     let counts = (
@@ -146,7 +155,7 @@
     );
     assert_eq!(counts, (2, 2, 1));
     drop(second);
-    until("a slot is free", || {
+    wait_until("a slot is free", || {
         status_of(&group, "a").open_connections == 1
     })
     .await;
@@ -172,7 +181,7 @@
             .simple_query(begin)
             .await
             .expect("the statement runs");
-        until("the slot is free", || {
+        wait_until("the slot is free", || {
             status_of(&group, "a").open_connections == 0
         })
         .await;
@@ -182,7 +191,7 @@
 }
 
 #[tokio::test]
-async fn cancel_reaches_a_running_statement_only() {
+async fn cancel_affects_only_a_running_statement() {
     let group = start(group_of_three()).await;
     let client = connect(&group, "a").await;
     let token = client.cancel_token();
@@ -190,7 +199,7 @@
         .cancel_query(tokio_postgres::NoTls)
         .await
         .expect("the request is sent");
-    assert_eq!(texts(&client, "SELECT 1").await, ["1"]);
+    assert_eq!(query_texts(&client, "SELECT 1").await, ["1"]);
     let sleep = client.simple_query("SELECT pg_sleep(60)");
     let cancel = async {
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -201,10 +210,10 @@
     };
     let (slept, ()) = tokio::join!(sleep, cancel);
     assert_eq!(
-        code(&slept.expect_err("the statement is cancelled")),
+        code(&slept.expect_err("the statement is canceled")),
         "57014"
     );
-    assert_eq!(texts(&client, "SELECT 1").await, ["1"]);
+    assert_eq!(query_texts(&client, "SELECT 1").await, ["1"]);
     assert_eq!(status_of(&group, "a").peak_connections, 1);
     group.stop().await;
 }
@@ -240,13 +249,13 @@
             .all(|result| result.is_ok_and(|changed| changed == 1))
     );
     for (row, body) in selected.into_iter().zip(&bodies) {
-        assert_eq!(row.expect("the row is there").get::<_, &str>(0), body);
+        assert_eq!(row.expect("the row exists").get::<_, &str>(0), body);
     }
     group.stop().await;
 }
 
 #[tokio::test]
-async fn types_travel_in_both_formats() {
+async fn types_are_encoded_in_text_and_binary_format() {
     let group = start(group_of_three()).await;
     let client = connect(&group, "a").await;
     client
@@ -256,7 +265,7 @@
                  raw BYTEA, made TIMESTAMPTZ NOT NULL DEFAULT now(), data JSONB, tag UUID)",
         )
         .await
-        .expect("the table is made");
+        .expect("the table is created");
     let insert = "INSERT INTO kinds (small, whole, big, truth, ratio, body, raw)
                   VALUES ($1, $2, $3, $4, $5, $6, $7) RETURNING id, whole + 1 AS next, made";
     let raw: &[u8] = &[0, 1, 255];
@@ -276,7 +285,7 @@
     let row = client
         .query_one("SELECT * FROM kinds WHERE truth AND whole = $1", &[&2_i32])
         .await
-        .expect("the row is there");
+        .expect("the row exists");
     assert_eq!(
         (
             row.get::<_, i16>(1),
@@ -290,7 +299,7 @@
         (row.get::<_, &str>(6), row.get::<_, &[u8]>(7)),
         ("six", raw)
     );
-    let as_text = texts(&client, "SELECT truth, raw, ratio FROM kinds").await;
+    let as_text = query_texts(&client, "SELECT truth, raw, ratio FROM kinds").await;
     assert_eq!(as_text, ["t", "\\x0001ff", "0.5"]);
     group.stop().await;
 }
--- a/lab/standin/tests/database_support/mod.rs
+++ b/lab/standin/tests/database_support/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests of the database stand-in share.
-#![allow(dead_code, reason = "each test binary uses a part of it")]
+//! Helpers shared by the tests of the database stand-in.
+#![allow(dead_code, reason = "each test binary uses only some of the helpers")]
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -9,13 +9,13 @@
 };
 use tokio_postgres::{Client, Config, NoTls, Row, SimpleQueryMessage};
 
-/// How long a test waits for what must come.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of events that must happen.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The status query that proxies send.
+/// The status query that the proxies send.
 pub const STATUS_QUERY: &str = "SELECT pg_is_in_recovery() AS in_recovery, CASE WHEN pg_is_in_recovery() THEN (SELECT timeline_id FROM pg_control_checkpoint()) ELSE ('x' || substr(pg_walfile_name(pg_current_wal_lsn()), 1, 8))::bit(32)::int END AS term, CASE WHEN pg_is_in_recovery() THEN pg_last_wal_replay_lsn() ELSE pg_current_wal_flush_lsn() END AS position, COALESCE((SELECT string_agg(application_name || '=' || flush_lsn::text, ',') FROM pg_stat_replication), '') AS flushed";
 
-/// One database of a test group.
+/// Returns the settings of one database of a test group.
 pub fn database(name: &str) -> DatabaseSettings {
     DatabaseSettings {
         name: name.to_owned(),
@@ -26,7 +26,8 @@
     }
 }
 
-/// A group of the databases `a`, `b` and `c`, of which `a` leads first.
+/// Returns the settings of a group of the databases `a`, `b` and `c`, with `a` as
+/// the initial primary.
 pub fn group_of_three() -> GroupSettings {
     GroupSettings {
         name: "test".to_owned(),
@@ -45,7 +46,7 @@
         .expect("the group starts")
 }
 
-/// The way to a database of a group.
+/// Returns the client configuration for a database of a group.
 pub fn config(group: &DatabaseGroup, name: &str) -> Config {
     let address = group.address(name);
     let mut config = Config::new();
@@ -57,7 +58,7 @@
     config
 }
 
-/// Connects, or tells why not.
+/// Connects to a database of a group, or returns the error.
 pub async fn try_connect(
     group: &DatabaseGroup,
     name: &str,
@@ -67,14 +68,15 @@
     Ok(client)
 }
 
-/// Connects to a database of a group.
+/// Connects to a database of a group; panics on an error.
 pub async fn connect(group: &DatabaseGroup, name: &str) -> Client {
     try_connect(group, name)
         .await
         .expect("the database accepts a connection")
 }
 
-/// The SQLSTATE of an error, or nothing when it came from no database.
+/// Returns the SQLSTATE of an error, or an empty string when the error was not
+/// sent by a database.
 pub fn code(error: &tokio_postgres::Error) -> String {
     error
         .code()
@@ -82,14 +84,14 @@
         .unwrap_or_default()
 }
 
-/// The SQLSTATE with which a simple query fails.
-pub async fn failure(client: &Client, sql: &str) -> String {
+/// Runs a simple query that must fail and returns its SQLSTATE.
+pub async fn expect_failure(client: &Client, sql: &str) -> String {
     let error = client.simple_query(sql).await.expect_err("the query fails");
     code(&error)
 }
 
-/// The first row of a simple query, as text.
-pub async fn texts(client: &Client, sql: &str) -> Vec<String> {
+/// Runs a simple query and returns its first row as text.
+pub async fn query_texts(client: &Client, sql: &str) -> Vec<String> {
     let messages = client.simple_query(sql).await.expect("the query runs");
     let row = messages.into_iter().find_map(|message| match message {
         SimpleQueryMessage::Row(row) => Some(row),
@@ -101,22 +103,22 @@
         .collect()
 }
 
-/// The number in the only row and column of a query.
-pub async fn number(client: &Client, sql: &str) -> i64 {
+/// Runs a query and returns the number in its only row and column.
+pub async fn query_number(client: &Client, sql: &str) -> i64 {
     let row: Row = client.query_one(sql, &[]).await.expect("the query runs");
     row.get(0)
 }
 
-/// Waits until `done` holds.
-pub async fn until(what: &str, mut done: impl FnMut() -> bool) {
+/// Waits until `condition` is true; panics after the timeout.
+pub async fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !done() {
-        assert!(start.elapsed() < PATIENCE, "waited too long: {what}");
+    while !condition() {
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting until {what}");
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// The status of one database.
+/// Returns the status of one database.
 pub fn status_of(group: &DatabaseGroup, name: &str) -> DatabaseStatus {
     group
         .status()
@@ -125,9 +127,10 @@
         .expect("the database is in the group")
 }
 
-/// Waits until all replicas have replayed all that the primary has flushed.
-pub async fn until_replayed(group: &DatabaseGroup) {
-    until("all is replayed", || {
+/// Waits until all databases have replayed everything that the first one has
+/// flushed.
+pub async fn wait_until_replayed(group: &DatabaseGroup) {
+    wait_until("everything is replayed", || {
         let statuses = group.status();
         statuses
             .iter()
@@ -136,11 +139,11 @@
     .await;
 }
 
-/// Waits until a database other than `old` leads.
-pub async fn until_elected(group: &DatabaseGroup, old: &str) -> String {
-    until("an election", || {
+/// Waits until a database other than `old` is primary and returns its name.
+pub async fn wait_until_elected(group: &DatabaseGroup, old: &str) -> String {
+    wait_until("another primary is elected", || {
         group.primary().is_some_and(|primary| primary != old)
     })
     .await;
-    group.primary().expect("a primary was just seen")
+    group.primary().expect("there is a primary")
 }
