--- a/lab/standin/src/database/consensus/message.rs
+++ b/lab/standin/src/database/consensus/message.rs
@@ -75,7 +75,7 @@
     },
 }
 
-/// An action that the owner of a [`Consensus`] must execute.
+/// An action that the owner of a [`Consensus`](super::Consensus) must execute.
 #[derive(Clone, Debug)]
 pub enum Action {
     /// Send a message.
--- a/lab/standin/src/database/definition.rs
+++ b/lab/standin/src/database/definition.rs
@@ -64,7 +64,7 @@
         }
         result.extend(rewrite_column(item));
     }
-    // Storage parameters and partitioning after the list are dropped.
+    // Storage parameters and partitioning clauses after the list are dropped.
     result.push(Token::symbol(")"));
     result
 }
--- a/lab/standin/src/database/extended.rs
+++ b/lab/standin/src/database/extended.rs
@@ -22,12 +22,12 @@
 use super::transaction::Stage;
 use super::value;
 
-/// Prepared statements that one session may hold.
+/// Maximum number of prepared statements of one session.
 const MAXIMUM_STATEMENTS: usize = 10_000;
-/// Portals that one session may hold.
+/// Maximum number of portals of one session.
 const MAXIMUM_PORTALS: usize = 1_000;
 
-/// A prepared statement.
+/// A prepared statement with its parameter types and result columns.
 pub struct Prepared {
     /// The statement, or `None` for an empty query.
     pub(super) statement: Option<Statement>,
--- a/lab/standin/src/database/node.rs
+++ b/lab/standin/src/database/node.rs
@@ -1,6 +1,6 @@
 //! One database of a group: its log, its rows and its consensus state.
 //!
-//! Lock order: `inner`, then a working store, then `committed`.
+//! Lock order: `inner`, then the working rows, then `committed`.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, OnceLock};
@@ -52,7 +52,7 @@
     working: Option<Arc<WorkingRows>>,
 }
 
-/// One database.
+/// One database of a group.
 pub struct Node {
     /// Index of the database in its group.
     pub member: Member,
--- a/lab/standin/src/database/side_effect.rs
+++ b/lab/standin/src/database/side_effect.rs
@@ -55,9 +55,9 @@
 /// An argument whose value is known before the statement runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Argument {
-    /// A literal, as written.
+    /// The text of a literal, with its sign.
     Literal(String),
-    /// The parameter with this number, from 1.
+    /// The number of a parameter, starting at 1.
     Parameter(usize),
 }
 
--- a/lab/standin/src/database/store.rs
+++ b/lab/standin/src/database/store.rs
@@ -47,7 +47,7 @@
     pub changed: u64,
 }
 
-/// One copy of the rows.
+/// A set of tables and rows in one engine instance.
 pub struct Store {
     connection: Connection,
     context: SharedContext,
--- a/lab/standin/src/database/view.rs
+++ b/lab/standin/src/database/view.rs
@@ -12,7 +12,7 @@
     pub name: String,
     /// End position of the entries that the replica has flushed.
     pub flushed: Lsn,
-    /// End of what it has replayed.
+    /// End position of the entries that the replica has replayed.
     pub replayed: Lsn,
     /// Time of its last message, in microseconds since 1970.
     pub last_message_at: i64,
@@ -27,7 +27,7 @@
     pub timeline: u64,
     /// End position of the local log.
     pub flushed: Lsn,
-    /// End of what it has replayed.
+    /// End position of the entries that have been replayed locally.
     pub replayed: Lsn,
     /// On a replica, the name of the primary from which it receives messages.
     pub primary: Option<String>,
--- a/lab/standin/src/links/zones.rs
+++ b/lab/standin/src/links/zones.rs
@@ -9,7 +9,7 @@
 /// Pseudo-zone of the clients, which are outside all zones.
 pub const CLIENTS: &str = "clients";
 
-/// One-way latencies.
+/// One-way latencies of the links.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Latencies {
     /// Within a zone.
