--- a/lab/workload/src/answers.rs
+++ b/lab/workload/src/answers.rs
@@ -1,30 +1,30 @@
-//! Answers as the history has them.
+//! Converts answers of the client library into the results that the history records.
 
 use tokio_postgres::{Row, SimpleQueryMessage};
 
 use crate::connection::{affected, rows};
 use crate::history::OperationResult;
 
-/// One row of a read: the echo, whether a replica answered, and a sequence.
+/// One row of a read: the echoed nonce, whether a replica answered, and a sequence.
 type ReadRow = (String, bool, Option<u64>);
 
-/// An answer of an impossible shape.
+/// Returns the result for an answer whose shape does not fit its request.
 pub fn malformed(reason: &str) -> OperationResult {
     OperationResult::Malformed {
         reason: reason.to_owned(),
     }
 }
 
-/// The answer to a write by the simple protocol.
-pub fn written(messages: &[SimpleQueryMessage]) -> OperationResult {
+/// Parses the answer to a write sent by the simple query protocol.
+pub fn parse_write(messages: &[SimpleQueryMessage]) -> OperationResult {
     match affected(messages) {
         Some(rows) => OperationResult::Written { rows },
-        None => malformed("a write has no count"),
+        None => malformed("the answer to a write has no row count"),
     }
 }
 
-/// The answer to a read by the simple protocol.
-pub fn read(messages: &[SimpleQueryMessage]) -> OperationResult {
+/// Parses the answer to a read sent by the simple query protocol.
+pub fn parse_read(messages: &[SimpleQueryMessage]) -> OperationResult {
     let parsed = rows(messages).map(|row| -> Option<ReadRow> {
         let sequence = match row.get("sequence") {
             None => None,
@@ -33,11 +33,11 @@
         let replica = row.get("replica")?.starts_with('t');
         Some((row.get("echo")?.to_owned(), replica, sequence))
     });
-    read_of(parsed.collect())
+    read_result(parsed.collect())
 }
 
-/// The answer to a read by the extended protocol.
-pub fn read_rows(rows: &[Row]) -> OperationResult {
+/// Parses the rows of a read sent by the extended query protocol.
+pub fn parse_read_rows(rows: &[Row]) -> OperationResult {
     let parsed = rows.iter().map(|row| -> Option<ReadRow> {
         let sequence: Option<i64> = row.try_get("sequence").ok()?;
         let sequence = match sequence {
@@ -47,18 +47,18 @@
         let replica = row.try_get("replica").ok()?;
         Some((row.try_get("echo").ok()?, replica, sequence))
     });
-    read_of(parsed.collect())
+    read_result(parsed.collect())
 }
 
-fn read_of(rows: Option<Vec<ReadRow>>) -> OperationResult {
+fn read_result(rows: Option<Vec<ReadRow>>) -> OperationResult {
     let Some(rows) = rows else {
-        return malformed("a row of a read has not the expected columns");
+        return malformed("a row of a read lacks the expected columns");
     };
     let Some((echo, replica, _)) = rows.first().cloned() else {
-        return malformed("a read has no row");
+        return malformed("a read returned no row");
     };
     if rows.iter().any(|(other, _, _)| *other != echo) {
-        return malformed("rows of one read echo different texts");
+        return malformed("rows of one read echo different nonces");
     }
     OperationResult::Read {
         echo,
@@ -70,8 +70,9 @@
     }
 }
 
-/// The count and the connection in the answer to the count of a billing run.
-pub fn counted_rows(messages: &[SimpleQueryMessage]) -> Option<(u64, i64)> {
+/// Parses the row count and the backend process ID from the answer to
+/// [`BillingLine::count`](crate::sql::BillingLine::count).
+pub fn parse_billing_count(messages: &[SimpleQueryMessage]) -> Option<(u64, i64)> {
     let row = rows(messages).next()?;
     let counted = row.get("counted")?.parse().ok()?;
     let backend = row.get("backend")?.parse().ok()?;
--- a/lab/workload/src/application.rs
+++ b/lab/workload/src/application.rs
@@ -1,4 +1,5 @@
-//! What the sessions of the two deployments do all day.
+//! The behaviour of client sessions in the two deployments: the requests that each role
+//! sends, and the pauses between them.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,16 +12,16 @@
 use crate::history::{Ending, SessionNumber, WriteKind};
 use crate::session::ClientSession;
 
-/// Share of turns on which a session moves to another proxy.
-const ROAM_SHARE: f64 = 0.01;
-/// Rows of a billing run.
+/// Probability that the next action of a session is to switch to another proxy.
+const SWITCH_PROXY_SHARE: f64 = 0.01;
+/// Range of the number of rows in a billing run.
 const BILLING_LINES: std::ops::RangeInclusive<u32> = 2..=4;
 /// Share of billing runs that are rolled back.
 const ROLLBACK_SHARE: f64 = 0.2;
-/// Billing runs are this much rarer than other requests of a session.
+/// Factor by which the mean pause of a billing session exceeds that of other sessions.
 const BILLING_PAUSE_FACTOR: u32 = 4;
 
-/// What a session does.
+/// Role of a session, which decides the mix of its requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// A clinic or shop: sends messages and reads replies.
@@ -31,14 +32,14 @@
     Clerk,
     /// Runs billing.
     Billing,
-    /// Looks at its consumption, and writes hardly ever.
+    /// Reads its consumption and rarely writes.
     Customer,
-    /// Writes steadily, to see how long writes cannot proceed.
+    /// Writes at a fixed interval, to measure how long writes are blocked.
     SteadyWriter,
 }
 
 impl Role {
-    /// The role of the session at `index` within its group of `count` sessions.
+    /// Returns the role of the session at `index` within its group of `count` sessions.
     pub fn of(application: Application, index: usize, count: usize) -> Self {
         if index == 0 {
             return Role::SteadyWriter;
@@ -58,60 +59,60 @@
     }
 }
 
-/// What a session is asked to do next.
+/// The next action of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Turn {
+enum Action {
     Write(WriteKind),
     ReadOwn,
     ReadOther,
     Billing,
-    Roam,
+    SwitchProxy,
 }
 
-/// How a session runs.
+/// Settings of the request loop of a session.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// Its role.
+    /// Role of the session.
     pub role: Role,
-    /// Mean pause between two turns.
+    /// Mean pause between two actions.
     pub mean_pause: Duration,
-    /// Sessions of the same group, for reads about others.
+    /// Sessions of the same group whose rows the session may read.
     pub subjects: Arc<Vec<SessionNumber>>,
-    /// Set when the run is over.
+    /// Set to end the loop.
     pub stop: Arc<AtomicBool>,
 }
 
-/// Runs `session` until it is told to stop.
+/// Runs `session` until `run.stop` is set.
 pub async fn run(mut session: ClientSession, run: Run) {
-    let first = pause(session.random(), run.mean_pause);
+    let first = draw_pause(session.random(), run.mean_pause);
     tokio::time::sleep(first).await;
     while !run.stop.load(Ordering::Relaxed) {
-        take_turn(&mut session, &run).await;
+        run_action(&mut session, &run).await;
         let mean = match run.role {
             Role::Billing => run.mean_pause * BILLING_PAUSE_FACTOR,
             _ => run.mean_pause,
         };
         let pause = match run.role {
             Role::SteadyWriter => run.mean_pause,
-            _ => pause(session.random(), mean),
+            _ => draw_pause(session.random(), mean),
         };
         tokio::time::sleep(pause).await;
     }
 }
 
-async fn take_turn(session: &mut ClientSession, run: &Run) {
-    match next_turn(session.random(), run.role) {
-        Turn::Write(kind) => {
+async fn run_action(session: &mut ClientSession, run: &Run) {
+    match choose_action(session.random(), run.role) {
+        Action::Write(kind) => {
             session.write(kind).await;
         }
-        Turn::ReadOwn => session.read_own().await,
-        Turn::ReadOther => {
+        Action::ReadOwn => session.read_own().await,
+        Action::ReadOther => {
             let index = session.random().random_range(0..run.subjects.len().max(1));
             if let Some(subject) = run.subjects.get(index) {
                 session.read_other(*subject).await;
             }
         }
-        Turn::Billing => {
+        Action::Billing => {
             let lines = session.random().random_range(BILLING_LINES);
             let ending = match session.random().random_bool(ROLLBACK_SHARE) {
                 true => Ending::Rollback,
@@ -119,48 +120,48 @@
             };
             session.billing_run(lines, ending).await;
         }
-        Turn::Roam => session.roam().await,
+        Action::SwitchProxy => session.switch_proxy().await,
     }
 }
 
-fn next_turn(random: &mut ChaCha8Rng, role: Role) -> Turn {
-    if role != Role::SteadyWriter && random.random_bool(ROAM_SHARE) {
-        return Turn::Roam;
+fn choose_action(random: &mut ChaCha8Rng, role: Role) -> Action {
+    if role != Role::SteadyWriter && random.random_bool(SWITCH_PROXY_SHARE) {
+        return Action::SwitchProxy;
     }
     let draw = random.random_range(0..100);
     match role {
-        Role::SteadyWriter => Turn::Write(WriteKind::Confirmation),
+        Role::SteadyWriter => Action::Write(WriteKind::Confirmation),
         Role::Shop => match draw {
-            0..=24 => Turn::Write(WriteKind::Reminder),
-            25..=34 => Turn::Write(WriteKind::ChargeNotice),
-            35..=44 => Turn::Write(WriteKind::Confirmation),
-            45..=54 => Turn::Write(WriteKind::Reply),
-            55..=89 => Turn::ReadOwn,
-            _ => Turn::ReadOther,
+            0..=24 => Action::Write(WriteKind::Reminder),
+            25..=34 => Action::Write(WriteKind::ChargeNotice),
+            35..=44 => Action::Write(WriteKind::Confirmation),
+            45..=54 => Action::Write(WriteKind::Reply),
+            55..=89 => Action::ReadOwn,
+            _ => Action::ReadOther,
         },
         Role::Reader => match draw {
-            0..=49 => Turn::Write(WriteKind::Reading),
-            _ => Turn::ReadOwn,
+            0..=49 => Action::Write(WriteKind::Reading),
+            _ => Action::ReadOwn,
         },
         Role::Clerk => match draw {
-            0..=29 => Turn::Write(WriteKind::Correction),
-            30..=69 => Turn::ReadOwn,
-            _ => Turn::ReadOther,
+            0..=29 => Action::Write(WriteKind::Correction),
+            30..=69 => Action::ReadOwn,
+            _ => Action::ReadOther,
         },
         Role::Billing => match draw {
-            0..=49 => Turn::Billing,
-            _ => Turn::ReadOther,
+            0..=49 => Action::Billing,
+            _ => Action::ReadOther,
         },
         Role::Customer => match draw {
-            0..=1 => Turn::Write(WriteKind::Reply),
-            2..=39 => Turn::ReadOwn,
-            _ => Turn::ReadOther,
+            0..=1 => Action::Write(WriteKind::Reply),
+            2..=39 => Action::ReadOwn,
+            _ => Action::ReadOther,
         },
     }
 }
 
-/// An exponentially distributed pause, cut at four times its mean.
-fn pause(random: &mut ChaCha8Rng, mean: Duration) -> Duration {
+/// Draws an exponentially distributed pause, capped at four times its mean.
+fn draw_pause(random: &mut ChaCha8Rng, mean: Duration) -> Duration {
     let draw: f64 = random.random_range(1e-9..1.0);
     mean.mul_f64((-draw.ln()).min(4.0))
 }
--- a/lab/workload/src/audit.rs
+++ b/lab/workload/src/audit.rs
@@ -1,4 +1,4 @@
-//! Reads what a group's primary holds in the end, straight from the database.
+//! Reads the final contents of a group's primary directly from the database.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,8 +11,8 @@
 use crate::history::{EntryRow, FinalState, LineRow, SessionNumber};
 use crate::sql;
 
-/// Patience with one statement of the audit.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of connecting and of each statement of the audit.
+const STATEMENT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why a final state could not be read.
 #[derive(Debug, Error)]
@@ -20,40 +20,45 @@
     /// The database did not answer.
     #[error("the database did not answer the audit: {0}")]
     Failed(#[from] Failure),
-    /// A row has not the expected columns.
-    #[error("a row of the audit has not the expected columns")]
+    /// A row lacks the expected columns.
+    #[error("a row of the audit lacks the expected columns")]
     Malformed,
 }
 
 /// Reads the final state of a group from its primary at `address`.
 ///
 /// # Errors
-/// An [`AuditError`]; the run cannot be judged without the state.
+/// An [`AuditError`] when the state cannot be read. A run cannot be checked without it.
 pub async fn final_state(
     address: SocketAddr,
     credentials: &Credentials,
     application: Application,
 ) -> Result<FinalState, AuditError> {
-    let mut connection =
-        ClientConnection::open(address, credentials, &TokenDelivery::None, PATIENCE).await?;
+    let mut connection = ClientConnection::open(
+        address,
+        credentials,
+        &TokenDelivery::None,
+        STATEMENT_TIMEOUT,
+    )
+    .await?;
     let entries = connection.simple(&sql::audit_entries(application)).await?;
     let lines = connection.simple(&sql::audit_lines()).await?;
     Ok(FinalState {
-        entries: collect(&entries, entry_of)?,
-        lines: collect(&lines, line_of)?,
+        entries: collect(&entries, parse_entry)?,
+        lines: collect(&lines, parse_line)?,
     })
 }
 
 fn collect<T>(
     messages: &[SimpleQueryMessage],
-    row_of: impl Fn(&SimpleQueryRow) -> Option<T>,
+    parse_row: impl Fn(&SimpleQueryRow) -> Option<T>,
 ) -> Result<Vec<T>, AuditError> {
     rows(messages)
-        .map(|row| row_of(row).ok_or(AuditError::Malformed))
+        .map(|row| parse_row(row).ok_or(AuditError::Malformed))
         .collect()
 }
 
-fn entry_of(row: &SimpleQueryRow) -> Option<EntryRow> {
+fn parse_entry(row: &SimpleQueryRow) -> Option<EntryRow> {
     Some(EntryRow {
         session: SessionNumber(row.get("session")?.parse().ok()?),
         sequence: row.get("sequence")?.parse().ok()?,
@@ -61,7 +66,7 @@
     })
 }
 
-fn line_of(row: &SimpleQueryRow) -> Option<LineRow> {
+fn parse_line(row: &SimpleQueryRow) -> Option<LineRow> {
     Some(LineRow {
         session: SessionNumber(row.get("session")?.parse().ok()?),
         run: row.get("run")?.parse().ok()?,
--- a/lab/workload/src/checker.rs
+++ b/lab/workload/src/checker.rs
@@ -1,7 +1,7 @@
-//! Checks a history against what must always hold.
+//! Checks a history for violations of the guarantees given to clients.
 //!
-//! The checker works on what callers were told and on what the databases hold in the
-//! end. It knows nothing of proxies' inner workings.
+//! The checker uses only the answers that clients received and the final contents of the
+//! databases. It does not depend on the internals of the proxies.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,71 +12,71 @@
     SessionNumber,
 };
 
-/// One thing that must never happen and did.
+/// A violation of a guarantee that must always hold.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "violation", rename_all = "snake_case")]
 pub enum Violation {
-    /// An acknowledged write is not there in the end.
+    /// An acknowledged write is missing from the final state.
     WriteLost {
-        /// Session that was told so.
+        /// Session whose write was acknowledged.
         session: SessionNumber,
         /// Sequence of the write, or number of the billing run.
         sequence: u64,
     },
     /// A write took effect more than once.
     WriteDoubled {
-        /// Session it belongs to.
+        /// Session of the write.
         session: SessionNumber,
         /// Sequence of the write, or number of the billing run.
         sequence: u64,
-        /// How often it took effect.
+        /// Number of times the write took effect.
         copies: usize,
     },
-    /// A read did not show what its session had written or seen before.
+    /// A read did not return a row that its session had written or read before.
     StaleRead {
         /// Session that read.
         session: SessionNumber,
-        /// Session read about.
+        /// Session whose rows were read.
         subject: SessionNumber,
-        /// Sequence that should have been seen.
+        /// Sequence that the read should have returned.
         missing: u64,
-        /// Start of the read in microseconds.
+        /// Start of the read, in microseconds since the run's origin.
         at: u64,
     },
-    /// A transaction saw or left something else than its own statements.
+    /// A transaction was not isolated or not atomic.
     MixedTransaction {
         /// Session of the billing run.
         session: SessionNumber,
-        /// Its run.
+        /// Number of the billing run within its session.
         run: u64,
-        /// What was seen.
+        /// How the transaction was mixed.
         cause: MixedCause,
     },
-    /// An answer was not the answer to its request.
+    /// An answer does not fit its request.
     WrongAnswer {
-        /// Session that got it.
+        /// Session that received the answer.
         session: SessionNumber,
-        /// Start of the request in microseconds.
+        /// Start of the request, in microseconds since the run's origin.
         at: u64,
-        /// What was wrong.
+        /// How the answer was wrong.
         cause: WrongCause,
     },
-    /// A request that was told not to have run did run.
+    /// A request reported as not run took effect.
     FalseNotRun {
-        /// Session that was told so.
+        /// Session of the write.
         session: SessionNumber,
         /// Sequence of the write.
         sequence: u64,
-        /// The attempt that was told so.
+        /// Attempt that was reported as not run.
         attempt: u32,
     },
-    /// A planned stop cut off a request.
+    /// A planned stop of a proxy interrupted a request.
     InFlightCut {
-        /// Session whose request it was.
+        /// Session of the request.
         session: SessionNumber,
-        /// The proxy that was stopping.
+        /// Proxy that was stopping.
         proxy: ProxyIndex,
-        /// Start of the request in microseconds.
+        /// Start of the request, in microseconds since the run's origin.
         at: u64,
     },
 }
@@ -85,13 +85,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MixedCause {
-    /// It did not see exactly its own rows.
+    /// It did not see exactly the rows that it had inserted.
     ForeignView,
-    /// Its statements were answered by more than one connection.
+    /// More than one backend answered its statements.
     SeveralConnections,
-    /// Some of its rows are there and some are not.
+    /// Only some of its rows are in the final state.
     Partial,
-    /// Its rows are there although it was never committed.
+    /// Its rows are in the final state although it was never committed.
     NeverCommitted,
 }
 
@@ -99,54 +99,55 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WrongCause {
-    /// It echoes another request's text.
+    /// It echoes the nonce of another request.
     Echo,
-    /// It has more rows than asked for, or another number affected than written.
+    /// It has more rows than requested, or reports a wrong number of affected rows.
     RowCount,
-    /// It shows rows that nobody can have written.
+    /// It contains rows that no session has attempted to write.
     Impossible,
-    /// It lacks the shape of an answer.
+    /// Its shape does not fit the request.
     Malformed,
 }
 
-/// Counts of what was told.
+/// Counts of the results of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Totals {
-    /// Operations of any result.
+    /// Operations, whatever their result.
     pub requests: u64,
-    /// Writes and billing runs acknowledged.
+    /// Acknowledged writes and billing runs.
     pub writes_acknowledged: u64,
     /// Reads answered.
     pub reads: u64,
     /// Reads answered by a replica.
     pub replica_reads: u64,
-    /// Requests told not to have run.
+    /// Requests reported as not run, and transactions that failed before their `COMMIT`.
     pub not_run: u64,
-    /// Requests whose identifier was told to have run before.
+    /// Requests whose identifier was reported to have already run.
     pub already_run: u64,
-    /// Requests refused with an ordinary error.
+    /// Requests rejected with an ordinary error.
     pub rejected: u64,
-    /// Writes whose outcome was told to be unknown.
+    /// Writes whose outcome was reported as unknown.
     pub unknown: u64,
-    /// Requests without an answer: broken connections and time-outs.
+    /// Requests without a definite answer: lost connections, timeouts, and reads of unknown
+    /// outcome.
     pub unanswered: u64,
-    /// Writes of unknown outcome or without an answer that are there in the end.
+    /// Writes of unknown outcome or without an answer that are in the final state.
     pub unknown_found: u64,
-    /// Reads that showed a row which is not there in the end and was not acknowledged.
+    /// Rows returned by reads that were neither acknowledged nor are in the final state.
     pub unconfirmed_reads: u64,
 }
 
-/// What the checker found.
+/// The result of a check.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Findings {
-    /// Counts of what was told.
+    /// Counts of the results of the run.
     pub totals: Totals,
-    /// Everything that must never happen and did.
+    /// All violations found.
     pub violations: Vec<Violation>,
 }
 
 impl Findings {
-    /// Number of violations for which `matches` holds.
+    /// Returns the number of violations for which `matches` returns true.
     pub fn count(&self, matches: impl Fn(&Violation) -> bool) -> u64 {
         self.violations
             .iter()
@@ -155,10 +156,10 @@
     }
 }
 
-/// A write of one session: its sequence, or its run.
+/// Identifies a write: its session, and its sequence or the number of its billing run.
 type WriteKey = (SessionNumber, u64);
 
-/// Checks `history` as a whole.
+/// Checks all operations, planned stops and final states of `history`.
 pub fn check(history: &History) -> Findings {
     let mut checker = Checker::new(history);
     checker.check_sessions();
@@ -247,7 +248,7 @@
 
     fn check_record(&mut self, session: SessionNumber, record: &Record, view: &mut SessionView) {
         if let OperationResult::Malformed { .. } = record.result {
-            self.wrong(record, WrongCause::Malformed);
+            self.report_wrong_answer(record, WrongCause::Malformed);
         }
         match &record.operation {
             Operation::Write { sequence, .. } => {
@@ -256,7 +257,7 @@
                     OperationResult::Written { rows } => {
                         view.acknowledged.insert(*sequence);
                         if rows != 1 {
-                            self.wrong(record, WrongCause::RowCount);
+                            self.report_wrong_answer(record, WrongCause::RowCount);
                         }
                     }
                     OperationResult::AlreadyRan => {
@@ -287,7 +288,7 @@
         }
     }
 
-    fn wrong(&mut self, record: &Record, cause: WrongCause) {
+    fn report_wrong_answer(&mut self, record: &Record, cause: WrongCause) {
         self.report(Violation::WrongAnswer {
             session: record.session,
             at: record.started,
@@ -297,7 +298,7 @@
 
     fn check_echo(&mut self, record: &Record, nonce: &str, echo: &str) {
         if nonce != echo {
-            self.wrong(record, WrongCause::Echo);
+            self.report_wrong_answer(record, WrongCause::Echo);
         }
     }
 
@@ -310,17 +311,19 @@
         view: &mut SessionView,
     ) {
         if sequences.len() > limit {
-            self.wrong(record, WrongCause::RowCount);
+            self.report_wrong_answer(record, WrongCause::RowCount);
         }
-        let shown: BTreeSet<u64> = sequences.iter().copied().collect();
-        if !shown.is_subset(&view.attempted) {
-            self.wrong(record, WrongCause::Impossible);
+        let returned: BTreeSet<u64> = sequences.iter().copied().collect();
+        if !returned.is_subset(&view.attempted) {
+            self.report_wrong_answer(record, WrongCause::Impossible);
         }
-        let lowest = match shown.first() {
+        let lowest = match returned.first() {
             Some(first) if sequences.len() >= limit => *first,
             _ => 0,
         };
-        let missing = view.expected(lowest).find(|known| !shown.contains(known));
+        let missing = view
+            .expected(lowest)
+            .find(|expected| !returned.contains(expected));
         if let Some(missing) = missing {
             self.report(Violation::StaleRead {
                 session,
@@ -329,13 +332,13 @@
                 at: record.started,
             });
         }
-        for sequence in &shown {
+        for sequence in &returned {
             self.note_unconfirmed((session, *sequence));
         }
-        let kept = shown
+        let durable = returned
             .iter()
             .filter(|sequence| self.entries.contains_key(&(session, **sequence)));
-        view.seen.extend(kept);
+        view.seen.extend(durable);
     }
 
     fn check_other_read(
@@ -347,11 +350,11 @@
         view: &mut SessionView,
     ) {
         if sequences.len() > 1 {
-            self.wrong(record, WrongCause::RowCount);
+            self.report_wrong_answer(record, WrongCause::RowCount);
         }
-        let shown = sequences.iter().copied().max().unwrap_or(0);
-        let before = view.others.get(&subject).copied().unwrap_or(0);
-        if shown < before {
+        let returned = sequences.iter().copied().max().unwrap_or(0);
+        let before = view.highest_read.get(&subject).copied().unwrap_or(0);
+        if returned < before {
             self.report(Violation::StaleRead {
                 session,
                 subject,
@@ -359,12 +362,12 @@
                 at: record.started,
             });
         }
-        if shown == 0 {
+        if returned == 0 {
             return;
         }
-        self.note_unconfirmed((subject, shown));
-        if self.entries.contains_key(&(subject, shown)) {
-            view.others.insert(subject, shown.max(before));
+        self.note_unconfirmed((subject, returned));
+        if self.entries.contains_key(&(subject, returned)) {
+            view.highest_read.insert(subject, returned.max(before));
         }
     }
 
@@ -495,16 +498,16 @@
                 sequence: run,
             });
         }
-        let never = never_committed(&record.result, ending);
-        if never && distinct != 0 {
+        let not_committed = never_committed(&record.result, ending);
+        if not_committed && distinct != 0 {
             self.report(mixed(MixedCause::NeverCommitted));
         }
-        if !ended && !never {
+        if !ended && !not_committed {
             self.findings.totals.unknown_found += u64::from(distinct != 0);
         }
     }
 
-    /// A run whose attempts took effect more than once.
+    /// Reports billing runs of which more than one attempt took effect.
     fn check_run_copies(&mut self) {
         let mut attempts: BTreeMap<WriteKey, BTreeSet<u32>> = BTreeMap::new();
         for row in self
@@ -530,18 +533,18 @@
     fn check_stops(&mut self) {
         let history = self.history;
         for record in &history.records {
-            let broken = matches!(
+            let interrupted = matches!(
                 record.result,
                 OperationResult::ConnectionLost | OperationResult::NotCommitted { sqlstate: None }
             );
-            if !broken {
+            if !interrupted {
                 continue;
             }
-            let cut = history
+            let interrupting_stop = history
                 .planned_stops
                 .iter()
-                .find(|stop| cut_by(stop, record));
-            if let Some(stop) = cut {
+                .find(|stop| interrupted_by(stop, record));
+            if let Some(stop) = interrupting_stop {
                 self.report(Violation::InFlightCut {
                     session: record.session,
                     proxy: stop.proxy,
@@ -552,17 +555,18 @@
     }
 }
 
-/// What one session knows at a point of its history.
+/// What a session has attempted, written and read up to a point of its history.
 #[derive(Default)]
 struct SessionView {
     attempted: BTreeSet<u64>,
     acknowledged: BTreeSet<u64>,
     seen: BTreeSet<u64>,
-    others: BTreeMap<SessionNumber, u64>,
+    /// Highest sequence read of each other session.
+    highest_read: BTreeMap<SessionNumber, u64>,
 }
 
 impl SessionView {
-    /// Own sequences from `lowest` on that a read has to show.
+    /// Returns the session's own sequences from `lowest` upwards that a read must return.
     fn expected(&self, lowest: u64) -> impl Iterator<Item = u64> {
         self.acknowledged
             .range(lowest..)
@@ -591,6 +595,6 @@
     }
 }
 
-fn cut_by(stop: &PlannedStop, record: &Record) -> bool {
+fn interrupted_by(stop: &PlannedStop, record: &Record) -> bool {
     stop.proxy == record.proxy && record.started <= stop.to && record.ended >= stop.from
 }
--- a/lab/workload/src/connection.rs
+++ b/lab/workload/src/connection.rs
@@ -1,5 +1,5 @@
-//! One client connection through an ordinary client library, and what its errors say
-//! of a request.
+//! A client connection through an ordinary PostgreSQL client library, and the
+//! classification of its errors by whether the request ran.
 
 use std::collections::BTreeMap;
 use std::future::poll_fn;
@@ -17,122 +17,124 @@
     Client, Config, Connection, NoTls, Row, SimpleQueryMessage, SimpleQueryRow, Statement,
 };
 
-/// Name of the reported parameter that carries the session's token.
+/// Parameter that carries the session's token; the server reports its changes.
 pub const TOKEN_PARAMETER: &str = "hookpoint.token";
-/// Wait before a retry where the refusal does not say how long to wait.
+/// Delay before a retry when the error carries no retry hint.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// Longest wait for the end of a connection that has failed.
-const END_WAIT: Duration = Duration::from_secs(1);
-/// SQLSTATE of a connection that the server ends (`admin_shutdown`).
+/// Maximum wait for the driver task of a failed connection to end.
+const CONNECTION_END_TIMEOUT: Duration = Duration::from_secs(1);
+/// SQLSTATE of a connection closed by the server (`admin_shutdown`).
 const ADMIN_SHUTDOWN: &str = "57P01";
-/// SQLSTATE of a request whose identifier has run before.
+/// SQLSTATE of a request whose identifier has already run.
 const ALREADY_RAN: &str = "HR001";
-/// Error field of a request that did not run.
-const NOT_RUN_FIELD: &str = "hookpoint.outcome=not_run";
-/// Error field of a request of unknown outcome.
-const UNKNOWN_FIELD: &str = "hookpoint.outcome=unknown";
+/// Text in the error detail of a request that did not run.
+const NOT_RUN_DETAIL: &str = "hookpoint.outcome=not_run";
+/// Text in the error detail of a request of unknown outcome.
+const UNKNOWN_DETAIL: &str = "hookpoint.outcome=unknown";
 
-/// Whom to connect as, and to what.
+/// User, password and database of a connection.
 #[derive(Clone, Debug)]
 pub struct Credentials {
-    /// Tenant, the `user` of the start-up message.
+    /// Tenant, sent as `user` in the startup message.
     pub user: String,
-    /// Password, if the proxies ask for one.
+    /// Password; `None` when the proxies require no password.
     pub password: Option<String>,
-    /// Group, the `database` of the start-up message.
+    /// Group, sent as `database` in the startup message.
     pub database: String,
 }
 
-/// How a session's token reaches another proxy.
+/// How a session's token is passed to another proxy.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TokenDelivery {
-    /// Not at all: the session's history is not known there.
+    /// Not passed: the proxy has no information on the session's earlier operations.
     None,
-    /// As an option of the start-up message.
+    /// As an option of the startup message.
     Startup(String),
-    /// By a `SET` once connected.
+    /// By a `SET` statement after connecting.
     Set(String),
 }
 
-/// A request that has no answer.
+/// Why a request failed.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Failure {
-    /// It was told not to have run.
+    /// The error reported that the request did not run.
     #[error("not run ({sqlstate})")]
     NotRun {
         /// SQLSTATE.
         sqlstate: String,
-        /// How long to wait before asking again.
+        /// How long to wait before a retry.
         retry_after: Duration,
     },
-    /// Its identifier was told to have run before.
+    /// The error reported that a request with this identifier had already run.
     #[error("a request with this identifier already ran")]
     AlreadyRan,
-    /// Refused with an ordinary error.
-    #[error("refused ({sqlstate}): {message}")]
+    /// Rejected with an ordinary error.
+    #[error("rejected ({sqlstate}): {message}")]
     Rejected {
         /// SQLSTATE.
         sqlstate: String,
-        /// Message.
+        /// Error message.
         message: String,
     },
-    /// Told to be of unknown outcome.
+    /// The error reported that the outcome is unknown.
     #[error("unknown outcome ({sqlstate})")]
     Unknown {
         /// SQLSTATE.
         sqlstate: String,
     },
-    /// The connection broke.
-    #[error("the connection broke")]
+    /// The connection was lost.
+    #[error("the connection was lost")]
     ConnectionLost,
-    /// No answer within the client's patience.
+    /// No answer arrived within the client's timeout.
     #[error("no answer in time")]
     TimedOut,
 }
 
-/// How a connection came to its end.
+/// How a connection ended.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct ConnectionEnd {
-    farewell: Option<Failure>,
+    /// Error sent by the server before the connection ended; `None` without such an error.
+    server_error: Option<Failure>,
 }
 
-/// One client connection.
+/// A client connection with the last session token that the server reported.
 pub struct ClientConnection {
     client: Client,
     token: Arc<Mutex<Option<String>>>,
     driver: Option<JoinHandle<ConnectionEnd>>,
     end: ConnectionEnd,
-    patience: Duration,
-    /// Statements prepared on this connection; the workload has a fixed few texts.
+    timeout: Duration,
+    /// Statements prepared on this connection, by text. Bounded, since the workload uses a
+    /// small fixed set of texts.
     statements: BTreeMap<String, Statement>,
 }
 
 impl ClientConnection {
-    /// Connects to `address`, waiting at most `patience` for this and for each later
-    /// answer.
+    /// Connects to `address`. `timeout` bounds the wait for the connection and for each
+    /// later answer.
     ///
     /// # Errors
-    /// A [`Failure`]; the session is not connected.
+    /// A [`Failure`] when the session could not be connected.
     pub async fn open(
         address: SocketAddr,
         credentials: &Credentials,
         token: &TokenDelivery,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Self, Failure> {
         let config = config_of(credentials, token);
-        let opened = tokio::time::timeout(patience, connect(address, &config));
+        let opened = tokio::time::timeout(timeout, connect(address, &config));
         let (client, connection) = match opened.await {
             Ok(opened) => opened?,
             Err(_) => return Err(Failure::TimedOut),
         };
-        let cell = Arc::new(Mutex::new(None));
-        let driver = tokio::spawn(drive(connection, cell.clone()));
+        let last_token = Arc::new(Mutex::new(None));
+        let driver = tokio::spawn(drive(connection, last_token.clone()));
         let mut this = Self {
             client,
-            token: cell,
+            token: last_token,
             driver: Some(driver),
             end: ConnectionEnd::default(),
-            patience,
+            timeout,
             statements: BTreeMap::new(),
         };
         if let TokenDelivery::Set(token) = token {
@@ -142,17 +144,18 @@
         Ok(this)
     }
 
-    /// The underlying client.
+    /// Returns the underlying client.
     pub fn client(&self) -> &Client {
         &self.client
     }
 
-    /// Whether the connection is known to be gone.
+    /// Returns whether the connection is known to be closed.
     pub fn is_closed(&self) -> bool {
         self.client.is_closed()
     }
 
-    /// The last token that was reported, complete once the connection has ended.
+    /// Returns the last token that the server reported. On a closed connection, first waits
+    /// for the connection's driver task to end, so that no token is missed.
     pub async fn last_token(&mut self) -> Option<String> {
         if self.is_closed() {
             self.wait_for_end().await;
@@ -160,7 +163,7 @@
         self.token.lock().clone()
     }
 
-    /// Asks for the token.
+    /// Requests the session's token with `SHOW`; `None` when it is empty.
     ///
     /// # Errors
     /// A [`Failure`].
@@ -171,33 +174,34 @@
         Ok(token)
     }
 
-    /// Runs `statement` by the simple protocol.
+    /// Runs `statement` by the simple query protocol.
     ///
     /// # Errors
     /// A [`Failure`].
     pub async fn simple(&mut self, statement: &str) -> Result<Vec<SimpleQueryMessage>, Failure> {
-        self.simple_within(statement, self.patience).await
+        self.simple_with_timeout(statement, self.timeout).await
     }
 
-    /// Like [`ClientConnection::simple`] with a patience of its own.
+    /// Like [`ClientConnection::simple`], with `timeout` in place of the connection's
+    /// timeout.
     ///
     /// # Errors
     /// A [`Failure`].
-    pub async fn simple_within(
+    pub async fn simple_with_timeout(
         &mut self,
         statement: &str,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Vec<SimpleQueryMessage>, Failure> {
         let answer = self.client.simple_query(statement);
-        match tokio::time::timeout(patience, answer).await {
+        match tokio::time::timeout(timeout, answer).await {
             Ok(Ok(messages)) => Ok(messages),
-            Ok(Err(error)) => Err(self.failure_of(&error).await),
+            Ok(Err(error)) => Err(self.classify_error(&error).await),
             Err(_) => Err(Failure::TimedOut),
         }
     }
 
-    /// Runs `statement` by the extended protocol under a name, prepared once for each
-    /// connection, and returns its rows.
+    /// Runs `statement` by the extended query protocol as a named prepared statement and
+    /// returns its rows. Each statement is prepared once per connection.
     ///
     /// # Errors
     /// A [`Failure`].
@@ -208,15 +212,15 @@
     ) -> Result<Vec<Row>, Failure> {
         let prepared = self.prepared(statement).await?;
         let answer = self.client.query(&prepared, parameters);
-        match tokio::time::timeout(self.patience, answer).await {
+        match tokio::time::timeout(self.timeout, answer).await {
             Ok(Ok(rows)) => Ok(rows),
-            Ok(Err(error)) => Err(self.failure_of(&error).await),
+            Ok(Err(error)) => Err(self.classify_error(&error).await),
             Err(_) => Err(Failure::TimedOut),
         }
     }
 
-    /// Runs `statement` by the extended protocol without a name, in one round trip, and
-    /// returns the number of rows affected.
+    /// Runs `statement` by the extended query protocol as an unnamed statement, in one round
+    /// trip, and returns the number of affected rows.
     ///
     /// # Errors
     /// A [`Failure`].
@@ -224,12 +228,12 @@
         &mut self,
         statement: &str,
         parameters: &[(&(dyn ToSql + Sync), Type)],
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<u64, Failure> {
         let answer = self.client.execute_typed(statement, parameters);
-        match tokio::time::timeout(patience, answer).await {
+        match tokio::time::timeout(timeout, answer).await {
             Ok(Ok(rows)) => Ok(rows),
-            Ok(Err(error)) => Err(self.failure_of(&error).await),
+            Ok(Err(error)) => Err(self.classify_error(&error).await),
             Err(_) => Err(Failure::TimedOut),
         }
     }
@@ -239,25 +243,25 @@
             return Ok(prepared.clone());
         }
         let prepared = self.client.prepare(statement);
-        match tokio::time::timeout(self.patience, prepared).await {
+        match tokio::time::timeout(self.timeout, prepared).await {
             Ok(Ok(prepared)) => {
                 self.statements
                     .insert(statement.to_owned(), prepared.clone());
                 Ok(prepared)
             }
-            Ok(Err(error)) => Err(self.failure_of(&error).await),
+            Ok(Err(error)) => Err(self.classify_error(&error).await),
             Err(_) => Err(Failure::TimedOut),
         }
     }
 
-    /// What `error` says of a request of this connection.
-    pub async fn failure_of(&mut self, error: &tokio_postgres::Error) -> Failure {
-        if let Some(failure) = told_failure(error) {
+    /// Classifies the error of a request on this connection.
+    pub async fn classify_error(&mut self, error: &tokio_postgres::Error) -> Failure {
+        if let Some(failure) = server_failure(error) {
             return failure;
         }
         self.wait_for_end().await;
-        match &self.end.farewell {
-            Some(farewell @ Failure::NotRun { .. }) => farewell.clone(),
+        match &self.end.server_error {
+            Some(server_error @ Failure::NotRun { .. }) => server_error.clone(),
             _ => Failure::ConnectionLost,
         }
     }
@@ -266,7 +270,7 @@
         let Some(mut driver) = self.driver.take() else {
             return;
         };
-        match tokio::time::timeout(END_WAIT, &mut driver).await {
+        match tokio::time::timeout(CONNECTION_END_TIMEOUT, &mut driver).await {
             Ok(end) => self.end = end.unwrap_or_default(),
             Err(_) => driver.abort(),
         }
@@ -281,7 +285,7 @@
     }
 }
 
-/// The rows among `messages`.
+/// Returns the rows among `messages`.
 pub fn rows(messages: &[SimpleQueryMessage]) -> impl Iterator<Item = &SimpleQueryRow> {
     messages.iter().filter_map(|message| match message {
         SimpleQueryMessage::Row(row) => Some(row),
@@ -289,7 +293,8 @@
     })
 }
 
-/// The number of rows that the last statement among `messages` affected.
+/// Returns the number of rows affected by the last completed statement among `messages`;
+/// `None` when no statement completed.
 pub fn affected(messages: &[SimpleQueryMessage]) -> Option<u64> {
     messages.iter().rev().find_map(|message| match message {
         SimpleQueryMessage::CommandComplete(count) => Some(*count),
@@ -327,7 +332,7 @@
     config
         .connect_raw(stream, NoTls)
         .await
-        .map_err(|error| told_failure(&error).unwrap_or(Failure::ConnectionLost))
+        .map_err(|error| server_failure(&error).unwrap_or(Failure::ConnectionLost))
 }
 
 async fn drive(
@@ -350,7 +355,7 @@
             Some(Ok(_)) => {}
             Some(Err(error)) => {
                 return ConnectionEnd {
-                    farewell: told_failure(&error),
+                    server_error: server_failure(&error),
                 };
             }
             None => return ConnectionEnd::default(),
@@ -358,32 +363,32 @@
     }
 }
 
-/// What the server itself said, if it said anything.
-fn told_failure(error: &tokio_postgres::Error) -> Option<Failure> {
-    let told = error.as_db_error()?;
-    let sqlstate = told.code().code().to_owned();
-    let detail = told.detail().unwrap_or_default();
+/// Classifies an error sent by the server; `None` when the error has another source.
+fn server_failure(error: &tokio_postgres::Error) -> Option<Failure> {
+    let db_error = error.as_db_error()?;
+    let sqlstate = db_error.code().code().to_owned();
+    let detail = db_error.detail().unwrap_or_default();
     if sqlstate == ALREADY_RAN {
         return Some(Failure::AlreadyRan);
     }
-    if detail.contains(NOT_RUN_FIELD) {
-        let retry_after = told.hint().and_then(milliseconds_in);
+    if detail.contains(NOT_RUN_DETAIL) {
+        let retry_after = db_error.hint().and_then(parse_milliseconds);
         return Some(Failure::NotRun {
             sqlstate,
             retry_after: retry_after.unwrap_or(DEFAULT_RETRY_AFTER),
         });
     }
-    if detail.contains(UNKNOWN_FIELD) || sqlstate.starts_with("08") || sqlstate == ADMIN_SHUTDOWN {
+    if detail.contains(UNKNOWN_DETAIL) || sqlstate.starts_with("08") || sqlstate == ADMIN_SHUTDOWN {
         return Some(Failure::Unknown { sqlstate });
     }
     Some(Failure::Rejected {
         sqlstate,
-        message: told.message().to_owned(),
+        message: db_error.message().to_owned(),
     })
 }
 
-/// The first number in `hint`, taken as milliseconds.
-fn milliseconds_in(hint: &str) -> Option<Duration> {
+/// Parses the first number in `hint` as milliseconds.
+fn parse_milliseconds(hint: &str) -> Option<Duration> {
     let digits: String = hint
         .chars()
         .skip_while(|character| !character.is_ascii_digit())
--- a/lab/workload/src/deployment.rs
+++ b/lab/workload/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The deployments that the laboratory rebuilds on loopback: zones, latencies, database
+//! The deployments that the lab reproduces on loopback: zones, latencies, database
 //! groups and numbers of clients.
 
 use std::time::Duration;
@@ -8,40 +8,40 @@
 /// Which application runs on a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Application {
-    /// Reminders, charge notices, order confirmations, replies and their read-backs.
+    /// Reminders, charge notices, order confirmations, replies, and reads of these rows.
     Messaging,
-    /// Meter readings, corrections, billing runs and customers' reads.
+    /// Meter readings, corrections, billing runs and reads by customers.
     Metering,
 }
 
-/// A zone and the region it lies in.
+/// A zone and the region it belongs to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ZoneSpecification {
     /// Name of the zone.
     pub zone: ZoneName,
-    /// Its region.
+    /// Region of the zone.
     pub region: RegionName,
 }
 
 /// One database server of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DatabaseSpecification {
-    /// Name, unique in the deployment.
+    /// Name of the database, unique in the deployment.
     pub name: DatabaseName,
-    /// Zone it stands in.
+    /// Zone that the server is placed in.
     pub zone: ZoneName,
 }
 
-/// One replicated group.
+/// One replicated database group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GroupSpecification {
     /// Name of the group.
     pub name: GroupName,
-    /// Its databases; the first one starts as primary.
+    /// Databases of the group. The first database starts as primary.
     pub databases: Vec<DatabaseSpecification>,
 }
 
-/// One-way latencies.
+/// One-way network latencies of a deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Latencies {
     /// Within one zone.
@@ -50,37 +50,37 @@
     pub between_zones: Duration,
     /// Between two regions.
     pub between_regions: Duration,
-    /// Between a client and the machines of its zone.
+    /// Between a client and the machines in its zone.
     pub to_clients: Duration,
 }
 
-/// A whole deployment.
+/// A complete deployment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Deployment {
-    /// Name on the command line.
+    /// Name used on the command line.
     pub name: &'static str,
-    /// What runs on it.
+    /// Application that runs on the deployment.
     pub application: Application,
-    /// Its zones, one proxy each.
+    /// Zones, with one proxy each.
     pub zones: Vec<ZoneSpecification>,
-    /// Its database groups.
+    /// Replicated database groups.
     pub groups: Vec<GroupSpecification>,
-    /// Latencies of its links.
+    /// One-way network latencies.
     pub latencies: Latencies,
-    /// Connections each database allows.
+    /// Maximum number of connections to each database.
     pub slots: u32,
-    /// Client sessions for each database.
+    /// Number of client sessions per database.
     pub clients_per_database: usize,
-    /// Time a new database connection takes.
+    /// Time taken to open a database connection.
     pub connect_delay: Duration,
-    /// How far replicas run behind in ordinary times.
+    /// Replication lag of replicas in normal operation.
     pub replica_lag: Duration,
 }
 
-/// Number of groups in either deployment.
-const GROUPS: usize = 3;
+/// Number of groups in each deployment.
+const GROUP_COUNT: usize = 3;
 
-/// The messaging deployment in Costa Rica.
+/// Returns the messaging deployment in Costa Rica.
 pub fn costa_rica() -> Deployment {
     let zones = zones(&[
         ("sj-sala-a", "san-jose"),
@@ -105,7 +105,7 @@
     }
 }
 
-/// The metering deployment in Greece.
+/// Returns the metering deployment in Greece.
 pub fn greece() -> Deployment {
     let zones = zones(&[
         ("ath-hall", "attica"),
@@ -131,7 +131,7 @@
 }
 
 impl Deployment {
-    /// The deployment of that name, if there is one.
+    /// Returns the deployment called `name`; `None` when there is none.
     pub fn by_name(name: &str) -> Option<Self> {
         match name {
             "costa-rica" => Some(costa_rica()),
@@ -140,7 +140,7 @@
         }
     }
 
-    /// One-way latency between machines of two zones.
+    /// Returns the one-way latency between machines of two zones.
     pub fn latency(&self, from: &ZoneName, to: &ZoneName) -> Duration {
         if from == to {
             return self.latencies.within_zone;
@@ -151,7 +151,7 @@
         self.latencies.between_regions
     }
 
-    /// The region of `zone`, if the deployment has it.
+    /// Returns the region of `zone`; `None` when the deployment has no such zone.
     pub fn region_of(&self, zone: &ZoneName) -> Option<&RegionName> {
         self.zones
             .iter()
@@ -159,7 +159,7 @@
             .map(|found| &found.region)
     }
 
-    /// Client sessions of the whole deployment.
+    /// Returns the number of client sessions of the whole deployment.
     pub fn clients(&self) -> usize {
         let databases: usize = self.groups.iter().map(|group| group.databases.len()).sum();
         databases * self.clients_per_database
@@ -176,10 +176,10 @@
         .collect()
 }
 
-/// Three groups, each with one database a zone; each group's first primary stands in
-/// another zone.
+/// Returns three groups with one database in each zone. The initial primaries of the groups
+/// are in different zones.
 fn groups(prefix: &str, zones: &[ZoneSpecification]) -> Vec<GroupSpecification> {
-    (0..GROUPS)
+    (0..GROUP_COUNT)
         .map(|group| GroupSpecification {
             name: GroupName::from(format!("{prefix}-{}", group + 1)),
             databases: (0..zones.len())
--- a/lab/workload/src/failover.rs
+++ b/lab/workload/src/failover.rs
@@ -1,4 +1,4 @@
-//! How long writes could not proceed around a change of primary, as callers saw it.
+//! Measures how long writes were blocked during a change of primary, as callers observed.
 
 use hookpoint_state::GroupName;
 use serde::Serialize;
@@ -8,29 +8,30 @@
 /// A change of primary, in microseconds since the run's origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PrimaryChange {
-    /// The group.
+    /// Group whose primary changed.
     pub group: GroupName,
     /// When the old primary was lost.
     pub lost: u64,
-    /// When the new one began to lead.
+    /// When the new primary was elected.
     pub elected: u64,
 }
 
-/// The gap in the writes of one group.
+/// The period during which writes of one group were blocked.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct FailoverGap {
-    /// The group.
+    /// Group whose primary changed.
     pub group: GroupName,
-    /// From the first write that could not proceed to the first one acknowledged by
-    /// the new primary, in milliseconds.
+    /// Time from the first blocked write to the first write acknowledged by the new primary,
+    /// in milliseconds.
     pub gap_ms: f64,
-    /// The part of it before the group had elected, in milliseconds.
+    /// Part of the gap up to the election of the new primary, in milliseconds.
     pub election_ms: f64,
-    /// Writes that took longer than the election or failed.
+    /// Number of blocked writes: those that failed or ended only after the election.
     pub held_writes: u64,
 }
 
-/// The gap that `change` left in `records`; none if no write met it.
+/// Returns the write gap that `change` caused in `records`. `None` when no write was blocked
+/// or none was acknowledged after the election.
 pub fn failover_gap(records: &[Record], change: &PrimaryChange) -> Option<FailoverGap> {
     let writes: Vec<&Record> = records
         .iter()
@@ -48,11 +49,11 @@
         .filter(|record| !acknowledged(record) || record.ended >= change.elected)
         .map(|record| record.started.max(change.lost))
         .collect();
-    let first = *blocked.iter().min()?;
+    let first_blocked = *blocked.iter().min()?;
     Some(FailoverGap {
         group: change.group.clone(),
-        gap_ms: milliseconds(recovered.saturating_sub(first)),
-        election_ms: milliseconds(change.elected.saturating_sub(first)),
+        gap_ms: milliseconds(recovered.saturating_sub(first_blocked)),
+        election_ms: milliseconds(change.elected.saturating_sub(first_blocked)),
         held_writes: blocked.len() as u64,
     })
 }
--- a/lab/workload/src/history.rs
+++ b/lab/workload/src/history.rs
@@ -1,5 +1,5 @@
-//! The history of a run: what every session asked for, what it was told, and what the
-//! databases hold in the end.
+//! The history of a run: the requests of every session, the answers they got, and the
+//! contents of the databases after the run.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,12 +8,13 @@
 use hookpoint_state::GroupName;
 use serde::Serialize;
 
-/// A client session of the workload; unique in a run and bound to one group.
+/// Identifies a client session of the workload. Unique within a run; each session works
+/// on one group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(transparent)]
 pub struct SessionNumber(pub u32);
 
-/// A proxy of the run, in the order of its zone.
+/// Index of a proxy of the run. Proxies are ordered like the zones of the deployment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(transparent)]
 pub struct ProxyIndex(pub usize);
@@ -37,12 +38,13 @@
 }
 
 impl WriteKind {
-    /// Whether the kind may run at most once even when its caller asks again.
+    /// Returns whether a write of this kind must run at most once, even when its caller
+    /// resubmits it.
     pub fn not_repeatable(self) -> bool {
         matches!(self, WriteKind::ChargeNotice | WriteKind::Reading)
     }
 
-    /// Name as stored in the `kind` column.
+    /// Returns the value stored in the `kind` column.
     pub fn as_str(self) -> &'static str {
         match self {
             WriteKind::Reminder => "reminder",
@@ -55,7 +57,7 @@
     }
 }
 
-/// How a billing run meant to end.
+/// How the transaction of a billing run is meant to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ending {
@@ -65,161 +67,163 @@
     Rollback,
 }
 
-/// What a session asked for.
+/// A request of a session.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "operation", rename_all = "snake_case")]
 pub enum Operation {
-    /// One row with the session's number and this sequence and attempt.
+    /// Inserts one row with the session's number and this sequence and attempt.
     Write {
-        /// Kind of write.
+        /// Kind of the write.
         kind: WriteKind,
-        /// The session's own number of the write. Attempts of one write share it.
+        /// Sequence number of the write within its session. All attempts of one write
+        /// share it.
         sequence: u64,
         /// Attempt, from 1.
         attempt: u32,
     },
     /// A billing run: an explicit transaction of `lines` rows.
     BillingRun {
-        /// The session's own number of the run.
+        /// Number of the billing run within its session.
         run: u64,
         /// Attempt, from 1.
         attempt: u32,
-        /// Rows it inserts.
+        /// Number of rows that the transaction inserts.
         lines: u32,
-        /// How it means to end.
+        /// Whether the session ends it with `COMMIT` or `ROLLBACK`.
         ending: Ending,
     },
     /// A read of the session's own latest rows.
     ReadOwn {
         /// Text that the answer has to echo.
         nonce: String,
-        /// Most rows the answer may have.
+        /// Maximum number of rows in the answer.
         limit: usize,
     },
     /// A read of the highest sequence of another session.
     ReadOther {
-        /// The session read about.
+        /// Session whose rows are read.
         subject: SessionNumber,
         /// Text that the answer has to echo.
         nonce: String,
     },
 }
 
-/// What a session was told.
+/// The outcome of a request as the session observed it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum OperationResult {
     /// A write was acknowledged.
     Written {
-        /// Rows affected, as told.
+        /// Number of affected rows reported by the server.
         rows: u64,
     },
-    /// A billing run ended as it meant to.
+    /// A billing run ended with the intended `COMMIT` or `ROLLBACK`.
     RunEnded {
-        /// Rows of its own run that the transaction saw after each insert.
+        /// Number of rows of its own run that the transaction saw after each insert.
         seen: Vec<u64>,
-        /// Backends that answered its statements; one unless transactions were mixed.
+        /// Process IDs of the backends that answered its statements. All are equal
+        /// unless the statements ran on different connections.
         backends: Vec<i64>,
     },
     /// A read was answered.
     Read {
-        /// The echoed text.
+        /// Nonce echoed by the answer.
         echo: String,
-        /// Sequences in the answer, as they came.
+        /// Sequences in the answer, in the order received.
         sequences: Vec<u64>,
         /// Whether a replica answered.
         replica: bool,
     },
-    /// The request was told not to have run.
+    /// The error reported that the request did not run.
     NotRun {
         /// SQLSTATE.
         sqlstate: String,
     },
-    /// The request's identifier was told to have run before.
+    /// The error reported that a request with this identifier had already run.
     AlreadyRan,
-    /// The database refused the statement with an ordinary error, which undoes it.
+    /// The database rejected the statement with an ordinary error, which rolls it back.
     Rejected {
         /// SQLSTATE.
         sqlstate: String,
-        /// Message, for the report.
+        /// Error message, for the report.
         message: String,
     },
-    /// The outcome was told to be unknown.
+    /// The error reported that the outcome is unknown.
     Unknown {
         /// SQLSTATE.
         sqlstate: String,
     },
-    /// The connection broke before an answer.
+    /// The connection was lost before an answer arrived.
     ConnectionLost,
-    /// No answer came within the client's patience.
+    /// No answer arrived within the client's timeout.
     TimedOut,
-    /// The transaction broke before its `COMMIT` was sent.
+    /// The transaction failed before its `COMMIT` was sent.
     NotCommitted {
-        /// SQLSTATE of the break, if there was an answer at all.
+        /// SQLSTATE of the error; `None` when there was no answer.
         sqlstate: Option<String>,
     },
-    /// The answer had a shape that the request cannot have.
+    /// The shape of the answer does not fit the request.
     Malformed {
-        /// What was wrong.
+        /// Description of the mismatch.
         reason: String,
     },
 }
 
-/// One operation of one session, from its start to its end.
+/// One operation of one session with its start, its end and its result.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Record {
-    /// The session. Its operations follow each other and never overlap.
+    /// Session that ran the operation. Operations of one session never overlap.
     pub session: SessionNumber,
-    /// Group it works on.
+    /// Group of the session.
     pub group: GroupName,
-    /// Proxy it was on.
+    /// Proxy that the session was connected to.
     pub proxy: ProxyIndex,
     /// Start, in microseconds since the run's origin.
     pub started: u64,
     /// End, in microseconds since the run's origin.
     pub ended: u64,
-    /// What was asked.
+    /// The request.
     pub operation: Operation,
-    /// What was told.
+    /// The outcome as the session observed it.
     pub result: OperationResult,
 }
 
 /// A planned stop of a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub struct PlannedStop {
-    /// The proxy.
+    /// Proxy that was stopped.
     pub proxy: ProxyIndex,
-    /// When the stop was asked for, in microseconds since the run's origin.
+    /// When the stop was requested, in microseconds since the run's origin.
     pub from: u64,
-    /// When the proxy had ended.
+    /// When the proxy had exited, in microseconds since the run's origin.
     pub to: u64,
 }
 
-/// A row of the table of single-statement writes, as found in the end.
+/// A row of the table of single-statement writes, as found after the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct EntryRow {
     /// Session that wrote it.
     pub session: SessionNumber,
-    /// Its sequence.
+    /// Sequence number of the write.
     pub sequence: u64,
     /// Attempt that wrote it.
     pub attempt: u32,
 }
 
-/// A row of a billing run, as found in the end.
+/// A row of a billing run, as found after the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct LineRow {
     /// Session that wrote it.
     pub session: SessionNumber,
-    /// Its run.
+    /// Number of the billing run within its session.
     pub run: u64,
     /// Attempt that wrote it.
     pub attempt: u32,
-    /// Its line, from 1.
+    /// Line number within the billing run, from 1.
     pub line: u32,
 }
 
-/// What a group's primary holds in the end.
+/// The contents of a group's primary after the run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct FinalState {
     /// Rows of single-statement writes.
@@ -235,11 +239,11 @@
     pub records: Vec<Record>,
     /// Planned stops of proxies.
     pub planned_stops: Vec<PlannedStop>,
-    /// Final states by group.
+    /// Final contents of the databases, by group.
     pub final_states: BTreeMap<GroupName, FinalState>,
 }
 
-/// Collects records from many sessions.
+/// Collects the records of all sessions. Clones share the same list.
 #[derive(Clone, Debug)]
 pub struct Recorder {
     origin: Instant,
@@ -253,7 +257,7 @@
 }
 
 impl Recorder {
-    /// An empty recorder whose origin is now.
+    /// Creates an empty recorder whose origin is the current time.
     pub fn new() -> Self {
         Self {
             origin: Instant::now(),
@@ -261,12 +265,12 @@
         }
     }
 
-    /// Microseconds since the origin.
+    /// Returns the microseconds elapsed since the origin.
     pub fn now(&self) -> u64 {
         self.origin.elapsed().as_micros() as u64
     }
 
-    /// The instant of a reading of [`Recorder::now`].
+    /// Converts a value of [`Recorder::now`] into an instant.
     pub fn instant(&self, micros: u64) -> Instant {
         self.origin + Duration::from_micros(micros)
     }
@@ -276,17 +280,17 @@
         self.records.lock().push(record);
     }
 
-    /// Number of records so far.
+    /// Returns the number of records added so far.
     pub fn len(&self) -> usize {
         self.records.lock().len()
     }
 
-    /// Whether nothing was recorded yet.
+    /// Returns whether no record was added yet.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// A copy of what was recorded so far.
+    /// Returns a copy of the records added so far.
     pub fn snapshot(&self) -> Vec<Record> {
         self.records.lock().clone()
     }
--- a/lab/workload/src/lib.rs
+++ b/lab/workload/src/lib.rs
@@ -1,9 +1,9 @@
-//! The workload of the two deployments, the history it leaves and the checker that
-//! judges it.
+//! The workload of the two deployments, the recorded history of a run, and the checker
+//! that verifies it.
 //!
-//! Sessions speak to proxies through an ordinary PostgreSQL client library. Everything
-//! they ask for and are told goes into a [`history::History`], which [`checker::check`]
-//! compares with what the databases hold in the end.
+//! Sessions connect to proxies through an ordinary PostgreSQL client library. All their
+//! requests and the answers are recorded in a [`history::History`], which
+//! [`checker::check`] compares with the final contents of the databases.
 #![forbid(unsafe_code)]
 
 pub mod answers;
--- a/lab/workload/src/load.rs
+++ b/lab/workload/src/load.rs
@@ -1,9 +1,10 @@
-//! Load on any PostgreSQL address, with latencies that a stalled server cannot hide.
+//! Load generator for any PostgreSQL address. Latencies are corrected for coordinated
+//! omission, so a stalled server cannot hide them.
 //!
-//! In the open loop every request has an intended start, drawn ahead of the run; its
-//! latency counts from there, however late it could be sent. In the closed loop a
-//! session sends its next request a fixed interval after the last one, and a slow
-//! answer also counts for the requests that it kept from being sent.
+//! In the open loop every request has an intended start, drawn independently of earlier
+//! answers; its latency counts from there, however late it is sent. In the closed loop a
+//! session sends its next request a fixed pause after the last answer, and a slow answer
+//! also counts for the requests that it prevented from being sent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,33 +25,34 @@
 use crate::history::{SessionNumber, WriteKind};
 use crate::sql::{self, EntryWrite};
 
-/// Highest latency that the histograms tell apart, in microseconds.
-const HIGHEST_MICROS: u64 = 600_000_000;
-/// Significant digits of the histograms.
-const DIGITS: u8 = 3;
-/// Rows that a read asks for.
+/// Highest latency that the histograms record, in microseconds. Higher values are clamped.
+const MAXIMUM_LATENCY_MICROS: u64 = 600_000_000;
+/// Number of significant decimal digits of the histograms.
+const SIGNIFICANT_DIGITS: u8 = 3;
+/// Maximum number of rows requested by a read.
 const READ_LIMIT: usize = 20;
-/// Connections opened at the same time at the start.
+/// Maximum number of connections opened concurrently at the start.
 const CONNECT_CONCURRENCY: usize = 64;
-/// Longest wait for one answer.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of connecting and of each request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// When requests are sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Pacing {
-    /// At Poisson arrivals of this many requests a second over all sessions.
+    /// Open loop: Poisson arrivals with this rate over all sessions.
     Open {
-        /// Requests a second.
+        /// Requests per second.
         rate: f64,
     },
-    /// By each session this long after the answer before; zero for no pause.
+    /// Closed loop: each session sends its next request this long after the previous
+    /// answer.
     Closed {
-        /// The pause.
+        /// Pause between an answer and the next request; zero for no pause.
         pause: Duration,
     },
 }
 
-/// What requests are made of.
+/// The mix of requests of a load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mix {
     /// Shops of the messaging deployment: 55% writes.
@@ -66,7 +68,7 @@
 }
 
 impl Mix {
-    /// The mix of that name.
+    /// Returns the mix called `name`; `None` when there is none.
     pub fn by_name(name: &str) -> Option<Self> {
         match name {
             "messaging" => Some(Mix::Messaging),
@@ -88,32 +90,32 @@
     }
 }
 
-/// A load to put on.
+/// Settings of a load.
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
-    /// Addresses, used in turn by the sessions.
+    /// Server addresses, assigned to the sessions round-robin.
     pub addresses: Vec<SocketAddr>,
-    /// Whom to connect as.
+    /// User, password and database of the connections.
     pub credentials: Credentials,
-    /// Tables that the mix works on.
+    /// Application whose tables the requests use.
     pub application: Application,
     /// When requests are sent.
     pub pacing: Pacing,
-    /// What they are made of.
+    /// Mix of requests.
     pub mix: Mix,
-    /// Sessions that send requests.
+    /// Number of sessions that send requests.
     pub sessions: usize,
-    /// Sessions that stay connected and send nothing.
+    /// Number of sessions that stay connected without sending requests.
     pub idle_sessions: usize,
-    /// Time before the measurement.
+    /// Time under load before the measurement starts.
     pub warm_up: Duration,
-    /// Time of the measurement.
+    /// Duration of the measurement.
     pub duration: Duration,
-    /// Seed of all chance.
+    /// Seed of the random number generators; each session uses its own stream of it.
     pub seed: u64,
 }
 
-/// Why a load could not be put on.
+/// Why a load could not be run.
 #[derive(Debug, Error)]
 pub enum LoadError {
     /// No address was given.
@@ -122,19 +124,19 @@
     /// A session could not connect.
     #[error("a session could not connect: {0}")]
     Connect(#[from] Failure),
-    /// The histogram could not be made.
-    #[error("the histogram could not be made: {0}")]
+    /// A histogram could not be created.
+    #[error("a histogram could not be created: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
 }
 
 /// Latencies of one kind of request, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Latency {
-    /// Requests measured.
+    /// Number of requests measured.
     pub count: u64,
-    /// Mean.
+    /// Mean latency.
     pub mean_ms: f64,
-    /// Median.
+    /// Median latency.
     pub p50_ms: f64,
     /// 90th percentile.
     pub p90_ms: f64,
@@ -142,12 +144,12 @@
     pub p99_ms: f64,
     /// 99.9th percentile.
     pub p999_ms: f64,
-    /// Longest.
+    /// Highest latency.
     pub max_ms: f64,
 }
 
 impl Latency {
-    /// The summary of `histogram`, which counts microseconds.
+    /// Summarizes `histogram`, whose values are in microseconds.
     pub fn of(histogram: &Histogram<u64>) -> Self {
         let at = |quantile| histogram.value_at_quantile(quantile) as f64 / 1_000.0;
         Self {
@@ -162,31 +164,31 @@
     }
 }
 
-/// What a load met.
+/// The results of a load.
 #[derive(Clone, Debug, Serialize)]
 pub struct LoadReport {
-    /// Sessions that sent requests.
+    /// Number of sessions that sent requests.
     pub sessions: usize,
-    /// Sessions that stayed idle.
+    /// Number of sessions that stayed idle.
     pub idle_sessions: usize,
-    /// Seconds of the measurement.
+    /// Duration of the measurement in seconds.
     pub seconds: f64,
-    /// Requests answered a second.
+    /// Requests answered per second.
     pub answered_per_second: f64,
-    /// Requests that failed.
+    /// Number of requests that failed.
     pub failed: u64,
-    /// All requests.
+    /// Latency of all requests.
     pub all: Latency,
-    /// Reads.
+    /// Latency of reads.
     pub reads: Latency,
-    /// Writes.
+    /// Latency of writes.
     pub writes: Latency,
-    /// Latency as (percentile, milliseconds), for curves.
+    /// Latency distribution as (percentile, milliseconds), for plots.
     pub curve: Vec<(f64, f64)>,
 }
 
 impl LoadReport {
-    /// The report as a table for a terminal.
+    /// Formats the report as a table for a terminal.
     pub fn table(&self) -> String {
         let mut lines = vec![format!(
             "{} sessions, {} idle, {:.1} s: {:.0} answered a second, {} failed",
@@ -215,24 +217,24 @@
     }
 }
 
-/// Running counts, for progress on a terminal.
+/// Counters updated during a load, for a progress display.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Sessions connected.
+    /// Connection attempts completed.
     pub connected: AtomicU64,
-    /// Requests answered.
+    /// Requests answered, including those of the warm-up.
     pub answered: AtomicU64,
-    /// Requests failed.
+    /// Requests failed, including those of the warm-up.
     pub failed: AtomicU64,
 }
 
-struct Measured {
+struct Measurements {
     reads: Histogram<u64>,
     writes: Histogram<u64>,
     failed: u64,
 }
 
-impl Measured {
+impl Measurements {
     fn new() -> Result<Self, hdrhistogram::CreationError> {
         Ok(Self {
             reads: histogram()?,
@@ -241,25 +243,27 @@
         })
     }
 
-    fn add(&mut self, other: &Measured) {
+    fn add(&mut self, other: &Measurements) {
         self.reads += &other.reads;
         self.writes += &other.writes;
         self.failed += other.failed;
     }
 }
 
-/// A histogram of microseconds.
+/// Creates an empty histogram of microseconds.
 ///
 /// # Errors
-/// Never with the constants of this module; the library cannot say so.
+/// Never, since the constants of this module are valid bounds; the library's signature
+/// requires the `Result`.
 pub fn histogram() -> Result<Histogram<u64>, hdrhistogram::CreationError> {
-    Histogram::new_with_bounds(1, HIGHEST_MICROS, DIGITS)
+    Histogram::new_with_bounds(1, MAXIMUM_LATENCY_MICROS, SIGNIFICANT_DIGITS)
 }
 
-/// Puts the load on and measures it.
+/// Runs the load and measures it.
 ///
 /// # Errors
-/// A [`LoadError`] when the sessions cannot be set up; failed requests are counted.
+/// A [`LoadError`] when the sessions cannot be set up. Failed requests are counted in the
+/// report instead.
 pub async fn run(settings: LoadSettings, progress: Arc<Progress>) -> Result<LoadReport, LoadError> {
     if settings.addresses.is_empty() {
         return Err(LoadError::NoAddress);
@@ -267,7 +271,7 @@
     let total = settings.sessions + settings.idle_sessions;
     let mut connections = connect_all(&settings, total, &progress).await?;
     let idle = connections.split_off(settings.sessions);
-    let total = Arc::new(Mutex::new(Measured::new()?));
+    let total = Arc::new(Mutex::new(Measurements::new()?));
     let begin = Instant::now();
     let mut tasks = JoinSet::new();
     for (index, connection) in connections.into_iter().enumerate() {
@@ -299,7 +303,8 @@
         tasks.spawn(async move {
             let _permit = permits.acquire_owned().await;
             let none = TokenDelivery::None;
-            let opened = ClientConnection::open(address, &credentials, &none, PATIENCE).await;
+            let opened =
+                ClientConnection::open(address, &credentials, &none, REQUEST_TIMEOUT).await;
             progress.connected.fetch_add(1, Ordering::Relaxed);
             opened
         });
@@ -319,12 +324,12 @@
     application: Application,
     mix: Mix,
     pacing: Pacing,
-    mean_gap: Duration,
+    mean_interval: Duration,
     measure_from: Instant,
     end: Instant,
     random: ChaCha8Rng,
     next_sequence: u64,
-    measured: Measured,
+    measured: Measurements,
     progress: Arc<Progress>,
 }
 
@@ -338,7 +343,7 @@
     ) -> Result<Self, LoadError> {
         let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
         random.set_stream(index as u64);
-        let mean_gap = match settings.pacing {
+        let mean_interval = match settings.pacing {
             Pacing::Open { rate } => {
                 Duration::from_secs_f64(settings.sessions as f64 / rate.max(1e-3))
             }
@@ -351,18 +356,18 @@
             application: settings.application,
             mix: settings.mix,
             pacing: settings.pacing,
-            mean_gap,
+            mean_interval,
             measure_from,
             end: measure_from + settings.duration,
             random,
             next_sequence: 1,
-            measured: Measured::new()?,
+            measured: Measurements::new()?,
             progress,
         })
     }
 
-    async fn run(mut self) -> Measured {
-        let mut intended = Instant::now() + self.gap();
+    async fn run(mut self) -> Measurements {
+        let mut intended = Instant::now() + self.draw_interval();
         while intended < self.end {
             sleep_until(intended).await;
             let start = match self.pacing {
@@ -373,14 +378,14 @@
                 break;
             }
             intended = match self.pacing {
-                Pacing::Open { .. } => intended + self.gap(),
-                Pacing::Closed { .. } => Instant::now() + self.gap(),
+                Pacing::Open { .. } => intended + self.draw_interval(),
+                Pacing::Closed { .. } => Instant::now() + self.draw_interval(),
             };
         }
         self.measured
     }
 
-    /// Sends one request; false when the connection is gone.
+    /// Sends one request. Returns false when the connection is closed.
     async fn request(&mut self, start: Instant) -> bool {
         let write = self.random.random_bool(self.mix.write_share());
         let statement = self.statement(write);
@@ -402,7 +407,7 @@
             self.measured.failed += 1;
             return;
         }
-        let micros = (latency.as_micros() as u64).clamp(1, HIGHEST_MICROS);
+        let micros = (latency.as_micros() as u64).clamp(1, MAXIMUM_LATENCY_MICROS);
         let histogram = match write {
             true => &mut self.measured.writes,
             false => &mut self.measured.reads,
@@ -438,18 +443,18 @@
         }
     }
 
-    fn gap(&mut self) -> Duration {
+    fn draw_interval(&mut self) -> Duration {
         match self.pacing {
             Pacing::Open { .. } => {
                 let draw: f64 = self.random.random_range(1e-12..1.0);
-                self.mean_gap.mul_f64(-draw.ln())
+                self.mean_interval.mul_f64(-draw.ln())
             }
             Pacing::Closed { pause } => pause,
         }
     }
 }
 
-fn report(settings: &LoadSettings, measured: &Measured) -> LoadReport {
+fn report(settings: &LoadSettings, measured: &Measurements) -> LoadReport {
     let mut all = measured.reads.clone();
     all += &measured.writes;
     let seconds = settings.duration.as_secs_f64();
--- a/lab/workload/src/session.rs
+++ b/lab/workload/src/session.rs
@@ -1,5 +1,5 @@
-//! A client session: it lasts, retries what did not run, resubmits what must run at
-//! most once, and roams between proxies with its token.
+//! A long-lived client session. It retries requests that did not run, resubmits requests
+//! that are safe to repeat, and switches between proxies with its token.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use tokio_postgres::SimpleQueryMessage;
 use tokio_postgres::types::{ToSql, Type};
 
-use crate::answers::{counted_rows, malformed, read, read_rows, written};
+use crate::answers::{malformed, parse_billing_count, parse_read, parse_read_rows, parse_write};
 use crate::connection::{ClientConnection, Credentials, Failure, TokenDelivery};
 use crate::deployment::Application;
 use crate::history::{
@@ -20,55 +20,57 @@
 };
 use crate::sql::{self, BillingLine, EntryWrite};
 
-/// Rows that a read-back asks for.
+/// Maximum number of rows requested by a read of the session's own rows.
 const READ_LIMIT: usize = 20;
-/// Attempts of one write.
+/// Maximum number of attempts of one request.
 const MAXIMUM_ATTEMPTS: u32 = 30;
-/// Pause between two tries to connect.
+/// Pause between two connection attempts.
 const CONNECT_PAUSE: Duration = Duration::from_millis(50);
-/// Share of not-repeatable writes whose caller gives up early and asks again elsewhere.
-const IMPATIENT_SHARE: f64 = 0.1;
-/// Longest patience of such a caller, in microseconds.
-const IMPATIENCE_MICROS: u64 = 200_000;
-/// Share of moves to another proxy on which the token is left behind.
-const FORGETFUL_SHARE: f64 = 0.1;
-
-/// Addresses at which the proxies take callers; replaced when a proxy is.
+/// Probability that the first attempt of a write that must run at most once uses a short
+/// timeout, after which the session resubmits it through the next proxy.
+const EARLY_TIMEOUT_SHARE: f64 = 0.1;
+/// Upper bound of such a short timeout, in microseconds.
+const MAXIMUM_EARLY_TIMEOUT_MICROS: u64 = 200_000;
+/// Probability that a session with a token connects without passing it.
+const TOKEN_OMISSION_SHARE: f64 = 0.1;
+
+/// Client addresses of the proxies, by [`ProxyIndex`]. An address is updated when its proxy
+/// is replaced.
 pub type ProxyAddresses = Arc<RwLock<Vec<SocketAddr>>>;
 
-/// What a session is made of.
+/// Settings of a session.
 #[derive(Clone, Debug)]
 pub struct SessionSettings {
-    /// Its number.
+    /// Number of the session.
     pub number: SessionNumber,
-    /// Its group.
+    /// Group of the session.
     pub group: GroupName,
-    /// Whom it connects as.
+    /// User, password and database of its connections.
     pub credentials: Credentials,
-    /// Where the proxies are.
+    /// Addresses of the proxies.
     pub proxies: ProxyAddresses,
-    /// The proxy it starts on.
+    /// Proxy that the session connects to first.
     pub home: ProxyIndex,
-    /// What it runs.
+    /// Application whose tables the session uses.
     pub application: Application,
-    /// Seed of the run; each session has its own stream of it.
+    /// Seed of the run. Each session uses its own random stream of it.
     pub seed: u64,
-    /// How long it waits for an answer.
+    /// Timeout of connecting and of each request.
     pub patience: Duration,
-    /// How it sends its single statements; transactions go by the simple protocol.
+    /// Protocol of single statements. Transactions always use the simple query protocol.
     pub protocol: Protocol,
 }
 
-/// Which part of the PostgreSQL protocol carries a session's statements.
+/// The PostgreSQL subprotocol used for a session's statements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
-    /// Simple queries.
+    /// Simple query protocol.
     Simple,
-    /// Parameters; reads are prepared under a name.
+    /// Extended query protocol with parameters. Reads use named prepared statements.
     Extended,
 }
 
-/// A session.
+/// A client session that records each of its operations.
 pub struct ClientSession {
     settings: SessionSettings,
     recorder: Recorder,
@@ -82,7 +84,7 @@
 }
 
 impl ClientSession {
-    /// A session that is not connected yet.
+    /// Creates a session that is not connected yet.
     pub fn new(settings: SessionSettings, recorder: Recorder) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
         random.set_stream(u64::from(settings.number.0));
@@ -99,18 +101,18 @@
         }
     }
 
-    /// The session's own source of chance.
+    /// Returns the session's random number generator.
     pub fn random(&mut self) -> &mut ChaCha8Rng {
         &mut self.random
     }
 
-    /// The proxy it is on.
+    /// Returns the proxy that the session currently uses.
     pub fn proxy(&self) -> ProxyIndex {
         self.proxy
     }
 
-    /// Writes one row, asking again as long as that is allowed. Returns whether the
-    /// write was acknowledged.
+    /// Writes one row and retries as long as that is allowed. Returns whether the write was
+    /// acknowledged.
     pub async fn write(&mut self, kind: WriteKind) -> bool {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -124,9 +126,9 @@
                 request: request.as_deref(),
             };
             self.ensure_connected().await;
-            let patience = self.patience_with(kind, attempt);
+            let timeout = self.write_timeout(kind, attempt);
             let started = self.recorder.now();
-            let answer = self.send_write(&write, patience).await;
+            let answer = self.send_write(&write, timeout).await;
             let operation = Operation::Write {
                 kind,
                 sequence,
@@ -137,7 +139,7 @@
             match answer {
                 Ok(_) | Err(Failure::AlreadyRan) => return true,
                 Err(failure) => {
-                    if !self.may_ask_again(&failure, kind.not_repeatable()).await {
+                    if !self.prepare_retry(&failure, kind.not_repeatable()).await {
                         return false;
                     }
                 }
@@ -146,7 +148,7 @@
         false
     }
 
-    /// Reads back the session's own latest rows.
+    /// Reads the session's own latest rows.
     pub async fn read_own(&mut self) {
         let nonce = self.nonce();
         self.read(Operation::ReadOwn {
@@ -162,7 +164,7 @@
         self.read(Operation::ReadOther { subject, nonce }).await;
     }
 
-    /// Runs a billing run in an explicit transaction.
+    /// Runs a billing run of `lines` rows in an explicit transaction.
     pub async fn billing_run(&mut self, lines: u32, ending: Ending) {
         let run = self.next_run;
         self.next_run += 1;
@@ -180,13 +182,13 @@
                 Ok(result) => (result, None),
                 Err(broken) => (broken.result(), Some(broken.failure)),
             };
-            let committed_unknown = unknown(&result);
+            let commit_unknown = outcome_unknown(&result);
             self.record(started, operation, result);
             match failure {
                 None => return,
                 Some(failure) => {
-                    self.drop_transaction(&failure).await;
-                    if committed_unknown || !self.may_ask_again(&failure, true).await {
+                    self.roll_back_failed(&failure).await;
+                    if commit_unknown || !self.prepare_retry(&failure, true).await {
                         return;
                     }
                 }
@@ -194,8 +196,8 @@
         }
     }
 
-    /// Moves to another proxy with the session's token, or on occasion without it.
-    pub async fn roam(&mut self) {
+    /// Switches to the next proxy, usually passing the session's token.
+    pub async fn switch_proxy(&mut self) {
         self.ensure_connected().await;
         if let Some(connection) = &mut self.connection
             && let Ok(Some(token)) = connection.show_token().await
@@ -213,12 +215,12 @@
         attempt: u32,
         lines: u32,
         ending: Ending,
-    ) -> Result<OperationResult, BrokenRun> {
+    ) -> Result<OperationResult, FailedRun> {
         let mut seen = Vec::new();
         let mut backends = Vec::new();
         self.simple("begin")
             .await
-            .map_err(BrokenRun::before_commit)?;
+            .map_err(FailedRun::before_commit)?;
         for line in 1..=lines {
             let line = BillingLine {
                 session: self.settings.number,
@@ -227,11 +229,11 @@
                 line,
             };
             let inserted = self.simple(&line.insert()).await;
-            inserted.map_err(BrokenRun::before_commit)?;
+            inserted.map_err(FailedRun::before_commit)?;
             let counted = self.simple(&line.count()).await;
-            let counted = counted.map_err(BrokenRun::before_commit)?;
-            let Some((rows, backend)) = counted_rows(&counted) else {
-                return Ok(malformed("a count has no row of two numbers"));
+            let counted = counted.map_err(FailedRun::before_commit)?;
+            let Some((rows, backend)) = parse_billing_count(&counted) else {
+                return Ok(malformed("the answer to a count has no row of two numbers"));
             };
             seen.push(rows);
             backends.push(backend);
@@ -241,12 +243,13 @@
             Ending::Rollback => "rollback",
         };
         let ended = self.simple(end).await;
-        ended.map_err(|failure| BrokenRun::at_end(failure, ending))?;
+        ended.map_err(|failure| FailedRun::at_end(failure, ending))?;
         Ok(OperationResult::RunEnded { seen, backends })
     }
 
-    /// Leaves a transaction that failed, so that the next one starts cleanly.
-    async fn drop_transaction(&mut self, failure: &Failure) {
+    /// Rolls back a failed transaction that is still open, so that the next one starts
+    /// cleanly. Drops the connection if that fails.
+    async fn roll_back_failed(&mut self, failure: &Failure) {
         let open = matches!(failure, Failure::Rejected { .. } | Failure::NotRun { .. });
         if open && self.simple("rollback").await.is_err() {
             self.connection = None;
@@ -263,7 +266,7 @@
             match answer {
                 Ok(_) => return,
                 Err(failure) => {
-                    if !self.may_ask_again(&failure, true).await {
+                    if !self.prepare_retry(&failure, true).await {
                         return;
                     }
                 }
@@ -274,13 +277,13 @@
     async fn send_write(
         &mut self,
         write: &EntryWrite<'_>,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<OperationResult, Failure> {
         let application = self.settings.application;
         if self.settings.protocol == Protocol::Simple {
             let statement = write.statement(application);
-            let messages = self.simple_within(&statement, patience).await?;
-            return Ok(written(&messages));
+            let messages = self.simple_with_timeout(&statement, timeout).await?;
+            return Ok(parse_write(&messages));
         }
         let Some(connection) = &mut self.connection else {
             return Err(Failure::ConnectionLost);
@@ -296,16 +299,14 @@
             (&kind, Type::TEXT),
             (&body, Type::TEXT),
         ];
-        let rows = connection
-            .execute(&statement, &parameters, patience)
-            .await?;
+        let rows = connection.execute(&statement, &parameters, timeout).await?;
         Ok(OperationResult::Written { rows })
     }
 
     async fn send_read(&mut self, operation: &Operation) -> Result<OperationResult, Failure> {
         if self.settings.protocol == Protocol::Simple {
             let messages = self.simple(&self.read_statement(operation)).await?;
-            return Ok(read(&messages));
+            return Ok(parse_read(&messages));
         }
         let application = self.settings.application;
         let own = i64::from(self.settings.number.0);
@@ -325,10 +326,10 @@
             }
             Operation::Write { .. } | Operation::BillingRun { .. } => Vec::new(),
         };
-        Ok(read_rows(&rows))
+        Ok(parse_read_rows(&rows))
     }
 
-    /// The text of a read by the simple protocol.
+    /// Returns the text of a read sent by the simple query protocol.
     fn read_statement(&self, operation: &Operation) -> String {
         let application = self.settings.application;
         match operation {
@@ -343,33 +344,37 @@
     }
 
     async fn simple(&mut self, statement: &str) -> Result<Vec<SimpleQueryMessage>, Failure> {
-        self.simple_within(statement, self.settings.patience).await
+        self.simple_with_timeout(statement, self.settings.patience)
+            .await
     }
 
-    async fn simple_within(
+    async fn simple_with_timeout(
         &mut self,
         statement: &str,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Vec<SimpleQueryMessage>, Failure> {
         match &mut self.connection {
-            Some(connection) => connection.simple_within(statement, patience).await,
+            Some(connection) => connection.simple_with_timeout(statement, timeout).await,
             None => Err(Failure::ConnectionLost),
         }
     }
 
-    /// How long to wait for the answer to a write.
-    fn patience_with(&mut self, kind: WriteKind, attempt: u32) -> Duration {
-        let impatient =
-            attempt == 1 && kind.not_repeatable() && self.random.random_bool(IMPATIENT_SHARE);
-        if impatient {
-            return Duration::from_micros(self.random.random_range(1_000..IMPATIENCE_MICROS));
+    /// Returns the timeout of an attempt of a write.
+    fn write_timeout(&mut self, kind: WriteKind, attempt: u32) -> Duration {
+        let early_timeout =
+            attempt == 1 && kind.not_repeatable() && self.random.random_bool(EARLY_TIMEOUT_SHARE);
+        if early_timeout {
+            return Duration::from_micros(
+                self.random
+                    .random_range(1_000..MAXIMUM_EARLY_TIMEOUT_MICROS),
+            );
         }
         self.settings.patience
     }
 
-    /// Prepares for another attempt after `failure`. Returns whether there may be one:
-    /// what may have run is only sent again when it cannot do harm.
-    async fn may_ask_again(&mut self, failure: &Failure, harmless: bool) -> bool {
+    /// Prepares for another attempt after `failure`. Returns whether a retry is allowed: a
+    /// request that may have run is retried only if it is `safe_to_repeat`.
+    async fn prepare_retry(&mut self, failure: &Failure, safe_to_repeat: bool) -> bool {
         match failure {
             Failure::NotRun { retry_after, .. } => {
                 tokio::time::sleep(*retry_after).await;
@@ -378,12 +383,12 @@
             Failure::AlreadyRan | Failure::Rejected { .. } => false,
             Failure::Unknown { .. } | Failure::ConnectionLost | Failure::TimedOut => {
                 self.leave_proxy().await;
-                harmless
+                safe_to_repeat
             }
         }
     }
 
-    /// Drops the connection and turns to the next proxy.
+    /// Drops the connection, keeps its last token and selects the next proxy.
     async fn leave_proxy(&mut self) {
         if let Some(mut connection) = self.connection.take() {
             let token = connection.last_token().await;
@@ -404,19 +409,19 @@
             self.leave_proxy().await;
         }
         while self.connection.is_none() {
-            let delivery = self.delivery();
+            let delivery = self.token_delivery();
             let address = self.settings.proxies.read().get(self.proxy.0).copied();
             let Some(address) = address else {
                 self.next_proxy();
                 continue;
             };
             let credentials = &self.settings.credentials;
-            let patience = self.settings.patience;
-            let opened = ClientConnection::open(address, credentials, &delivery, patience).await;
+            let timeout = self.settings.patience;
+            let opened = ClientConnection::open(address, credentials, &delivery, timeout).await;
             match opened {
                 Ok(connection) => self.connection = Some(connection),
                 Err(failure) => {
-                    log::debug!("session: connecting failed: {failure}.");
+                    log::debug!("session: cannot connect to a proxy: {failure}.");
                     tokio::time::sleep(CONNECT_PAUSE).await;
                     self.next_proxy();
                 }
@@ -424,11 +429,11 @@
         }
     }
 
-    fn delivery(&mut self) -> TokenDelivery {
+    fn token_delivery(&mut self) -> TokenDelivery {
         let Some(token) = self.token.clone() else {
             return TokenDelivery::None;
         };
-        if self.random.random_bool(FORGETFUL_SHARE) {
+        if self.random.random_bool(TOKEN_OMISSION_SHARE) {
             return TokenDelivery::None;
         }
         if self.random.random_bool(0.5) {
@@ -462,14 +467,14 @@
     }
 }
 
-/// A billing run that did not come to its end.
-struct BrokenRun {
+/// A billing run that failed before its transaction ended.
+struct FailedRun {
     failure: Failure,
-    /// Whether its `COMMIT` had been sent.
+    /// Whether the `COMMIT` had been sent.
     commit_sent: bool,
 }
 
-impl BrokenRun {
+impl FailedRun {
     fn before_commit(failure: Failure) -> Self {
         Self {
             failure,
@@ -489,7 +494,7 @@
         if self.commit_sent {
             return result;
         }
-        // A request cut off by a stop stays visible as such.
+        // Without a SQLSTATE, so that the checker can find requests interrupted by a planned stop.
         if matches!(result, OperationResult::ConnectionLost) {
             return OperationResult::NotCommitted { sqlstate: None };
         }
@@ -508,7 +513,7 @@
     }
 }
 
-fn unknown(result: &OperationResult) -> bool {
+fn outcome_unknown(result: &OperationResult) -> bool {
     matches!(
         result,
         OperationResult::Unknown { .. }
--- a/lab/workload/src/sql.rs
+++ b/lab/workload/src/sql.rs
@@ -1,12 +1,12 @@
-//! The statements of the workload, in SQL that PostgreSQL and the stand-in both take.
+//! SQL statements of the workload. PostgreSQL and the database stand-in both accept them.
 
 use crate::deployment::Application;
 use crate::history::{SessionNumber, WriteKind};
 
-/// Table of billing rows.
+/// Name of the table of billing rows.
 pub const BILLING_TABLE: &str = "billing_lines";
 
-/// Statements that create the tables of a deployment.
+/// Returns the statements that create the tables and indexes of a deployment.
 pub fn schema(application: Application) -> Vec<String> {
     let table = table(application);
     vec![
@@ -24,7 +24,7 @@
     ]
 }
 
-/// Table of single-statement writes.
+/// Returns the name of the table of single-statement writes.
 pub fn table(application: Application) -> &'static str {
     match application {
         Application::Messaging => "messages",
@@ -37,18 +37,18 @@
 pub struct EntryWrite<'a> {
     /// Session that writes.
     pub session: SessionNumber,
-    /// Its sequence.
+    /// Sequence number of the write.
     pub sequence: u64,
     /// Attempt, from 1.
     pub attempt: u32,
-    /// Kind of write.
+    /// Kind of the write.
     pub kind: WriteKind,
-    /// Request identifier of a write that is not repeatable.
+    /// Request identifier; `None` for a repeatable write.
     pub request: Option<&'a str>,
 }
 
 impl EntryWrite<'_> {
-    /// The statement.
+    /// Returns the `INSERT` statement. A request identifier is appended as a comment.
     pub fn statement(&self, application: Application) -> String {
         let comment = match self.request {
             Some(request) => format!(" /*request_id='{request}'*/"),
@@ -67,8 +67,8 @@
     }
 }
 
-/// The statement of a single-row write with the row as parameters: session, sequence,
-/// attempt, kind and body. A request identifier stays in its comment.
+/// Returns the statement of a single-row write that takes the row as parameters: session,
+/// sequence, attempt, kind and body. A request identifier is appended as a comment.
 pub fn write_with_parameters(application: Application, request: Option<&str>) -> String {
     let comment = match request {
         Some(request) => format!(" /*request_id='{request}'*/"),
@@ -81,7 +81,7 @@
     )
 }
 
-/// Like [`read_own`], with nonce, session and limit as parameters.
+/// Returns the same query as [`read_own`], with nonce, session and limit as parameters.
 pub fn read_own_with_parameters(application: Application) -> String {
     format!(
         "select $1::text as echo, pg_is_in_recovery() as replica, latest.sequence \
@@ -92,7 +92,7 @@
     )
 }
 
-/// Like [`read_other`], with nonce and subject as parameters.
+/// Returns the same query as [`read_other`], with nonce and subject as parameters.
 pub fn read_other_with_parameters(application: Application) -> String {
     format!(
         "select $1::text as echo, pg_is_in_recovery() as replica, max(sequence) as sequence \
@@ -101,8 +101,8 @@
     )
 }
 
-/// Reads the latest `limit` sequences of `session`, echoes `nonce` and says whether a
-/// replica answered. Always answers at least one row.
+/// Returns a query for the latest `limit` sequences of `session` that also returns `nonce`
+/// and whether a replica answered. Its result always has at least one row.
 pub fn read_own(
     application: Application,
     session: SessionNumber,
@@ -119,8 +119,8 @@
     )
 }
 
-/// Reads the highest sequence of `subject`, echoes `nonce` and says whether a replica
-/// answered. Always answers one row.
+/// Returns a query for the highest sequence of `subject` that also returns `nonce` and
+/// whether a replica answered. Its result always has one row.
 pub fn read_other(application: Application, subject: SessionNumber, nonce: &str) -> String {
     format!(
         "select '{nonce}' as echo, pg_is_in_recovery() as replica, max(sequence) as sequence \
@@ -135,16 +135,16 @@
 pub struct BillingLine {
     /// Session of the run.
     pub session: SessionNumber,
-    /// The run.
+    /// Number of the billing run within its session.
     pub run: u64,
     /// Attempt, from 1.
     pub attempt: u32,
-    /// Line, from 1.
+    /// Line number within the billing run, from 1.
     pub line: u32,
 }
 
 impl BillingLine {
-    /// Inserts the row.
+    /// Returns the statement that inserts the row.
     pub fn insert(&self) -> String {
         format!(
             "insert into {BILLING_TABLE} (session, run, attempt, line, amount) \
@@ -157,7 +157,8 @@
         )
     }
 
-    /// Counts the rows of the run and names the connection that answers.
+    /// Returns a query for the number of rows of the run and the process ID of the backend
+    /// that answers.
     pub fn count(&self) -> String {
         format!(
             "select count(*) as counted, pg_backend_pid() as backend from {BILLING_TABLE} \
@@ -167,7 +168,7 @@
     }
 }
 
-/// Reads all rows of single-statement writes.
+/// Returns a query for all rows of single-statement writes.
 pub fn audit_entries(application: Application) -> String {
     format!(
         "select session, sequence, attempt from {}",
@@ -175,7 +176,7 @@
     )
 }
 
-/// Reads all rows of billing runs.
+/// Returns a query for all rows of billing runs.
 pub fn audit_lines() -> String {
     format!("select session, run, attempt, line from {BILLING_TABLE}")
 }
--- a/lab/workload/tests/checker.rs
+++ b/lab/workload/tests/checker.rs
@@ -1,4 +1,5 @@
-//! Hand-made histories, one for each thing that must never happen.
+//! Runs the checker on constructed histories: one or more for each kind of violation, and
+//! valid ones in which it must not report any.
 
 use hookpoint_state::GroupName;
 use hookpoint_workload::checker::{Findings, MixedCause, Violation, WrongCause, check};
@@ -11,14 +12,14 @@
 const OTHER: SessionNumber = SessionNumber(2);
 const LIMIT: usize = 3;
 
-/// Builds a history in which operations follow each other by one millisecond.
+/// Builds a history in which operations start one millisecond apart.
 #[derive(Default)]
-struct Story {
+struct HistoryBuilder {
     history: History,
     state: FinalState,
 }
 
-impl Story {
+impl HistoryBuilder {
     fn record(
         mut self,
         session: SessionNumber,
@@ -171,7 +172,7 @@
     }
 }
 
-fn doubled(sequence: u64) -> Violation {
+fn duplicated(sequence: u64) -> Violation {
     Violation::WriteDoubled {
         session: SESSION,
         sequence,
@@ -187,62 +188,62 @@
     }
 }
 
-fn bad_histories() -> Vec<(&'static str, Story, Vec<Violation>)> {
-    let story = Story::default;
+fn invalid_histories() -> Vec<(&'static str, HistoryBuilder, Vec<Violation>)> {
+    let history = HistoryBuilder::default;
     let rejected = OperationResult::Rejected {
         sqlstate: "23505".to_owned(),
         message: String::new(),
     };
-    let broken = OperationResult::NotCommitted { sqlstate: None };
-    let foreign = OperationResult::RunEnded {
+    let not_committed = OperationResult::NotCommitted { sqlstate: None };
+    let foreign_row = OperationResult::RunEnded {
         seen: vec![1, 3],
         backends: vec![40],
     };
-    let hopping = OperationResult::RunEnded {
+    let two_backends = OperationResult::RunEnded {
         seen: vec![1, 2],
         backends: vec![40, 41],
     };
     vec![
         (
-            "acknowledged and gone",
-            story().write(1, 1, written()),
+            "acknowledged write is missing",
+            history().write(1, 1, written()),
             vec![lost(1)],
         ),
         (
-            "told to have run before and gone",
-            story()
+            "write reported as already run is missing",
+            history()
                 .write(1, 1, unknown())
                 .write(1, 2, OperationResult::AlreadyRan),
             vec![lost(1)],
         ),
         (
-            "one attempt ran twice",
-            story()
+            "one attempt took effect twice",
+            history()
                 .write(1, 1, written())
                 .row(SESSION, 1, 1)
                 .row(SESSION, 1, 1),
-            vec![doubled(1)],
+            vec![duplicated(1)],
         ),
         (
-            "resubmitted after an unknown outcome and ran twice",
-            story()
+            "resubmitted after an unknown outcome and took effect twice",
+            history()
                 .write(1, 1, unknown())
                 .write(1, 2, written())
                 .row(SESSION, 1, 1)
                 .row(SESSION, 1, 2),
-            vec![doubled(1)],
+            vec![duplicated(1)],
         ),
         (
-            "own write not seen",
-            story()
+            "own write is not returned",
+            history()
                 .write(1, 1, written())
                 .read("nonce", &[])
                 .row(SESSION, 1, 1),
             vec![stale(SESSION, 1, 1_000)],
         ),
         (
-            "own write missing among the latest",
-            story()
+            "own write is missing among the latest rows",
+            history()
                 .write(1, 1, written())
                 .write(2, 1, written())
                 .write(3, 1, written())
@@ -255,8 +256,8 @@
             vec![stale(SESSION, 3, 4_000)],
         ),
         (
-            "unacknowledged row seen, then not",
-            story()
+            "unacknowledged row is returned, then not",
+            history()
                 .write(1, 1, unknown())
                 .read("nonce", &[1])
                 .read("nonce", &[])
@@ -264,8 +265,8 @@
             vec![stale(SESSION, 1, 2_000)],
         ),
         (
-            "another session's row seen, then not",
-            story()
+            "another session's row is returned, then not",
+            history()
                 .read_other(&[5])
                 .read_other(&[4])
                 .row(OTHER, 5, 1)
@@ -274,32 +275,32 @@
         ),
         (
             "answer to another request",
-            story().read("another", &[]),
+            history().read("another", &[]),
             vec![wrong(0, WrongCause::Echo)],
         ),
         (
-            "more rows than asked for",
-            story()
+            "more rows than requested",
+            history()
                 .write(1, 1, written())
                 .read("nonce", &[1, 1, 1, 1])
                 .row(SESSION, 1, 1),
             vec![wrong(1_000, WrongCause::RowCount)],
         ),
         (
-            "rows nobody wrote",
-            story().read("nonce", &[9]),
+            "rows that no session wrote",
+            history().read("nonce", &[9]),
             vec![wrong(0, WrongCause::Impossible)],
         ),
         (
-            "another number of rows affected",
-            story()
+            "wrong number of affected rows",
+            history()
                 .write(1, 1, OperationResult::Written { rows: 0 })
                 .row(SESSION, 1, 1),
             vec![wrong(0, WrongCause::RowCount)],
         ),
         (
-            "no answer of that shape",
-            story().write(
+            "malformed answer",
+            history().write(
                 1,
                 1,
                 OperationResult::Malformed {
@@ -309,61 +310,67 @@
             vec![wrong(0, WrongCause::Malformed)],
         ),
         (
-            "not run, and there",
-            story().write(1, 1, not_run()).row(SESSION, 1, 1),
+            "reported as not run, but took effect",
+            history().write(1, 1, not_run()).row(SESSION, 1, 1),
             vec![false_not_run(1)],
         ),
         (
-            "refused by an error, and there",
-            story().write(1, 1, rejected).row(SESSION, 1, 1),
+            "rejected with an error, but took effect",
+            history().write(1, 1, rejected).row(SESSION, 1, 1),
             vec![false_not_run(1)],
         ),
         (
-            "transaction saw a stranger's row",
-            story().run(Ending::Commit, foreign).lines(1, &[1, 2]),
+            "transaction saw a row of another session",
+            history().run(Ending::Commit, foreign_row).lines(1, &[1, 2]),
             vec![mixed(MixedCause::ForeignView)],
         ),
         (
-            "transaction on two connections",
-            story().run(Ending::Commit, hopping).lines(1, &[1, 2]),
+            "transaction ran on two connections",
+            history()
+                .run(Ending::Commit, two_backends)
+                .lines(1, &[1, 2]),
             vec![mixed(MixedCause::SeveralConnections)],
         ),
         (
-            "half a transaction",
-            story().run(Ending::Commit, unknown()).lines(1, &[2]),
+            "transaction took effect partially",
+            history().run(Ending::Commit, unknown()).lines(1, &[2]),
             vec![mixed(MixedCause::Partial)],
         ),
         (
-            "rolled back, and there",
-            story().run(Ending::Rollback, ended()).lines(1, &[1, 2]),
+            "rolled back, but took effect",
+            history().run(Ending::Rollback, ended()).lines(1, &[1, 2]),
             vec![mixed(MixedCause::NeverCommitted)],
         ),
         (
-            "broken before its commit, and there",
-            story().run(Ending::Commit, broken).lines(1, &[1, 2]),
+            "failed before its commit, but took effect",
+            history()
+                .run(Ending::Commit, not_committed)
+                .lines(1, &[1, 2]),
             vec![mixed(MixedCause::NeverCommitted)],
         ),
         (
-            "committed and gone",
-            story().run(Ending::Commit, ended()),
+            "committed transaction is missing",
+            history().run(Ending::Commit, ended()),
             vec![lost(7)],
         ),
         (
-            "committed twice",
-            story().run(Ending::Commit, ended()).lines(1, &[1, 1, 2, 2]),
-            vec![doubled(7)],
+            "committed transaction took effect twice",
+            history()
+                .run(Ending::Commit, ended())
+                .lines(1, &[1, 1, 2, 2]),
+            vec![duplicated(7)],
         ),
         (
             "two attempts committed",
-            story()
+            history()
                 .run(Ending::Commit, ended())
                 .lines(1, &[1, 2])
                 .lines(2, &[1, 2]),
-            vec![doubled(7)],
+            vec![duplicated(7)],
         ),
         (
-            "cut by a planned stop",
-            story()
+            "interrupted by a planned stop",
+            history()
                 .write(1, 1, OperationResult::ConnectionLost)
                 .stop(400, 9_000),
             vec![Violation::InFlightCut {
@@ -375,20 +382,20 @@
     ]
 }
 
-fn good_histories() -> Vec<(&'static str, Story)> {
-    let story = Story::default;
+fn valid_histories() -> Vec<(&'static str, HistoryBuilder)> {
+    let history = HistoryBuilder::default;
     vec![
-        ("nothing", story()),
+        ("empty history", history()),
         (
             "written and read back",
-            story()
+            history()
                 .write(1, 1, written())
                 .read("nonce", &[1])
                 .row(SESSION, 1, 1),
         ),
         (
             "older rows beyond the limit",
-            story()
+            history()
                 .write(1, 1, written())
                 .write(2, 1, written())
                 .write(3, 1, written())
@@ -399,37 +406,40 @@
                 .row(SESSION, 3, 1)
                 .row(SESSION, 4, 1),
         ),
-        ("unknown and gone", story().write(1, 1, unknown())),
         (
-            "unknown and there",
-            story().write(1, 1, unknown()).row(SESSION, 1, 1),
+            "unknown outcome, did not take effect",
+            history().write(1, 1, unknown()),
+        ),
+        (
+            "unknown outcome, took effect",
+            history().write(1, 1, unknown()).row(SESSION, 1, 1),
         ),
         (
-            "not run, then run",
-            story()
+            "not run, then acknowledged",
+            history()
                 .write(1, 1, not_run())
                 .write(1, 2, written())
                 .row(SESSION, 1, 2),
         ),
         (
-            "unknown, then told to have run",
-            story()
+            "unknown outcome, then reported as already run",
+            history()
                 .write(1, 1, unknown())
                 .write(1, 2, OperationResult::AlreadyRan)
                 .row(SESSION, 1, 1),
         ),
-        ("rolled back", story().run(Ending::Rollback, ended())),
+        ("rolled back", history().run(Ending::Rollback, ended())),
         (
             "committed",
-            story().run(Ending::Commit, ended()).lines(1, &[1, 2]),
+            history().run(Ending::Commit, ended()).lines(1, &[1, 2]),
         ),
         (
-            "run of unknown outcome",
-            story().run(Ending::Commit, unknown()).lines(1, &[1, 2]),
+            "billing run of unknown outcome",
+            history().run(Ending::Commit, unknown()).lines(1, &[1, 2]),
         ),
         (
             "connection lost outside a planned stop",
-            story()
+            history()
                 .write(1, 1, OperationResult::ConnectionLost)
                 .stop(5_000, 9_000),
         ),
@@ -437,22 +447,22 @@
 }
 
 #[test]
-fn each_violation_is_found() {
-    for (name, story, expected) in bad_histories() {
-        assert_eq!(story.check().violations, expected, "{name}");
+fn every_kind_of_violation_is_reported() {
+    for (name, history, expected) in invalid_histories() {
+        assert_eq!(history.check().violations, expected, "{name}");
     }
 }
 
 #[test]
-fn good_histories_pass() {
-    for (name, story) in good_histories() {
-        assert_eq!(story.check().violations, Vec::new(), "{name}");
+fn valid_histories_have_no_violations() {
+    for (name, history) in valid_histories() {
+        assert_eq!(history.check().violations, Vec::new(), "{name}");
     }
 }
 
 #[test]
-fn unknown_outcomes_are_accounted_for() {
-    let findings = Story::default()
+fn unknown_outcomes_are_counted() {
+    let findings = HistoryBuilder::default()
         .write(1, 1, unknown())
         .write(2, 1, OperationResult::ConnectionLost)
         .write(3, 1, unknown())
@@ -467,7 +477,7 @@
 
 #[test]
 fn reads_of_rows_that_never_became_durable_are_counted() {
-    let findings = Story::default()
+    let findings = HistoryBuilder::default()
         .write(1, 1, unknown())
         .read("nonce", &[1])
         .check();
--- a/lab/workload/tests/failover.rs
+++ b/lab/workload/tests/failover.rs
@@ -1,4 +1,4 @@
-//! The gap in the writes around a change of primary.
+//! Tests the measurement of the write gap during a change of primary.
 
 use hookpoint_state::GroupName;
 use hookpoint_workload::failover::{PrimaryChange, failover_gap};
@@ -41,35 +41,39 @@
 }
 
 #[test]
-fn gaps_are_measured_from_the_first_write_held() {
+fn gap_is_measured_from_the_first_blocked_write() {
     let before = write("a", 10_000, 50_000, true);
     let in_flight = write("a", 90_000, 110_000, false);
     let answered = write("a", 95_000, 120_000, true);
-    let held = write("a", 200_000, 700_000, true);
+    let blocked = write("a", 200_000, 700_000, true);
     let after = write("a", 800_000, 850_000, true);
-    let stranger = write("b", 150_000, 600_000, true);
+    let other_group = write("b", 150_000, 600_000, true);
     let table = [
         ("no write at all", vec![], None),
-        ("nothing after the change", vec![before.clone()], None),
+        ("no write after the change", vec![before.clone()], None),
         (
-            "one held write",
+            "one blocked write",
             vec![
                 before.clone(),
                 answered.clone(),
-                held.clone(),
+                blocked.clone(),
                 after.clone(),
             ],
             Some((500.0, 300.0, 1)),
         ),
         (
             "a write in flight when the primary was lost",
-            vec![in_flight, held.clone(), after],
+            vec![in_flight, blocked.clone(), after],
             Some((600.0, 400.0, 2)),
         ),
-        ("another group's writes", vec![stranger.clone()], None),
         (
-            "another group's writes beside it",
-            vec![stranger, held],
+            "only writes of another group",
+            vec![other_group.clone()],
+            None,
+        ),
+        (
+            "writes of another group and a blocked write",
+            vec![other_group, blocked],
             Some((500.0, 300.0, 1)),
         ),
     ];
