--- a/lab/measure/src/experiment/description.rs
+++ b/lab/measure/src/experiment/description.rs
@@ -1,4 +1,4 @@
-//! The description of an experiment.
+//! Parses and validates the description of an experiment.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -8,26 +8,26 @@
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Most runs of one experiment.
+/// Maximum number of runs of an experiment.
 const MAXIMUM_RUNS: usize = 500;
-/// Most nodes of one run.
+/// Maximum number of nodes of a run.
 const MAXIMUM_NODES: usize = 500;
-/// Most sessions of one run.
+/// Maximum number of sessions of a run.
 const MAXIMUM_SESSIONS: usize = 10_000;
-/// Mark of an address that is given on the command line.
-const PLACEHOLDER: char = '$';
+/// Prefix of the name of an address that is given on the command line.
+const PLACEHOLDER_PREFIX: char = '$';
 
-/// What is measured.
+/// The kind of an experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// Load on an address; the sizes are sessions.
+    /// Load on a server address. The sizes are numbers of sessions.
     Load,
-    /// Hollow nodes; the sizes are nodes.
+    /// Fleets of hollow nodes. The sizes are numbers of nodes.
     Scale,
 }
 
-/// A variant to compare with the others.
+/// A variant of the measured setup.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
@@ -35,41 +35,42 @@
     pub name: String,
     /// Load: address as `ip:port`, or `$name` for one given on the command line.
     pub address: Option<String>,
-    /// Load: put a plain relay in front of the address.
+    /// Load: whether to connect through a plain relay.
     #[serde(default)]
     pub relay: bool,
-    /// Scale: groups that each node uses.
+    /// Scale: number of groups that each node uses; 1 by default.
     pub groups: Option<usize>,
-    /// Scale: databases for each node.
+    /// Scale: number of databases per node; 2 by default.
     pub databases_per_node: Option<usize>,
 }
 
-/// An experiment.
+/// The description of an experiment.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Description {
     /// Title of the report.
     pub title: String,
-    /// What is measured.
+    /// Kind of the experiment.
     pub kind: Kind,
-    /// Sizes, ascending.
+    /// Numbers of sessions or nodes, strictly ascending.
     pub sizes: Vec<usize>,
-    /// Runs of each variant at each size.
+    /// Number of runs of each variant at each size.
     pub repeats: usize,
-    /// Seconds of each measurement.
+    /// Duration of each measurement in seconds.
     pub seconds: u64,
-    /// Seed of all chance.
+    /// Seed of the random number generators; the round is added to it.
     #[serde(default = "default_seed")]
     pub seed: u64,
-    /// Load: `messaging`, `metering`, `reads`, `writes` or `trivial`.
+    /// Load: `messaging`, `metering`, `reads`, `writes` or `trivial`, which is the default.
     pub mix: Option<String>,
-    /// Load: database, which names the group at a proxy.
+    /// Load: database to connect to; a proxy takes it as the name of the group.
     pub database: Option<String>,
-    /// Load: requests a second; as fast as answers come where none is given.
+    /// Load: requests per second. When absent, each session sends its next request as soon as
+    /// it has the previous answer.
     pub rate: Option<f64>,
-    /// Scale: zones.
+    /// Scale: number of zones; 5 by default.
     pub zones: Option<usize>,
-    /// Variants; ratios are to the first one.
+    /// Variants. The first variant is the baseline of the ratios.
     pub variants: Vec<Variant>,
 }
 
@@ -77,55 +78,56 @@
     1
 }
 
-/// Why a description cannot be run.
+/// Why a description was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DescriptionError {
-    /// No TOML, or fields that there are not.
-    #[error("the file cannot be read: {0}")]
+    /// The text is not valid TOML or has unknown, missing or malformed fields.
+    #[error("the description cannot be parsed: {0}")]
     Toml(String),
     /// A list is empty or a number is zero.
     #[error("{0} must not be empty or zero")]
-    Empty(&'static str),
-    /// The sizes are not ascending.
-    #[error("sizes must be ascending")]
-    Sizes,
-    /// Two variants have one name.
+    EmptyOrZero(&'static str),
+    /// The sizes are not strictly ascending.
+    #[error("sizes must be strictly ascending")]
+    SizesNotAscending,
+    /// Two variants have the same name.
     #[error("there are two variants named {0}")]
-    Twins(String),
-    /// A number is too large.
+    DuplicateVariant(String),
+    /// A number exceeds its maximum.
     #[error("{what} must be at most {most}")]
     TooLarge {
-        /// What is too large.
+        /// Name of the number.
         what: &'static str,
-        /// The bound.
+        /// Maximum value.
         most: usize,
     },
-    /// A field that the kind needs is missing.
+    /// A field required by the kind of experiment is missing.
     #[error("variant {variant} needs {field}")]
-    Missing {
-        /// The variant.
+    MissingField {
+        /// Name of the variant.
         variant: String,
-        /// The field.
+        /// Name of the field.
         field: &'static str,
     },
-    /// A field does not go with the kind.
-    #[error("{0} does not go with this kind of experiment")]
-    Foreign(&'static str),
-    /// There is no such mix.
-    #[error("there is no mix {0}")]
-    Mix(String),
-    /// An address is none.
-    #[error("{0} is no ip:port")]
-    Address(String),
-    /// An address should have been given on the command line.
+    /// A field does not apply to the kind of experiment.
+    #[error("{0} does not apply to this kind of experiment")]
+    NotApplicable(&'static str),
+    /// The mix is unknown.
+    #[error("unknown mix {0}")]
+    UnknownMix(String),
+    /// An address is not valid.
+    #[error("{0} is not an ip:port address")]
+    InvalidAddress(String),
+    /// A named address was not given on the command line.
     #[error("give the address {0} with --set")]
-    NotSet(String),
+    AddressNotGiven(String),
 }
 
-/// Reads and checks a description. `addresses` are those given on the command line.
+/// Parses and validates a description. Replaces `$name` addresses by those in `addresses`,
+/// which were given on the command line.
 ///
 /// # Errors
-/// The first [`DescriptionError`].
+/// The first [`DescriptionError`] found.
 pub fn parse(
     text: &str,
     addresses: &BTreeMap<String, SocketAddr>,
@@ -134,18 +136,18 @@
         toml::from_str(text).map_err(|error| DescriptionError::Toml(error.message().to_owned()))?;
     description.check()?;
     for variant in &mut description.variants {
-        variant.fill_in(addresses)?;
+        variant.resolve_address(addresses)?;
     }
     Ok(description)
 }
 
 impl Description {
-    /// Time of each measurement.
+    /// Returns the duration of each measurement.
     pub fn duration(&self) -> Duration {
         Duration::from_secs(self.seconds)
     }
 
-    /// The mix of a load.
+    /// Returns the mix of a load, by default the trivial mix; `None` when the name is unknown.
     pub fn mix(&self) -> Option<Mix> {
         Mix::by_name(self.mix.as_deref().unwrap_or("trivial"))
     }
@@ -159,15 +161,15 @@
             (self.seconds as usize, "seconds"),
         ];
         if let Some((_, name)) = amounts.iter().find(|(amount, _)| *amount == 0) {
-            return Err(DescriptionError::Empty(name));
+            return Err(DescriptionError::EmptyOrZero(name));
         }
         if !self.sizes.is_sorted_by(|before, after| before < after) {
-            return Err(DescriptionError::Sizes);
+            return Err(DescriptionError::SizesNotAscending);
         }
         let mut names = BTreeSet::new();
         for variant in &self.variants {
             if !names.insert(&variant.name) {
-                return Err(DescriptionError::Twins(variant.name.clone()));
+                return Err(DescriptionError::DuplicateVariant(variant.name.clone()));
             }
         }
         self.check_bounds()?;
@@ -195,18 +197,18 @@
 
     fn check_load(&self) -> Result<(), DescriptionError> {
         if self.zones.is_some() {
-            return Err(DescriptionError::Foreign("zones"));
+            return Err(DescriptionError::NotApplicable("zones"));
         }
         if self.mix().is_none() {
             let name = self.mix.clone().unwrap_or_default();
-            return Err(DescriptionError::Mix(name));
+            return Err(DescriptionError::UnknownMix(name));
         }
         for variant in &self.variants {
             if variant.groups.is_some() || variant.databases_per_node.is_some() {
-                return Err(DescriptionError::Foreign("groups"));
+                return Err(DescriptionError::NotApplicable("groups"));
             }
             if variant.address.is_none() {
-                return Err(DescriptionError::Missing {
+                return Err(DescriptionError::MissingField {
                     variant: variant.name.clone(),
                     field: "an address",
                 });
@@ -216,46 +218,46 @@
     }
 
     fn check_scale(&self) -> Result<(), DescriptionError> {
-        let foreign = [
+        let not_applicable = [
             (self.mix.is_some(), "mix"),
             (self.database.is_some(), "database"),
             (self.rate.is_some(), "rate"),
         ];
-        if let Some((_, field)) = foreign.iter().find(|(given, _)| *given) {
-            return Err(DescriptionError::Foreign(field));
+        if let Some((_, field)) = not_applicable.iter().find(|(given, _)| *given) {
+            return Err(DescriptionError::NotApplicable(field));
         }
-        let strangers = self.variants.iter();
-        if strangers
+        let variants = self.variants.iter();
+        if variants
             .clone()
             .any(|variant| variant.address.is_some() || variant.relay)
         {
-            return Err(DescriptionError::Foreign("an address"));
+            return Err(DescriptionError::NotApplicable("an address"));
         }
         Ok(())
     }
 }
 
 impl Variant {
-    fn fill_in(
+    fn resolve_address(
         &mut self,
         addresses: &BTreeMap<String, SocketAddr>,
     ) -> Result<(), DescriptionError> {
         let Some(text) = &self.address else {
             return Ok(());
         };
-        if let Some(name) = text.strip_prefix(PLACEHOLDER) {
+        if let Some(name) = text.strip_prefix(PLACEHOLDER_PREFIX) {
             let given = addresses.get(name);
-            let given = given.ok_or_else(|| DescriptionError::NotSet(name.to_owned()))?;
+            let given = given.ok_or_else(|| DescriptionError::AddressNotGiven(name.to_owned()))?;
             self.address = Some(given.to_string());
             return Ok(());
         }
         match text.parse::<SocketAddr>() {
             Ok(_) => Ok(()),
-            Err(_) => Err(DescriptionError::Address(text.clone())),
+            Err(_) => Err(DescriptionError::InvalidAddress(text.clone())),
         }
     }
 
-    /// The address, once filled in.
+    /// Returns the address; `None` when there is none or a `$name` is not yet replaced.
     pub fn socket_address(&self) -> Option<SocketAddr> {
         self.address.as_ref()?.parse().ok()
     }
--- a/lab/measure/src/experiment/mod.rs
+++ b/lab/measure/src/experiment/mod.rs
@@ -1,5 +1,5 @@
-//! Experiments described in a TOML file: variants, sizes and repeats, run in turn in one
-//! go, and reported as Markdown with plots.
+//! Experiments described in a TOML file: variants, sizes and repeats. The runs are executed
+//! one after the other and reported as Markdown with plots.
 
 mod description;
 mod plot;
--- a/lab/measure/src/experiment/plot.rs
+++ b/lab/measure/src/experiment/plot.rs
@@ -1,4 +1,4 @@
-//! Plots as SVG.
+//! Draws plots as SVG files.
 
 use std::path::Path;
 
@@ -7,16 +7,17 @@
 
 use crate::fit::Line;
 
+/// Width and height of a plot in pixels.
 const SIZE: (u32, u32) = (800, 450);
 const MARGIN: u32 = 12;
 const LABEL_AREA: u32 = 60;
 const POINT_SIZE: u32 = 4;
-/// Room above the highest point, as a share of it.
-const HEADROOM: f64 = 1.1;
+/// Ratio of the upper end of an axis to the highest value on it.
+const AXIS_SCALE: f64 = 1.1;
 
-/// Why a plot was not drawn.
+/// A plot could not be drawn.
 #[derive(Debug, Error)]
-#[error("a plot was not drawn: {0}")]
+#[error("a plot could not be drawn: {0}")]
 pub struct PlotError(String);
 
 /// One series of a plot.
@@ -24,29 +25,29 @@
 pub struct Series {
     /// Name in the legend.
     pub name: String,
-    /// Its points.
+    /// Points as (x, y).
     pub points: Vec<(f64, f64)>,
-    /// Whether the points are joined.
+    /// Whether the points are connected by a curve instead of drawn as circles.
     pub joined: bool,
-    /// A line through them.
+    /// Fitted line, drawn through points that are not connected.
     pub line: Option<Line>,
 }
 
-/// Title and names of the axes.
+/// Title and axis labels of a plot.
 #[derive(Clone, Debug)]
 pub struct Caption<'a> {
-    /// Title.
+    /// Title of the plot.
     pub title: &'a str,
-    /// Horizontal axis.
+    /// Label of the horizontal axis.
     pub x: &'a str,
-    /// Vertical axis.
+    /// Label of the vertical axis.
     pub y: &'a str,
 }
 
-/// Draws `series` into the file at `path`.
+/// Draws `series` and writes the plot to the file at `path`.
 ///
 /// # Errors
-/// When the file cannot be written.
+/// When the plot cannot be drawn or the file cannot be written.
 pub fn draw(path: &Path, caption: &Caption<'_>, series: &[Series]) -> Result<(), PlotError> {
     let failed = |error: &dyn std::fmt::Display| PlotError(error.to_string());
     let (right, top) = bounds(series);
@@ -65,15 +66,15 @@
         .y_desc(caption.y)
         .draw()
         .map_err(|error| failed(&error))?;
-    for (index, one) in series.iter().enumerate() {
+    for (index, entry) in series.iter().enumerate() {
         let color = Palette99::pick(index).to_rgba();
-        let points = one.points.iter();
-        if one.joined {
+        let points = entry.points.iter();
+        if entry.joined {
             let joined = LineSeries::new(points.copied(), color);
             chart
                 .draw_series(joined)
                 .map_err(|error| failed(&error))?
-                .label(&one.name)
+                .label(&entry.name)
                 .legend(move |(x, y)| Circle::new((x, y), POINT_SIZE, color.filled()));
             continue;
         }
@@ -81,9 +82,9 @@
         chart
             .draw_series(circles)
             .map_err(|error| failed(&error))?
-            .label(&one.name)
+            .label(&entry.name)
             .legend(move |(x, y)| Circle::new((x, y), POINT_SIZE, color.filled()));
-        if let Some(line) = one.line {
+        if let Some(line) = entry.line {
             let ends = [(0.0, line.at(0.0).max(0.0)), (right, line.at(right))];
             chart
                 .draw_series(LineSeries::new(ends, color))
@@ -99,12 +100,12 @@
     area.present().map_err(|error| failed(&error))
 }
 
-/// The upper ends of both axes.
+/// Returns the upper ends of the horizontal and the vertical axis.
 fn bounds(series: &[Series]) -> (f64, f64) {
-    let points = series.iter().flat_map(|one| &one.points);
+    let points = series.iter().flat_map(|entry| &entry.points);
     let (right, top) = points.fold((0.0_f64, 0.0_f64), |(right, top), (x, y)| {
         (right.max(*x), top.max(*y))
     });
-    let with_room = |end: f64| if end > 0.0 { end * HEADROOM } else { 1.0 };
-    (with_room(right), with_room(top))
+    let axis_end = |end: f64| if end > 0.0 { end * AXIS_SCALE } else { 1.0 };
+    (axis_end(right), axis_end(top))
 }
--- a/lab/measure/src/experiment/report.rs
+++ b/lab/measure/src/experiment/report.rs
@@ -1,4 +1,4 @@
-//! The report of an experiment: Markdown, the numbers as JSON, and plots.
+//! Writes the report of an experiment: Markdown, the results as JSON, and plots.
 
 use std::collections::BTreeSet;
 use std::fmt::Write as _;
@@ -17,75 +17,79 @@
     /// A file cannot be written.
     #[error("a file cannot be written: {0}")]
     File(#[from] std::io::Error),
-    /// The numbers have no JSON.
-    #[error("the numbers cannot be written: {0}")]
+    /// The results cannot be serialized.
+    #[error("the results cannot be serialized: {0}")]
     Json(#[from] serde_json::Error),
-    /// A plot cannot be written.
+    /// A plot cannot be drawn.
     #[error(transparent)]
     Plot(#[from] PlotError),
 }
 
-/// A number that a run gave.
+/// A measured quantity with its name, the file of its plot, and a function that extracts it
+/// from an outcome. The function returns `None` for outcomes of another kind.
 struct Quantity {
     name: &'static str,
     file: &'static str,
-    of: fn(&Outcome) -> Option<f64>,
+    value_of: fn(&Outcome) -> Option<f64>,
 }
 
 const QUANTITIES: [Quantity; 7] = [
     Quantity {
         name: "answers a second",
         file: "throughput.svg",
-        of: |outcome| load(outcome, |report| report.answered_per_second),
+        value_of: |outcome| load(outcome, |report| report.answered_per_second),
     },
     Quantity {
         name: "median latency, ms",
         file: "median.svg",
-        of: |outcome| load(outcome, |report| report.all.p50_ms),
+        value_of: |outcome| load(outcome, |report| report.all.p50_ms),
     },
     Quantity {
         name: "99th percentile of latency, ms",
         file: "p99.svg",
-        of: |outcome| load(outcome, |report| report.all.p99_ms),
+        value_of: |outcome| load(outcome, |report| report.all.p99_ms),
     },
     Quantity {
         name: "processor time of a node, % of a core",
         file: "processor.svg",
-        of: |outcome| scale(outcome, |point| point.processor_percent),
+        value_of: |outcome| scale(outcome, |point| point.processor_percent),
     },
     Quantity {
         name: "control traffic of a node, bytes a second",
         file: "bytes.svg",
-        of: |outcome| scale(outcome, |point| point.bytes_sent_a_second),
+        value_of: |outcome| scale(outcome, |point| point.bytes_sent_a_second),
     },
     Quantity {
         name: "memory of a node without bundle, MB",
         file: "memory.svg",
-        of: |outcome| scale(outcome, |point| point.resident_without_bundle_mb),
+        value_of: |outcome| scale(outcome, |point| point.resident_without_bundle_mb),
     },
     Quantity {
         name: "memory of a node with bundle, MB",
         file: "memory-bundle.svg",
-        of: |outcome| scale(outcome, |point| point.resident_mb),
+        value_of: |outcome| scale(outcome, |point| point.resident_mb),
     },
 ];
 
-fn load(outcome: &Outcome, of: fn(&hookpoint_workload::load::LoadReport) -> f64) -> Option<f64> {
+fn load(
+    outcome: &Outcome,
+    value_of: fn(&hookpoint_workload::load::LoadReport) -> f64,
+) -> Option<f64> {
     match outcome {
-        Outcome::Load(report) => Some(of(report)),
+        Outcome::Load(report) => Some(value_of(report)),
         Outcome::Scale(_) => None,
     }
 }
 
-fn scale(outcome: &Outcome, of: fn(&ScalePoint) -> f64) -> Option<f64> {
+fn scale(outcome: &Outcome, value_of: fn(&ScalePoint) -> f64) -> Option<f64> {
     match outcome {
-        Outcome::Scale(point) => Some(of(point)),
+        Outcome::Scale(point) => Some(value_of(point)),
         Outcome::Load(_) => None,
     }
 }
 
-/// Writes `report.md`, `results.json` and the plots into `directory`, which is made if
-/// there is none.
+/// Writes `report.md`, `results.json` and the plots into `directory`, which is created if it
+/// does not exist.
 ///
 /// # Errors
 /// A [`ReportError`].
@@ -132,8 +136,8 @@
                 .filter(|run| run.size == size && &run.variant == variant);
             let load = Spread::of(loads.map(|run| run.load_average));
             if let (Some(values), Some(load)) = (values, load) {
-                let ratio = ratios.map_or_else(|| "-".to_owned(), |ratio| show(&ratio));
-                let value = show(&values);
+                let ratio = ratios.map_or_else(|| "-".to_owned(), |ratio| format_spread(&ratio));
+                let value = format_spread(&values);
                 let _written = writeln!(
                     text,
                     "| {size} | {variant} | {value} | {ratio} | {:.1} |",
@@ -142,12 +146,12 @@
             }
         }
     }
-    for one in &series {
-        if let Some(line) = one.line {
+    for entry in &series {
+        if let Some(line) = entry.line {
             let _written = writeln!(
                 text,
                 "\n{}: {:.4} + {:.6} × size, R² {:.3}.",
-                one.name, line.intercept, line.slope, line.r_squared
+                entry.name, line.intercept, line.slope, line.r_squared
             );
         }
     }
@@ -161,22 +165,23 @@
     Ok(())
 }
 
-fn show(spread: &Spread) -> String {
+fn format_spread(spread: &Spread) -> String {
     format!(
         "{:.3} ({:.3}–{:.3})",
         spread.median, spread.low, spread.high
     )
 }
 
-/// Rounds and values of a variant at a size.
+/// Returns the rounds and values of a variant at a size.
 fn values(results: &Results, quantity: &Quantity, variant: &str, size: usize) -> Vec<(usize, f64)> {
     let runs = results.measurements.iter();
     let runs = runs.filter(|run| run.variant == variant && run.size == size);
-    runs.filter_map(|run| Some((run.round, (quantity.of)(&run.outcome)?)))
+    runs.filter_map(|run| Some((run.round, (quantity.value_of)(&run.outcome)?)))
         .collect()
 }
 
-/// Ratios of a variant to the first one, round by round.
+/// Returns the ratios of a variant's values to those of the first variant in the same round.
+/// Rounds in which the first variant has no value, or zero, are left out.
 fn ratios(results: &Results, quantity: &Quantity, variant: &str, size: usize) -> Vec<f64> {
     let Some(first) = results.variants.first() else {
         return Vec::new();
@@ -197,7 +202,7 @@
             .iter()
             .filter(|run| &run.variant == variant);
         let points: Vec<(f64, f64)> = runs
-            .filter_map(|run| Some((run.size as f64, (quantity.of)(&run.outcome)?)))
+            .filter_map(|run| Some((run.size as f64, (quantity.value_of)(&run.outcome)?)))
             .collect();
         Series {
             name: variant.clone(),
@@ -206,11 +211,11 @@
             joined: false,
         }
     });
-    series.filter(|one| !one.points.is_empty()).collect()
+    series.filter(|entry| !entry.points.is_empty()).collect()
 }
 
-/// Latency curves, and how news spread over the nodes, of the last round at the largest
-/// size.
+/// Plots, for the last run of each variant, the latency distribution and the propagation of
+/// a term and of a bundle over the nodes.
 fn write_curves(directory: &Path, results: &Results, text: &mut String) -> Result<(), ReportError> {
     type Curve = fn(&Outcome) -> Vec<(f64, f64)>;
     let curves: [(&str, &str, &str, &str, Curve); 3] = [
@@ -230,7 +235,7 @@
             "ms",
             "share of its users, %",
             |outcome| match outcome {
-                Outcome::Scale(point) => shares(&point.term_times_ms),
+                Outcome::Scale(point) => cumulative_shares(&point.term_times_ms),
                 Outcome::Load(_) => Vec::new(),
             },
         ),
@@ -240,23 +245,23 @@
             "ms",
             "share of the nodes, %",
             |outcome| match outcome {
-                Outcome::Scale(point) => shares(&point.bundle_times_ms),
+                Outcome::Scale(point) => cumulative_shares(&point.bundle_times_ms),
                 Outcome::Load(_) => Vec::new(),
             },
         ),
     ];
-    for (title, file, x, y, of) in curves {
+    for (title, file, x, y, value_of) in curves {
         let series: Vec<Series> = results
             .variants
             .iter()
             .filter_map(|variant| last_run(results, variant))
             .map(|run| Series {
                 name: format!("{} at {}", run.variant, run.size),
-                points: of(&run.outcome),
+                points: value_of(&run.outcome),
                 joined: true,
                 line: None,
             })
-            .filter(|one| !one.points.is_empty())
+            .filter(|entry| !entry.points.is_empty())
             .collect();
         if series.is_empty() {
             continue;
@@ -272,8 +277,8 @@
     runs.rfind(|run| run.variant == variant)
 }
 
-/// Share of the nodes that knew by each time, in percent.
-fn shares(times_ms: &[f64]) -> Vec<(f64, f64)> {
+/// Returns, for each time, the percentage of the nodes that were reached by then.
+fn cumulative_shares(times_ms: &[f64]) -> Vec<(f64, f64)> {
     let mut times = times_ms.to_vec();
     times.sort_by(f64::total_cmp);
     let count = times.len() as f64;
--- a/lab/measure/src/experiment/run.rs
+++ b/lab/measure/src/experiment/run.rs
@@ -1,5 +1,5 @@
-//! Running an experiment: in every round each variant runs once at the size, the one
-//! after the other, so that all of them meet the same machine.
+//! Runs an experiment. In every round, each variant runs once at the same size, one after
+//! the other, so that all variants are measured under similar conditions of the machine.
 
 use hookpoint_workload::connection::Credentials;
 use hookpoint_workload::deployment::Deployment;
@@ -14,86 +14,87 @@
 use crate::relay::Relay;
 use crate::scale::{self, ScaleError, ScalePoint, ScaleSettings};
 
-/// Time before each measurement of a load.
+/// Time under load before each measurement of a load.
 const WARM_UP: Duration = Duration::from_secs(1);
 
-/// What one run gave.
+/// The outcome of one run.
 #[derive(Clone, Debug, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// Of a load.
+    /// Results of a load.
     Load(Box<LoadReport>),
-    /// Of hollow nodes.
+    /// Results of a fleet of hollow nodes.
     Scale(Box<ScalePoint>),
 }
 
-/// One run.
+/// One run of an experiment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Measurement {
-    /// Its variant.
+    /// Name of the variant.
     pub variant: String,
-    /// Its size.
+    /// Number of sessions or nodes.
     pub size: usize,
-    /// Round, from 0.
+    /// Round at this size, from 0.
     pub round: usize,
-    /// Load average of the machine behind it.
+    /// Load average of the machine after the run.
     pub load_average: f64,
-    /// What it gave.
+    /// Results of the run.
     pub outcome: Outcome,
 }
 
-/// All runs of an experiment.
+/// Results of all runs of an experiment.
 #[derive(Clone, Debug, Serialize)]
 pub struct Results {
-    /// Its title.
+    /// Title of the experiment.
     pub title: String,
-    /// Names of the variants, the one to compare with first.
+    /// Names of the variants. The first variant is the baseline of the ratios.
     pub variants: Vec<String>,
-    /// Runs in the order they ran.
+    /// Runs in the order of execution.
     pub measurements: Vec<Measurement>,
 }
 
-/// Why an experiment ended early.
+/// Why an experiment was aborted.
 #[derive(Debug, Error)]
 pub enum ExperimentError {
     /// A load failed.
     #[error("variant {variant} at size {size}: {source}")]
     Load {
-        /// The variant.
+        /// Name of the variant.
         variant: String,
-        /// The size.
+        /// Number of sessions or nodes.
         size: usize,
-        /// The cause.
+        /// The underlying error.
         source: LoadError,
     },
-    /// Hollow nodes failed.
+    /// A measurement of hollow nodes failed.
     #[error("variant {variant} at size {size}: {source}")]
     Scale {
-        /// The variant.
+        /// Name of the variant.
         variant: String,
-        /// The size.
+        /// Number of sessions or nodes.
         size: usize,
-        /// The cause.
+        /// The underlying error.
         source: ScaleError,
     },
-    /// The relay did not start, or a thread ended.
-    #[error("the machine refused: {0}")]
-    Machine(#[from] std::io::Error),
+    /// The relay did not start, or a measuring thread panicked.
+    #[error("the relay did not start or a measuring thread panicked: {0}")]
+    Execution(#[from] std::io::Error),
 }
 
-/// Runs everything. `told` hears of each run before it starts.
+/// Runs all variants at all sizes. Calls `on_run_start` before each run with the variant, the
+/// size and the round.
 ///
 /// # Errors
 /// The first [`ExperimentError`].
 pub async fn run(
     description: &Description,
-    mut told: impl FnMut(&Variant, usize, usize),
+    mut on_run_start: impl FnMut(&Variant, usize, usize),
 ) -> Result<Results, ExperimentError> {
     let mut measurements = Vec::new();
     for size in &description.sizes {
         for round in 0..description.repeats {
             for variant in &description.variants {
-                told(variant, *size, round);
+                on_run_start(variant, *size, round);
                 let outcome = run_one(description, variant, *size, round).await?;
                 measurements.push(Measurement {
                     variant: variant.name.clone(),
--- a/lab/measure/src/fit.rs
+++ b/lab/measure/src/fit.rs
@@ -1,21 +1,22 @@
-//! Lines through measured points, and the spread of repeated measurements.
+//! Least-squares lines through measured points, and summaries of repeated measurements.
 
 use serde::Serialize;
 
 /// A straight line `y = intercept + slope * x`.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Line {
-    /// Value at zero.
+    /// Value at `x = 0`.
     pub intercept: f64,
-    /// Growth for each unit of `x`.
+    /// Growth per unit of `x`.
     pub slope: f64,
-    /// Share of the variance that the line explains, from 0 to 1.
+    /// Coefficient of determination: the share of the variance of `y` that the line explains,
+    /// from 0 to 1.
     pub r_squared: f64,
 }
 
 impl Line {
-    /// The line of least squares through `points`; none for fewer than two different
-    /// values of `x`.
+    /// Fits a least-squares line through `points`; `None` for fewer than two distinct values
+    /// of `x`.
     pub fn through(points: &[(f64, f64)]) -> Option<Self> {
         let count = points.len() as f64;
         let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
@@ -31,8 +32,12 @@
         let slope = sum(&|x, y| x * y) / square_x;
         let intercept = mean_y - slope * mean_x;
         let total = sum(&|_, y| y * y);
-        let left = sum(&|x, y| (y - slope * x).powi(2));
-        let r_squared = if total > 0.0 { 1.0 - left / total } else { 1.0 };
+        let residual = sum(&|x, y| (y - slope * x).powi(2));
+        let r_squared = if total > 0.0 {
+            1.0 - residual / total
+        } else {
+            1.0
+        };
         Some(Self {
             intercept,
             slope,
@@ -40,29 +45,29 @@
         })
     }
 
-    /// The value at `x`.
+    /// Returns the value of the line at `x`.
     pub fn at(&self, x: f64) -> f64 {
         self.intercept + self.slope * x
     }
 }
 
-/// Median and extremes of repeated measurements.
+/// Median, 99th percentile and extremes of repeated measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Spread {
     /// Number of measurements.
     pub count: usize,
-    /// Smallest.
+    /// Smallest value.
     pub low: f64,
     /// Median.
     pub median: f64,
     /// 99th percentile.
     pub p99: f64,
-    /// Largest.
+    /// Largest value.
     pub high: f64,
 }
 
 impl Spread {
-    /// The spread of `values`; none for no values.
+    /// Summarizes `values`; `None` when there are none.
     pub fn of(values: impl IntoIterator<Item = f64>) -> Option<Self> {
         let mut values: Vec<f64> = values.into_iter().collect();
         values.sort_by(f64::total_cmp);
--- a/lab/measure/src/idle.rs
+++ b/lab/measure/src/idle.rs
@@ -1,8 +1,8 @@
-//! Memory that idle connections take in the process that serves them.
+//! Measures the memory that idle connections take in the process that serves them.
 //!
-//! The connections are plain sockets that have gone through the start-up of the
-//! PostgreSQL protocol and then say nothing. The serving process is another one, so its
-//! memory can be told from that of the clients.
+//! The connections are plain sockets that complete the startup of the PostgreSQL protocol
+//! and then send nothing. The serving process is separate from this one, so that its
+//! memory does not include that of the clients.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -15,83 +15,84 @@
 use crate::fit::Line;
 use crate::process::{Process, load_average};
 
-/// Version 3.0 of the protocol.
-const PROTOCOL: u32 = 196_608;
-/// Longest wait for one connection to be ready.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Time given to the serving process to come to rest before it is read.
-const SETTLE: Duration = Duration::from_secs(2);
-/// Connections opened at the same time.
-const CONCURRENCY: usize = 64;
-/// Largest message taken during start-up, in bytes.
+/// Version 3.0 of the PostgreSQL protocol.
+const PROTOCOL_VERSION: u32 = 196_608;
+/// Maximum wait for one connection to become ready.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(20);
+/// Wait before each reading, for the memory of the serving process to settle.
+const SETTLE_TIME: Duration = Duration::from_secs(2);
+/// Maximum number of connections opened concurrently.
+const CONNECT_CONCURRENCY: usize = 64;
+/// Maximum body length of a message during startup, in bytes.
 const MAXIMUM_MESSAGE_BYTES: usize = 64 * 1_024;
 
-/// What to measure.
+/// Settings of the measurement.
 #[derive(Clone, Debug)]
 pub struct IdleSettings {
     /// Address of the server.
     pub address: SocketAddr,
-    /// Number of the process that serves it.
+    /// Process ID of the server.
     pub process: u32,
     /// User to connect as, without a password.
     pub user: String,
     /// Database to connect to.
     pub database: String,
-    /// Numbers of connections to measure at, ascending.
+    /// Numbers of connections at which to measure, ascending.
     pub sizes: Vec<usize>,
 }
 
-/// Why nothing was measured.
+/// Why the measurement failed.
 #[derive(Debug, Error)]
 pub enum IdleError {
     /// A connection failed.
     #[error("connection {number} failed: {source}")]
     Connection {
-        /// Number of connections that were open.
+        /// Number of connections open when the batch started.
         number: usize,
-        /// The cause.
+        /// The underlying error.
         source: std::io::Error,
     },
     /// The server refused a connection.
     #[error("the server refused connection {number}: {text}")]
     Refused {
-        /// Number of connections that were open.
+        /// Number of connections open when the batch started.
         number: usize,
-        /// What it said.
+        /// Text of the error message.
         text: String,
     },
-    /// A connection was not ready in time.
+    /// A connection was not ready within the timeout. Holds the number of connections open
+    /// when the batch started.
     #[error("connection {0} was not ready in time")]
-    Slow(usize),
-    /// The process cannot be read.
-    #[error("the process cannot be read: {0}")]
+    TimedOut(usize),
+    /// The resource usage of the serving process cannot be read.
+    #[error("the resource usage of the process cannot be read: {0}")]
     Process(std::io::Error),
 }
 
-/// Memory at one number of connections.
+/// Memory of the serving process at one number of connections.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct IdlePoint {
-    /// Connections.
+    /// Number of open connections.
     pub connections: usize,
     /// Resident memory of the serving process in bytes.
     pub resident_bytes: u64,
-    /// Growth since no connection, for each connection, in bytes.
+    /// Growth per connection relative to the reading without connections, in bytes.
     pub bytes_per_connection: f64,
-    /// Load average of the machine.
+    /// Load average of the machine over one minute.
     pub load_average: f64,
 }
 
-/// What was measured.
+/// Results of the measurement.
 #[derive(Clone, Debug, Serialize)]
 pub struct IdleReport {
-    /// Memory at each size, first at none.
+    /// Memory at each number of connections, starting with zero.
     pub points: Vec<IdlePoint>,
-    /// Line through them: bytes over connections.
+    /// Line fitted through the points: resident bytes over connections.
     pub line: Option<Line>,
 }
 
 impl IdleReport {
-    /// The report as a table for a terminal.
+    /// Formats the report as a table for a terminal.
     pub fn table(&self) -> String {
         let mut lines = vec![format!(
             "{:>12}{:>16}{:>18}{:>8}",
@@ -116,20 +117,20 @@
     }
 }
 
-/// Opens the connections and reads the process at each size.
+/// Opens the connections and reads the memory of the serving process at each size.
 ///
 /// # Errors
-/// An [`IdleError`]; the connections are closed.
+/// An [`IdleError`], after closing the connections.
 pub async fn run(settings: &IdleSettings) -> Result<IdleReport, IdleError> {
     let process = Process::Other(settings.process);
     let mut open: Vec<TcpStream> = Vec::new();
     let mut points: Vec<IdlePoint> = Vec::new();
     for size in std::iter::once(0).chain(settings.sizes.iter().copied()) {
         while open.len() < size {
-            let batch = CONCURRENCY.min(size - open.len());
+            let batch = CONNECT_CONCURRENCY.min(size - open.len());
             connect_batch(settings, batch, &mut open).await?;
         }
-        tokio::time::sleep(SETTLE).await;
+        tokio::time::sleep(SETTLE_TIME).await;
         let resident_bytes = process.read().map_err(IdleError::Process)?.resident_bytes;
         let first = points
             .first()
@@ -160,11 +161,11 @@
     let number = open.len();
     let mut tasks = tokio::task::JoinSet::new();
     for _ in 0..batch {
-        let (address, start_up) = (settings.address, start_up(settings));
+        let (address, startup_message) = (settings.address, startup_message(settings));
         tasks.spawn(async move {
-            tokio::time::timeout(PATIENCE, connect(address, &start_up))
+            tokio::time::timeout(CONNECT_TIMEOUT, connect(address, &startup_message))
                 .await
-                .map_err(|_| Failure::Slow)?
+                .map_err(|_| ConnectFailure::TimedOut)?
         });
     }
     while let Some(result) = tasks.join_next().await {
@@ -172,36 +173,36 @@
             number,
             source: std::io::Error::other(error),
         })?;
-        open.push(stream.map_err(|failure| failure.at(number))?);
+        open.push(stream.map_err(|failure| failure.into_error(number))?);
     }
     Ok(())
 }
 
-enum Failure {
+enum ConnectFailure {
     Socket(std::io::Error),
     Refused(String),
-    Slow,
+    TimedOut,
 }
 
-impl From<std::io::Error> for Failure {
+impl From<std::io::Error> for ConnectFailure {
     fn from(error: std::io::Error) -> Self {
-        Failure::Socket(error)
+        ConnectFailure::Socket(error)
     }
 }
 
-impl Failure {
-    fn at(self, number: usize) -> IdleError {
+impl ConnectFailure {
+    fn into_error(self, number: usize) -> IdleError {
         match self {
-            Failure::Socket(source) => IdleError::Connection { number, source },
-            Failure::Refused(text) => IdleError::Refused { number, text },
-            Failure::Slow => IdleError::Slow(number),
+            ConnectFailure::Socket(source) => IdleError::Connection { number, source },
+            ConnectFailure::Refused(text) => IdleError::Refused { number, text },
+            ConnectFailure::TimedOut => IdleError::TimedOut(number),
         }
     }
 }
 
-/// A start-up message of the protocol's version 3.0.
-fn start_up(settings: &IdleSettings) -> Vec<u8> {
-    let mut body = PROTOCOL.to_be_bytes().to_vec();
+/// Builds a startup message of protocol version 3.0.
+fn startup_message(settings: &IdleSettings) -> Vec<u8> {
+    let mut body = PROTOCOL_VERSION.to_be_bytes().to_vec();
     for text in ["user", &settings.user, "database", &settings.database] {
         body.extend_from_slice(text.as_bytes());
         body.push(0);
@@ -213,15 +214,15 @@
     message
 }
 
-async fn connect(address: SocketAddr, start_up: &[u8]) -> Result<TcpStream, Failure> {
+async fn connect(address: SocketAddr, startup_message: &[u8]) -> Result<TcpStream, ConnectFailure> {
     let mut stream = TcpStream::connect(address).await?;
-    stream.write_all(start_up).await?;
+    stream.write_all(startup_message).await?;
     loop {
         let kind = stream.read_u8().await?;
         let length = stream.read_u32().await? as usize;
         let length = length.saturating_sub(4);
         if length > MAXIMUM_MESSAGE_BYTES {
-            return Err(Failure::Refused("an oversized message".to_owned()));
+            return Err(ConnectFailure::Refused("an oversized message".to_owned()));
         }
         let mut body = vec![0; length];
         stream.read_exact(&mut body).await?;
@@ -229,7 +230,7 @@
             b'Z' => return Ok(stream),
             b'E' => {
                 let text = String::from_utf8_lossy(&body).replace('\0', " ");
-                return Err(Failure::Refused(text));
+                return Err(ConnectFailure::Refused(text));
             }
             _ => {}
         }
--- a/lab/measure/src/lib.rs
+++ b/lab/measure/src/lib.rs
@@ -1,8 +1,9 @@
-//! Measurements of hookpoint: a fleet of hollow nodes on real sockets, memory of idle
-//! connections, a plain relay to compare with, lines fitted through what was measured,
+//! Measurements of hookpoint: a fleet of hollow nodes on real sockets, the memory of idle
+//! connections, a plain relay as a baseline, line fits and summaries of measured values,
 //! and experiments described in a file.
 //!
-//! `docs/design/measuring.md` weighs the ways; `docs/capacity-postgresql.md` holds the results.
+//! `docs/design/measuring.md` compares the methods; `docs/capacity-postgresql.md` holds the
+//! results.
 #![forbid(unsafe_code)]
 
 pub mod experiment;
--- a/lab/measure/src/process.rs
+++ b/lab/measure/src/process.rs
@@ -1,34 +1,33 @@
-//! What the system tells of a process: processor time, memory and the load around it.
-//!
-//! Read from `/proc`, so only on Linux. A process other than this one is named by its
-//! number.
+//! Reads the processor time, memory and thread count of a process, and the load of the
+//! machine, from `/proc`. Linux only.
 
 use std::io;
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Ticks of `/proc/PID/stat` in a second; the same on every Linux of today.
+/// Clock ticks per second in `/proc/PID/stat`; 100 on all current Linux systems.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Fields of `/proc/PID/stat` behind the name, before user and system time.
+/// Number of fields in `/proc/PID/stat` between the process name and the user time, which
+/// the system time follows.
 const FIELDS_BEFORE_TIMES: usize = 11;
 
-/// A process to read about.
+/// Selects the process to read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Process {
-    /// The one that asks.
+    /// The calling process.
     Own,
-    /// The one of that number.
+    /// The process with this ID.
     Other(u32),
 }
 
-/// One reading.
+/// Resource usage of a process at one time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Reading {
-    /// Processor time since the start of the process, user and system.
+    /// User and system processor time since the start of the process.
     pub processor: Duration,
     /// Resident memory in bytes.
     pub resident_bytes: u64,
-    /// Threads.
+    /// Number of threads.
     pub threads: u64,
 }
 
@@ -41,10 +40,10 @@
         PathBuf::from("/proc").join(process).join(name)
     }
 
-    /// Reads what the process has used.
+    /// Reads the resource usage of the process.
     ///
     /// # Errors
-    /// When there is no such process, or the system tells it in another form.
+    /// When there is no such process, or its `/proc` files have an unexpected format.
     pub fn read(self) -> io::Result<Reading> {
         let stat = std::fs::read_to_string(self.file("stat"))?;
         let status = std::fs::read_to_string(self.file("status"))?;
@@ -57,9 +56,9 @@
     }
 }
 
-/// Processor time in the text of a `stat` file.
+/// Parses the processor time from the text of a `stat` file.
 pub fn parse_processor(stat: &str) -> Option<Duration> {
-    // The name in parentheses may hold blanks and parentheses of its own.
+    // The process name in parentheses may itself contain spaces and parentheses.
     let (_, fields) = stat.rsplit_once(") ")?;
     let mut times = fields.split_whitespace().skip(FIELDS_BEFORE_TIMES);
     let user: u64 = times.next()?.parse().ok()?;
@@ -68,20 +67,21 @@
     Duration::try_from_secs_f64(seconds).ok()
 }
 
-/// The number of a line of a `status` file.
+/// Parses the number in the line of a `status` or `meminfo` file that starts with `field`.
 pub fn parse_status(status: &str, field: &str) -> Option<u64> {
     let line = status.lines().find_map(|line| line.strip_prefix(field))?;
     line.split_whitespace().next()?.parse().ok()
 }
 
-/// The machine's load average over one minute; zero where it cannot be read.
+/// Returns the machine's load average over one minute; zero when it cannot be read.
 pub fn load_average() -> f64 {
     let text = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     let first = text.split_whitespace().next();
     first.and_then(|load| load.parse().ok()).unwrap_or(0.0)
 }
 
-/// Half of the machine's memory in bytes, the most that a measurement may take.
+/// Returns half of the machine's memory in bytes, the maximum that a measurement may use;
+/// `u64::MAX` when the total cannot be read.
 pub fn half_of_memory() -> u64 {
     let text = std::fs::read_to_string("/proc/meminfo").unwrap_or_default();
     parse_status(&text, "MemTotal:").map_or(u64::MAX, |kilobytes| kilobytes * 1_024 / 2)
--- a/lab/measure/src/relay.rs
+++ b/lab/measure/src/relay.rs
@@ -1,4 +1,5 @@
-//! A relay that copies bytes and knows nothing, to compare a proxy with.
+//! A plain TCP relay that copies bytes without interpreting them, as a baseline for
+//! measurements of a proxy.
 
 use std::net::SocketAddr;
 
@@ -6,7 +7,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 
-/// A running relay; it ends when dropped.
+/// A running relay. Dropping it stops accepting connections; open ones continue.
 #[derive(Debug)]
 pub struct Relay {
     address: SocketAddr,
@@ -14,23 +15,23 @@
 }
 
 impl Relay {
-    /// Listens on a loopback port that the system chooses and copies every connection
-    /// to one of its own to `target`.
+    /// Listens on a loopback port assigned by the system. For every accepted connection,
+    /// opens one to `target` and copies bytes in both directions.
     ///
     /// # Errors
-    /// When there is no port.
+    /// When no port can be bound.
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
         let address = listener.local_addr()?;
         let accepting = tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(copy(near, target));
+            while let Ok((client, _)) = listener.accept().await {
+                tokio::spawn(copy(client, target));
             }
         });
         Ok(Self { address, accepting })
     }
 
-    /// Where it listens.
+    /// Returns the address that the relay listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -42,15 +43,15 @@
     }
 }
 
-async fn copy(mut near: TcpStream, target: SocketAddr) {
-    let Ok(mut far) = TcpStream::connect(target).await else {
+async fn copy(mut client: TcpStream, target: SocketAddr) {
+    let Ok(mut server) = TcpStream::connect(target).await else {
         return;
     };
-    let undelayed = near.set_nodelay(true).and(far.set_nodelay(true));
-    if let Err(error) = undelayed {
-        log::debug!("relay: a connection is delayed: {error}.");
+    let nodelay = client.set_nodelay(true).and(server.set_nodelay(true));
+    if let Err(error) = nodelay {
+        log::debug!("relay: cannot disable Nagle's algorithm: {error}.");
     }
-    if let Err(error) = io::copy_bidirectional(&mut near, &mut far).await {
-        log::debug!("relay: a connection ended: {error}.");
+    if let Err(error) = io::copy_bidirectional(&mut client, &mut server).await {
+        log::debug!("relay: a connection failed: {error}.");
     }
 }
--- a/lab/measure/src/scale/fleet.rs
+++ b/lab/measure/src/scale/fleet.rs
@@ -1,4 +1,4 @@
-//! All hollow nodes of a run, and the bundle they share.
+//! The hollow nodes of a run and the bundle that is rolled out to them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,58 +7,61 @@
 use hookpoint_state::{DatabaseName, GroupName, RegionName, ZoneName};
 
 use super::node::HollowNode;
-use super::platform::Rollouts;
+use super::platform::PlatformStandIn;
 use super::report::Traffic;
 use super::{ScaleError, ScaleSettings};
 
-/// Nodes that every other node is told of.
+/// Maximum number of seed addresses of a node; the seeds are the nodes started first.
 const SEEDS: usize = 5;
-/// Databases of one group.
+/// Number of databases of a group.
 const DATABASES_PER_GROUP: usize = 3;
-/// Connections a database accepts.
-const SLOTS: u32 = 5;
-/// Secret of the fleet; it protects nothing.
+/// Maximum number of connections to a database.
+const SLOTS_PER_DATABASE: u32 = 5;
+/// Fleet secret. Not confidential: it is used by measurements only.
 const SECRET: [u8; 32] = [17; 32];
-/// Headers of IP and UDP in bytes.
+/// Size of the IP and UDP headers of a datagram, in bytes.
 const DATAGRAM_HEADER_BYTES: u64 = 28;
-/// Headers of IP and TCP of a record and of the packet that acknowledges it, in bytes.
+/// Size of the IP and TCP headers of a record and of the packet that acknowledges it, in
+/// bytes.
 const RECORD_HEADER_BYTES: u64 = 104;
 
-/// The nodes and the platform they use.
+/// The nodes of a run and the platform stand-in that they use.
 pub struct HollowFleet {
-    /// The platform's stand-in.
-    pub platform: Rollouts,
-    /// Nodes in the order of their start.
+    /// Platform stand-in.
+    pub platform: PlatformStandIn,
+    /// Nodes in the order in which they were started.
     pub nodes: Vec<HollowNode>,
 }
 
-/// Name of a zone.
+/// Returns the name of a zone.
 pub fn zone_name(index: usize) -> ZoneName {
     ZoneName::new(format!("zone-{index}"))
 }
 
-/// The region a zone lies in: the first half of the zones in one, the rest in another.
+/// Returns the region of a zone. The first half of the zones is in one region, the rest in
+/// another.
 fn region_name(index: usize, zones: usize) -> RegionName {
     let region = usize::from(index * 2 >= zones && zones > 1);
     RegionName::new(format!("region-{region}"))
 }
 
-/// Name of a group.
+/// Returns the name of a group.
 pub fn group_name(index: usize) -> GroupName {
     GroupName::new(format!("group-{index}"))
 }
 
-/// Name of a database of a group.
+/// Returns the name of a database of a group.
 pub fn database_name(group: usize, index: usize) -> DatabaseName {
     DatabaseName::new(format!("group-{group}-{index}"))
 }
 
-/// Groups of a number of databases.
-pub fn groups(databases: usize) -> usize {
+/// Returns the number of groups for a number of databases.
+pub fn group_count(databases: usize) -> usize {
     databases.div_ceil(DATABASES_PER_GROUP)
 }
 
-/// A bundle of that many databases, the three of a group in three zones.
+/// Returns a bundle with `settings.databases` databases. The databases of a group are in
+/// consecutive zones, so in different zones when there are at least three.
 pub fn bundle(settings: &ScaleSettings) -> Bundle {
     let zones = (0..settings.zones)
         .map(|index| (zone_name(index), region_name(index, settings.zones)))
@@ -77,7 +80,7 @@
             group: group_name(group),
             zone: zone_name((group + index) % settings.zones),
             address: format!("127.0.0.1:{}", 1_024 + number % 60_000),
-            slots: SLOTS,
+            slots: SLOTS_PER_DATABASE,
         };
         databases.insert(database_name(group, index), database);
     }
@@ -94,9 +97,9 @@
 }
 
 impl HollowFleet {
-    /// Starts all nodes.
+    /// Starts the platform stand-in and all nodes.
     pub async fn start(settings: &ScaleSettings) -> Result<Self, ScaleError> {
-        let platform = Rollouts::start().await?;
+        let platform = PlatformStandIn::start().await?;
         let key = FleetKey::new(1, &SECRET).map_err(|error| ScaleError::Key(error.to_string()))?;
         let mut nodes: Vec<HollowNode> = Vec::with_capacity(settings.nodes);
         for index in 0..settings.nodes {
@@ -113,19 +116,19 @@
         Ok(Self { platform, nodes })
     }
 
-    /// The fewest members that a node knows and takes for alive.
-    pub fn fewest_known(&self) -> usize {
-        let known = self.nodes.iter().map(|node| {
+    /// Returns the smallest number of members that any node considers available for work.
+    pub fn fewest_available_members(&self) -> usize {
+        let counts = self.nodes.iter().map(|node| {
             let members = node.fleet.members();
             members
                 .iter()
                 .filter(|member| member.state.takes_work())
                 .count()
         });
-        known.min().unwrap_or(0)
+        counts.min().unwrap_or(0)
     }
 
-    /// What all nodes have sent and received since their start.
+    /// Returns the traffic of all nodes since their start.
     pub fn traffic(&self) -> Traffic {
         let mut total = Traffic::default();
         for node in &self.nodes {
@@ -144,7 +147,7 @@
         total
     }
 
-    /// Ends all nodes.
+    /// Stops all nodes.
     pub fn shutdown(&self) {
         for node in &self.nodes {
             node.kill();
--- a/lab/measure/src/scale/mod.rs
+++ b/lab/measure/src/scale/mod.rs
@@ -1,8 +1,8 @@
-//! A fleet of hollow nodes in one process, on real sockets.
+//! Measures a fleet of hollow nodes in one process, on real sockets.
 //!
-//! A hollow node is the shipped fleet code of a proxy (membership, homes, spread of
-//! terms, links, sealed datagrams, rollout of bundles) without callers and without connections to
-//! databases. Every node has two threads and sockets of its own, as a proxy's fleet has.
+//! A hollow node runs the production fleet code of a proxy (membership, homes, dissemination
+//! of terms, links, encrypted datagrams, rollout of bundles) without client or database
+//! connections. Every node has its own sockets and two threads, like the fleet of a proxy.
 
 mod fleet;
 mod node;
@@ -16,62 +16,62 @@
 
 pub use report::{ScalePoint, ScaleReport, Traffic};
 
-/// What to measure.
+/// Settings of a measurement at one size.
 #[derive(Clone, Debug)]
 pub struct ScaleSettings {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Zones, divided among two regions.
+    /// Number of zones, divided among two regions.
     pub zones: usize,
-    /// Databases in the bundle, three a group.
+    /// Number of databases in the bundle; three form a group.
     pub databases: usize,
-    /// Groups that each node uses.
+    /// Number of groups that each node uses.
     pub groups_per_node: usize,
-    /// Time of the quiet measurement.
+    /// Duration of the quiet period, in which the steady-state cost is measured.
     pub quiet: Duration,
-    /// Seed of who uses which group.
+    /// Seed of the random assignment of groups to nodes.
     pub seed: u64,
 }
 
-/// Why nothing was measured.
+/// Why the measurement failed.
 #[derive(Debug, Error)]
 pub enum ScaleError {
-    /// A number that must not be zero is.
+    /// A number that must not be zero is zero.
     #[error("{0} must be at least one")]
     Zero(&'static str),
     /// A node did not start.
     #[error("a node did not start: {0}")]
     Node(#[from] hookpoint_transport::peer::FleetError),
-    /// The fleet's key cannot be used.
-    #[error("the key cannot be used: {0}")]
+    /// The fleet key is not valid.
+    #[error("the fleet key is not valid: {0}")]
     Key(String),
-    /// The platform's stand-in did not start.
-    #[error("the platform's stand-in did not start: {0}")]
+    /// The platform stand-in did not start.
+    #[error("the platform stand-in did not start: {0}")]
     Platform(String),
     /// The bundle was not rolled out.
     #[error("the bundle was not rolled out: {0}")]
     Rollout(#[from] hookpoint::operator::OperatorError),
-    /// This process cannot be read.
-    #[error("this process cannot be read: {0}")]
+    /// The resource usage of this process cannot be read, or a thread cannot be started.
+    #[error("the resource usage of this process cannot be read or a thread cannot be started: {0}")]
     Process(#[from] std::io::Error),
-    /// The nodes take more than half of the machine's memory.
-    #[error("the nodes take {resident} bytes, more than half of the machine's memory")]
+    /// The nodes use more than half of the machine's memory.
+    #[error("the nodes use {resident} bytes, more than half of the machine's memory")]
     Memory {
-        /// Bytes resident.
+        /// Resident memory of this process in bytes.
         resident: u64,
     },
-    /// The nodes did not all learn of each other.
-    #[error("after {seconds} s some nodes know only {fewest} of {others} others")]
+    /// Not all nodes discovered each other within the timeout.
+    #[error("after {seconds} s some node sees only {fewest} of {others} other nodes")]
     NotJoined {
         /// Seconds waited.
         seconds: u64,
-        /// Members that the least informed node knows.
+        /// Smallest number of available members seen by any node.
         fewest: usize,
-        /// Members there are for it to know.
+        /// Number of other nodes that each node must discover.
         others: usize,
     },
-    /// The measuring thread ended early.
-    #[error("the measuring thread ended early")]
+    /// The measuring thread panicked.
+    #[error("the measuring thread panicked")]
     ThreadEnded,
 }
 
@@ -89,7 +89,8 @@
     }
 }
 
-/// Measures one size. Blocks until it is done; the nodes run on threads of their own.
+/// Measures a fleet of one size. Blocks until the measurement is complete; the nodes run on
+/// their own threads.
 ///
 /// # Errors
 /// A [`ScaleError`].
--- a/lab/measure/src/scale/node.rs
+++ b/lab/measure/src/scale/node.rs
@@ -1,4 +1,4 @@
-//! One hollow node.
+//! A hollow node: the fleet code of a proxy without client or database connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,9 +16,10 @@
 use hookpoint_transport::platform::{PlatformFollower, RolloutDriver, register};
 use hookpoint_transport::shared::Shared;
 
-use super::platform::Rollouts;
+use super::platform::PlatformStandIn;
 
-/// Holds no connections: every request is refused as not run.
+/// A lease source without connections. Refuses every request with
+/// [`Refusal::NoDatabase`].
 struct NoConnections;
 
 #[async_trait]
@@ -28,24 +29,25 @@
     }
 }
 
-/// A node without callers and connections to databases.
+/// A node without client or database connections.
 pub struct HollowNode {
-    /// The shipped fleet code.
+    /// Handle of the production fleet code.
     pub fleet: FleetHandle,
-    /// Its shared tables.
+    /// Tables shared between the parts of the node.
     pub shared: Arc<Shared>,
     zone: ZoneName,
-    platform_side: Arbiter,
+    platform_thread: Arbiter,
 }
 
 impl HollowNode {
-    /// Starts a node that finds the others at `seeds` and its bundles at `platform`.
+    /// Starts a node that joins the fleet through `seeds` and gets its bundles from
+    /// `platform`.
     pub fn start(
         zone: ZoneName,
         region: RegionName,
         key: FleetKey,
         seeds: Vec<SocketAddr>,
-        platform: &Rollouts,
+        platform: &PlatformStandIn,
     ) -> Result<Self, FleetError> {
         let shared = Arc::new(Shared::new(zone.clone()));
         let settings = FleetSettings {
@@ -53,9 +55,11 @@
             ..FleetSettings::on_loopback(zone.clone(), region.clone(), key)
         };
         let fleet = Fleet::start(settings, Arc::clone(&shared), Arc::new(NoConnections))?;
-        let platform_side = Arbiter::new();
-        let (client, own_client) = (platform.client_settings(), platform.client_settings());
-        let (trusted, of_fleet, of_shared) = (platform.trusted(), fleet.clone(), shared.clone());
+        let platform_thread = Arbiter::new();
+        let (follower_client, registration_client) =
+            (platform.client_settings(), platform.client_settings());
+        let (trusted, fleet_handle, shared_tables) =
+            (platform.trusted(), fleet.clone(), shared.clone());
         let machine = MachineRecord {
             node: fleet.node().to_string(),
             zone: zone.to_string(),
@@ -63,14 +67,14 @@
             peer_address: fleet.address(),
             state: MachineState::Live,
         };
-        platform_side.spawn_fn(move || {
-            let (commands, events) = PlatformFollower::start(client.client());
-            let links = Arc::new(of_fleet.clone());
-            let rollout = RolloutDriver::start(of_shared, trusted, commands, events, links);
-            of_fleet.set_rollout(rollout);
-            let registration = register(own_client.client(), machine);
+        platform_thread.spawn_fn(move || {
+            let (commands, events) = PlatformFollower::start(follower_client.client());
+            let links = Arc::new(fleet_handle.clone());
+            let rollout = RolloutDriver::start(shared_tables, trusted, commands, events, links);
+            fleet_handle.set_rollout(rollout);
+            let registration = register(registration_client.client(), machine);
             actix_rt::spawn(async move {
-                // Lives as long as the thread, and the entry with it.
+                // Keeps the registration, and with it the entry, for the lifetime of the thread.
                 let _registration = registration;
                 std::future::pending::<()>().await;
             });
@@ -79,18 +83,18 @@
             fleet,
             shared,
             zone,
-            platform_side,
+            platform_thread,
         })
     }
 
-    /// Ends the node as if its process had died.
+    /// Stops the node without a graceful departure, as if its process had crashed.
     pub fn kill(&self) {
         self.fleet.shutdown();
-        self.platform_side.stop();
+        self.platform_thread.stop();
     }
 
-    /// Asks for a connection as a session's request does, which makes the node use the
-    /// group; there are no connections, so the request is refused.
+    /// Requests a connection like a session does, which makes the node a user of the group.
+    /// The request is refused because there are no connections.
     pub async fn use_group(&self, group: &GroupName, database: &DatabaseName) {
         let request = AcquireRequest {
             group: group.clone(),
@@ -100,7 +104,7 @@
             zone: self.zone.clone(),
             wait: Duration::from_secs(5),
         };
-        // Always a refusal; what matters is the way there.
-        let _refused = self.fleet.lease_source().acquire(request).await;
+        // Always refused; only the side effects of the request matter.
+        let _refusal = self.fleet.lease_source().acquire(request).await;
     }
 }
--- a/lab/measure/src/scale/phases.rs
+++ b/lab/measure/src/scale/phases.rs
@@ -1,4 +1,5 @@
-//! The phases of a run: join, bundle, quiet time, a change of term and a death.
+//! The phases of a run: join, rollout of a bundle, quiet period, rollout of a changed
+//! bundle, change of term, and failure of a node.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,34 +13,35 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::time::{Instant, sleep};
 
-use super::fleet::{HollowFleet, bundle, database_name, group_name, groups};
+use super::fleet::{HollowFleet, bundle, database_name, group_count, group_name};
 use super::node::HollowNode;
 use super::report::{ScalePoint, Traffic};
 use super::{ScaleError, ScaleSettings};
 use crate::fit::Spread;
 use crate::process::{Process, Reading, half_of_memory, load_average};
 
-/// Longest wait for all nodes to know each other.
-const JOIN_PATIENCE: Duration = Duration::from_secs(120);
-/// Time between two looks at the members of all nodes.
-const MEMBER_LOOK: Duration = Duration::from_millis(100);
-/// Time between two looks at the terms of a few nodes.
-const TERM_LOOK: Duration = Duration::from_millis(2);
-/// Time given to the nodes after each step, before the next is measured.
-const SETTLE: Duration = Duration::from_secs(5);
-/// Longest wait for a change of term to reach its users.
-const TERM_PATIENCE: Duration = Duration::from_secs(5);
-/// Time between two looks at the bundles of all nodes.
-const BUNDLE_LOOK: Duration = Duration::from_millis(5);
-/// Longest wait for a bundle to be in force everywhere.
-const BUNDLE_PATIENCE: Duration = Duration::from_secs(20);
-/// Longest wait for a death to be known.
-const DEATH_PATIENCE: Duration = Duration::from_secs(30);
-/// Nodes that use the group whose term changes.
-const TERM_USERS: usize = 50;
+/// Maximum wait for all nodes to discover each other.
+const JOIN_TIMEOUT: Duration = Duration::from_secs(120);
+/// Interval between polls of the member lists of all nodes.
+const MEMBER_POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between polls of the terms of the nodes that use the group.
+const TERM_POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Wait for the nodes to settle after a step, before the next measurement.
+const SETTLE_TIME: Duration = Duration::from_secs(5);
+/// Maximum wait for a new term to reach the nodes that use the group.
+const TERM_TIMEOUT: Duration = Duration::from_secs(5);
+/// Interval between polls of the bundles of all nodes.
+const BUNDLE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Maximum wait for a bundle to be in force on all nodes.
+const BUNDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum wait for all nodes to detect the failure of a node.
+const FAILURE_DETECTION_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum number of nodes on which a new term is awaited.
+const MAXIMUM_TERM_USERS: usize = 50;
+/// Bytes in a megabyte.
 const MEGABYTE: f64 = 1e6;
 
-/// Runs all phases at one size.
+/// Runs all phases with a fleet of one size.
 pub async fn run(settings: &ScaleSettings) -> Result<ScalePoint, ScaleError> {
     let before = Process::Own.read()?;
     let started = Instant::now();
@@ -57,14 +59,14 @@
 ) -> Result<ScalePoint, ScaleError> {
     join(fleet, started).await?;
     let joined_s = started.elapsed().as_secs_f64();
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     let resident_without_bundle_mb = resident_mb(fleet, before)?;
-    roll(fleet, bundle(settings), 1).await?;
+    roll_out(fleet, bundle(settings), 1).await?;
     use_groups(settings, fleet).await;
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     let resident_mb = resident_mb(fleet, before)?;
-    let quiet = quiet(settings, fleet).await?;
-    let (bundle_times_ms, requests) = roll_change(settings, fleet).await?;
+    let quiet = measure_quiet_period(settings, fleet).await?;
+    let (bundle_times_ms, requests) = roll_out_change(settings, fleet).await?;
     let term_times_ms = change_term(settings, fleet).await;
     let homes = fleet
         .nodes
@@ -94,22 +96,23 @@
 async fn join(fleet: &HollowFleet, started: Instant) -> Result<(), ScaleError> {
     let others = fleet.nodes.len() - 1;
     loop {
-        let fewest = fleet.fewest_known();
+        let fewest = fleet.fewest_available_members();
         if fewest >= others {
             return Ok(());
         }
-        if started.elapsed() > JOIN_PATIENCE {
+        if started.elapsed() > JOIN_TIMEOUT {
             return Err(ScaleError::NotJoined {
-                seconds: JOIN_PATIENCE.as_secs(),
+                seconds: JOIN_TIMEOUT.as_secs(),
                 fewest,
                 others,
             });
         }
-        sleep(MEMBER_LOOK).await;
+        sleep(MEMBER_POLL_INTERVAL).await;
     }
 }
 
-/// Memory of one node in megabytes.
+/// Returns the mean memory of a node in megabytes: the growth of this process since
+/// `before`, divided by the number of nodes.
 fn resident_mb(fleet: &HollowFleet, before: &Reading) -> Result<f64, ScaleError> {
     let resident = Process::Own.read()?.resident_bytes;
     if resident > half_of_memory() {
@@ -119,33 +122,46 @@
     Ok(growth as f64 / MEGABYTE / fleet.nodes.len() as f64)
 }
 
-/// Rolls `bundle` out and waits until it is in force everywhere. Returns milliseconds
-/// from the operator's command to each node, from the moment it was accepted.
-async fn roll(fleet: &HollowFleet, bundle: Bundle, version: u64) -> Result<Vec<f64>, ScaleError> {
-    let began = fleet.platform.roll(bundle).await?;
-    let has = |node: &HollowNode| {
+/// Rolls out `bundle` and waits until it is in force on all nodes. Returns, for each node
+/// that got the bundle before the timeout, the milliseconds since the operator's rollout
+/// command.
+async fn roll_out(
+    fleet: &HollowFleet,
+    bundle: Bundle,
+    version: u64,
+) -> Result<Vec<f64>, ScaleError> {
+    let began = fleet.platform.roll_out(bundle).await?;
+    let has_bundle = |node: &HollowNode| {
         let bundle = node.shared.bundle();
         bundle.is_some_and(|bundle| bundle.version.0 >= version)
     };
-    let everyone = (0..fleet.nodes.len()).collect();
-    Ok(wait_for(fleet, everyone, (BUNDLE_LOOK, BUNDLE_PATIENCE), began, has).await)
+    let all_nodes = (0..fleet.nodes.len()).collect();
+    Ok(wait_for(
+        fleet,
+        all_nodes,
+        (BUNDLE_POLL_INTERVAL, BUNDLE_TIMEOUT),
+        began,
+        has_bundle,
+    )
+    .await)
 }
 
-/// Rolls a change of one database out, and counts the requests to the platform.
-async fn roll_change(
+/// Rolls out a bundle that drains one database. Returns the times of [`roll_out`] and the
+/// number of requests to the platform.
+async fn roll_out_change(
     settings: &ScaleSettings,
     fleet: &HollowFleet,
 ) -> Result<(Vec<f64>, f64), ScaleError> {
     let mut changed = bundle(settings);
     changed.drain.insert(database_name(0, 0));
     let before = fleet.platform.requests();
-    let times = roll(fleet, changed, 2).await?;
+    let times = roll_out(fleet, changed, 2).await?;
     Ok((times, (fleet.platform.requests() - before) as f64))
 }
 
 async fn use_groups(settings: &ScaleSettings, fleet: &HollowFleet) {
     let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
-    let groups = groups(settings.databases);
+    let groups = group_count(settings.databases);
     for node in &fleet.nodes {
         for _ in 0..settings.groups_per_node {
             let group = random.random_range(0..groups);
@@ -155,7 +171,10 @@
     }
 }
 
-async fn quiet(settings: &ScaleSettings, fleet: &HollowFleet) -> Result<ScalePoint, ScaleError> {
+async fn measure_quiet_period(
+    settings: &ScaleSettings,
+    fleet: &HollowFleet,
+) -> Result<ScalePoint, ScaleError> {
     let (traffic, reading, began) = (fleet.traffic(), Process::Own.read()?, Instant::now());
     let requests = fleet.platform.requests();
     sleep(settings.quiet).await;
@@ -185,8 +204,9 @@
     })
 }
 
-/// Lets the home of a database of the first group see a new term, and waits until the
-/// nodes that use the group know it.
+/// Passes a status with a new term to the home node of a database of the first group, and
+/// waits until the nodes that use the group have the new term. Returns the milliseconds of
+/// each.
 async fn change_term(settings: &ScaleSettings, fleet: &HollowFleet) -> Vec<f64> {
     let group = group_name(0);
     let mut order: Vec<usize> = (0..fleet.nodes.len()).collect();
@@ -199,14 +219,14 @@
     let users: Vec<usize> = order
         .into_iter()
         .filter(|user| *user != home)
-        .take(TERM_USERS)
+        .take(MAXIMUM_TERM_USERS)
         .collect();
     for user in &users {
         fleet.nodes[*user]
             .use_group(&group, &database_name(0, 0))
             .await;
     }
-    sleep(SETTLE).await;
+    sleep(SETTLE_TIME).await;
     let status = BackendStatus {
         role: Role::Primary,
         term: Term(2),
@@ -215,52 +235,70 @@
     };
     let began = Instant::now();
     fleet.nodes[home].shared.observe(&group, &primary, &status);
-    let knows = |node: &HollowNode| {
+    let has_term = |node: &HollowNode| {
         let view = node.shared.view(&group);
         view.is_some_and(|view| view.highest_term >= Term(2))
     };
     let users = users.into_iter().collect();
-    wait_for(fleet, users, (TERM_LOOK, TERM_PATIENCE), began, knows).await
+    wait_for(
+        fleet,
+        users,
+        (TERM_POLL_INTERVAL, TERM_TIMEOUT),
+        began,
+        has_term,
+    )
+    .await
 }
 
-/// Kills the last node and waits until all others give it no more work.
+/// Kills the last node and waits until no other node considers it available for work.
 async fn kill_last(fleet: &HollowFleet) -> Option<Spread> {
-    let victim = fleet.nodes.last()?;
-    let killed: NodeId = victim.fleet.node();
+    let last_node = fleet.nodes.last()?;
+    let killed: NodeId = last_node.fleet.node();
     let others: BTreeSet<usize> = (0..fleet.nodes.len() - 1).collect();
     let began = Instant::now();
-    victim.kill();
-    let knows = |node: &HollowNode| {
+    last_node.kill();
+    let has_detected = |node: &HollowNode| {
         let members = node.fleet.members();
         let member = members.iter().find(|member| member.node == killed);
         member.is_none_or(|member| !member.state.takes_work())
     };
-    let times = wait_for(fleet, others, (MEMBER_LOOK, DEATH_PATIENCE), began, knows).await;
+    let times = wait_for(
+        fleet,
+        others,
+        (MEMBER_POLL_INTERVAL, FAILURE_DETECTION_TIMEOUT),
+        began,
+        has_detected,
+    )
+    .await;
     Spread::of(times)
 }
 
-/// Milliseconds after which each of `waiting` nodes was seen to know. Nodes that never
-/// do are left out, and said so in the log.
+/// Polls the `waiting` nodes until `reached` holds on each, and returns the milliseconds since
+/// `began` at which that was observed. Nodes that do not get there within the timeout are
+/// left out, and their number is logged.
 async fn wait_for(
     fleet: &HollowFleet,
     mut waiting: BTreeSet<usize>,
-    (look, patience): (Duration, Duration),
+    (poll_interval, timeout): (Duration, Duration),
     began: Instant,
-    knows: impl Fn(&HollowNode) -> bool,
+    reached: impl Fn(&HollowNode) -> bool,
 ) -> Vec<f64> {
     let mut times = Vec::new();
-    while !waiting.is_empty() && began.elapsed() < patience {
-        sleep(look).await;
+    while !waiting.is_empty() && began.elapsed() < timeout {
+        sleep(poll_interval).await;
         waiting.retain(|index| {
-            let known = knows(&fleet.nodes[*index]);
-            if known {
+            let has_reached = reached(&fleet.nodes[*index]);
+            if has_reached {
                 times.push(began.elapsed().as_secs_f64() * 1_000.0);
             }
-            !known
+            !has_reached
         });
     }
     if !waiting.is_empty() {
-        log::warn!("scale: {} nodes did not learn in time.", waiting.len());
+        log::warn!(
+            "scale: {} nodes did not reach the expected state in time.",
+            waiting.len()
+        );
     }
     times
 }
--- a/lab/measure/src/scale/platform.rs
+++ b/lab/measure/src/scale/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in of a run, and the operator who rolls bundles out over it.
+//! The platform stand-in of a run, and rollout of bundles through its operator interface.
 
 use std::time::Duration;
 
@@ -10,36 +10,35 @@
 
 use super::ScaleError;
 
-/// Longest wait of a client for one answer.
+/// Timeout of a client request.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest wait of the operator's command.
+/// Timeout of an operator command.
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(30);
-/// How far the list of machines lags behind.
+/// Delay before changes appear in the list of machines.
 const MACHINE_LIST_LAG: Duration = Duration::from_secs(2);
-/// Secret of the operator; it protects nothing.
+/// Operator secret. Not confidential: it is used by measurements only.
 const OPERATOR_SECRET: [u8; 32] = [19; 32];
 
-/// The platform and its operator.
-pub struct Rollouts {
+/// A running platform stand-in and the operator commands of a run.
+pub struct PlatformStandIn {
     platform: Platform,
 }
 
-/// What a client of the platform needs; it may go to another thread, which a client
-/// may not.
+/// Settings of a platform client. Unlike a client, they can be sent to another thread.
 #[derive(Clone)]
 pub struct ClientSettings {
     url: String,
 }
 
 impl ClientSettings {
-    /// A client of the thread that asks.
+    /// Creates a client for use on the current thread.
     pub fn client(&self) -> PlatformClient {
         PlatformClient::new(vec![self.url.clone()], TIMEOUT)
     }
 }
 
-impl Rollouts {
-    /// Starts the platform.
+impl PlatformStandIn {
+    /// Starts the platform stand-in.
     pub async fn start() -> Result<Self, ScaleError> {
         let platform = Platform::start(PlatformSettings {
             machine_list_lag: MACHINE_LIST_LAG,
@@ -50,26 +49,27 @@
         Ok(Self { platform })
     }
 
-    /// What a client needs.
+    /// Returns the settings of a client of this platform.
     pub fn client_settings(&self) -> ClientSettings {
         let url = self.platform.url();
         ClientSettings { url }
     }
 
-    /// The key that the nodes trust.
+    /// Returns the operator keys that the nodes trust.
     pub fn trusted(&self) -> TrustedKeys {
         let key = OperatorKey::from_secret(OPERATOR_SECRET).public_text();
-        // A key that this program has written itself.
+        // Cannot fail: the key text was produced by `public_text`.
         TrustedKeys::read(&[key]).unwrap_or_default()
     }
 
-    /// Requests that the platform has taken.
+    /// Returns the number of requests that the platform has received.
     pub fn requests(&self) -> u64 {
         self.platform.counters().total()
     }
 
-    /// Prepares, approves and rolls `bundle`. Returns when the last command was given.
-    pub async fn roll(&self, bundle: Bundle) -> Result<Instant, ScaleError> {
+    /// Prepares, approves and rolls out `bundle`. Returns the time at which the rollout command
+    /// was sent.
+    pub async fn roll_out(&self, bundle: Bundle) -> Result<Instant, ScaleError> {
         let client = self.client_settings().client();
         let operator = Operator::new(client, "scale", OPERATOR_TIMEOUT);
         let version = operator.prepare(bundle).await?.bundle.version;
--- a/lab/measure/src/scale/report.rs
+++ b/lab/measure/src/scale/report.rs
@@ -1,10 +1,10 @@
-//! What a fleet of hollow nodes was seen to need.
+//! Results of the measurements of a fleet of hollow nodes.
 
 use serde::Serialize;
 
 use crate::fit::{Line, Spread};
 
-/// Sums over all nodes.
+/// Traffic of all nodes together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Traffic {
     /// Datagrams sent.
@@ -17,79 +17,79 @@
     pub datagram_bytes_sent: u64,
     /// Records sent over links.
     pub link_records_sent: u64,
-    /// Bytes of them, with IP and TCP headers.
+    /// Bytes of the records sent, with IP and TCP headers.
     pub link_bytes_sent: u64,
-    /// Ends of links that are open.
+    /// Open links, counted on each node.
     pub links: u64,
 }
 
-/// What was measured at one size; per node where not said otherwise.
+/// Results at one size. Values are means per node unless stated otherwise.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct ScalePoint {
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Databases in the bundle.
+    /// Number of databases in the bundle.
     pub databases: usize,
-    /// Groups that each node uses.
+    /// Number of groups that each node uses.
     pub groups_per_node: usize,
-    /// Load average of the machine at the end.
+    /// Load average of the machine at the end of the run.
     pub load_average: f64,
-    /// Seconds until every node knew all others.
+    /// Seconds until every node had discovered all other nodes.
     pub joined_s: f64,
-    /// Processor time in the quiet time, as a share of one core in percent.
+    /// Processor time in the quiet period, in percent of one core.
     pub processor_percent: f64,
-    /// Resident memory of a node with the bundle, in megabytes.
+    /// Resident memory with the bundle, in megabytes.
     pub resident_mb: f64,
-    /// Memory of that before the bundle, in megabytes.
+    /// Resident memory before the bundle was rolled out, in megabytes.
     pub resident_without_bundle_mb: f64,
-    /// Bytes sent a second, with headers.
+    /// Bytes sent per second over datagrams and links, with headers.
     pub bytes_sent_a_second: f64,
-    /// Those of them sent over links.
+    /// Bytes sent per second over links, with headers.
     pub link_bytes_sent_a_second: f64,
-    /// Records sent over links a second.
+    /// Records sent over links per second.
     pub link_records_sent_a_second: f64,
-    /// Requests to the platform a second, of the fleet.
+    /// Requests to the platform per second, of the whole fleet.
     pub platform_requests_a_second: f64,
-    /// Requests to the platform for one change of the bundle, of the fleet and the
+    /// Requests to the platform for one change of the bundle, of the whole fleet and the
     /// operator.
     pub platform_requests_a_bundle: f64,
-    /// Datagrams sent a second.
+    /// Datagrams sent per second.
     pub datagrams_sent_a_second: f64,
-    /// Datagrams received a second.
+    /// Datagrams received and accepted per second.
     pub datagrams_received_a_second: f64,
-    /// Members taken for dead in the quiet time though they were alive, in the fleet.
+    /// Live members considered dead at the end of the quiet period, summed over all nodes.
     pub false_deaths: usize,
-    /// Links open on a node.
+    /// Open links.
     pub links: f64,
-    /// Milliseconds until nodes had taken a killed node for dead or suspect.
+    /// Milliseconds until the other nodes considered a killed node suspect or dead.
     pub death_seen_ms: Option<Spread>,
-    /// Milliseconds until nodes using a group learned of its new term.
+    /// Milliseconds until the nodes using a group had its new term.
     pub term_seen_ms: Option<Spread>,
-    /// The same times, one for each node that learned.
+    /// The same times, one for each node that had the term before the timeout.
     pub term_times_ms: Vec<f64>,
     /// Milliseconds until a new bundle version was in force on the nodes.
     pub bundle_seen_ms: Option<Spread>,
-    /// The same times, one for each node.
+    /// The same times, one for each node that had the bundle before the timeout.
     pub bundle_times_ms: Vec<f64>,
-    /// Databases that a node is home of: fewest, median and most.
+    /// Number of databases that a node is the home of, summarized over all nodes.
     pub homes: Option<Spread>,
 }
 
-/// What was measured at several sizes.
+/// Results at several sizes.
 #[derive(Clone, Debug, Serialize)]
 pub struct ScaleReport {
-    /// Sizes in the order they ran.
+    /// Results in the order in which the sizes were run.
     pub points: Vec<ScalePoint>,
-    /// Line through the processor percent over nodes.
+    /// Line fitted through the processor time in percent over the number of nodes.
     pub processor: Option<Line>,
-    /// Line through the memory without bundle, in megabytes, over nodes.
+    /// Line fitted through the memory without bundle in megabytes over the number of nodes.
     pub memory: Option<Line>,
-    /// Line through the bytes sent a second over nodes.
+    /// Line fitted through the bytes sent per second over the number of nodes.
     pub bytes: Option<Line>,
 }
 
 impl ScaleReport {
-    /// The report of these points.
+    /// Creates the report of `points` and fits the lines.
     pub fn of(points: Vec<ScalePoint>) -> Self {
         let line = |of: fn(&ScalePoint) -> f64| {
             let pairs: Vec<(f64, f64)> = points
@@ -106,7 +106,7 @@
         }
     }
 
-    /// The report as a table for a terminal.
+    /// Formats the report as a table for a terminal.
     pub fn table(&self) -> String {
         let mut lines = vec![format!(
             "{:>6}{:>8}{:>8}{:>9}{:>9}{:>9}{:>9}{:>8}{:>8}{:>8}{:>7}{:>7}{:>10}{:>10}{:>14}{:>14}{:>14}{:>6}",
--- a/lab/measure/tests/experiment.rs
+++ b/lab/measure/tests/experiment.rs
@@ -1,4 +1,4 @@
-//! Descriptions of experiments: what is taken, what is refused and why; and a report.
+//! Tests which descriptions of experiments are accepted or rejected, and the written report.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -39,23 +39,23 @@
 }
 
 #[test]
-fn sound_descriptions_are_taken() {
-    let load = parse(LOAD, &addresses()).expect("a sound description");
+fn valid_descriptions_are_accepted() {
+    let load = parse(LOAD, &addresses()).expect("a valid description");
     assert_eq!(load.kind, Kind::Load);
-    let places: Vec<_> = load
+    let found: Vec<_> = load
         .variants
         .iter()
-        .map(|one| one.socket_address())
+        .map(|variant| variant.socket_address())
         .collect();
     let expected = ["127.0.0.1:5432", "127.0.0.1:6432"];
     let expected: Vec<_> = expected.iter().map(|text| text.parse().ok()).collect();
-    assert_eq!(places, expected);
-    let scale = parse(SCALE, &addresses()).expect("a sound description");
+    assert_eq!(found, expected);
+    let scale = parse(SCALE, &addresses()).expect("a valid description");
     assert_eq!((scale.kind, scale.seed), (Kind::Scale, 1));
 }
 
 #[test]
-fn examples_are_sound() {
+fn examples_are_valid() {
     let addresses = ["database", "proxy"].map(|name| {
         let address = SocketAddr::from(([127, 0, 0, 1], 1));
         (name.to_owned(), address)
@@ -65,87 +65,97 @@
         include_str!("../../experiments/relay.toml"),
         include_str!("../../experiments/fleet.toml"),
     ] {
-        parse(text, &addresses).expect("a sound example");
+        parse(text, &addresses).expect("a valid example");
     }
 }
 
 #[test]
-fn unsound_descriptions_are_refused() {
-    let missing = |variant: &str| DescriptionError::Missing {
+fn invalid_descriptions_are_rejected() {
+    let missing = |variant: &str| DescriptionError::MissingField {
         variant: variant.to_owned(),
         field: "an address",
     };
-    // The description, what is replaced in it by what, and the refusal.
+    // The description, the text replaced in it, its replacement, and the expected error.
     let cases = [
-        (LOAD, "[1, 8]", "[]", DescriptionError::Empty("sizes")),
+        (LOAD, "[1, 8]", "[]", DescriptionError::EmptyOrZero("sizes")),
         (
             LOAD,
             "[1, 8]",
             "[0, 8]",
-            DescriptionError::Empty("the first size"),
+            DescriptionError::EmptyOrZero("the first size"),
+        ),
+        (
+            LOAD,
+            "[1, 8]",
+            "[8, 1]",
+            DescriptionError::SizesNotAscending,
+        ),
+        (
+            LOAD,
+            "[1, 8]",
+            "[8, 8]",
+            DescriptionError::SizesNotAscending,
         ),
-        (LOAD, "[1, 8]", "[8, 1]", DescriptionError::Sizes),
-        (LOAD, "[1, 8]", "[8, 8]", DescriptionError::Sizes),
         (
             LOAD,
             "repeats = 2",
             "repeats = 0",
-            DescriptionError::Empty("repeats"),
+            DescriptionError::EmptyOrZero("repeats"),
         ),
         (
             LOAD,
             "seconds = 3",
             "seconds = 0",
-            DescriptionError::Empty("seconds"),
+            DescriptionError::EmptyOrZero("seconds"),
         ),
         (
             LOAD,
             "\"proxy\"",
             "\"direct\"",
-            DescriptionError::Twins("direct".to_owned()),
+            DescriptionError::DuplicateVariant("direct".to_owned()),
         ),
         (
             LOAD,
             "$proxy",
             "$other",
-            DescriptionError::NotSet("other".to_owned()),
+            DescriptionError::AddressNotGiven("other".to_owned()),
         ),
         (
             LOAD,
             "127.0.0.1:5432",
             "here",
-            DescriptionError::Address("here".to_owned()),
+            DescriptionError::InvalidAddress("here".to_owned()),
         ),
         (LOAD, "address = \"$proxy\"", "", missing("proxy")),
         (
             LOAD,
             "seconds = 3",
             "seconds = 3\nmix = \"odd\"",
-            DescriptionError::Mix("odd".to_owned()),
+            DescriptionError::UnknownMix("odd".to_owned()),
         ),
         (
             LOAD,
             "seconds = 3",
             "seconds = 3\nzones = 2",
-            DescriptionError::Foreign("zones"),
+            DescriptionError::NotApplicable("zones"),
         ),
         (
             LOAD,
             "address = \"$proxy\"",
             "address = \"$proxy\"\ngroups = 1",
-            DescriptionError::Foreign("groups"),
+            DescriptionError::NotApplicable("groups"),
         ),
         (
             SCALE,
             "groups = 1",
             "relay = true",
-            DescriptionError::Foreign("an address"),
+            DescriptionError::NotApplicable("an address"),
         ),
         (
             SCALE,
             "seconds = 1",
             "seconds = 1\nrate = 5.0",
-            DescriptionError::Foreign("rate"),
+            DescriptionError::NotApplicable("rate"),
         ),
         (
             SCALE,
@@ -176,16 +186,16 @@
         ("seconds", "secs"),
         ("[[", "[[["),
     ] {
-        let refused = parse(&LOAD.replace(from, to), &addresses());
+        let result = parse(&LOAD.replace(from, to), &addresses());
         assert!(
-            matches!(refused, Err(DescriptionError::Toml(_))),
-            "{to}: {refused:?}"
+            matches!(result, Err(DescriptionError::Toml(_))),
+            "{to}: {result:?}"
         );
     }
 }
 
 #[test]
-fn a_report_holds_ratios_lines_and_plots() {
+fn report_contains_ratios_lines_and_plots() {
     let run = |variant: &str, size: usize, processor_percent: f64| Measurement {
         variant: variant.to_owned(),
         size,
@@ -220,5 +230,5 @@
     }
     let plot = std::fs::read_to_string(directory.join("processor.svg")).expect("a plot");
     assert!(plot.starts_with("<svg") && plot.contains("other"), "{plot}");
-    std::fs::remove_dir_all(&directory).expect("removed");
+    std::fs::remove_dir_all(&directory).expect("the directory is removed");
 }
--- a/lab/measure/tests/fit.rs
+++ b/lab/measure/tests/fit.rs
@@ -1,10 +1,10 @@
-//! Lines and spreads of known points.
+//! Tests line fits and summaries of known values.
 
 use hookpoint_measure::fit::{Line, Spread};
 
 #[test]
-fn line_of_least_squares() {
-    // Points, then intercept, slope and share of the variance explained.
+fn least_squares_line() {
+    // Points, then the expected intercept, slope and coefficient of determination.
     type Case = (&'static [(f64, f64)], Option<(f64, f64, f64)>);
     let cases: [Case; 6] = [
         (&[], None),
@@ -27,13 +27,13 @@
                 assert!((found.1 - expected.1).abs() < 1e-9, "{points:?}: {found:?}");
                 assert!((found.2 - expected.2).abs() < 1e-9, "{points:?}: {found:?}");
             }
-            (found, expected) => panic!("{points:?}: {found:?} in place of {expected:?}"),
+            (found, expected) => panic!("{points:?}: found {found:?}, expected {expected:?}"),
         }
     }
 }
 
 #[test]
-fn spread_of_values() {
+fn spread_summarizes_values() {
     assert_eq!(Spread::of([]), None);
     let spread = Spread::of((1..=200).rev().map(f64::from));
     let expected = Spread {
