--- a/lab/workload/src/checker.rs
+++ b/lab/workload/src/checker.rs
@@ -49,7 +49,7 @@
         session: SessionNumber,
         /// Number of the billing run within its session.
         run: u64,
-        /// How the transaction was mixed.
+        /// How the transaction violated isolation or atomicity.
         cause: MixedCause,
     },
     /// An answer does not fit its request.
@@ -81,7 +81,7 @@
     },
 }
 
-/// How a transaction was mixed.
+/// How a transaction violated isolation or atomicity.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MixedCause {
@@ -103,7 +103,7 @@
     Echo,
     /// It has more rows than requested, or reports a wrong number of affected rows.
     RowCount,
-    /// It contains rows that no session has attempted to write.
+    /// It contains rows that its session has not attempted to write.
     Impossible,
     /// Its shape does not fit the request.
     Malformed,
@@ -114,7 +114,7 @@
 pub struct Totals {
     /// Operations, whatever their result.
     pub requests: u64,
-    /// Acknowledged writes and billing runs.
+    /// Acknowledged writes, and billing runs that ended as intended.
     pub writes_acknowledged: u64,
     /// Reads answered.
     pub reads: u64,
@@ -126,12 +126,13 @@
     pub already_run: u64,
     /// Requests rejected with an ordinary error.
     pub rejected: u64,
-    /// Writes whose outcome was reported as unknown.
+    /// Writes and billing runs whose outcome was reported as unknown.
     pub unknown: u64,
     /// Requests without a definite answer: lost connections, timeouts, and reads of unknown
     /// outcome.
     pub unanswered: u64,
-    /// Writes of unknown outcome or without an answer that are in the final state.
+    /// Writes and billing runs of unknown outcome or without an answer that are in the final
+    /// state.
     pub unknown_found: u64,
     /// Rows returned by reads that were neither acknowledged nor are in the final state.
     pub unconfirmed_reads: u64,
--- a/lab/workload/src/failover.rs
+++ b/lab/workload/src/failover.rs
@@ -5,7 +5,7 @@
 
 use crate::history::{Operation, OperationResult, Record};
 
-/// A change of primary, in microseconds since the run's origin.
+/// A change of primary. Times are in microseconds since the run's origin.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PrimaryChange {
     /// Group whose primary changed.
--- a/lab/workload/src/history.rs
+++ b/lab/workload/src/history.rs
@@ -94,7 +94,7 @@
     },
     /// A read of the session's own latest rows.
     ReadOwn {
-        /// Text that the answer has to echo.
+        /// Nonce that the answer must echo.
         nonce: String,
         /// Maximum number of rows in the answer.
         limit: usize,
@@ -103,7 +103,7 @@
     ReadOther {
         /// Session whose rows are read.
         subject: SessionNumber,
-        /// Text that the answer has to echo.
+        /// Nonce that the answer must echo.
         nonce: String,
     },
 }
--- a/lab/workload/src/load.rs
+++ b/lab/workload/src/load.rs
@@ -4,7 +4,8 @@
 //! In the open loop every request has an intended start, drawn independently of earlier
 //! answers; its latency counts from there, however late it is sent. In the closed loop a
 //! session sends its next request a fixed pause after the last answer, and a slow answer
-//! also counts for the requests that it prevented from being sent.
+//! also counts for the requests that it prevented from being sent. Without a pause there is
+//! no such correction.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
