--- a/hookpoint/src/command/bundle.rs
+++ b/hookpoint/src/command/bundle.rs
@@ -1,4 +1,4 @@
-//! `hookpoint bundle`.
+//! The `hookpoint bundle` commands.
 
 use std::path::Path;
 use std::time::Duration;
@@ -11,25 +11,26 @@
 use hookpoint_state::bundle::{Bundle, TrustedKeys, parse_bundle};
 use hookpoint_transport::platform::PlatformClient;
 
-use super::{in_system, key};
+use super::{key, run_in_actix_system};
 use crate::flags::{self, BundleCmd};
 
-/// Longest time of a command unless told otherwise.
+/// Default limit on the whole command, retries included.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(15);
-/// Longest wait for one answer of the platform.
+/// Timeout of one request to the platform.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// Versions told by `history` unless told otherwise.
+/// Number of versions that `history` prints by default.
 const DEFAULT_HISTORY: u64 = 20;
 
-/// Carries out the command.
+/// Runs the subcommand.
 ///
 /// # Errors
-/// When it fails; an [`hookpoint::operator::OperatorError`] carries its exit code.
+/// Returns the error of the failed step; a [`hookpoint::operator::OperatorError`]
+/// determines the exit code.
 pub fn run(flags: flags::Bundle) -> Result<()> {
     if let BundleCmd::Check(check) = &flags.subcommand {
         return print_check(&check.file);
     }
-    in_system(on_platform(flags))
+    run_in_actix_system(run_on_platform(flags))
 }
 
 fn print_check(file: &Path) -> Result<()> {
@@ -50,7 +51,7 @@
     Ok(parse_bundle(&name, &text)?)
 }
 
-async fn on_platform(flags: flags::Bundle) -> Result<()> {
+async fn run_on_platform(flags: flags::Bundle) -> Result<()> {
     let (operator, trusted) = operator(&flags)?;
     match flags.subcommand {
         BundleCmd::Check(check) => print_check(&check.file),
@@ -111,8 +112,8 @@
         trusted = (!keys.is_empty()).then_some(keys);
     }
     ensure!(!urls.is_empty(), "give --platform URL or --settings FILE");
-    let bad = urls.iter().find(|url| !is_base_url(url));
-    if let Some(url) = bad {
+    let invalid = urls.iter().find(|url| !is_base_url(url));
+    if let Some(url) = invalid {
         bail!("--platform: `{url}` is no URL of the form http://ip:port");
     }
     let timeout = flags.timeout.map_or(DEFAULT_TIMEOUT, Duration::from_secs);
--- a/hookpoint/src/command/explain.rs
+++ b/hookpoint/src/command/explain.rs
@@ -1,4 +1,4 @@
-//! `hookpoint explain`.
+//! The `hookpoint explain` command.
 
 use std::io::{BufRead, BufReader, Read};
 use std::path::Path;
@@ -9,23 +9,24 @@
 use hookpoint_state::NodeId;
 use serde_json::Value;
 
-use super::{http, in_system};
+use super::{http, run_in_actix_system};
 use crate::flags::Explain;
 
-/// Carries out the command.
+/// Prints the decisions of a proxy, or the logged events of a request, database,
+/// configuration or zone.
 ///
 /// # Errors
-/// When the endpoint does not answer, or the log cannot be read or tells nothing.
+/// Fails if the endpoint does not answer, the log cannot be read, or no event matches.
 pub fn run(flags: &Explain) -> Result<()> {
     match (&flags.admin, &flags.log) {
-        (Some(admin), None) => ask(flags, admin),
-        (None, Some(log)) => read(flags, log),
+        (Some(admin), None) => print_decisions(flags, admin),
+        (None, Some(log)) => print_log_events(flags, log),
         _ => bail!("give one of --admin and --log"),
     }
 }
 
-/// Tells the story that logs hold of the subject asked for.
-fn read(flags: &Explain, log: &Path) -> Result<()> {
+/// Prints the events of a log that concern the requested subject.
+fn print_log_events(flags: &Explain, log: &Path) -> Result<()> {
     let subject = subject(flags)?;
     let input: Box<dyn Read> = if log == Path::new("-") {
         Box::new(std::io::stdin())
@@ -38,17 +39,20 @@
         .map_while(Result::ok)
         .filter_map(|line| Event::parse(&line))
         .collect();
-    let story = select(&events, &subject);
-    if story.is_empty() {
-        bail!("none of {} events tells of it", events.len());
+    let selected = select(&events, &subject);
+    if selected.is_empty() {
+        bail!(
+            "none of {} events concerns the requested subject",
+            events.len()
+        );
     }
-    for line in tell(&story) {
+    for line in tell(&selected) {
         println!("{line}");
     }
     Ok(())
 }
 
-/// What the flags ask for.
+/// Returns the subject named by the flags; exactly one of them must be given.
 fn subject(flags: &Explain) -> Result<Subject> {
     let given = [
         flags.request.clone().map(Subject::Request),
@@ -63,21 +67,22 @@
     }
 }
 
-/// Tells the decisions that a proxy keeps.
-fn ask(flags: &Explain, admin: &str) -> Result<()> {
+/// Fetches and prints the recent decisions that a proxy keeps in memory.
+fn print_decisions(flags: &Explain, admin: &str) -> Result<()> {
     let path = match flags.session {
         Some(session) => format!("/explain?session={session}"),
         None => "/explain".to_owned(),
     };
-    let entries: Vec<Entry> = in_system(http::get_json(admin, &path))?;
+    let entries: Vec<Entry> = run_in_actix_system(http::get_json(admin, &path))?;
     for entry in &entries {
-        println!("{}", line(entry)?);
+        println!("{}", decision_line(entry)?);
     }
     Ok(())
 }
 
-/// One entry: seconds since the proxy's start, the session, and the decision's fields.
-fn line(entry: &Entry) -> Result<String> {
+/// Formats an entry: seconds since the proxy's start, the session, and the decision's
+/// fields.
+fn decision_line(entry: &Entry) -> Result<String> {
     let seconds = entry.at.0 as f64 / 1e6;
     let session = entry.session.map(|session| format!(" session {session}"));
     let mut text = format!("{seconds:.6}{}", session.unwrap_or_default());
@@ -85,14 +90,15 @@
         let kind = fields.get("kind").and_then(Value::as_str);
         text.push_str(&format!(" {}", kind.unwrap_or("decision")));
         for (key, value) in fields.iter().filter(|(key, _)| *key != "kind") {
-            text.push_str(&field(key, value));
+            text.push_str(&field_text(key, value));
         }
     }
     Ok(text)
 }
 
-/// One field. A node is written as everywhere else, in hexadecimal digits.
-fn field(key: &str, value: &Value) -> String {
+/// Formats a field as ` key=value`. Node ids are written in hexadecimal, as in all other
+/// output.
+fn field_text(key: &str, value: &Value) -> String {
     match value.as_u64() {
         Some(number) if key == "node" => format!(" {key}={}", NodeId(number)),
         _ => format!(" {key}={value}"),
--- a/hookpoint/src/command/fleet.rs
+++ b/hookpoint/src/command/fleet.rs
@@ -1,19 +1,19 @@
-//! `hookpoint fleet`.
+//! The `hookpoint fleet` commands.
 
 use anyhow::Result;
 use hookpoint_transport::admin::FleetStatus;
 
-use super::{http, in_system};
+use super::{http, run_in_actix_system};
 use crate::flags::{Fleet, FleetCmd};
 
-/// Carries out the command.
+/// Runs the subcommand.
 ///
 /// # Errors
-/// When the endpoint does not answer.
+/// Fails if the endpoint does not answer or its answer cannot be decoded.
 pub fn run(flags: &Fleet) -> Result<()> {
     match &flags.subcommand {
         FleetCmd::FleetStatus(status) => {
-            let fleet: FleetStatus = in_system(http::get_json(&status.admin, "/fleet"))?;
+            let fleet: FleetStatus = run_in_actix_system(http::get_json(&status.admin, "/fleet"))?;
             print(&fleet);
             Ok(())
         }
@@ -27,9 +27,9 @@
             node.node, node.state, node.zone, node.region, node.address, node.bundle.0
         );
     }
-    let behind = fleet.behind().count();
+    let outdated = fleet.behind().count();
     println!(
-        "newest bundle {}; {} nodes; {behind} not yet there",
+        "newest bundle {}; {} nodes; {outdated} not yet there",
         fleet.newest.0,
         fleet.present().count()
     );
--- a/hookpoint/src/command/http.rs
+++ b/hookpoint/src/command/http.rs
@@ -1,21 +1,22 @@
-//! Reads from a proxy's operators' endpoint.
+//! HTTP requests to a proxy's admin endpoint.
 
 use std::time::Duration;
 
 use anyhow::{Context, Result, ensure};
 use serde::de::DeserializeOwned;
 
-/// Longest wait for an answer.
+/// Timeout of a request.
 const TIMEOUT: Duration = Duration::from_secs(10);
-/// Largest answer accepted, in bytes.
+/// Largest response body accepted, in bytes.
 const MAXIMUM_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 
-/// Reads the JSON at `path` of the endpoint at `base`.
+/// Fetches `path` from the endpoint at `base` and decodes its JSON body.
 ///
 /// # Errors
-/// When there is no such answer.
+/// Fails if `base` is not an HTTP URL, the request fails or the body is not the expected
+/// JSON.
 pub async fn get_json<T: DeserializeOwned>(base: &str, path: &str) -> Result<T> {
-    // A host name will do here, as the endpoint may stand behind one.
+    // Host names are accepted, as the endpoint may be published under one.
     ensure!(
         base.starts_with("http://"),
         "--admin: `{base}` is no URL of the form http://host:port"
@@ -23,7 +24,7 @@
     let url = format!("{}{path}", base.trim_end_matches('/'));
     let client = awc::Client::builder().timeout(TIMEOUT).finish();
     let response = client.get(&url).send().await;
-    // The library's error is not shareable between threads, so only its text is kept.
+    // awc's error is not `Send + Sync`, so only its text is kept.
     let mut response = response.map_err(|error| anyhow::anyhow!("cannot read {url}: {error}"))?;
     let status = response.status();
     ensure!(
@@ -32,5 +33,5 @@
     );
     let body = response.body().limit(MAXIMUM_ANSWER_BYTES).await;
     let body = body.with_context(|| format!("cannot read {url}"))?;
-    serde_json::from_slice(&body).with_context(|| format!("{url} answers something else"))
+    serde_json::from_slice(&body).with_context(|| format!("{url} did not return the expected JSON"))
 }
--- a/hookpoint/src/command/key.rs
+++ b/hookpoint/src/command/key.rs
@@ -1,4 +1,4 @@
-//! `hookpoint key`.
+//! The `hookpoint key` commands.
 
 use std::path::Path;
 
@@ -7,10 +7,10 @@
 
 use crate::flags::{Key, KeyCmd};
 
-/// Carries out the command.
+/// Runs the subcommand.
 ///
 /// # Errors
-/// When a key cannot be read.
+/// Fails if the key file cannot be read or holds no key.
 pub fn run(flags: Key) -> Result<()> {
     match flags.subcommand {
         KeyCmd::Generate(_) => {
@@ -28,14 +28,14 @@
     println!("name   {}", key.id());
 }
 
-/// Reads the secret half of a key from a file. The output of `key generate` is
-/// accepted as it is.
+/// Reads an operator's secret key from a file, which holds either the bare key or the
+/// output of `key generate`.
 ///
 /// # Errors
-/// When the file cannot be read or holds no key.
+/// Fails if the file cannot be read or holds no key.
 pub fn read(path: &Path) -> Result<OperatorKey> {
-    let name = || format!("cannot read the key in {}", path.display());
-    let text = std::fs::read_to_string(path).with_context(name)?;
+    let context = || format!("cannot read the key in {}", path.display());
+    let text = std::fs::read_to_string(path).with_context(context)?;
     let secret = text.lines().find_map(|line| line.strip_prefix("secret "));
-    OperatorKey::read(secret.unwrap_or(&text)).with_context(name)
+    OperatorKey::read(secret.unwrap_or(&text)).with_context(context)
 }
--- a/hookpoint/src/command/logging.rs
+++ b/hookpoint/src/command/logging.rs
@@ -1,4 +1,4 @@
-//! Logs on standard error: text, or JSON objects.
+//! Logging to standard error, as text or JSON objects.
 
 use anyhow::{Context, Result};
 use hookpoint::settings::{LogFormat, LogLevel, LogSection};
@@ -9,15 +9,16 @@
 use log4rs::encode::json::JsonEncoder;
 use log4rs::encode::pattern::PatternEncoder;
 
-/// Time, level and message.
+/// Text format of a line: UTC time, level and message.
 const PATTERN: &str = "{d(%Y-%m-%dT%H:%M:%S%.6fZ)(utc)} {l} {m}{n}";
-/// Target of the HTTP server's own lines, which have no prefix.
+/// Log target of the HTTP server's own lines, which have no component prefix; limited to
+/// warnings.
 const HTTP_SERVER_TARGET: &str = "actix_server";
 
-/// Starts the logs of this process.
+/// Initializes logging for this process.
 ///
 /// # Errors
-/// When they have been started before.
+/// Fails if logging is already initialized.
 pub fn start(section: &LogSection) -> Result<()> {
     let encoder: Box<dyn Encode> = match section.format {
         LogFormat::Text => Box::new(PatternEncoder::new(PATTERN)),
@@ -37,7 +38,7 @@
         .appender(Appender::builder().build("console", Box::new(console)))
         .logger(Logger::builder().build(HTTP_SERVER_TARGET, LevelFilter::Warn))
         .build(Root::builder().appender("console").build(level))
-        .context("the logs cannot be set up")?;
-    log4rs::init_config(config).context("the logs cannot be started")?;
+        .context("logging cannot be configured")?;
+    log4rs::init_config(config).context("logging cannot be initialized")?;
     Ok(())
 }
--- a/hookpoint/src/command/mod.rs
+++ b/hookpoint/src/command/mod.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! Command dispatch and exit codes.
 
 mod bundle;
 mod explain;
@@ -19,12 +19,12 @@
 
 use crate::flags::HookpointCmd;
 
-/// Exit code for anything without a code of its own.
+/// Exit code for errors without a specific code.
 const EXIT_FAILURE: u8 = 1;
-/// Exit code for a document with problems.
+/// Exit code for a settings file or bundle that breaks rules.
 const EXIT_BAD_DOCUMENT: u8 = 2;
 
-/// Carries out a command and returns its exit code.
+/// Runs a command and returns its exit code.
 pub fn run(command: HookpointCmd) -> ExitCode {
     let result = match command {
         HookpointCmd::Version(_) => {
@@ -41,14 +41,14 @@
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("hookpoint: {}", text_of(&error));
+            eprintln!("hookpoint: {}", error_text(&error));
             ExitCode::from(exit_code(&error))
         }
     }
 }
 
-/// The error and its causes, without those that the text before them tells already.
-fn text_of(error: &anyhow::Error) -> String {
+/// Formats the error and its causes, skipping causes whose text is already included.
+fn error_text(error: &anyhow::Error) -> String {
     let mut text = String::new();
     for cause in error.chain() {
         let cause = cause.to_string();
@@ -77,7 +77,7 @@
     }
 }
 
-/// Runs `task` in an actix system of its own.
-fn in_system<T>(task: impl Future<Output = Result<T>>) -> Result<T> {
+/// Runs `task` to completion in a new actix system.
+fn run_in_actix_system<T>(task: impl Future<Output = Result<T>>) -> Result<T> {
     actix_rt::System::new().block_on(task)
 }
--- a/hookpoint/src/command/proxy.rs
+++ b/hookpoint/src/command/proxy.rs
@@ -1,4 +1,4 @@
-//! `hookpoint proxy`.
+//! The `hookpoint proxy` command.
 
 use std::process;
 
@@ -9,20 +9,20 @@
 use serde_json::json;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-use super::{in_system, logging};
+use super::{logging, run_in_actix_system};
 use crate::flags;
 
 /// Exit code after a second signal.
 const EXIT_INTERRUPTED: i32 = 130;
 
-/// Runs a proxy until it is told to stop.
+/// Runs a proxy until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// When the settings are bad or the proxy does not start.
+/// Fails if the settings are invalid or the proxy does not start.
 pub fn run(flags: flags::Proxy) -> Result<()> {
     let settings = settings(flags)?;
     logging::start(&settings.log)?;
-    in_system(serve(settings))
+    run_in_actix_system(serve(settings))
 }
 
 fn settings(flags: flags::Proxy) -> Result<ProxySettings> {
@@ -43,7 +43,9 @@
     if !flags.platform.is_empty() {
         settings.platform.urls = flags.platform;
     }
-    settings.verify().context("the flags do not fit")?;
+    settings
+        .verify()
+        .context("invalid settings after applying the flags")?;
     Ok(settings)
 }
 
@@ -52,17 +54,18 @@
     let proxy = Proxy::start(settings).await?;
     print_addresses(&proxy);
     signals.next().await;
-    log::info!("proxy: stopping on a signal; another one ends it at once.");
+    log::info!("proxy: stopping on a signal; a second signal exits immediately.");
     tokio::select! {
         () = proxy.stop() => Ok(()),
         () = signals.next() => {
-            log::warn!("proxy: ended by a second signal.");
+            log::warn!("proxy: exiting on a second signal.");
             process::exit(EXIT_INTERRUPTED);
         }
     }
 }
 
-/// One line of JSON for whoever started the proxy on ports of the system's choice.
+/// Prints the proxy's addresses as one line of JSON, for callers that let the system choose
+/// ports.
 fn print_addresses(proxy: &ProxyHandle) {
     let line = json!({
         "node": proxy.node().to_string(),
@@ -73,7 +76,7 @@
     println!("{line}");
 }
 
-/// The signals that ask for a stop.
+/// The signals that request a stop.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
--- a/hookpoint/src/command/settings.rs
+++ b/hookpoint/src/command/settings.rs
@@ -1,14 +1,14 @@
-//! `hookpoint settings`.
+//! The `hookpoint settings` commands.
 
 use anyhow::Result;
 use hookpoint::settings::load_settings;
 
 use crate::flags::{Settings, SettingsCmd};
 
-/// Carries out the command.
+/// Runs the subcommand.
 ///
 /// # Errors
-/// When the file has problems.
+/// Fails if the file cannot be read or its settings break a rule.
 pub fn run(flags: Settings) -> Result<()> {
     match flags.subcommand {
         SettingsCmd::CheckSettings(check) => {
--- a/hookpoint/src/flags.rs
+++ b/hookpoint/src/flags.rs
@@ -1,4 +1,4 @@
-//! Arguments of the command line.
+//! Command-line arguments.
 #![allow(missing_docs)]
 
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 xflags::xflags! {
     /// A PostgreSQL proxy fleet with session consistency.
     cmd hookpoint {
-        /// Run a proxy until SIGTERM or SIGINT. A second signal ends it at once.
+        /// Run a proxy until SIGTERM or SIGINT. A second signal ends it immediately.
         cmd proxy {
             /// Settings file; flags override it.
             required --settings file: PathBuf
@@ -42,11 +42,11 @@
 
         /// Operators' keys.
         cmd key {
-            /// Print a new key; keep the secret half to yourself.
+            /// Print a new key pair; keep the secret key private.
             cmd generate {}
-            /// Print the public half and the name of a key.
+            /// Print the public key and the name of a secret key.
             cmd public {
-                /// File of the secret half.
+                /// File of the secret key.
                 required --key file: PathBuf
             }
         }
@@ -76,26 +76,26 @@
             }
             /// Sign a prepared version.
             cmd approve {
-                /// File of the secret half of your key.
+                /// File of your secret key.
                 required --key file: PathBuf
                 required version: u64
             }
             /// Put an approved version in force.
             cmd roll {
-                /// Version that you saw in force; another one now is a conflict.
+                /// Version expected to be in force; any other version is a conflict.
                 optional --seen version: u64
                 required version: u64
             }
-            /// Tell what is in force and what is prepared.
+            /// Show the bundle in force and the prepared bundles.
             cmd status {}
-            /// Tell what was in force before.
+            /// List the bundles that were in force before.
             cmd history {
                 /// How many versions back; 20 if not given.
                 optional --count versions: u64
             }
         }
 
-        /// Tell why requests were routed, held or refused.
+        /// Explain why requests were routed, held or refused.
         cmd explain {
             /// Base URL of the proxy's operators' endpoint.
             optional --admin url: String
@@ -103,19 +103,19 @@
             optional --session number: u64
             /// Read nodes' event logs instead: a file, or - for standard input.
             optional --log file: PathBuf
-            /// With --log: the story of this request.
+            /// With --log: the events of this request.
             optional --request id: String
-            /// With --log: the story of this database.
+            /// With --log: the events of this database.
             optional --database name: String
             /// With --log: where this configuration came into force.
             optional --configuration version: u64
-            /// With --log: how far the evacuation of this zone is.
+            /// With --log: the progress of this zone's evacuation.
             optional --zone name: String
         }
 
-        /// The fleet.
+        /// Status of the fleet.
         cmd fleet {
-            /// Tell the nodes, and who does not have the newest bundle in force.
+            /// List the nodes, and count those without the newest bundle in force.
             cmd fleet-status status {
                 /// Base URL of any proxy's operators' endpoint.
                 required --admin url: String
--- a/hookpoint/src/lib.rs
+++ b/hookpoint/src/lib.rs
@@ -1,5 +1,5 @@
-//! hookpoint: the proxy and the operators' commands, as a library that wires the parts
-//! of the other crates. The binary of the same name only reads its arguments.
+//! The hookpoint proxy and the operators' commands, as a library that combines the
+//! components of the other crates. The binary of the same name adds the command line.
 #![forbid(unsafe_code)]
 
 pub mod operator;
--- a/hookpoint/src/main.rs
+++ b/hookpoint/src/main.rs
@@ -1,4 +1,4 @@
-//! The `hookpoint` command: runs a proxy and carries out operators' commands.
+//! The `hookpoint` binary: runs a proxy or an operator's command.
 #![forbid(unsafe_code)]
 
 mod command;
@@ -6,7 +6,7 @@
 
 use std::process::ExitCode;
 
-/// Exit code for a command line that cannot be read.
+/// Exit code for an invalid command line.
 const EXIT_BAD_COMMAND_LINE: u8 = 2;
 
 fn main() -> ExitCode {
@@ -14,7 +14,7 @@
         Ok(flags) => command::run(flags.subcommand),
         Err(help) if help.is_help() => help.exit(),
         Err(error) => {
-            eprintln!("hookpoint: {error}; `hookpoint --help` tells the commands");
+            eprintln!("hookpoint: {error}; run `hookpoint --help` for the commands");
             ExitCode::from(EXIT_BAD_COMMAND_LINE)
         }
     }
--- a/hookpoint/src/operator/approve.rs
+++ b/hookpoint/src/operator/approve.rs
@@ -1,4 +1,4 @@
-//! Approving a prepared bundle.
+//! Approval of a prepared bundle.
 
 use hookpoint_protocol::platform::records::{BundleRecord, bundle_key};
 use hookpoint_protocol::platform::{Compare, RequestOperation, TransactionRequest};
@@ -8,21 +8,21 @@
 use super::store::encode;
 use super::{Operator, OperatorError};
 
-/// An approval that is stored.
+/// An approval that has been stored.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Approval {
-    /// Key that approved.
+    /// Identifier of the key that signed.
     pub key: KeyId,
-    /// The record with its approvals.
+    /// The bundle's record with all its signatures.
     pub record: BundleRecord,
 }
 
 impl Operator {
-    /// Signs the prepared bundle of `version` with `key`. Approving again changes
-    /// nothing.
+    /// Signs the prepared bundle of `version` with `key`. Approving twice with the same
+    /// key has no further effect.
     ///
     /// # Errors
-    /// An [`OperatorError`].
+    /// Returns an [`OperatorError`].
     pub async fn approve(
         &self,
         key: &OperatorKey,
@@ -36,17 +36,23 @@
                 let key = key.id();
                 return Ok(Approval { key, record });
             }
-            record.signatures.retain(|held| held.key != signature.key);
+            record
+                .signatures
+                .retain(|existing| existing.key != signature.key);
             record.signatures.push(signature);
-            let name = bundle_key(version);
+            let storage_key = bundle_key(version);
             let request = TransactionRequest {
-                compare: vec![Compare::unchanged_since(&name, revision)],
-                success: vec![RequestOperation::put(&name, encode(&name, &record)?)],
+                compare: vec![Compare::unchanged_since(&storage_key, revision)],
+                success: vec![RequestOperation::put(
+                    &storage_key,
+                    encode(&storage_key, &record)?,
+                )],
                 failure: Vec::new(),
             };
-            // Whether this attempt or an earlier one took effect, the next round finds
-            // the signature; if another approval came first, it is kept.
-            self.settle(&mut attempts, &request).await?;
+            // The next iteration reads the record again: it finds the signature if this
+            // or an earlier attempt was applied, and otherwise signs again on top of the
+            // concurrent approval that won.
+            self.send_until_answered(&mut attempts, &request).await?;
         }
     }
 }
--- a/hookpoint/src/operator/error.rs
+++ b/hookpoint/src/operator/error.rs
@@ -1,4 +1,4 @@
-//! Why an operator's command failed.
+//! Errors of the operators' commands.
 
 use hookpoint_coordination::rollout::PointerView;
 use hookpoint_protocol::platform::records::Stamp;
@@ -7,12 +7,12 @@
 use hookpoint_transport::platform::PlatformError;
 use thiserror::Error;
 
-/// Who holds the pointer instead.
+/// The roll that moved the active pointer first.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Winner {
     /// Version in force.
     pub version: BundleVersion,
-    /// Who rolled it; empty when nothing was ever rolled.
+    /// Name of the operator who rolled it; empty if nothing was ever rolled.
     pub by: String,
 }
 
@@ -25,22 +25,22 @@
     }
 }
 
-/// Why the last request failed, for people.
+/// Describes why the last request failed; `None` means that the deadline passed.
 fn cause(failure: &Option<PlatformError>) -> String {
     let cause = failure.as_ref().map(ToString::to_string);
     cause.unwrap_or_else(|| "the time is over".to_owned())
 }
 
-/// A failed command.
+/// Error of an operator's command.
 #[derive(Debug, Error)]
 pub enum OperatorError {
-    /// Another roll came first. Nothing was changed.
+    /// Another roll was applied first. Nothing was changed.
     #[error(
         "conflict: version {} was rolled by {} in the meantime; nothing was changed",
         winner.version.0, winner.by
     )]
     Conflict {
-        /// Who came first.
+        /// The roll that was applied.
         winner: Winner,
     },
     /// The version is not above the one in force. Nothing was changed.
@@ -49,7 +49,7 @@
         version.0, active.0
     )]
     NotNewer {
-        /// Version asked for.
+        /// The requested version.
         version: BundleVersion,
         /// Version in force.
         active: BundleVersion,
@@ -57,38 +57,39 @@
     /// No such version is prepared.
     #[error("no bundle of version {} is prepared", version.0)]
     NoSuchVersion {
-        /// Version asked for.
+        /// The requested version.
         version: BundleVersion,
     },
-    /// The bundle is not approved.
+    /// The bundle lacks a valid approval.
     #[error("version {} cannot be rolled: {source}", version.0)]
     NotApproved {
-        /// Version asked for.
+        /// The requested version.
         version: BundleVersion,
-        /// What is wrong with its approvals.
+        /// Why its signatures are not accepted.
         source: SignatureError,
     },
     /// The bundle breaks a rule. Nothing was changed.
     #[error("the bundle breaks a rule: {0}")]
     BadBundle(BundleProblem),
-    /// What the store holds is not what it should be. Nothing was changed.
+    /// A stored record cannot be decoded or does not match its digest. Nothing was changed.
     #[error("the record under `{key}` is damaged: {reason}")]
     DamagedRecord {
-        /// Its key.
+        /// Key of the record.
         key: String,
-        /// What is wrong with it.
+        /// Why the record is rejected.
         reason: String,
     },
-    /// The platform did not take the request in time. Nothing was changed.
+    /// The platform did not accept the request before the deadline. Nothing was changed.
     #[error("nothing was changed: {}", cause(.0))]
     NotRun(Option<PlatformError>),
-    /// The answer was lost and the store could not be read back in time.
+    /// The answer was lost, and the store could not be read before the deadline to find out
+    /// the outcome.
     #[error("outcome unknown, look at the status later: {}", cause(.0))]
     Unknown(Option<PlatformError>),
 }
 
 impl OperatorError {
-    /// Exit code of the command.
+    /// Returns the exit code of the command.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::BadBundle(_) => 2,
--- a/hookpoint/src/operator/history.rs
+++ b/hookpoint/src/operator/history.rs
@@ -1,4 +1,4 @@
-//! What is in force, what is prepared, and what was in force before.
+//! Reads the bundle in force, the prepared bundles and the history of rolls.
 
 use hookpoint_protocol::platform::records::{
     ActivePointer, BUNDLE_PREFIX, BundleRecord, HISTORY_PREFIX, Stamp, bundle_key, history_key,
@@ -14,32 +14,32 @@
 /// A prepared bundle without its contents.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PreparedBundle {
-    /// Its version.
+    /// Version of the bundle.
     pub version: BundleVersion,
-    /// Its digest.
+    /// Digest of the bundle.
     pub digest: BundleDigest,
-    /// Who prepared it.
+    /// Operator, time and attempt of its preparation.
     pub prepared: Stamp,
-    /// Keys that approved it.
+    /// Identifiers of the keys that signed it.
     pub approved_by: Vec<KeyId>,
-    /// Its description.
+    /// Description given in the bundle.
     pub description: String,
 }
 
-/// What is in force and what may be rolled next.
+/// The bundle in force and the bundles that may be rolled next.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BundleStatus {
-    /// The pointer, once anything was rolled.
+    /// The active pointer; `None` before the first roll.
     pub active: Option<ActivePointer>,
-    /// Prepared bundles above the version in force, the oldest first.
+    /// Prepared bundles above the version in force, in ascending order of version.
     pub prepared: Vec<PreparedBundle>,
 }
 
 impl Operator {
-    /// Reads what is in force and what is prepared.
+    /// Reads the active pointer and the prepared bundles.
     ///
     /// # Errors
-    /// An [`OperatorError`].
+    /// Returns an [`OperatorError`].
     pub async fn status(&self) -> Result<BundleStatus, OperatorError> {
         let mut attempts = self.attempts();
         let active = self.read_pointer(&mut attempts).await?.value;
@@ -52,10 +52,10 @@
         Ok(BundleStatus { active, prepared })
     }
 
-    /// Reads the pointers of the last `count` versions, the oldest first.
+    /// Reads the pointers of the last `count` versions, in ascending order of version.
     ///
     /// # Errors
-    /// An [`OperatorError`].
+    /// Returns an [`OperatorError`].
     pub async fn history(&self, count: u64) -> Result<Vec<ActivePointer>, OperatorError> {
         let mut attempts = self.attempts();
         let active = self.read_pointer(&mut attempts).await?.value;
@@ -64,7 +64,7 @@
         self.read_range(&mut attempts, &first, HISTORY_PREFIX).await
     }
 
-    /// Reads the records from key `first` to the end of `prefix`.
+    /// Reads the records from key `first`, inclusive, to the end of `prefix`.
     async fn read_range<T: DeserializeOwned>(
         &self,
         attempts: &mut Attempts,
@@ -92,7 +92,11 @@
             version: record.bundle.version,
             digest: record.digest,
             prepared: record.prepared.clone(),
-            approved_by: record.signatures.iter().map(|held| held.key).collect(),
+            approved_by: record
+                .signatures
+                .iter()
+                .map(|signature| signature.key)
+                .collect(),
             description: record.bundle.description.clone(),
         }
     }
--- a/hookpoint/src/operator/mod.rs
+++ b/hookpoint/src/operator/mod.rs
@@ -1,10 +1,10 @@
-//! What operators do with bundles, against the platform's key-value service.
+//! Operators' commands on bundles, carried out on the platform's key-value service.
 //!
-//! Every change is one transaction that compares the revision the operator saw, and
-//! carries an identifier of the attempt. A lost answer is resolved by sending the same
-//! transaction again: if the first one took effect, the comparison fails and the
-//! identifier found in the store is the attempt's own. So nothing is applied twice, and
-//! "unknown" is only said when the store cannot be read before the deadline.
+//! Every change is one transaction that compares the revision the operator read and
+//! carries an identifier of the attempt. After a lost answer the same transaction is sent
+//! again: if the first one was applied, the comparison fails and the store holds the
+//! attempt's own identifier. So no change is applied twice, and the outcome is reported as
+//! unknown only if the store cannot be read before the deadline.
 
 mod approve;
 mod error;
@@ -23,7 +23,7 @@
 pub use history::{BundleStatus, PreparedBundle};
 pub use roll::Rolled;
 
-/// An operator at work.
+/// Carries out an operator's commands on the platform.
 pub struct Operator {
     client: PlatformClient,
     name: String,
@@ -31,7 +31,7 @@
 }
 
 impl Operator {
-    /// An operator called `name` who gives each command `timeout` in all.
+    /// Creates an operator called `name`; `timeout` limits each command, retries included.
     pub fn new(client: PlatformClient, name: impl Into<String>, timeout: Duration) -> Self {
         Self {
             client,
@@ -41,8 +41,8 @@
     }
 
     fn stamp(&self) -> Stamp {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH);
-        let at_ms = since.unwrap_or_default().as_millis();
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
+        let at_ms = since_epoch.unwrap_or_default().as_millis();
         Stamp {
             by: self.name.clone(),
             at_ms: u64::try_from(at_ms).unwrap_or(u64::MAX),
--- a/hookpoint/src/operator/prepare.rs
+++ b/hookpoint/src/operator/prepare.rs
@@ -1,4 +1,4 @@
-//! Preparing a bundle: it gets the next version and is stored, not yet in force.
+//! Preparation of a bundle: stores it under the next version without putting it in force.
 
 use std::sync::Arc;
 
@@ -12,28 +12,31 @@
 use hookpoint_state::BundleVersion;
 use hookpoint_state::bundle::Bundle;
 
-use super::store::{Versioned, decode, encode, read_by};
+use super::store::{Versioned, decode, encode, key_read_by};
 use super::{Operator, OperatorError};
 
-/// Bundles kept behind the one in force; older ones are deleted.
+/// Number of versions below the highest one whose bundles are kept; the one in force is
+/// never deleted.
 const BUNDLES_KEPT: u64 = 64;
-/// Pointers kept in the history; older ones are deleted.
+/// Number of versions below the one in force whose pointers stay in the history; older ones
+/// are deleted.
 const HISTORY_KEPT: u64 = 10_000;
 
 impl Operator {
     /// Stores `bundle` under the next version.
     ///
     /// # Errors
-    /// An [`OperatorError`].
+    /// Returns an [`OperatorError`].
     pub async fn prepare(&self, bundle: Bundle) -> Result<BundleRecord, OperatorError> {
         self.prepare_above(bundle, BundleVersion(0)).await
     }
 
-    /// Stores `bundle` under the next version that is above `floor`: needed once after
-    /// the platform was restored from a backup older than what the fleet has in force.
+    /// Stores `bundle` under the next version that is above `floor`. A floor is needed once
+    /// after the platform was restored from a backup that is older than the bundle in force
+    /// in the fleet.
     ///
     /// # Errors
-    /// An [`OperatorError`].
+    /// Returns an [`OperatorError`].
     pub async fn prepare_above(
         &self,
         bundle: Bundle,
@@ -55,26 +58,26 @@
                 .max(active)
                 .max(floor);
             let version = BundleVersion(highest.0 + 1);
-            let record = self.record_of(bundle.clone().with_version(version));
-            let request = preparation(&record, counter.revision, active)?;
-            let answer = self.settle(&mut attempts, &request).await?;
+            let record = self.new_record(bundle.clone().with_version(version));
+            let request = preparation_request(&record, counter.revision, active)?;
+            let answer = self.send_until_answered(&mut attempts, &request).await?;
             if answer.succeeded {
                 return Ok(record);
             }
             let key = bundle_key(version);
-            let stored: Versioned<BundleRecord> = decode(&key, read_by(&answer.responses, 0))?;
+            let stored: Versioned<BundleRecord> = decode(&key, key_read_by(&answer.responses, 0))?;
             if stored
                 .value
                 .is_some_and(|stored| stored.prepared == record.prepared)
             {
                 return Ok(record);
             }
-            // Another operator took the number; this attempt can no longer take effect.
-            attempts.forget_doubt();
+            // Another operator took this version, so the attempt can no longer be applied.
+            attempts.clear_uncertainty();
         }
     }
 
-    fn record_of(&self, bundle: Bundle) -> BundleRecord {
+    fn new_record(&self, bundle: Bundle) -> BundleRecord {
         BundleRecord {
             digest: bundle.digest(),
             bundle: Arc::new(bundle),
@@ -84,7 +87,7 @@
     }
 }
 
-fn preparation(
+fn preparation_request(
     record: &BundleRecord,
     counter_revision: i64,
     active: BundleVersion,
@@ -102,15 +105,15 @@
         success: vec![
             RequestOperation::put(VERSION_COUNTER_KEY, encode(VERSION_COUNTER_KEY, &counter)?),
             RequestOperation::put(&key, encode(&key, record)?),
-            delete(BUNDLE_PREFIX, &bundle_key(oldest_bundle)),
-            delete(HISTORY_PREFIX, &history_key(oldest_pointer)),
+            delete_range(BUNDLE_PREFIX, &bundle_key(oldest_bundle)),
+            delete_range(HISTORY_PREFIX, &history_key(oldest_pointer)),
         ],
         failure: vec![RequestOperation::get(&key)],
     })
 }
 
-/// Deletes the keys from `first` up to `end`.
-fn delete(first: &str, end: &str) -> RequestOperation {
+/// Returns an operation that deletes the keys from `first`, inclusive, to `end`, exclusive.
+fn delete_range(first: &str, end: &str) -> RequestOperation {
     RequestOperation {
         request_delete_range: Some(DeleteRangeRequest {
             key: first.into(),
--- a/hookpoint/src/operator/roll.rs
+++ b/hookpoint/src/operator/roll.rs
@@ -1,4 +1,4 @@
-//! Rolling a bundle: moving the pointer, as [`RollMachine`] says.
+//! Rolling a bundle: moves the active pointer by the steps of a [`RollMachine`].
 
 use hookpoint_coordination::rollout::{PointerView, RollEvent, RollMachine, RollResult, RollStep};
 use hookpoint_protocol::platform::records::{
@@ -10,28 +10,28 @@
 use hookpoint_transport::platform::PlatformError;
 
 use super::error::Winner;
-use super::store::{Attempts, Versioned, decode, encode, read_by};
+use super::store::{Attempts, Versioned, decode, encode, key_read_by};
 use super::{Operator, OperatorError};
 
-/// What a request of a roll brought.
-type Answer = Result<RollEvent<Stamp>, PlatformError>;
+/// Event for the roll machine, or the error of the request that should have produced it.
+type StepResult = Result<RollEvent<Stamp>, PlatformError>;
 
-/// A roll that took effect.
+/// A roll that was applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rolled {
-    /// The pointer as it was set.
+    /// The active pointer as this roll wrote it.
     pub pointer: ActivePointer,
-    /// Whether another version has been rolled since.
+    /// Whether another version has already been rolled after this one.
     pub superseded: bool,
 }
 
 impl Operator {
-    /// Puts `version` in force, if the version in force is still the one that the
-    /// operator has seen; without `seen` it is the one read at the beginning of this
-    /// call. With trusted keys, the approvals are verified first.
+    /// Puts `version` in force if the version in force is still `seen`, or, without `seen`,
+    /// the version read at the beginning of this call. With `trusted` keys, the signatures
+    /// are verified first; without, at least one signature must be present.
     ///
     /// # Errors
-    /// An [`OperatorError`]. On [`OperatorError::Conflict`] nothing was changed.
+    /// Returns an [`OperatorError`]. On [`OperatorError::Conflict`] nothing was changed.
     pub async fn roll(
         &self,
         version: BundleVersion,
@@ -49,11 +49,11 @@
             previous: BundleVersion(0),
             rolled: stamp,
         };
-        self.drive(machine, pointer, &mut attempts).await
+        self.run_machine(machine, pointer, &mut attempts).await
     }
 
     /// Carries out the machine's steps until it has finished.
-    async fn drive(
+    async fn run_machine(
         &self,
         mut machine: RollMachine<Stamp>,
         mut pointer: ActivePointer,
@@ -62,7 +62,7 @@
         let mut failure = None;
         loop {
             let answer = match machine.step() {
-                RollStep::ReadPointer => self.read_for_roll().await?,
+                RollStep::ReadPointer => self.read_active_pointer().await?,
                 RollStep::MovePointer {
                     unchanged_since,
                     previous,
@@ -86,7 +86,7 @@
         }
     }
 
-    async fn read_for_roll(&self) -> Result<Answer, OperatorError> {
+    async fn read_active_pointer(&self) -> Result<StepResult, OperatorError> {
         let entry = match self.client.get(ACTIVE_KEY).await {
             Ok(entry) => entry,
             Err(error) => return Ok(Err(error)),
@@ -102,8 +102,8 @@
         &self,
         pointer: &ActivePointer,
         unchanged_since: i64,
-    ) -> Result<Answer, OperatorError> {
-        let request = roll_of(pointer, unchanged_since)?;
+    ) -> Result<StepResult, OperatorError> {
+        let request = roll_request(pointer, unchanged_since)?;
         let answer = match self.client.transaction(&request).await {
             Ok(answer) => answer,
             Err(error) => return Ok(Err(error)),
@@ -112,8 +112,11 @@
             return Ok(Ok(RollEvent::Moved));
         }
         Ok(Ok(RollEvent::NotMoved {
-            pointer: view_of(ACTIVE_KEY, read_by(&answer.responses, 0))?,
-            past: view_of(&history_key(pointer.version), read_by(&answer.responses, 1))?,
+            pointer: decode_view(ACTIVE_KEY, key_read_by(&answer.responses, 0))?,
+            past: decode_view(
+                &history_key(pointer.version),
+                key_read_by(&answer.responses, 1),
+            )?,
         }))
     }
 }
@@ -155,7 +158,10 @@
     })
 }
 
-fn roll_of(pointer: &ActivePointer, revision: i64) -> Result<TransactionRequest, OperatorError> {
+fn roll_request(
+    pointer: &ActivePointer,
+    revision: i64,
+) -> Result<TransactionRequest, OperatorError> {
     let value = encode(ACTIVE_KEY, pointer)?;
     let history = history_key(pointer.version);
     Ok(TransactionRequest {
@@ -178,7 +184,7 @@
     }
 }
 
-fn view_of(
+fn decode_view(
     key: &str,
     entry: Option<KeyValue>,
 ) -> Result<Option<PointerView<Stamp>>, OperatorError> {
--- a/hookpoint/src/operator/store.rs
+++ b/hookpoint/src/operator/store.rs
@@ -1,4 +1,4 @@
-//! Reads and transactions with retries until a deadline.
+//! Reads and transactions that are retried until a deadline.
 
 use std::future::Future;
 use std::time::Duration;
@@ -14,27 +14,29 @@
 
 use super::{Operator, OperatorError};
 
-/// Shortest and longest pause between attempts.
-const PAUSE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
+/// Shortest and longest backoff between attempts.
+const RETRY_BACKOFF: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(2));
 
-/// A value with the revision of its latest change; revision 0 for a missing key.
+/// A value with the revision of its latest change; a missing key has no value and revision
+/// 0.
 #[derive(Clone, Debug)]
 pub(super) struct Versioned<T> {
     pub value: Option<T>,
     pub revision: i64,
 }
 
-/// Attempts of one command, until its deadline.
+/// Retry state of one command: its deadline, backoff, and whether an attempt may have been
+/// applied.
 pub(super) struct Attempts {
     deadline: Instant,
     backoff: Backoff,
-    /// Whether an earlier attempt may have taken effect.
+    /// Whether an earlier attempt may have been applied.
     uncertain: bool,
 }
 
 impl Attempts {
-    pub fn within(timeout: Duration) -> Self {
-        let (shortest, longest) = PAUSE;
+    pub fn with_timeout(timeout: Duration) -> Self {
+        let (shortest, longest) = RETRY_BACKOFF;
         Self {
             deadline: Instant::now() + timeout,
             backoff: Backoff::new(shortest, longest),
@@ -42,7 +44,8 @@
         }
     }
 
-    /// Waits before the next attempt; false when there is to be none.
+    /// Waits before the next attempt. Returns false if the error is permanent or the
+    /// deadline would pass.
     pub async fn wait_after(&mut self, error: &PlatformError) -> bool {
         let pause = self.backoff.after(error);
         if !error.is_transient() || Instant::now() + pause >= self.deadline {
@@ -52,7 +55,8 @@
         true
     }
 
-    /// Waits before the next attempt, or says what the command came to.
+    /// Waits before the next attempt, or returns the outcome of the command if there is
+    /// none.
     async fn pause(&mut self, error: PlatformError) -> Result<(), OperatorError> {
         if self.wait_after(&error).await {
             Ok(())
@@ -63,12 +67,12 @@
         }
     }
 
-    /// Forgets the doubt of an earlier attempt that can no longer take effect.
-    pub fn forget_doubt(&mut self) {
+    /// Clears the uncertainty of earlier attempts, which can no longer be applied.
+    pub fn clear_uncertainty(&mut self) {
         self.uncertain = false;
     }
 
-    /// Reads until an answer comes.
+    /// Repeats `read` until it is answered or the deadline passes.
     pub async fn read<Answer, Reading>(
         &mut self,
         read: impl Fn() -> Reading,
@@ -87,13 +91,13 @@
 
 impl Operator {
     pub(super) fn attempts(&self) -> Attempts {
-        Attempts::within(self.timeout)
+        Attempts::with_timeout(self.timeout)
     }
 
-    /// Sends a transaction until an answer comes. Sending it again is harmless, since
-    /// its comparison fails once it has taken effect; the caller then finds its own
-    /// attempt in the store.
-    pub(super) async fn settle(
+    /// Sends a transaction until it is answered or the deadline passes. Repeating it is
+    /// safe: once it was applied its comparison fails, and the caller finds its own attempt
+    /// in the store.
+    pub(super) async fn send_until_answered(
         &self,
         attempts: &mut Attempts,
         request: &TransactionRequest,
@@ -117,7 +121,7 @@
         decode(ACTIVE_KEY, entry)
     }
 
-    /// Reads a prepared bundle and checks that it is what it says.
+    /// Reads a prepared bundle with its revision, and checks its version and digest.
     pub(super) async fn read_bundle(
         &self,
         attempts: &mut Attempts,
@@ -140,7 +144,7 @@
     }
 }
 
-/// Reads the value of `entry`.
+/// Decodes the JSON value of `entry`, which was read from `key`.
 pub(super) fn decode<T: DeserializeOwned>(
     key: &str,
     entry: Option<KeyValue>,
@@ -162,13 +166,13 @@
     })
 }
 
-/// The one key that the operation at `index` of a transaction read.
-pub(super) fn read_by(responses: &[ResponseOperation], index: usize) -> Option<KeyValue> {
+/// Returns the entry that the read operation at `index` of a transaction found, if any.
+pub(super) fn key_read_by(responses: &[ResponseOperation], index: usize) -> Option<KeyValue> {
     let range = responses.get(index)?.response_range.as_ref()?;
     range.kvs.first().cloned()
 }
 
-/// Encodes a record.
+/// Encodes the record to be stored under `key` as JSON.
 pub(super) fn encode<T: serde::Serialize>(key: &str, value: &T) -> Result<Vec<u8>, OperatorError> {
     serde_json::to_vec(value).map_err(|error| OperatorError::DamagedRecord {
         key: key.to_owned(),
--- a/hookpoint/src/proxy/error.rs
+++ b/hookpoint/src/proxy/error.rs
@@ -1,4 +1,4 @@
-//! Why a proxy did not start.
+//! Errors at the start of a proxy.
 
 use hookpoint_state::bundle::KeyError;
 use hookpoint_transport::admin::AdminError;
@@ -6,36 +6,36 @@
 use hookpoint_transport::peer::FleetError;
 use thiserror::Error;
 
-/// Why a proxy did not start.
+/// Reason why a proxy did not start.
 #[derive(Debug, Error)]
 pub enum ProxyError {
-    /// The caller side.
-    #[error("the caller side did not start: {0}")]
+    /// The listener for callers did not start.
+    #[error("the caller listener did not start: {0}")]
     Callers(#[from] CallerError),
-    /// The side towards other proxies.
-    #[error("the fleet side did not start: {0}")]
+    /// The networking with other proxies did not start.
+    #[error("fleet networking did not start: {0}")]
     Fleet(#[from] FleetError),
-    /// The operators' endpoint.
-    #[error("the operators' endpoint did not start: {0}")]
+    /// The admin endpoint did not start.
+    #[error("the admin endpoint did not start: {0}")]
     Admin(#[from] AdminError),
-    /// A trusted key.
+    /// A trusted key in the settings is invalid.
     #[error("trusted key {index} cannot be used: {source}")]
     TrustedKey {
-        /// Place in the list, from 0.
+        /// Index in the list, from 0.
         index: usize,
-        /// Why.
+        /// Why the key is rejected.
         source: KeyError,
     },
-    /// A SCRAM verifier.
-    #[error("the verifier of user `{user}` is not one")]
+    /// A user's SCRAM verifier in the settings is malformed.
+    #[error("the SCRAM verifier of user `{user}` is malformed")]
     Verifier {
-        /// The user.
+        /// Name of the user.
         user: String,
     },
-    /// A metric.
-    #[error("a metric was refused: {0}")]
+    /// A metric could not be registered.
+    #[error("a metric could not be registered: {0}")]
     Metric(#[from] prometheus::Error),
-    /// A thread of the proxy ended while it started.
-    #[error("a thread of the proxy ended while it started")]
+    /// A thread of the proxy ended during the start.
+    #[error("a thread of the proxy ended during the start")]
     ThreadEnded,
 }
--- a/hookpoint/src/proxy/fleet_source.rs
+++ b/hookpoint/src/proxy/fleet_source.rs
@@ -1,4 +1,4 @@
-//! What the operators' endpoint tells of the fleet.
+//! Source of the fleet status that the admin endpoint reports.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use hookpoint_transport::peer::{FleetHandle, MemberStatus};
 use hookpoint_transport::shared::Shared;
 
-/// How long members that seem behind have to say which version they have.
+/// Time that members with an apparently old bundle have to report their current version.
 const REFRESH_WAIT: Duration = Duration::from_millis(400);
 
-/// Reads the membership of a node.
+/// Reports the fleet as this node's membership has it.
 pub(super) struct MembershipSource {
     pub fleet: FleetHandle,
     pub shared: Arc<Shared>,
--- a/hookpoint/src/proxy/metrics.rs
+++ b/hookpoint/src/proxy/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of one proxy, in a registry of its own.
+//! The metrics of one proxy, in a registry per proxy.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use prometheus::proto::MetricFamily;
 use prometheus::{IntGauge, IntGaugeVec, Opts, Registry};
 
-/// A registry that reads from the proxy's parts when it is asked.
+/// Creates a registry whose collectors read the proxy's components at every scrape.
 pub(super) fn registry(
     shared: &Arc<Shared>,
     callers: &CallerHandle,
@@ -20,11 +20,11 @@
 ) -> prometheus::Result<Registry> {
     let registry = Registry::new();
     registry.register(Box::new(SharedCollector::new(Arc::clone(shared))?))?;
-    registry.register(Box::new(PartsCollector::new(callers, pools, fleet)?))?;
+    registry.register(Box::new(ComponentCollector::new(callers, pools, fleet)?))?;
     Ok(registry)
 }
 
-struct PartsCollector {
+struct ComponentCollector {
     callers: CallerHandle,
     pools: Arc<LocalPools>,
     fleet: FleetHandle,
@@ -36,7 +36,7 @@
     fleet_counters: IntGaugeVec,
 }
 
-impl PartsCollector {
+impl ComponentCollector {
     fn new(
         callers: &CallerHandle,
         pools: &Arc<LocalPools>,
@@ -89,7 +89,7 @@
     }
 
     fn refresh(&self) {
-        self.sessions.set(gauge(self.callers.sessions()));
+        self.sessions.set(gauge_value(self.callers.sessions()));
         for vector in self.vectors() {
             vector.reset();
         }
@@ -125,9 +125,9 @@
                 let labels = [name, state];
                 self.connections
                     .with_label_values(&labels)
-                    .set(gauge(count));
+                    .set(gauge_value(count));
             }
-            let waiting = gauge(counts.waiting);
+            let waiting = gauge_value(counts.waiting);
             self.waiting.with_label_values(&[name]).set(waiting);
         }
     }
@@ -155,11 +155,11 @@
     }
 }
 
-fn gauge(count: usize) -> i64 {
+fn gauge_value(count: usize) -> i64 {
     i64::try_from(count).unwrap_or(i64::MAX)
 }
 
-impl Collector for PartsCollector {
+impl Collector for ComponentCollector {
     fn desc(&self) -> Vec<&Desc> {
         let vectors = self.vectors().into_iter().flat_map(Collector::desc);
         self.sessions.desc().into_iter().chain(vectors).collect()
--- a/hookpoint/src/proxy/mod.rs
+++ b/hookpoint/src/proxy/mod.rs
@@ -1,6 +1,6 @@
-//! A running proxy: the parts of the other crates, wired together.
+//! A running proxy, composed of the components of the other crates.
 //!
-//! Several proxies may run in one process; they share nothing but the logs.
+//! Several proxies may run in one process; they share only the process's logging.
 
 mod error;
 mod fleet_source;
@@ -22,18 +22,18 @@
 
 pub use error::ProxyError;
 pub use parts::fleet_key;
-use parts::{Arbiters, PlatformSide};
+use parts::{Arbiters, PlatformTasks};
 
 use crate::settings::ProxySettings;
 
-/// Longest wait, at a planned stop, for the work of other nodes that flows through
-/// this one.
-const DRAIN_LIMIT: Duration = Duration::from_secs(30);
+/// Longest wait, at a planned stop, for the end of leases that this node has lent to
+/// other nodes.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Starts proxies.
+/// Entry point for starting proxies; see [`Proxy::start`].
 pub struct Proxy;
 
-/// A running proxy. Clones mean the same proxy.
+/// Handle of a running proxy. Clones refer to the same proxy.
 #[derive(Clone)]
 pub struct ProxyHandle {
     inner: Arc<Running>,
@@ -44,26 +44,27 @@
     callers: CallerHandle,
     pools: Arc<LocalPools>,
     fleet: FleetHandle,
-    platform: PlatformSide,
+    platform: PlatformTasks,
     admin: AdminHandle,
     stopping: Arc<AtomicBool>,
     arbiters: Arbiters,
 }
 
 impl Running {
-    /// Lets go of the fleet, which the pools' filter holds and which holds the pools.
-    fn forget_homes(&self) {
+    /// Breaks the reference cycle between the pools, whose home filter holds the fleet,
+    /// and the fleet, which holds the pools.
+    fn clear_home_filter(&self) {
         self.pools.set_home(Arc::new(|_| false));
     }
 }
 
 impl Proxy {
-    /// Starts a proxy. Must be called inside an actix system. It takes sessions at
-    /// once; until a bundle is in force, requests wait or are refused as not run.
+    /// Starts a proxy. Must be called inside an actix system. The proxy accepts sessions
+    /// immediately; until a bundle is in force, requests wait or are refused as not run.
     ///
     /// # Errors
-    /// A [`ProxyError`] when an address cannot be listened on or a setting cannot be
-    /// used. A platform that is away is no error.
+    /// Returns a [`ProxyError`] if an address cannot be listened on or a setting is
+    /// invalid. An unreachable platform is not an error.
     pub async fn start(settings: ProxySettings) -> Result<ProxyHandle, ProxyError> {
         let inner = parts::start(settings).await?;
         Ok(ProxyHandle {
@@ -73,48 +74,50 @@
 }
 
 impl ProxyHandle {
-    /// This node.
+    /// Returns the id of this node.
     pub fn node(&self) -> NodeId {
         self.inner.fleet.node()
     }
 
-    /// Address that callers connect to.
+    /// Returns the address that callers connect to.
     pub fn caller_address(&self) -> SocketAddr {
         self.inner.callers.address()
     }
 
-    /// Address of the operators' endpoint.
+    /// Returns the address of the admin endpoint.
     pub fn admin_address(&self) -> SocketAddr {
         self.inner.admin.address()
     }
 
-    /// Address that other proxies reach this one by.
+    /// Returns the address at which other proxies reach this one.
     pub fn peer_address(&self) -> SocketAddr {
         self.inner.fleet.address()
     }
 
-    /// The shared tables.
+    /// Returns the state that the proxy's components share, such as the bundle and the
+    /// group views.
     pub fn shared(&self) -> &Arc<Shared> {
         &self.inner.shared
     }
 
-    /// This node as a member of its fleet.
+    /// Returns the handle of this node's fleet membership.
     pub fn fleet(&self) -> &FleetHandle {
         &self.inner.fleet
     }
 
-    /// The caller side.
+    /// Returns the handle of the listener for callers.
     pub fn callers(&self) -> &CallerHandle {
         &self.inner.callers
     }
 
-    /// The connections to databases that this node holds.
+    /// Returns the pools of connections to databases that this node holds.
     pub fn pools(&self) -> &Arc<LocalPools> {
         &self.inner.pools
     }
 
-    /// A planned stop: leaves the fleet's lists, finishes what is in flight, gives idle
-    /// sessions their token and a clean end, and closes.
+    /// Stops the proxy as planned: marks it as leaving in the platform's list and in the
+    /// fleet, finishes requests in flight, sends idle sessions their token and closes them
+    /// cleanly, then closes all listeners. Has no effect if the proxy is stopping already.
     pub async fn stop(&self) {
         let running = &self.inner;
         if running.stopping.swap(true, Ordering::Relaxed) {
@@ -124,12 +127,14 @@
         running.platform.leave();
         running.fleet.leave().await;
         running.callers.stop().await;
-        let left = running.fleet.drain(DRAIN_LIMIT).await;
-        if left > 0 {
-            log::warn!("proxy: {left} forwarded leases did not end in time.");
+        let unfinished = running.fleet.drain(DRAIN_TIMEOUT).await;
+        if unfinished > 0 {
+            log::warn!(
+                "proxy: {unfinished} forwarded leases did not end before the drain timeout."
+            );
         }
         running.pools.retire();
-        running.forget_homes();
+        running.clear_home_filter();
         running.platform.remove().await;
         running.fleet.shutdown();
         running.admin.stop(true).await;
@@ -137,7 +142,8 @@
         log::info!("proxy: node {} has stopped.", self.node());
     }
 
-    /// A sudden end, as if the process had died: every socket is closed without a word.
+    /// Ends the proxy as if its process had died: closes every socket without notice to the
+    /// peers.
     pub async fn abort(&self) {
         let running = &self.inner;
         running.stopping.store(true, Ordering::Relaxed);
@@ -145,7 +151,7 @@
         running.arbiters.stop();
         running.callers.abort().await;
         running.admin.stop(false).await;
-        running.forget_homes();
+        running.clear_home_filter();
         log::info!("proxy: node {} was aborted.", self.node());
     }
 }
--- a/hookpoint/src/proxy/parts.rs
+++ b/hookpoint/src/proxy/parts.rs
@@ -1,4 +1,4 @@
-//! Starting the parts in the order of their dependencies.
+//! Starts the components of a proxy in the order of their dependencies.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -27,7 +27,7 @@
 use super::{ProxyError, Running, metrics};
 use crate::settings::{CallerSection, PlatformSection, ProxySettings, TlsSection};
 
-/// Threads of one proxy besides those of its callers and its fleet.
+/// Threads of one proxy for connections to databases and for the platform.
 pub(super) struct Arbiters {
     backends: Vec<Arbiter>,
     platform: Arbiter,
@@ -45,7 +45,7 @@
         self.backends.iter().map(Arbiter::handle).collect()
     }
 
-    /// Ends the threads, and with them what runs on them.
+    /// Stops the threads and the tasks that run on them.
     pub fn stop(&self) {
         self.platform.stop();
         for arbiter in &self.backends {
@@ -54,7 +54,7 @@
     }
 }
 
-/// Starts everything.
+/// Starts all components of a proxy.
 pub(super) async fn start(settings: ProxySettings) -> Result<Running, ProxyError> {
     let trusted = trusted_keys(&settings.bundles.trusted_keys)?;
     let shared = Arc::new(Shared::new(settings.node.zone.clone()));
@@ -68,19 +68,23 @@
         Arc::clone(&shared),
         Arc::clone(&pools) as _,
     )?;
-    let of_fleet = fleet.clone();
-    pools.set_home(Arc::new(move |database| of_fleet.is_home(database)));
-    follow_homes(&fleet, Arc::clone(&pools));
-    let probing = arbiters.backends[0].handle();
-    let statuses = FleetStatuses::new(Arc::clone(&shared), fleet.lease_source(), probing.clone());
+    let home_fleet = fleet.clone();
+    pools.set_home(Arc::new(move |database| home_fleet.is_home(database)));
+    refresh_pools_on_home_changes(&fleet, Arc::clone(&pools));
+    let probe_arbiter = arbiters.backends[0].handle();
+    let statuses = FleetStatuses::new(
+        Arc::clone(&shared),
+        fleet.lease_source(),
+        probe_arbiter.clone(),
+    );
     start_observer(
         Arc::clone(&shared),
         Arc::clone(&pools),
         Arc::clone(&statuses) as _,
         rand::random(),
-        &probing,
+        &probe_arbiter,
     );
-    let verifier = MajorityVerifier::new(Arc::clone(&shared), statuses, probing);
+    let verifier = MajorityVerifier::new(Arc::clone(&shared), statuses, probe_arbiter);
     let callers = CallerListener::start(
         caller_settings(&settings)?,
         Arc::clone(&shared),
@@ -137,7 +141,7 @@
     let mut keys = keys
         .map(|key| fleet_key(key.expose()))
         .collect::<Result<Vec<_>, _>>()?;
-    // Without keys the node is a fleet of its own: nobody can have its random key.
+    // Without configured keys, a random key makes the node a fleet of its own.
     let own = fleet_key(&rand::random::<[u8; 32]>())?;
     if keys.is_empty() {
         keys.push(own.clone());
@@ -152,11 +156,11 @@
     })
 }
 
-/// A fleet key whose number follows from its secret, so that the order of keys may
-/// differ between nodes during a rotation.
+/// Creates a fleet key whose number is derived from its secret, so that the order of keys
+/// may differ between nodes during a rotation.
 ///
 /// # Errors
-/// [`ProxyError::Fleet`] when the secret is too short.
+/// Returns [`ProxyError::Fleet`] if the secret is too short.
 pub fn fleet_key(secret: &[u8]) -> Result<FleetKey, ProxyError> {
     let digest = Sha256::digest(secret);
     let number = u32::from_be_bytes([digest[0], digest[1], digest[2], digest[3]]);
@@ -186,8 +190,8 @@
         Ok((user.clone(), Credential::Password(password)))
     });
     let verifiers = callers.verifiers.iter().map(|(user, verifier)| {
-        let failure = |_| ProxyError::Verifier { user: user.clone() };
-        let verifier = verifier.expose().parse().map_err(failure)?;
+        let malformed = |_| ProxyError::Verifier { user: user.clone() };
+        let verifier = verifier.expose().parse().map_err(malformed)?;
         Ok((user.clone(), Credential::Verifier(verifier)))
     });
     let users: Result<Vec<_>, ProxyError> = passwords.chain(verifiers).collect();
@@ -203,11 +207,12 @@
     }
 }
 
-/// Requests to cancel reach their session from any node.
+/// Connects callers and fleet, so that a cancel request received by any node reaches its
+/// session.
 fn route_cancels(callers: &CallerHandle, fleet: &FleetHandle) {
-    let here = callers.clone();
+    let local_callers = callers.clone();
     fleet.set_cancel_handler(Arc::new(move |process, secret| {
-        here.cancel(process, secret);
+        local_callers.cancel(process, secret);
     }));
     let fleet = fleet.clone();
     callers.set_cancel_route(
@@ -219,8 +224,9 @@
     );
 }
 
-/// Pools give connections back when their database has another home.
-fn follow_homes(fleet: &FleetHandle, pools: Arc<LocalPools>) {
+/// Lets the pools release the connections of databases whose home has moved to another
+/// node.
+fn refresh_pools_on_home_changes(fleet: &FleetHandle, pools: Arc<LocalPools>) {
     let mut changes = fleet.home_changes();
     actix_rt::spawn(async move {
         while changes.changed().await.is_ok() {
@@ -229,22 +235,23 @@
     });
 }
 
-/// The side towards the platform, on a thread of its own.
-pub(super) struct PlatformSide {
+/// The tasks that use the platform, on a dedicated thread.
+pub(super) struct PlatformTasks {
     registration: Option<Registration>,
-    /// Keeps the rollout going.
+    /// Keeps the rollout running; dropping it ends the rollout.
     _rollout: RolloutHandle,
 }
 
-impl PlatformSide {
-    /// Marks the node as leaving in the platform's list, as far as that goes.
+impl PlatformTasks {
+    /// Marks the node as leaving in the platform's list of machines, on a best-effort
+    /// basis.
     pub fn leave(&self) {
         if let Some(registration) = &self.registration {
             registration.leave();
         }
     }
 
-    /// Takes the node off the platform's list, as far as that goes.
+    /// Removes the node from the platform's list of machines, on a best-effort basis.
     pub async fn remove(&self) {
         if let Some(registration) = &self.registration {
             registration.remove().await;
@@ -258,34 +265,34 @@
     shared: &Arc<Shared>,
     fleet: &FleetHandle,
     arbiters: &Arbiters,
-) -> Result<PlatformSide, ProxyError> {
+) -> Result<PlatformTasks, ProxyError> {
     let (started, start) = oneshot::channel();
     let section = settings.platform.clone();
     if section.urls.is_empty() {
-        log::warn!("platform: no URL is set; bundles come from peers alone.");
+        log::warn!("platform: no URL is configured; bundles are received only from peers.");
     }
-    let machine = own_machine(settings, fleet);
+    let machine = machine_record(settings, fleet);
     let shared = Arc::clone(shared);
     let fleet = fleet.clone();
     arbiters.platform.spawn_fn(move || {
-        let client = client_of(&section);
+        let client = platform_client(&section);
         let (commands, events) = PlatformFollower::start(client);
         let rollout = rollout::start(shared, trusted, commands, events, fleet);
         let registers = section.register && !section.urls.is_empty();
-        let side = PlatformSide {
-            registration: registers.then(|| register(client_of(&section), machine)),
+        let tasks = PlatformTasks {
+            registration: registers.then(|| register(platform_client(&section), machine)),
             _rollout: rollout,
         };
-        let _start_given_up = started.send(side);
+        let _start_was_cancelled = started.send(tasks);
     });
     start.await.map_err(|_| ProxyError::ThreadEnded)
 }
 
-fn client_of(section: &PlatformSection) -> PlatformClient {
+fn platform_client(section: &PlatformSection) -> PlatformClient {
     PlatformClient::new(section.urls.clone(), section.timeout())
 }
 
-fn own_machine(settings: &ProxySettings, fleet: &FleetHandle) -> MachineRecord {
+fn machine_record(settings: &ProxySettings, fleet: &FleetHandle) -> MachineRecord {
     MachineRecord {
         node: fleet.node().to_string(),
         zone: settings.node.zone.to_string(),
--- a/hookpoint/src/proxy/rollout.rs
+++ b/hookpoint/src/proxy/rollout.rs
@@ -1,4 +1,4 @@
-//! The rollout's way to the other nodes.
+//! Connects the rollout of bundles with the links to other nodes.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use hookpoint_transport::shared::Shared;
 use tokio::sync::mpsc;
 
-/// Starts the rollout of this node on this thread.
+/// Starts this node's rollout driver on the current thread and registers it with the fleet.
 pub(super) fn start(
     shared: Arc<Shared>,
     trusted: TrustedKeys,
--- a/hookpoint/src/settings/load.rs
+++ b/hookpoint/src/settings/load.rs
@@ -1,4 +1,4 @@
-//! Reading settings from a file.
+//! Loading and checking of settings.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -9,36 +9,36 @@
 use super::ProxySettings;
 use super::rules::{SettingsReason, check};
 
-/// Why settings cannot be used.
+/// Reason why settings cannot be used.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// Settings from elsewhere than a file break a rule.
+    /// Settings that were not read from a file break a rule.
     #[error("{key}: {reason}")]
     Rule {
-        /// Key concerned.
+        /// Key whose value breaks the rule.
         key: KeyPath,
-        /// What is wrong.
+        /// The rule that is broken.
         reason: SettingsReason,
     },
-    /// The settings break rules.
-    #[error("{}", lines(document, problems))]
+    /// A settings document cannot be decoded or breaks rules.
+    #[error("{}", problem_lines(document, problems))]
     Problems {
-        /// Name of the document.
+        /// Name of the document, usually the file's path.
         document: String,
-        /// The problems.
+        /// All problems, in ascending order of line; at least one.
         problems: Vec<Problem<SettingsReason>>,
     },
 }
 
-fn lines(document: &str, problems: &[impl fmt::Display]) -> String {
+fn problem_lines(document: &str, problems: &[impl fmt::Display]) -> String {
     let lines: Vec<String> = problems
         .iter()
         .map(|problem| format!("{document}: {problem}"))
@@ -49,7 +49,8 @@
 /// Reads and checks the settings in the file at `path`.
 ///
 /// # Errors
-/// A [`SettingsError`] that names the file, and line, key and reason of each problem.
+/// Returns a [`SettingsError`] that names the file, and line, key and reason of each
+/// problem.
 pub fn load_settings(path: &Path) -> Result<ProxySettings, SettingsError> {
     let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
         path: path.to_owned(),
@@ -61,16 +62,16 @@
 /// Reads and checks the settings in `text`; `document` names it in problems.
 ///
 /// # Errors
-/// [`SettingsError::Problems`].
+/// Returns [`SettingsError::Problems`].
 pub fn parse_settings(document: &str, text: &str) -> Result<ProxySettings, SettingsError> {
-    let failure = |problems| SettingsError::Problems {
+    let error = |problems| SettingsError::Problems {
         document: document.to_owned(),
         problems,
     };
-    let parsed = Document::parse(text).map_err(|problem| failure(vec![convert(problem)]))?;
+    let parsed = Document::parse(text).map_err(|problem| error(vec![convert(problem)]))?;
     let settings: ProxySettings = parsed
         .decode()
-        .map_err(|problem| failure(vec![convert(problem)]))?;
+        .map_err(|problem| error(vec![convert(problem)]))?;
     let mut problems: Vec<_> = check(&settings)
         .into_iter()
         .map(|(key, reason)| Problem {
@@ -83,7 +84,7 @@
     if problems.is_empty() {
         Ok(settings)
     } else {
-        Err(failure(problems))
+        Err(error(problems))
     }
 }
 
@@ -96,10 +97,10 @@
 }
 
 impl ProxySettings {
-    /// Whether the settings break no rule, wherever they come from.
+    /// Checks the rules on settings, whether they come from a file, flags or code.
     ///
     /// # Errors
-    /// The first rule broken, as [`SettingsError::Rule`].
+    /// Returns the first rule that is broken, as [`SettingsError::Rule`].
     pub fn verify(&self) -> Result<(), SettingsError> {
         match check(self).into_iter().next() {
             Some((key, reason)) => Err(SettingsError::Rule { key, reason }),
--- a/hookpoint/src/settings/mod.rs
+++ b/hookpoint/src/settings/mod.rs
@@ -17,51 +17,51 @@
 pub use rules::{SettingsReason, is_base_url};
 pub use secret::{HexKey, Secret};
 
-/// Loopback with a port of the system's choice.
+/// Loopback with a port chosen by the system.
 const ANY_LOOPBACK_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 /// Settings of one proxy.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ProxySettings {
-    /// Where the node stands.
+    /// Location of the node.
     pub node: NodeSettings,
-    /// The side towards callers.
+    /// Listener for callers and their credentials.
     #[serde(default)]
     pub callers: CallerSection,
-    /// Session tokens.
+    /// Keys of session tokens.
     #[serde(default)]
     pub tokens: TokenSection,
-    /// The side towards databases.
+    /// Connections to databases.
     #[serde(default)]
     pub backends: BackendSection,
-    /// The side towards the other proxies.
+    /// Networking with the other proxies of the fleet.
     #[serde(default)]
     pub peers: PeerSection,
-    /// The operators' HTTP endpoint.
+    /// Admin HTTP endpoint for operators.
     #[serde(default)]
     pub admin: AdminSection,
-    /// The platform's key-value service.
+    /// Access to the platform's key-value service.
     #[serde(default)]
     pub platform: PlatformSection,
-    /// Bundles.
+    /// Acceptance of bundles.
     #[serde(default)]
     pub bundles: BundleSection,
-    /// Logs.
+    /// Format and level of logs.
     #[serde(default)]
     pub log: LogSection,
-    /// Addresses that this node reaches by another address, such as through a
-    /// translating router.
+    /// Address translation, such as behind a NAT router: maps an address to the address
+    /// at which this node reaches it.
     #[serde(default)]
     pub reached_at: BTreeMap<SocketAddr, SocketAddr>,
-    /// Safety checks. No file and no flag can set them; the lab switches one off to
-    /// show that its checker notices.
+    /// Safety checks. Neither a file nor a flag can set them; the lab disables one of them
+    /// to show that its checker detects the resulting violations.
     #[doc(hidden)]
     #[serde(skip)]
     pub checks: SafetyChecks,
 }
 
-/// Where the node stands.
+/// Location of the node.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct NodeSettings {
@@ -71,7 +71,7 @@
     pub region: RegionName,
 }
 
-/// The side towards callers.
+/// Listener for callers and their credentials.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct CallerSection {
@@ -79,12 +79,12 @@
     pub listen: SocketAddr,
     /// Worker threads for sessions.
     pub workers: usize,
-    /// Certificate and key; without them TLS is not offered.
+    /// Certificate and key; `None` disables TLS.
     pub tls: Option<TlsSection>,
-    /// Passwords by user. Without any password or verifier everyone is trusted, which
-    /// is only accepted on loopback.
+    /// Passwords by user. Without any password or verifier, callers are not authenticated;
+    /// this is only accepted on loopback.
     pub passwords: BTreeMap<String, Secret>,
-    /// SCRAM verifiers by user, in the form that PostgreSQL stores.
+    /// SCRAM verifiers by user, in the format of PostgreSQL's `pg_authid.rolpassword`.
     pub verifiers: BTreeMap<String, Secret>,
 }
 
@@ -100,7 +100,7 @@
     }
 }
 
-/// Certificate and key towards callers; read again when the files change.
+/// Certificate and key for TLS with callers; reloaded when the files change.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsSection {
@@ -108,7 +108,7 @@
     pub certificate: PathBuf,
     /// File of the private key, in PEM.
     pub key: PathBuf,
-    /// Seconds between two looks at the files.
+    /// Interval in seconds at which the files are checked for changes.
     #[serde(default = "default_reload_seconds")]
     pub reload_seconds: u64,
     /// Whether callers without TLS are refused.
@@ -120,20 +120,21 @@
     10
 }
 
-/// Session tokens.
+/// Keys of session tokens.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct TokenSection {
-    /// Keys that authenticate tokens, the same on every proxy: the current one first,
-    /// then those still accepted.
+    /// Keys that authenticate tokens, the same on every proxy: the first one is used for new
+    /// tokens, the others are still accepted.
     pub keys: Vec<HexKey>,
 }
 
-/// The side towards databases.
+/// Connections to databases.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BackendSection {
-    /// Password of each group's user; none where the databases trust the proxy.
+    /// Passwords of the groups' users; no entry for a group whose databases require no
+    /// password.
     pub passwords: BTreeMap<GroupName, Secret>,
     /// Worker threads for connections to databases.
     pub workers: usize,
@@ -148,15 +149,16 @@
     }
 }
 
-/// The side towards the other proxies.
+/// Networking with the other proxies of the fleet.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PeerSection {
     /// Address to listen on, by UDP and TCP; port 0 lets the system choose.
     pub listen: SocketAddr,
-    /// Address that others reach this node by; the one listened on if not given.
+    /// Address at which other proxies reach this node; `None` stands for the listen
+    /// address.
     pub advertise: Option<SocketAddr>,
-    /// Peer addresses of proxies that are likely to run.
+    /// Peer addresses of proxies to contact first when joining the fleet.
     pub seeds: Vec<SocketAddr>,
     /// Keys of the fleet: the current one first, then those still accepted.
     pub keys: Vec<HexKey>,
@@ -173,7 +175,7 @@
     }
 }
 
-/// The operators' HTTP endpoint.
+/// Admin HTTP endpoint for operators.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct AdminSection {
@@ -189,15 +191,15 @@
     }
 }
 
-/// The platform's key-value service.
+/// Access to the platform's key-value service.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformSection {
     /// Base URLs, such as `http://127.0.0.1:2379`.
     pub urls: Vec<String>,
-    /// Longest wait for an answer, in milliseconds.
+    /// Request timeout in milliseconds.
     pub timeout_ms: u64,
-    /// Whether the proxy enters itself into the list of machines, under a lease.
+    /// Whether the proxy registers itself in the list of machines, under a lease.
     pub register: bool,
 }
 
@@ -212,31 +214,31 @@
 }
 
 impl PlatformSection {
-    /// [`PlatformSection::timeout_ms`] as a duration.
+    /// Returns [`PlatformSection::timeout_ms`] as a duration.
     pub fn timeout(&self) -> Duration {
         Duration::from_millis(self.timeout_ms)
     }
 }
 
-/// Bundles.
+/// Acceptance of bundles.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BundleSection {
-    /// Public keys of the operators whose approval counts, in hexadecimal.
+    /// Public keys of the operators whose approvals are accepted, in hexadecimal.
     pub trusted_keys: Vec<String>,
 }
 
-/// Logs.
+/// Format and level of logs.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSection {
-    /// Form of a line.
+    /// Format of a line.
     pub format: LogFormat,
-    /// Least level written.
+    /// Minimum level that is logged.
     pub level: LogLevel,
 }
 
-/// Form of a log line.
+/// Format of a log line.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
@@ -247,24 +249,24 @@
     Json,
 }
 
-/// Least level of the log lines written.
+/// Minimum level of the log lines that are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Only failures.
+    /// Failures only.
     Error,
-    /// And what may become one.
+    /// Also warnings of conditions that may lead to a failure.
     Warn,
-    /// And what operators want to know.
+    /// Also information for operators.
     #[default]
     Info,
-    /// And what developers want to know.
+    /// Also details for developers.
     Debug,
 }
 
 impl ProxySettings {
-    /// Settings of a proxy in `zone` of `region`, with every address on loopback and
-    /// every port of the system's choice.
+    /// Creates the settings of a proxy in `zone` of `region`, with every listen address on
+    /// loopback and every port chosen by the system.
     pub fn new(zone: ZoneName, region: RegionName) -> Self {
         Self {
             node: NodeSettings { zone, region },
--- a/hookpoint/src/settings/secret.rs
+++ b/hookpoint/src/settings/secret.rs
@@ -1,25 +1,25 @@
-//! Values that never show in logs.
+//! Secret values, whose `Debug` output hides the contents.
 
 use std::fmt;
 
 use serde::{Deserialize, Deserializer, de};
 use thiserror::Error;
 
-/// Shortest key accepted, in bytes.
+/// Minimum length of a key, in bytes.
 const MINIMUM_KEY_BYTES: usize = 16;
 
-/// A password or the like.
+/// A password or other secret text.
 #[derive(Clone, PartialEq, Eq, Deserialize)]
 #[serde(transparent)]
 pub struct Secret(String);
 
 impl Secret {
-    /// Wraps `text`.
+    /// Wraps a secret text.
     pub fn new(text: impl Into<String>) -> Self {
         Self(text.into())
     }
 
-    /// The text.
+    /// Returns the secret text.
     pub fn expose(&self) -> &str {
         &self.0
     }
@@ -35,16 +35,16 @@
 #[derive(Clone, PartialEq, Eq)]
 pub struct HexKey(Vec<u8>);
 
-/// Why a text is no key.
+/// Error for a text that is not a valid key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("a key has at least {} hexadecimal digits, and an even number of them", MINIMUM_KEY_BYTES * 2)]
 pub struct HexKeyError;
 
 impl HexKey {
-    /// Wraps bytes.
+    /// Creates a key from bytes.
     ///
     /// # Errors
-    /// When there are too few.
+    /// Fails if there are fewer than 16 bytes.
     pub fn new(bytes: Vec<u8>) -> Result<Self, HexKeyError> {
         if bytes.len() < MINIMUM_KEY_BYTES {
             return Err(HexKeyError);
@@ -52,10 +52,10 @@
         Ok(Self(bytes))
     }
 
-    /// Reads hexadecimal digits.
+    /// Parses hexadecimal digits.
     ///
     /// # Errors
-    /// When `text` is something else or too short.
+    /// Fails if `text` is not hexadecimal, has an odd number of digits, or is too short.
     pub fn read(text: &str) -> Result<Self, HexKeyError> {
         let digits = text.as_bytes();
         if !digits.len().is_multiple_of(2) || !digits.iter().all(u8::is_ascii_hexdigit) {
@@ -63,13 +63,13 @@
         }
         let bytes = (0..text.len())
             .step_by(2)
-            .map(|place| u8::from_str_radix(&text[place..place + 2], 16))
+            .map(|index| u8::from_str_radix(&text[index..index + 2], 16))
             .collect::<Result<_, _>>()
             .map_err(|_| HexKeyError)?;
         Self::new(bytes)
     }
 
-    /// The bytes.
+    /// Returns the bytes of the key.
     pub fn expose(&self) -> &[u8] {
         &self.0
     }
--- a/hookpoint/tests/settings.rs
+++ b/hookpoint/tests/settings.rs
@@ -1,13 +1,14 @@
-//! Settings: what is accepted, and how problems are named.
+//! Parsing and validation of settings: accepted documents, and line, key and reason of
+//! problems.
 
 use hookpoint::settings::{
     LogFormat, ProxySettings, SettingsError, is_base_url, load_settings, parse_settings,
 };
 
-const KEY: &str = "00112233445566778899aabbccddeeff";
-const PUBLIC: &str = "19bf44096984cdfe8541bac167dc3b96c85086aa30b6b6cb0c5c38ad703166e1";
+const SHARED_KEY: &str = "00112233445566778899aabbccddeeff";
+const PUBLIC_KEY: &str = "19bf44096984cdfe8541bac167dc3b96c85086aa30b6b6cb0c5c38ad703166e1";
 
-fn good() -> String {
+fn valid_settings() -> String {
     format!(
         r#"[node]
 zone = "sj-sala-a"
@@ -21,7 +22,7 @@
 clinic = "secret words"
 
 [tokens]
-keys = ["{KEY}"]
+keys = ["{SHARED_KEY}"]
 
 [backends.passwords]
 mensajes = "another secret"
@@ -30,13 +31,13 @@
 listen = "0.0.0.0:7432"
 advertise = "10.0.0.7:7432"
 seeds = ["10.0.0.8:7432"]
-keys = ["{KEY}"]
+keys = ["{SHARED_KEY}"]
 
 [platform]
 urls = ["http://10.0.0.1:2379"]
 
 [bundles]
-trusted_keys = ["{PUBLIC}"]
+trusted_keys = ["{PUBLIC_KEY}"]
 
 [log]
 format = "json"
@@ -45,8 +46,8 @@
 }
 
 #[test]
-fn good_settings_are_read_and_secrets_do_not_show() {
-    let settings = parse_settings("good.toml", &good()).expect("good settings");
+fn valid_settings_are_parsed_and_secrets_are_hidden() {
+    let settings = parse_settings("good.toml", &valid_settings()).expect("valid settings");
     assert_eq!(settings.callers.listen.port(), 6432);
     assert_eq!(settings.log.format, LogFormat::Json);
     assert_eq!(settings.platform.timeout_ms, 3_000);
@@ -54,14 +55,14 @@
         settings.callers.passwords["clinic"].expose(),
         "secret words"
     );
-    let shown = format!("{settings:?}");
-    for secret in ["secret words", "another secret", KEY] {
-        assert!(!shown.contains(secret), "{shown}");
+    let debug_output = format!("{settings:?}");
+    for secret in ["secret words", "another secret", SHARED_KEY] {
+        assert!(!debug_output.contains(secret), "{debug_output}");
     }
     let smallest = parse_settings("small.toml", "[node]\nzone = \"z\"\nregion = \"r\"\n");
     assert!(
         smallest
-            .expect("good settings")
+            .expect("valid settings")
             .callers
             .listen
             .ip()
@@ -69,8 +70,9 @@
     );
 }
 
-/// What to replace in the good settings, and line, key and reason of the problem.
-const BAD: &[(&str, &str, usize, &str, &str)] = &[
+/// Text to replace in the valid settings, its replacement, and line, key and reason of the
+/// problem.
+const INVALID_SETTINGS: &[(&str, &str, usize, &str, &str)] = &[
     (
         "zone = \"sj-sala-a\"\n",
         "",
@@ -194,10 +196,10 @@
 ];
 
 #[test]
-fn bad_settings_name_file_line_key_and_reason() {
-    for (old, new, line, key, reason) in BAD {
-        let text = good();
-        assert!(text.contains(old), "the good settings hold {old}");
+fn invalid_settings_report_file_line_key_and_reason() {
+    for (old, new, line, key, reason) in INVALID_SETTINGS {
+        let text = valid_settings();
+        assert!(text.contains(old), "the valid settings hold {old}");
         let result = parse_settings("bad.toml", &text.replacen(old, new, 1));
         let Err(SettingsError::Problems { document, problems }) = result else {
             panic!("{new:?} should be refused");
@@ -216,7 +218,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_named() {
+fn an_unreadable_file_is_named_in_the_error() {
     let error = load_settings("/nowhere/settings.toml".as_ref()).expect_err("no file");
     assert!(
         error.to_string().starts_with("/nowhere/settings.toml: "),
@@ -225,7 +227,7 @@
 }
 
 #[test]
-fn settings_made_by_hand_are_checked_as_well() {
+fn settings_built_in_code_are_validated() {
     let mut settings = ProxySettings::new("z".into(), "r".into());
     assert!(settings.verify().is_ok());
     settings.platform.urls = vec!["http://127.0.0.1:1".to_owned()];
@@ -248,7 +250,7 @@
         ("elsewhere", false),
         ("", false),
     ];
-    for (url, good) in table {
-        assert_eq!(is_base_url(url), good, "{url}");
+    for (url, accepted) in table {
+        assert_eq!(is_base_url(url), accepted, "{url}");
     }
 }
