--- a/lab/src/bundles.rs
+++ b/lab/src/bundles.rs
@@ -1,4 +1,4 @@
-//! Bundles of a deployment: written, approved and rolled through the platform.
+//! Bundles of a deployment: built, approved and rolled through the platform.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -16,21 +16,21 @@
 
 use crate::stack::DATABASE_USER;
 
-/// Secret of the laboratory's operator; it protects nothing.
+/// Secret key of the laboratory's operator. It is public and protects nothing.
 const OPERATOR_SECRET: [u8; 32] = [7; 32];
 /// Name of the laboratory's operator.
 const OPERATOR_NAME: &str = "laboratory";
-/// Longest wait for the platform in one command.
+/// Limit on one operator command, retries included.
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(20);
-/// Longest wait for one answer of the platform.
+/// Timeout of one request to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The key of the laboratory's operator.
+/// Returns the key of the laboratory's operator.
 pub fn operator_key() -> OperatorKey {
     OperatorKey::from_secret(OPERATOR_SECRET)
 }
 
-/// The bundle of `deployment` with its databases at these addresses.
+/// Builds the bundle of `deployment`; databases that are not in `addresses` are left out.
 pub fn bundle_of(
     deployment: &Deployment,
     addresses: &[(DatabaseName, ZoneName, SocketAddr)],
@@ -87,10 +87,10 @@
 /// Prepares, approves and rolls `bundle`, and returns its version.
 ///
 /// # Errors
-/// When the platform does not take it.
+/// Fails if one of the operator's commands fails.
 pub async fn roll(platform_url: &str, bundle: Bundle) -> anyhow::Result<BundleVersion> {
     let url = platform_url.to_owned();
-    on_actix(move || async move {
+    run_on_actix_thread(move || async move {
         let client = PlatformClient::new(vec![url], PLATFORM_TIMEOUT);
         let operator = Operator::new(client, OPERATOR_NAME, OPERATOR_TIMEOUT);
         let version = operator.prepare(bundle).await?.bundle.version;
@@ -101,11 +101,11 @@
     .await
 }
 
-/// Runs a task of the actix family on a thread of its own.
+/// Runs a task that needs an actix system on a new thread.
 ///
 /// # Errors
-/// That of the task, or one when its thread ends early.
-pub async fn on_actix<Task, Running, Output>(task: Task) -> anyhow::Result<Output>
+/// Returns the error of the task, or an error if the thread ends before the task.
+pub async fn run_on_actix_thread<Task, Running, Output>(task: Task) -> anyhow::Result<Output>
 where
     Task: FnOnce() -> Running + Send + 'static,
     Running: Future<Output = anyhow::Result<Output>>,
@@ -116,11 +116,11 @@
         .name("operator".to_owned())
         .spawn(move || {
             let result = actix_rt::System::new().block_on(task());
-            // The receiver only goes away with the whole command.
+            // The receiver is dropped only when the whole command ends.
             let _ = sender.send(result);
         })
-        .context("no thread for the operator")?;
+        .context("cannot spawn the operator's thread")?;
     receiver
         .await
-        .map_err(|_| anyhow!("the operator's thread ended early"))?
+        .map_err(|_| anyhow!("the operator's thread ended before its task"))?
 }
--- a/lab/src/commands/demo.rs
+++ b/lab/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `hookpoint-lab demo`.
+//! The `hookpoint-lab demo` command.
 
 use std::process::ExitCode;
 use std::time::Duration;
@@ -6,16 +6,17 @@
 use anyhow::anyhow;
 
 use crate::commands::{deployment_of, write_json};
-use crate::demo::{self, DemoSettings, Protection, Script};
+use crate::demo::{self, DemoSettings, Protection, Schedule};
 use crate::flags;
 
-/// Seconds where none are given.
+/// Default duration of the workload, in seconds.
 const DEFAULT_SECONDS: u64 = 30;
 
-/// Runs the demo; the exit code is 1 on any violation.
+/// Runs the demo. The exit code is 1 if there is any violation.
 ///
 /// # Errors
-/// When a part does not start or the history cannot be judged.
+/// Fails if an argument is invalid, a component does not start, the final state cannot be
+/// read or a file cannot be written.
 pub async fn demo(arguments: flags::Demo) -> anyhow::Result<ExitCode> {
     let deployment = deployment_of(arguments.deployment.as_deref())?;
     let without = match &arguments.without {
@@ -30,9 +31,9 @@
         seed: arguments.seed.unwrap_or(1),
         clients_per_database: arguments.clients.unwrap_or(deployment.clients_per_database),
         replica_lag: arguments.lag_ms.map(Duration::from_millis),
-        script: match arguments.calm {
-            true => Script::Calm,
-            false => Script::Full,
+        schedule: match arguments.calm {
+            true => Schedule::Empty,
+            false => Schedule::Timeline,
         },
         baseline: true,
         without,
--- a/lab/src/commands/load.rs
+++ b/lab/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! `hookpoint-lab load`: load on any PostgreSQL address.
+//! The `hookpoint-lab load` command: puts load on any PostgreSQL address.
 
 use std::io::IsTerminal;
 use std::net::SocketAddr;
@@ -16,17 +16,18 @@
 use crate::commands::{deployment_of, write_json};
 use crate::flags;
 
-/// Sessions where none are given.
+/// Default number of sessions.
 const DEFAULT_SESSIONS: usize = 10;
-/// Pause between two looks at how many sessions are connected.
-const OBSERVE_PAUSE: Duration = Duration::from_millis(20);
-/// Seconds where none are given.
+/// Interval at which the number of connected sessions is polled.
+const CONNECTED_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Default duration of the measurement, in seconds.
 const DEFAULT_SECONDS: u64 = 10;
 
-/// Puts the load on and prints what it met.
+/// Runs the load and prints its report.
 ///
 /// # Errors
-/// When the arguments do not fit or the sessions cannot connect.
+/// Fails if the arguments are invalid, the sessions cannot connect or the observed process
+/// cannot be read.
 pub async fn load(arguments: flags::Load) -> anyhow::Result<()> {
     let report_path = arguments.report.clone();
     let observe = arguments.observe;
@@ -47,35 +48,36 @@
         println!("{}", serde_json::to_string(observed)?);
     }
     if let Some(path) = report_path {
-        write_json(&path, &Observed { report, observed })?;
+        write_json(&path, &ObservedReport { report, observed })?;
     }
     Ok(())
 }
 
-/// A report with what another process used meanwhile.
+/// Report of a load with the resources that an observed process used during it.
 #[derive(Serialize)]
-struct Observed {
+struct ObservedReport {
     #[serde(flatten)]
     report: LoadReport,
     observed: Option<ObservedUse>,
 }
 
-/// What the observed process used.
+/// Resources that the observed process used.
 #[derive(Clone, Copy, Debug, Serialize)]
 struct ObservedUse {
-    /// Resident memory before any session, in bytes.
+    /// Resident memory before any session was opened, in bytes.
     resident_before: u64,
-    /// Resident memory with all sessions connected, at the start of the measurement.
+    /// Resident memory at the start of the measurement, with all sessions connected, in
+    /// bytes.
     resident_connected: u64,
-    /// Memory for each session, in bytes.
+    /// Growth of resident memory per session, in bytes.
     bytes_per_session: f64,
-    /// Processor seconds during the measurement.
+    /// Processor time during the measurement, in seconds.
     processor_seconds: f64,
-    /// Answers for each second of processor time.
+    /// Answered requests per second of processor time.
     answered_per_processor_second: f64,
 }
 
-/// Readings of another process around a load.
+/// Reads the resource usage of another process before and during a load.
 struct Observer {
     pid: u32,
     before: Reading,
@@ -90,7 +92,7 @@
         let before = process.read()?;
         let readings = tokio::spawn(async move {
             while progress.connected.load(Ordering::Relaxed) < sessions {
-                tokio::time::sleep(OBSERVE_PAUSE).await;
+                tokio::time::sleep(CONNECTED_POLL_INTERVAL).await;
             }
             tokio::time::sleep(warm_up).await;
             let first = process.read()?;
@@ -105,7 +107,10 @@
     }
 
     async fn finish(self, sessions: usize, report: &LoadReport) -> anyhow::Result<ObservedUse> {
-        let readings = self.readings.await.context("the readings broke")?;
+        let readings = self
+            .readings
+            .await
+            .context("the task that reads the process panicked")?;
         let (first, last) =
             readings.with_context(|| format!("process {} cannot be read", self.pid))?;
         let grown = first
@@ -131,16 +136,16 @@
         .map(|address| {
             address
                 .parse()
-                .with_context(|| format!("{address} is no ip:port"))
+                .with_context(|| format!("{address} is not of the form ip:port"))
         })
         .collect::<anyhow::Result<Vec<SocketAddr>>>()?;
     if addresses.is_empty() {
-        bail!("give an --address");
+        bail!("at least one --address is required");
     }
     let name = arguments.mix.as_deref().unwrap_or("trivial");
-    let mix = Mix::by_name(name).ok_or_else(|| anyhow!("there is no mix {name}"))?;
+    let mix = Mix::by_name(name).ok_or_else(|| anyhow!("unknown mix {name}"))?;
     let pacing = match (arguments.rate, arguments.pause_ms) {
-        (Some(_), Some(_)) => bail!("give --rate or --pause-ms, not both"),
+        (Some(_), Some(_)) => bail!("--rate and --pause-ms are mutually exclusive"),
         (Some(rate), None) => Pacing::Open { rate },
         (None, pause) => Pacing::Closed {
             pause: Duration::from_millis(pause.unwrap_or(0)),
--- a/lab/src/commands/measure.rs
+++ b/lab/src/commands/measure.rs
@@ -1,4 +1,4 @@
-//! `hookpoint-lab scale`, `idle`, `experiment` and `relay`.
+//! The `hookpoint-lab` commands `scale`, `idle`, `experiment` and `relay`.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -14,11 +14,12 @@
 use crate::commands::{deployment_of, print_line, write_json};
 use crate::flags;
 
-/// Sizes where none are given.
+/// Default fleet sizes, in nodes.
 const DEFAULT_NODES: &str = "10,30,100";
-/// Numbers of connections where none are given.
+/// Default numbers of connections.
 const DEFAULT_CONNECTIONS: &str = "1000,5000,10000";
-/// Databases for each node where none are given, as at the size of the design.
+/// Default number of databases per node, the ratio at the size that the system is designed
+/// for.
 const DATABASES_PER_NODE: usize = 2;
 
 #[derive(Serialize)]
@@ -26,10 +27,11 @@
     address: SocketAddr,
 }
 
-/// Measures fleets of hollow nodes and prints what they need.
+/// Measures fleets of hollow nodes and prints the resources that they use.
 ///
 /// # Errors
-/// When a number is none or a fleet cannot be measured.
+/// Fails if a number is invalid, a fleet cannot be measured or the report cannot be
+/// written.
 pub fn scale(arguments: flags::Scale) -> anyhow::Result<()> {
     let sizes = numbers(arguments.nodes.as_deref().unwrap_or(DEFAULT_NODES))?;
     let mut points = Vec::new();
@@ -55,7 +57,7 @@
 /// Measures the memory of idle connections.
 ///
 /// # Errors
-/// When an argument does not fit or a connection fails.
+/// Fails if an argument is invalid, a connection fails or the report cannot be written.
 pub async fn idle(arguments: flags::Idle) -> anyhow::Result<()> {
     let group = deployment_of(None)?.groups[0].name.to_string();
     let connections = arguments.connections.as_deref();
@@ -77,7 +79,8 @@
 /// Runs an experiment and writes its report.
 ///
 /// # Errors
-/// When the description does not fit, a run fails or the report cannot be written.
+/// Fails if the description or an address is invalid, a run fails or the report cannot be
+/// written.
 pub async fn experiment(arguments: flags::Experiment) -> anyhow::Result<()> {
     let name = arguments.file.display();
     let text = std::fs::read_to_string(&arguments.file);
@@ -85,12 +88,12 @@
     let addresses = arguments.set.iter().map(|given| {
         let (name, text) = given
             .split_once('=')
-            .with_context(|| format!("{given} is no name=ip:port"))?;
+            .with_context(|| format!("{given} is not of the form name=ip:port"))?;
         Ok((name.to_owned(), address(text)?))
     });
     let addresses = addresses.collect::<anyhow::Result<BTreeMap<_, _>>>()?;
     let description = experiment::parse(&text, &addresses);
-    let description = description.with_context(|| format!("{name} is no experiment"))?;
+    let description = description.with_context(|| format!("{name} is not a valid experiment"))?;
     let results = experiment::run(&description, |variant, size, round| {
         eprintln!("experiment: round {round}, size {size}, {}.", variant.name);
     })
@@ -105,18 +108,20 @@
 /// Relays until the process is stopped.
 ///
 /// # Errors
-/// When the address is none or there is no port.
+/// Fails if the address is invalid or no port can be bound.
 pub async fn relay(arguments: flags::Relay) -> anyhow::Result<()> {
     let relay = Relay::start(address(&arguments.target)?).await?;
     print_line(&RelayLine {
         address: relay.address(),
     })?;
-    tokio::signal::ctrl_c().await.context("no signals")
+    tokio::signal::ctrl_c()
+        .await
+        .context("cannot receive signals")
 }
 
 fn address(text: &str) -> anyhow::Result<SocketAddr> {
     text.parse()
-        .with_context(|| format!("{text} is no ip:port"))
+        .with_context(|| format!("{text} is not of the form ip:port"))
 }
 
 fn numbers(text: &str) -> anyhow::Result<Vec<usize>> {
@@ -124,7 +129,7 @@
         let number = number.trim();
         number
             .parse()
-            .with_context(|| format!("{number} is no number"))
+            .with_context(|| format!("{number} is not a number"))
     });
     numbers.collect()
 }
--- a/lab/src/commands/mod.rs
+++ b/lab/src/commands/mod.rs
@@ -14,24 +14,24 @@
 use hookpoint_workload::deployment::Deployment;
 use serde::Serialize;
 
-/// Name of the deployment where none is given.
+/// Name of the default deployment.
 const DEFAULT_DEPLOYMENT: &str = "costa-rica";
 
-/// The deployment of that name.
+/// Returns the deployment of that name, or the default one without a name.
 ///
 /// # Errors
-/// When there is none.
+/// Fails if there is no deployment of that name.
 pub fn deployment_of(name: Option<&str>) -> anyhow::Result<Arc<Deployment>> {
     let name = name.unwrap_or(DEFAULT_DEPLOYMENT);
     Deployment::by_name(name)
         .map(Arc::new)
-        .ok_or_else(|| anyhow!("there is no deployment {name}; costa-rica and greece are"))
+        .ok_or_else(|| anyhow!("unknown deployment {name}; known are costa-rica and greece"))
 }
 
 /// Prints `value` as one line of JSON.
 ///
 /// # Errors
-/// When it is no JSON.
+/// Fails if `value` cannot be serialized.
 pub fn print_line(value: &impl Serialize) -> anyhow::Result<()> {
     println!("{}", serde_json::to_string(value)?);
     Ok(())
@@ -40,7 +40,7 @@
 /// Writes `value` as JSON to the file at `path`.
 ///
 /// # Errors
-/// When the file cannot be written.
+/// Fails if `value` cannot be serialized or the file cannot be written.
 pub fn write_json(path: &Path, value: &impl Serialize) -> anyhow::Result<()> {
     let text = serde_json::to_string_pretty(value)?;
     std::fs::write(path, text).with_context(|| format!("{} cannot be written", path.display()))
--- a/lab/src/commands/serve.rs
+++ b/lab/src/commands/serve.rs
@@ -1,4 +1,5 @@
-//! `hookpoint-lab serve`: a deployment that runs until stopped, with faults on demand.
+//! The `hookpoint-lab serve` command: runs a deployment until stopped, with faults on
+//! demand.
 
 use std::collections::BTreeMap;
 use std::io::BufRead;
@@ -16,7 +17,7 @@
 use crate::laboratory::{Laboratory, LaboratoryOptions};
 use crate::stack::DatabaseOptions;
 
-/// Lines of standard input that may wait.
+/// Capacity of the queue of lines from standard input.
 const LINE_BUFFER: usize = 16;
 
 #[derive(Serialize)]
@@ -26,16 +27,16 @@
     platform: String,
     groups: Vec<String>,
     zones: Vec<String>,
-    /// Databases with their own addresses.
+    /// Addresses of the databases, by name.
     databases: BTreeMap<String, String>,
-    /// Public key of the operator who approved the bundle.
+    /// Public key of the operator that approved the bundle, in hexadecimal.
     trusted_key: String,
 }
 
 /// Runs a deployment until the process is stopped.
 ///
 /// # Errors
-/// When a part does not start or the file of faults is bad.
+/// Fails if a component does not start or the file of faults is invalid.
 pub async fn serve(arguments: flags::Serve) -> anyhow::Result<()> {
     let deployment = deployment_of(arguments.deployment.as_deref())?;
     let schedule = match &arguments.faults {
@@ -54,13 +55,15 @@
     print_line(&line_of(&laboratory))?;
     tokio::spawn(follow_schedule(laboratory.clone(), schedule));
     tokio::spawn(follow_input(laboratory.clone()));
-    tokio::signal::ctrl_c().await.context("no signals")
+    tokio::signal::ctrl_c()
+        .await
+        .context("cannot receive signals")
 }
 
 fn read_schedule(path: &Path) -> anyhow::Result<Vec<ScheduledFault>> {
     let name = path.display();
     let text = std::fs::read_to_string(path).with_context(|| format!("{name} cannot be read"))?;
-    parse_schedule(&text).with_context(|| format!("{name} is no list of faults"))
+    parse_schedule(&text).with_context(|| format!("{name} is not a valid list of faults"))
 }
 
 fn line_of(laboratory: &Laboratory) -> ServeLine {
@@ -100,7 +103,7 @@
     let begin = tokio::time::Instant::now();
     for scheduled in schedule {
         tokio::time::sleep_until(begin + scheduled.after).await;
-        strike(&laboratory, scheduled).await;
+        inject(&laboratory, scheduled).await;
     }
 }
 
@@ -118,7 +121,7 @@
             Ok(faults) => {
                 for scheduled in faults {
                     tokio::time::sleep(scheduled.after).await;
-                    strike(&laboratory, scheduled).await;
+                    inject(&laboratory, scheduled).await;
                 }
             }
             Err(error) => eprintln!("serve: {error}."),
@@ -126,9 +129,9 @@
     }
 }
 
-async fn strike(laboratory: &Laboratory, scheduled: ScheduledFault) {
-    match laboratory.strike(&scheduled.fault).await {
-        Ok(what) => eprintln!("serve: {:?}: {what}.", scheduled.fault),
+async fn inject(laboratory: &Laboratory, scheduled: ScheduledFault) {
+    match laboratory.inject(&scheduled.fault).await {
+        Ok(component) => eprintln!("serve: {:?}: {component}.", scheduled.fault),
         Err(error) => eprintln!("serve: {:?} failed: {error}.", scheduled.fault),
     }
 }
--- a/lab/src/commands/sim.rs
+++ b/lab/src/commands/sim.rs
@@ -1,4 +1,5 @@
-//! `hookpoint-lab sim`: the simulator, its negative controls and the exhaustive models.
+//! The `hookpoint-lab sim` command: the simulator, its negative controls and the exhaustive
+//! models.
 
 use std::io::IsTerminal;
 use std::num::NonZero;
@@ -16,20 +17,22 @@
 use crate::commands::write_json;
 use crate::flags;
 
-/// Seeds where none are given.
+/// Default range of seeds.
 const DEFAULT_SEEDS: &str = "1..101";
-/// Faults of a run at most, for `--faults all`.
+/// Maximum number of faults in a run, for `--faults all`.
 const ALL_FAULTS: usize = 8;
-/// Seeds done between two lines of progress.
+/// Number of seeds between two updates of the progress.
 const PROGRESS_STEP: u64 = 100;
-/// Bounds of the exhaustive models: steps and states.
+/// Bounds of the acknowledge model: maximum depth in steps, and maximum number of states.
 const ACKNOWLEDGE_BOUNDS: (usize, usize) = (60, 1_000_000);
+/// Bounds of the rollout model: maximum depth in steps, and maximum number of states.
 const ROLLOUT_BOUNDS: (usize, usize) = (8, 1_000_000);
 
-/// Runs what the arguments ask for; exit code 1 when an invariant broke.
+/// Runs the simulations, replay, mutations or models that the arguments select. The exit
+/// code is 1 if an invariant is violated, a replay differs or a mutation is not found.
 ///
 /// # Errors
-/// When the arguments do not fit or a file cannot be read or written.
+/// Fails if the arguments are invalid, or a file cannot be read or written.
 pub fn sim(arguments: flags::Sim) -> anyhow::Result<ExitCode> {
     let report = arguments.report.clone();
     let report = report.as_deref();
@@ -57,7 +60,7 @@
     let deployment = match arguments.deployment.as_deref() {
         None | Some("costa-rica") => SimDeployment::CostaRica,
         Some("greece") => SimDeployment::Greece,
-        Some(other) => bail!("there is no deployment {other}; costa-rica and greece are"),
+        Some(other) => bail!("unknown deployment {other}; known are costa-rica and greece"),
     };
     let faults = match arguments.faults.as_deref() {
         None | Some("all") => ALL_FAULTS,
@@ -76,17 +79,17 @@
 
 fn mutation_of(name: &str) -> anyhow::Result<Mutation> {
     serde_json::from_value(serde_json::Value::from(name))
-        .with_context(|| format!("there is no mutation {name}"))
+        .with_context(|| format!("unknown mutation {name}"))
 }
 
-/// `A..B`, B excluded, as the first seed and their number.
+/// Parses `A..B`, B excluded, into the first seed and the number of seeds.
 fn seeds_of(text: &str) -> anyhow::Result<(u64, u64)> {
-    let wrong = || anyhow!("{text} is no range of seeds like 1..101");
-    let (first, end) = text.split_once("..").ok_or_else(wrong)?;
-    let first: u64 = first.parse().map_err(|_| wrong())?;
-    let end: u64 = end.parse().map_err(|_| wrong())?;
+    let invalid = || anyhow!("{text} is not a range of seeds such as 1..101");
+    let (first, end) = text.split_once("..").ok_or_else(invalid)?;
+    let first: u64 = first.parse().map_err(|_| invalid())?;
+    let end: u64 = end.parse().map_err(|_| invalid())?;
     let count = end.checked_sub(first).filter(|count| *count > 0);
-    Ok((first, count.ok_or_else(wrong)?))
+    Ok((first, count.ok_or_else(invalid)?))
 }
 
 fn processors() -> usize {
@@ -143,12 +146,13 @@
     }
 }
 
-/// Runs the failures of an earlier report again, with exactly their faults.
+/// Reruns the failures of an earlier report with the same seeds and faults, and compares
+/// the results.
 fn run_replay(file: &Path) -> anyhow::Result<ExitCode> {
     let text = std::fs::read_to_string(file)
         .with_context(|| format!("{} cannot be read", file.display()))?;
     let range: RangeReport = serde_json::from_str(&text)
-        .with_context(|| format!("{} is no report of this command", file.display()))?;
+        .with_context(|| format!("{} is not a report of this command", file.display()))?;
     let mut same = true;
     for failure in &range.failures {
         let again = replay(&range.settings, failure.seed, &failure.faults);
--- a/lab/src/commands/stand_ins.rs
+++ b/lab/src/commands/stand_ins.rs
@@ -1,4 +1,5 @@
-//! `hookpoint-lab database` and `hookpoint-lab platform`: stand-ins alone.
+//! The commands `hookpoint-lab database` and `hookpoint-lab platform`, which run only
+//! stand-ins.
 
 use std::time::Duration;
 
@@ -23,10 +24,10 @@
     url: String,
 }
 
-/// Runs the database groups of a deployment until the process is stopped.
+/// Runs the database stand-ins of a deployment until the process is stopped.
 ///
 /// # Errors
-/// When they do not start.
+/// Fails if they do not start.
 pub async fn database(arguments: flags::Database) -> anyhow::Result<()> {
     let deployment = deployment_of(arguments.deployment.as_deref())?;
     let options = DatabaseOptions {
@@ -49,13 +50,15 @@
         }
     }
     print_line(&lines)?;
-    tokio::signal::ctrl_c().await.context("no signals")
+    tokio::signal::ctrl_c()
+        .await
+        .context("cannot receive signals")
 }
 
-/// Runs the platform until the process is stopped.
+/// Runs the platform stand-in until the process is stopped.
 ///
 /// # Errors
-/// When it does not start.
+/// Fails if it does not start.
 pub async fn platform(arguments: flags::Platform) -> anyhow::Result<()> {
     let platform = Platform::start(PlatformSettings {
         requests_per_second: arguments.requests_per_second,
@@ -65,5 +68,7 @@
     .context("the platform stand-in did not start")?;
     let url = platform.url();
     print_line(&PlatformLine { url })?;
-    tokio::signal::ctrl_c().await.context("no signals")
+    tokio::signal::ctrl_c()
+        .await
+        .context("cannot receive signals")
 }
--- a/lab/src/demo/baseline.rs
+++ b/lab/src/demo/baseline.rs
@@ -1,5 +1,5 @@
-//! What a proxy adds to a request: the same client straight at the database, over the
-//! same links, turn by turn with the client at the proxy.
+//! Measures the latency that a proxy adds to a request: the same requests are sent
+//! alternately directly to the database, over the same links, and through the proxy.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -11,91 +11,94 @@
 use hookpoint_workload::sql::{self, EntryWrite};
 use serde::Serialize;
 
-/// Session numbers of the baseline's rows, beyond those of the workload.
+/// Session number of the rows written directly; higher than those of the workload.
 const DIRECT_SESSION: SessionNumber = SessionNumber(900_001);
+/// Session number of the rows written through the proxy; higher than those of the
+/// workload.
 const PROXIED_SESSION: SessionNumber = SessionNumber(900_002);
-/// Longest wait for an answer.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Turns before the measured ones.
-const WARM_UP_TURNS: u64 = 10;
-/// Rows that a read asks for.
+/// Timeout of a request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Rounds before the measured ones.
+const WARM_UP_ROUNDS: u64 = 10;
+/// Maximum number of rows that a read requests.
 const READ_LIMIT: usize = 20;
 
-/// Where the baseline's client connects to.
+/// Addresses that the baseline's clients connect to.
 #[derive(Clone, Debug)]
 pub struct BaselineAddresses {
-    /// The nearest database, for reads.
+    /// Database in the client's zone, for direct reads.
     pub direct_read: SocketAddr,
-    /// The primary, for writes.
+    /// Primary, for direct writes.
     pub direct_write: SocketAddr,
-    /// The proxy of the client's zone.
+    /// Proxy of the client's zone.
     pub proxied: SocketAddr,
 }
 
-/// Median latencies of one kind of request.
+/// Median latencies of reads or of writes, measured in pairs.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct PairedLatency {
-    /// Pairs measured.
+    /// Number of pairs measured.
     pub pairs: usize,
-    /// Median straight at the database, in milliseconds.
+    /// Median latency directly on the database, in milliseconds.
     pub direct_p50_ms: f64,
-    /// Median through the proxy, in milliseconds.
+    /// Median latency through the proxy, in milliseconds.
     pub proxied_p50_ms: f64,
     /// Median of the differences within the pairs, in milliseconds.
     pub added_p50_ms: f64,
 }
 
-/// What was measured.
+/// Latencies with and without a proxy.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub struct Baseline {
-    /// Reads: straight at the nearest database, and through the proxy.
+    /// Reads, directly from the database of the client's zone and through the proxy.
     pub reads: PairedLatency,
-    /// Writes: straight at the primary, and through the proxy, which waits for a
-    /// majority besides.
+    /// Writes, directly to the primary and through the proxy, which also waits for a
+    /// majority.
     pub writes: PairedLatency,
 }
 
-/// A client of the baseline, with its sequence.
-struct Caller {
+/// A client of the baseline, with the sequence number of its last write.
+struct BaselineClient {
     connection: ClientConnection,
     session: SessionNumber,
     application: Application,
     sequence: u64,
 }
 
-/// Measures `turns` reads and `turns` writes each way.
+/// Measures `rounds` reads and `rounds` writes on each path.
 ///
 /// # Errors
-/// When a connection or a request fails; the run is quiet then.
+/// Fails if a connection or a request fails. No faults are injected at this time.
 pub async fn measure(
     addresses: &BaselineAddresses,
     direct: &Credentials,
     proxied: &Credentials,
     application: Application,
-    turns: u64,
+    rounds: u64,
 ) -> anyhow::Result<Baseline> {
-    let open =
-        |address, credentials, session| Caller::open(address, credentials, session, application);
+    let open = |address, credentials, session| {
+        BaselineClient::open(address, credentials, session, application)
+    };
     let mut direct_read = open(addresses.direct_read, direct, DIRECT_SESSION).await?;
     let mut direct_write = open(addresses.direct_write, direct, DIRECT_SESSION).await?;
-    let mut through = open(addresses.proxied, proxied, PROXIED_SESSION).await?;
+    let mut proxied_client = open(addresses.proxied, proxied, PROXIED_SESSION).await?;
     let mut reads = Vec::new();
     let mut writes = Vec::new();
-    for turn in 0..WARM_UP_TURNS + turns {
-        let read = (direct_read.read().await?, through.read().await?);
-        let write = (direct_write.write().await?, through.write().await?);
-        if turn >= WARM_UP_TURNS {
+    for round in 0..WARM_UP_ROUNDS + rounds {
+        let read = (direct_read.read().await?, proxied_client.read().await?);
+        let write = (direct_write.write().await?, proxied_client.write().await?);
+        if round >= WARM_UP_ROUNDS {
             reads.push(read);
             writes.push(write);
         }
     }
     Ok(Baseline {
-        reads: paired(&reads),
-        writes: paired(&writes),
+        reads: paired_latency(&reads),
+        writes: paired_latency(&writes),
     })
 }
 
-impl Caller {
+impl BaselineClient {
     async fn open(
         address: SocketAddr,
         credentials: &Credentials,
@@ -103,7 +106,7 @@
         application: Application,
     ) -> anyhow::Result<Self> {
         let none = TokenDelivery::None;
-        let connection = ClientConnection::open(address, credentials, &none, PATIENCE)
+        let connection = ClientConnection::open(address, credentials, &none, REQUEST_TIMEOUT)
             .await
             .with_context(|| format!("the baseline cannot connect to {address}"))?;
         Ok(Self {
@@ -139,7 +142,7 @@
     }
 }
 
-fn paired(pairs: &[(Duration, Duration)]) -> PairedLatency {
+fn paired_latency(pairs: &[(Duration, Duration)]) -> PairedLatency {
     let milliseconds = |duration: &Duration| duration.as_secs_f64() * 1_000.0;
     let direct = pairs.iter().map(|(direct, _)| milliseconds(direct));
     let proxied = pairs.iter().map(|(_, proxied)| milliseconds(proxied));
@@ -154,7 +157,7 @@
     }
 }
 
-/// The median of `values`; 0 of none.
+/// Returns the median of `values`, the upper one of two, or 0 if there are none.
 pub fn median(mut values: Vec<f64>) -> f64 {
     values.sort_by(f64::total_cmp);
     values.get(values.len() / 2).copied().unwrap_or(0.0)
--- a/lab/src/demo/mod.rs
+++ b/lab/src/demo/mod.rs
@@ -1,4 +1,5 @@
-//! `hookpoint-lab demo`: a whole deployment with its workload and faults.
+//! `hookpoint-lab demo`: runs a complete deployment with its workload and faults, and
+//! checks the history.
 
 pub mod baseline;
 pub mod report;
@@ -28,64 +29,66 @@
 use crate::laboratory::{Laboratory, LaboratoryOptions};
 use crate::stack::{DatabaseOptions, database_credentials};
 
-/// Turns of the baseline, each way.
-const BASELINE_TURNS: u64 = 60;
-/// Zone of the baseline's client.
+/// Number of measured rounds of the baseline.
+const BASELINE_ROUNDS: u64 = 60;
+/// Index of the zone of the baseline's clients.
 const BASELINE_ZONE: usize = 0;
-/// Longest wait for sessions to end.
-const FINISH_LIMIT: Duration = Duration::from_secs(40);
-/// Longest wait for a primary before the audit.
-const PRIMARY_WAIT: Duration = Duration::from_secs(20);
-/// Pause between two looks.
-const POLL_PAUSE: Duration = Duration::from_millis(20);
-/// Time for healed groups to settle before the audit.
-const SETTLE: Duration = Duration::from_secs(1);
+/// Timeout for sessions to end.
+const FINISH_TIMEOUT: Duration = Duration::from_secs(40);
+/// Timeout for a group to have a primary before the audit.
+const PRIMARY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Polling interval.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Time for groups to stabilize between the end of all faults and the audit.
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 
-/// What a demo is run with.
+/// Settings of a demo.
 #[derive(Clone, Debug)]
 pub struct DemoSettings {
-    /// Deployment.
+    /// Deployment to run.
     pub deployment: Arc<Deployment>,
-    /// Length of the workload.
+    /// Duration of the workload.
     pub length: Duration,
-    /// Seed of all chance.
+    /// Seed of all randomness.
     pub seed: u64,
-    /// Sessions for each database.
+    /// Number of sessions per database.
     pub clients_per_database: usize,
-    /// How far replicas run behind, if not as the deployment says.
+    /// Replay lag of replicas; `None` uses the deployment's lag.
     pub replica_lag: Option<Duration>,
-    /// What goes wrong, and when.
-    pub script: Script,
-    /// Whether added latency is measured first.
+    /// Schedule of faults and rolls.
+    pub schedule: Schedule,
+    /// Whether the proxy's added latency is measured before the workload.
     pub baseline: bool,
-    /// A protection to switch off, as a negative control.
+    /// Protection to disable as a negative control.
     pub without: Option<Protection>,
 }
 
-/// What goes wrong in a run.
+/// Schedule of faults and rolls in a run.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Script {
-    /// Nothing.
-    Calm,
-    /// The demo's own timeline, on three groups and three proxies.
-    Full,
-    /// These steps.
+pub enum Schedule {
+    /// No steps.
+    Empty,
+    /// The steps of [`timeline()`], which need three groups and three proxies.
+    Timeline,
+    /// The given steps, in the order of time.
     Steps(Vec<TimedStep>),
 }
 
-/// What a negative control switches off.
+/// A safety check that a negative control disables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protection {
-    /// The check that a read's database holds what the session requires.
+    /// The check that the database of a read has replayed the position that the session
+    /// requires.
     Check,
-    /// The evidence of a majority, on the same term, behind a commit.
+    /// The evidence that a majority holds a commit on the same term, required before it is
+    /// acknowledged.
     Term,
-    /// The ledger of requests that are not repeatable.
+    /// The ledger of requests that must not run twice.
     Guard,
 }
 
 impl Protection {
-    /// The protection of that name.
+    /// Returns the protection of that name, as given on the command line.
     pub fn by_name(name: &str) -> Option<Self> {
         match name {
             "check" => Some(Protection::Check),
@@ -104,26 +107,26 @@
     }
 }
 
-/// What a demo leaves.
+/// Result of a demo.
 pub struct DemoOutcome {
-    /// The report.
+    /// Report of the run.
     pub report: DemoReport,
-    /// The history it was made from.
+    /// History that the report was computed from.
     pub history: History,
 }
 
-/// What the timeline leaves besides the history.
+/// Results of the steps that are not part of the history.
 #[derive(Default)]
-struct Notes {
+struct StepResults {
     planned_stops: Vec<PlannedStop>,
     bundle_in_force: Vec<Duration>,
 }
 
-/// Runs a demo.
+/// Runs a demo and checks its history.
 ///
 /// # Errors
-/// When a part does not start or the final state cannot be read. Violations are no
-/// errors; the report tells them.
+/// Fails if a component does not start or the final state cannot be read. Violations are
+/// not errors; the report lists them.
 pub async fn run(settings: &DemoSettings) -> anyhow::Result<DemoOutcome> {
     let options = LaboratoryOptions {
         databases: DatabaseOptions {
@@ -134,7 +137,7 @@
         proxies: None,
         checks: checks_without(settings.without),
     };
-    say("starting stand-ins and proxies");
+    print_progress("starting stand-ins and proxies");
     let laboratory = Laboratory::start(settings.deployment.clone(), options).await?;
     let laboratory = Arc::new(laboratory);
     let baseline = match settings.baseline {
@@ -151,22 +154,22 @@
     };
     let sessions = plan.start();
     let count = sessions.count;
-    say(&format!(
+    print_progress(&format!(
         "{count} sessions for {:.0} s",
         settings.length.as_secs_f64()
     ));
-    let notes = play(settings, &laboratory, &recorder).await;
-    say("letting the sessions finish");
-    let left = sessions.finish(FINISH_LIMIT).await;
-    if left > 0 {
-        say(&format!("{left} sessions did not end in time"));
+    let step_results = run_schedule(settings, &laboratory, &recorder).await;
+    print_progress("waiting for the sessions to finish");
+    let unfinished = sessions.finish(FINISH_TIMEOUT).await;
+    if unfinished > 0 {
+        print_progress(&format!("{unfinished} sessions did not end in time"));
     }
     let records = recorder.snapshot();
     let failovers = failovers(&laboratory, &recorder, &records);
-    let notes = notes?;
+    let step_results = step_results?;
     let history = History {
         records,
-        planned_stops: notes.planned_stops,
+        planned_stops: step_results.planned_stops,
         final_states: audit(&laboratory).await?,
     };
     let findings = check(&history);
@@ -177,9 +180,9 @@
         sessions: count,
         without: settings
             .without
-            .map(|check| format!("{check:?}").to_lowercase()),
+            .map(|protection| format!("{protection:?}").to_lowercase()),
     };
-    let slowest = notes.bundle_in_force.iter().max();
+    let slowest = step_results.bundle_in_force.iter().max();
     let measurements = Measurements {
         baseline,
         failovers,
@@ -190,70 +193,71 @@
     Ok(DemoOutcome { report, history })
 }
 
-/// Lets the time pass, with its faults.
-async fn play(
+/// Runs the scheduled steps at their times, until the workload's duration is over and all
+/// steps have ended.
+async fn run_schedule(
     settings: &DemoSettings,
     laboratory: &Arc<Laboratory>,
     recorder: &Recorder,
-) -> anyhow::Result<Notes> {
+) -> anyhow::Result<StepResults> {
     let begin = Instant::now();
-    let steps = match &settings.script {
-        Script::Calm => Vec::new(),
-        Script::Full => timeline(&laboratory.stack),
-        Script::Steps(steps) => steps.clone(),
+    let steps = match &settings.schedule {
+        Schedule::Empty => Vec::new(),
+        Schedule::Timeline => timeline(&laboratory.stack),
+        Schedule::Steps(steps) => steps.clone(),
     };
-    let notes = Arc::new(Mutex::new(Notes::default()));
+    let step_results = Arc::new(Mutex::new(StepResults::default()));
     let mut running = JoinSet::new();
     for TimedStep { at, step } in steps {
         let due = begin + settings.length.mul_f64(at);
         tokio::time::sleep_until(due.into()).await;
         let requests = recorder.len();
-        say(&format!(
+        print_progress(&format!(
             "{:5.1} s, {requests} requests: {}",
             begin.elapsed().as_secs_f64(),
             describe(&step)
         ));
         let (laboratory, recorder) = (laboratory.clone(), recorder.clone());
-        let notes = notes.clone();
-        running.spawn(async move { take(&laboratory, &recorder, step, &notes).await });
+        let step_results = step_results.clone();
+        running.spawn(async move { run_step(&laboratory, &recorder, step, &step_results).await });
     }
     tokio::time::sleep_until((begin + settings.length).into()).await;
     while let Some(ended) = running.join_next().await {
-        ended.context("a step of the timeline broke")??;
+        ended.context("a task of the schedule panicked")??;
     }
-    let notes = std::mem::take(&mut *notes.lock());
-    Ok(notes)
+    let step_results = std::mem::take(&mut *step_results.lock());
+    Ok(step_results)
 }
 
-async fn take(
+async fn run_step(
     laboratory: &Laboratory,
     recorder: &Recorder,
     step: Step,
-    notes: &Mutex<Notes>,
+    step_results: &Mutex<StepResults>,
 ) -> anyhow::Result<()> {
     match step {
         Step::Roll => {
             let (version, took) = laboratory.roll("rolled during the run").await?;
-            notes.lock().bundle_in_force.push(took);
-            say(&format!(
-                "bundle {} was in force everywhere after {:.0} ms",
+            step_results.lock().bundle_in_force.push(took);
+            print_progress(&format!(
+                "bundle {} was in force on every proxy after {:.0} ms",
                 version.0,
                 took.as_secs_f64() * 1_000.0
             ));
         }
-        Step::Strike(fault) => {
+        Step::Inject(fault) => {
             let from = recorder.now();
             laboratory
-                .strike(&fault)
+                .inject(&fault)
                 .await
                 .with_context(|| format!("fault {fault:?}"))?;
             if let Fault::StopProxy(index) = fault {
                 let to = recorder.now();
-                say(&format!(
+                print_progress(&format!(
                     "proxy {index} stopped after {} ms",
                     (to - from) / 1_000
                 ));
-                notes.lock().planned_stops.push(PlannedStop {
+                step_results.lock().planned_stops.push(PlannedStop {
                     proxy: ProxyIndex(index),
                     from,
                     to,
@@ -265,20 +269,20 @@
 }
 
 async fn measure_baseline(laboratory: &Laboratory) -> anyhow::Result<Baseline> {
-    say("measuring what a proxy adds");
+    print_progress("measuring the latency that a proxy adds");
     let deployment = &laboratory.stack.deployment;
     let group = deployment.groups[0].name.clone();
     let running = laboratory.stack.databases.group(&group);
-    let running = running.ok_or_else(|| anyhow!("there is no group {group}"))?;
+    let running = running.ok_or_else(|| anyhow!("group {group} does not exist"))?;
     let (_, primary_zone, primary) = running
         .primary()
         .ok_or_else(|| anyhow!("group {group} has no primary"))?;
     let zone = &deployment.zones[BASELINE_ZONE].zone;
-    let near = running.databases.iter().find(|(_, other)| other == zone);
-    let (near, near_zone) = near.ok_or_else(|| anyhow!("no database in {zone}"))?;
-    let near = (near_zone, running.group.address(near.as_str()));
+    let nearest = running.databases.iter().find(|(_, other)| other == zone);
+    let (nearest, nearest_zone) = nearest.ok_or_else(|| anyhow!("no database in {zone}"))?;
+    let nearest = (nearest_zone, running.group.address(nearest.as_str()));
     let links = &laboratory.stack.links;
-    let (direct_read, _read_relays) = direct_link(links, deployment, BASELINE_ZONE, near)?;
+    let (direct_read, _read_relays) = direct_link(links, deployment, BASELINE_ZONE, nearest)?;
     let primary = (&primary_zone, primary);
     let (direct_write, _write_relays) = direct_link(links, deployment, BASELINE_ZONE, primary)?;
     let addresses = BaselineAddresses {
@@ -291,7 +295,7 @@
         &database_credentials(&group),
         &caller_credentials(&group, 0),
         deployment.application,
-        BASELINE_TURNS,
+        BASELINE_ROUNDS,
     )
     .await
 }
@@ -316,17 +320,18 @@
     gaps
 }
 
-/// Heals everything, stops the proxies and reads what the primaries hold.
+/// Ends all faults, stops the proxies and reads the final state of each group from its
+/// primary.
 async fn audit(
     laboratory: &Laboratory,
 ) -> anyhow::Result<std::collections::BTreeMap<GroupName, FinalState>> {
-    say("healing everything and reading the primaries");
-    laboratory.strike(&Fault::Heal).await?;
+    print_progress("ending all faults and reading the primaries");
+    laboratory.inject(&Fault::Heal).await?;
     for index in 0..laboratory.fleet.entries().len() {
-        // A place may be empty after the timeline.
+        // The slot may be empty after the schedule.
         let _ = laboratory.fleet.stop_proxy(index).await;
     }
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let application = laboratory.stack.deployment.application;
     let mut states = std::collections::BTreeMap::new();
     for (group, running) in laboratory.stack.databases.iter() {
@@ -335,10 +340,10 @@
             if let Some((_, _, address)) = running.primary() {
                 break address;
             }
-            if begin.elapsed() > PRIMARY_WAIT {
+            if begin.elapsed() > PRIMARY_TIMEOUT {
                 return Err(anyhow!("group {group} has no primary to audit"));
             }
-            tokio::time::sleep(POLL_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         };
         let credentials = database_credentials(group);
         let state = final_state(primary, &credentials, application)
@@ -358,10 +363,10 @@
 fn describe(step: &Step) -> String {
     match step {
         Step::Roll => "a bundle is rolled".to_owned(),
-        Step::Strike(fault) => format!("{fault:?}"),
+        Step::Inject(fault) => format!("{fault:?}"),
     }
 }
 
-fn say(text: &str) {
+fn print_progress(text: &str) {
     eprintln!("demo: {text}.");
 }
--- a/lab/src/demo/report.rs
+++ b/lab/src/demo/report.rs
@@ -1,4 +1,4 @@
-//! What a demo run says in the end.
+//! Report of a demo run.
 
 use hdrhistogram::Histogram;
 use hookpoint_workload::checker::{Findings, Totals, Violation};
@@ -9,17 +9,18 @@
 
 use crate::demo::baseline::{Baseline, median};
 
-/// Violations that a report lists at most.
+/// Maximum number of violations that a report lists.
 const LISTED_VIOLATIONS: usize = 50;
 
-/// What was measured beside the history.
+/// Measurements that are not part of the history.
 #[derive(Clone, Debug, Default)]
 pub struct Measurements {
-    /// Added latency.
+    /// Latencies with and without a proxy.
     pub baseline: Baseline,
-    /// Changes of primary.
+    /// Gaps in writes at changes of primary.
     pub failovers: Vec<FailoverGap>,
-    /// From the roll of a bundle to its being in force on the last proxy.
+    /// Longest time from the roll of a bundle until it is in force on every proxy, in
+    /// milliseconds; `None` if none was rolled.
     pub bundle_in_force_ms: Option<f64>,
     /// Round trip from the proxies to a database of another zone, in milliseconds.
     pub database_round_trip_ms: f64,
@@ -28,88 +29,90 @@
 /// The report of one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct DemoReport {
-    /// Deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// Seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Seconds of the workload.
+    /// Duration of the workload, in seconds.
     pub seconds: f64,
-    /// Client sessions.
+    /// Number of client sessions.
     pub sessions: usize,
-    /// Protection that was switched off, if any.
+    /// Name of the protection that was disabled, if any.
     pub without: Option<String>,
-    /// Requests of any result.
+    /// Number of requests, whatever their result.
     pub requests: u64,
-    /// Writes acknowledged.
+    /// Number of acknowledged writes.
     pub writes_acknowledged: u64,
-    /// Acknowledged writes that are gone.
+    /// Acknowledged writes that are missing from the final state.
     pub writes_lost: u64,
     /// Writes that ran more than once.
     pub writes_doubled: u64,
-    /// Reads that missed what their session had written or seen.
+    /// Reads that did not return what their session had written or read before.
     pub stale_reads: u64,
-    /// Transactions mixed with others or left in part.
+    /// Transactions that were mixed with others or applied partially.
     pub mixed_transactions: u64,
-    /// Answers to other requests, or of an impossible shape.
+    /// Answers that belong to another request or cannot result from the request.
     pub wrong_answers: u64,
-    /// Requests told not to have run that did.
+    /// Requests that were reported as not run, but had run.
     pub false_not_run: u64,
-    /// Requests cut off by a planned stop.
+    /// Requests that a planned stop interrupted.
     pub in_flight_cut: u64,
-    /// Share of answered reads that replicas answered.
+    /// Fraction of answered reads that replicas answered.
     pub replica_read_share: f64,
-    /// Median gap in writes over the changes of primary, in milliseconds.
+    /// Median gap in writes over all changes of primary, in milliseconds.
     pub failover_gap_ms: Option<f64>,
-    /// The part of the median gap before the group had elected, in milliseconds.
+    /// Median part of the gap before the group had elected a primary, in milliseconds.
     pub failover_election_ms: Option<f64>,
-    /// Every change of primary.
+    /// Gap in writes at each change of primary.
     pub failovers: Vec<FailoverGap>,
-    /// From the roll of a bundle to its being in force on the last proxy.
+    /// Longest time from the roll of a bundle until it is in force on every proxy, in
+    /// milliseconds; `None` if none was rolled.
     pub bundle_in_force_ms: Option<f64>,
     /// Median latency of answered requests, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile, in milliseconds.
+    /// 99th percentile of the latency of answered requests, in milliseconds.
     pub p99_ms: f64,
-    /// Latency of reads.
+    /// Latency of answered reads.
     pub reads: Latency,
-    /// Latency of writes.
+    /// Latency of answered writes.
     pub writes: Latency,
     /// Median latency that a proxy adds to a read, in milliseconds.
     pub added_latency_p50_ms: f64,
-    /// Median latency that a proxy, and its wait for a majority, add to a write.
+    /// Median latency that a proxy and its wait for a majority add to a write, in
+    /// milliseconds.
     pub added_write_latency_p50_ms: f64,
-    /// Round trip between zones, in milliseconds.
+    /// Round trip from the proxies to a database of another zone, in milliseconds.
     pub database_round_trip_ms: f64,
-    /// Both ways beside each other.
+    /// Latencies with and without a proxy.
     pub baseline: Baseline,
-    /// Counts of what was told.
+    /// Counts of requests by their result.
     pub totals: Totals,
-    /// The first violations.
+    /// The first violations; the list is limited.
     pub violations: Vec<Violation>,
     /// Whether there was any violation.
     pub violated: bool,
 }
 
-/// Which run a report is about.
+/// Identification of the run that a report describes.
 #[derive(Clone, Debug)]
 pub struct RunIdentity {
-    /// Deployment.
+    /// Name of the deployment.
     pub deployment: String,
-    /// Seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Seconds of the workload.
+    /// Duration of the workload, in seconds.
     pub seconds: f64,
-    /// Client sessions.
+    /// Number of client sessions.
     pub sessions: usize,
-    /// Protection that was switched off, if any.
+    /// Name of the protection that was disabled, if any.
     pub without: Option<String>,
 }
 
 impl DemoReport {
-    /// The report of a run with these records and findings.
+    /// Creates the report of a run from its records, findings and measurements.
     ///
     /// # Errors
-    /// When a histogram cannot be made.
+    /// Fails if a histogram cannot be created or a latency exceeds its range.
     pub fn new(
         identity: RunIdentity,
         records: &[Record],
@@ -165,7 +168,7 @@
         })
     }
 
-    /// The report as a table for a terminal.
+    /// Formats the report as a table for a terminal.
     pub fn table(&self) -> String {
         let optional = |value: Option<f64>| match value {
             Some(value) => format!("{value:.1}"),
@@ -211,7 +214,7 @@
     }
 }
 
-/// Latencies of answered reads and writes, in microseconds.
+/// Returns histograms of the latencies of answered reads and writes, in microseconds.
 fn latencies(records: &[Record]) -> anyhow::Result<(Histogram<u64>, Histogram<u64>)> {
     let mut reads = load::histogram()?;
     let mut writes = load::histogram()?;
--- a/lab/src/demo/sessions.rs
+++ b/lab/src/demo/sessions.rs
@@ -12,32 +12,32 @@
 use hookpoint_workload::session::{ClientSession, Protocol, ProxyAddresses, SessionSettings};
 use tokio::task::JoinSet;
 
-/// How long a session waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Pause of the steady writers.
+/// Timeout of a session's request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
+/// Mean pause of the steady writers between requests.
 const STEADY_PAUSE: Duration = Duration::from_millis(40);
-/// Tenants of a group; its sessions take them in turn.
+/// Number of tenants of a group; its sessions are assigned to them round-robin.
 const TENANTS: usize = 5;
 
-/// Running sessions.
+/// The running client sessions of a demo.
 pub struct Sessions {
-    /// How many.
+    /// Number of sessions that were started.
     pub count: usize,
     tasks: JoinSet<()>,
     stop: Arc<AtomicBool>,
 }
 
-/// What the sessions are made of.
+/// Parameters from which the sessions are started.
 pub struct SessionPlan<'a> {
-    /// The deployment.
+    /// Deployment that the sessions use.
     pub deployment: &'a Deployment,
-    /// Where the proxies are.
+    /// Addresses of the proxies.
     pub proxies: ProxyAddresses,
-    /// Sessions for each database.
+    /// Number of sessions per database.
     pub clients_per_database: usize,
-    /// Seed of the run.
+    /// Seed of all randomness in the run.
     pub seed: u64,
-    /// Where operations are recorded.
+    /// Recorder of all operations.
     pub recorder: Recorder,
 }
 
@@ -46,12 +46,13 @@
     pub fn start(&self) -> Sessions {
         let mut tasks = JoinSet::new();
         let stop = Arc::new(AtomicBool::new(false));
-        let mut next = 1;
+        let mut next_number = 1;
         for group in &self.deployment.groups {
             let count = group.databases.len() * self.clients_per_database;
-            let numbers: Vec<SessionNumber> =
-                (next..next + count as u32).map(SessionNumber).collect();
-            next += count as u32;
+            let numbers: Vec<SessionNumber> = (next_number..next_number + count as u32)
+                .map(SessionNumber)
+                .collect();
+            next_number += count as u32;
             let subjects = Arc::new(numbers.clone());
             for (index, number) in numbers.into_iter().enumerate() {
                 let role = Role::of(self.deployment.application, index, count);
@@ -81,7 +82,7 @@
             home: ProxyIndex(index % self.deployment.zones.len()),
             application: self.deployment.application,
             seed: self.seed,
-            patience: PATIENCE,
+            patience: REQUEST_TIMEOUT,
             protocol: match number.0 % 2 {
                 0 => Protocol::Simple,
                 _ => Protocol::Extended,
@@ -92,20 +93,20 @@
 }
 
 impl Sessions {
-    /// Lets every session finish its present turn. Returns how many did not end within
-    /// `limit`; those are dropped.
-    pub async fn finish(mut self, limit: Duration) -> usize {
+    /// Lets every session finish its current operation. Returns the number of sessions that
+    /// did not end within `timeout`; those are aborted.
+    pub async fn finish(mut self, timeout: Duration) -> usize {
         self.stop.store(true, Ordering::Relaxed);
         let ended = async { while self.tasks.join_next().await.is_some() {} };
-        // Sessions still running are counted below.
-        let _ = tokio::time::timeout(limit, ended).await;
-        let left = self.tasks.len();
+        // A timeout is no error: the sessions that are still running are counted below.
+        let _ = tokio::time::timeout(timeout, ended).await;
+        let unfinished = self.tasks.len();
         self.tasks.shutdown().await;
-        left
+        unfinished
     }
 }
 
-/// Credentials of a caller of `group`.
+/// Returns the credentials of a caller of `group` as the tenant of that number.
 pub fn caller_credentials(group: &GroupName, tenant: usize) -> Credentials {
     Credentials {
         user: format!("tenant-{tenant}"),
--- a/lab/src/demo/timeline.rs
+++ b/lab/src/demo/timeline.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a demo, and when.
+//! The schedule of faults and rolls in a demo.
 
 use std::time::Duration;
 
@@ -7,28 +7,29 @@
 use crate::fault::{Fault, Target};
 use crate::stack::Stack;
 
-/// How far the replica that falls behind does so.
-const FAR_BEHIND: Duration = Duration::from_secs(2);
+/// Replay lag of the replica that falls behind.
+const LARGE_REPLICA_LAG: Duration = Duration::from_secs(2);
 
-/// A step of a demo.
+/// A step of a demo's schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A fault strikes.
-    Strike(Fault),
-    /// A bundle is rolled.
+    /// Injects a fault.
+    Inject(Fault),
+    /// Rolls a new bundle.
     Roll,
 }
 
-/// A step at a share of the demo's length.
+/// A step with its time, as a fraction of the demo's length.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedStep {
-    /// When, from 0 to 1.
+    /// Time from 0 to 1.
     pub at: f64,
-    /// What.
+    /// Step to take.
     pub step: Step,
 }
 
-/// The steps of a demo on `stack`, in the order of their times.
+/// Returns the steps of a demo on `stack`, which has at least three groups, in the order of
+/// time.
 pub fn timeline(stack: &Stack) -> Vec<TimedStep> {
     let groups: Vec<GroupName> = stack
         .databases
@@ -36,39 +37,40 @@
         .map(|(name, _)| name.clone())
         .collect();
     let [killed, lagging, isolated] = [&groups[0], &groups[1], &groups[2]];
-    let first = |group: &GroupName| first_primary(stack, group);
+    let primary_of = |group: &GroupName| current_primary(stack, group);
     let replica = replica_of(stack, lagging);
     let mut steps = vec![
-        at(0.05, Fault::Lag(replica.clone(), FAR_BEHIND)),
-        at(0.12, Fault::Kill(Target::PrimaryOf(killed.clone()))),
+        fault_at(0.05, Fault::Lag(replica.clone(), LARGE_REPLICA_LAG)),
+        fault_at(0.12, Fault::Kill(Target::PrimaryOf(killed.clone()))),
         TimedStep {
             at: 0.30,
             step: Step::Roll,
         },
-        at(0.38, Fault::Restart(first(killed))),
-        at(0.40, Fault::Lag(replica, stack.deployment.replica_lag)),
-        at(0.42, Fault::Isolate(Target::PrimaryOf(isolated.clone()))),
-        at(0.50, Fault::PlatformDown),
-        at(0.56, Fault::StopProxy(2)),
-        at(0.62, Fault::Rejoin(first(isolated))),
-        at(0.70, Fault::StartProxy(2)),
-        at(0.76, Fault::PlatformUp),
-        at(0.80, Fault::KillProxy(1)),
-        at(0.88, Fault::StartProxy(1)),
+        fault_at(0.38, Fault::Restart(primary_of(killed))),
+        fault_at(0.40, Fault::Lag(replica, stack.deployment.replica_lag)),
+        fault_at(0.42, Fault::Isolate(Target::PrimaryOf(isolated.clone()))),
+        fault_at(0.50, Fault::PlatformDown),
+        fault_at(0.56, Fault::StopProxy(2)),
+        fault_at(0.62, Fault::Rejoin(primary_of(isolated))),
+        fault_at(0.70, Fault::StartProxy(2)),
+        fault_at(0.76, Fault::PlatformUp),
+        fault_at(0.80, Fault::KillProxy(1)),
+        fault_at(0.88, Fault::StartProxy(1)),
     ];
-    steps.sort_by(|one, other| one.at.total_cmp(&other.at));
+    steps.sort_by(|left, right| left.at.total_cmp(&right.at));
     steps
 }
 
-fn at(at: f64, fault: Fault) -> TimedStep {
+fn fault_at(at: f64, fault: Fault) -> TimedStep {
     TimedStep {
         at,
-        step: Step::Strike(fault),
+        step: Step::Inject(fault),
     }
 }
 
-/// The database that leads `group` in the beginning.
-fn first_primary(stack: &Stack, group: &GroupName) -> DatabaseName {
+/// Returns the primary of `group` when the timeline is built, before any fault; an empty
+/// name if there is none.
+fn current_primary(stack: &Stack, group: &GroupName) -> DatabaseName {
     let running = stack.databases.group(group);
     let primary = running.and_then(|running| running.primary());
     primary.map_or_else(|| DatabaseName::new(""), |(name, _, _)| name)
--- a/lab/src/fault.rs
+++ b/lab/src/fault.rs
@@ -1,8 +1,9 @@
-//! Faults as lines of text, from a file or from standard input.
+//! Parser for faults, given as lines of text in a file or on standard input.
 //!
-//! A line is a fault, with `at SECONDS` ahead of it in a file. Empty lines and lines
-//! that begin with `#` are skipped. `kill primary mensajes-1`, `lag mensajes-1-b 2000`,
-//! `cut zone al-sala-b`, `stop proxy 2`, `platform down` and `heal` are faults.
+//! Each line holds one fault, optionally preceded by `at SECONDS`; without it the fault is
+//! due immediately. Empty lines and lines that begin with `#` are skipped. Examples of
+//! faults are `kill primary mensajes-1`, `lag mensajes-1-b 2000`, `cut zone al-sala-b`,
+//! `stop proxy 2`, `platform down` and `heal`.
 
 use std::str::FromStr;
 use std::time::Duration;
@@ -10,80 +11,80 @@
 use hookpoint_state::{DatabaseName, GroupName, ZoneName};
 use thiserror::Error;
 
-/// A database, named or by its role.
+/// A database, given by its name or by its role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Target {
     /// The database of that name.
     Database(DatabaseName),
-    /// Whichever leads the group when the fault strikes.
+    /// The database that is primary of the group when the fault is injected.
     PrimaryOf(GroupName),
 }
 
-/// Something that goes wrong, or right again.
+/// A fault, or the end of one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A database dies.
+    /// A database crashes.
     Kill(Target),
-    /// A dead database comes back with its flushed log.
+    /// A crashed database restarts with the log that it had flushed.
     Restart(DatabaseName),
-    /// A database stops doing anything.
+    /// A database stops executing, as if its process were suspended.
     Pause(Target),
-    /// A paused database goes on.
+    /// A paused database resumes.
     Resume(DatabaseName),
     /// A database is cut off from its peers; clients still reach it.
     Isolate(Target),
     /// A database is no longer cut off.
     Rejoin(DatabaseName),
-    /// A replica falls behind by this much.
+    /// A replica's replay lag is set to this duration.
     Lag(DatabaseName, Duration),
-    /// A group changes its primary as planned.
+    /// A planned switchover makes this database the group's primary.
     Switchover(GroupName, DatabaseName),
-    /// A zone is cut off from the others.
+    /// A zone is cut off from the other zones.
     CutZone(ZoneName),
     /// A zone is no longer cut off.
     HealZone(ZoneName),
     /// A proxy stops as planned.
     StopProxy(usize),
-    /// A proxy dies.
+    /// A proxy ends abruptly.
     KillProxy(usize),
-    /// A new proxy takes the place of one that is gone.
+    /// A new proxy starts in the slot of one that was stopped or killed.
     StartProxy(usize),
-    /// The platform answers nothing.
+    /// The platform accepts requests but does not answer them.
     PlatformDown,
-    /// The platform answers after this time.
+    /// The platform delays each answer by this duration.
     PlatformSlow(Duration),
-    /// The platform is well.
+    /// The platform works normally again.
     PlatformUp,
-    /// All cuts, lags, pauses and outages end, and dead databases come back.
+    /// All cuts, lags, pauses and outages end, and crashed databases restart.
     Heal,
 }
 
-/// A fault at a time.
+/// A fault with the time at which it is injected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ScheduledFault {
-    /// When, after the start.
+    /// Time of the injection, relative to the start of the schedule.
     pub after: Duration,
-    /// What.
+    /// Fault to inject.
     pub fault: Fault,
 }
 
-/// Why a line is no fault.
+/// Reason why a line is not a valid fault.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum FaultError {
-    /// The line begins with none of the known words.
-    #[error("line {line}: `{text}` is no fault")]
+    /// The line matches no known fault.
+    #[error("line {line}: `{text}` is not a fault")]
     Unknown {
         /// Number of the line, from 1.
         line: usize,
-        /// The line.
+        /// Text of the line.
         text: String,
     },
-    /// A number is none.
-    #[error("line {line}: `{text}` is no number")]
+    /// A number cannot be parsed.
+    #[error("line {line}: `{text}` is not a number")]
     Number {
         /// Number of the line, from 1.
         line: usize,
-        /// What stands in its place.
+        /// Text found in place of the number.
         text: String,
     },
 }
@@ -96,10 +97,10 @@
     }
 }
 
-/// Reads the faults of a file, in the order of their times.
+/// Parses the faults of a file and sorts them by time.
 ///
 /// # Errors
-/// A [`FaultError`] that names the line.
+/// Returns a [`FaultError`] that names the first invalid line.
 pub fn parse_schedule(text: &str) -> Result<Vec<ScheduledFault>, FaultError> {
     let mut schedule = Vec::new();
     for (index, line) in text.lines().enumerate() {
--- a/lab/src/flags.rs
+++ b/lab/src/flags.rs
@@ -1,4 +1,4 @@
-//! The command line. The macro writes the types; they carry no comments of their own.
+//! Command-line arguments. The macro generates the types without doc comments.
 #![allow(missing_docs)]
 
 use std::path::PathBuf;
@@ -10,28 +10,29 @@
         cmd database {
             /// costa-rica (default) or greece.
             optional --deployment deployment: String
-            /// Seed of the elections; 1 by default.
+            /// Seed of the randomness in elections; 1 by default.
             optional --seed seed: u64
-            /// Replicas run this far behind, in milliseconds.
+            /// Replay lag of replicas, in milliseconds.
             optional --lag-ms lag_ms: u64
         }
         /// Runs the platform stand-in alone and prints its address as JSON.
         cmd platform {
-            /// Requests a second it takes; no limit by default.
+            /// Requests per second that are accepted; no limit by default.
             optional --requests-per-second requests_per_second: f64
         }
-        /// Runs stand-ins and three proxies, and takes faults from standard input.
+        /// Runs stand-ins and three proxies, and reads faults from standard input.
         cmd serve {
             /// costa-rica (default) or greece.
             optional --deployment deployment: String
-            /// File of faults, one a line, as `at SECONDS FAULT`.
+            /// File of faults, one per line, as `at SECONDS FAULT`.
             optional --faults faults: PathBuf
-            /// Seed of all chance; 1 by default.
+            /// Seed of all randomness; 1 by default.
             optional --seed seed: u64
-            /// Number of proxies, at most one a zone; 0 for stand-ins and a bundle.
+            /// Number of proxies, at most one per zone; 0 starts only stand-ins and rolls a
+            /// bundle.
             optional --proxies proxies: usize
         }
-        /// Relays bytes between callers and one address, to compare a proxy with.
+        /// Relays bytes between callers and one address, as a baseline for a proxy.
         cmd relay {
             /// Address as ip:port.
             required --target target: String
@@ -42,17 +43,17 @@
             optional --seeds seeds: String
             /// costa-rica (default) or greece.
             optional --deployment deployment: String
-            /// all (default), none, or how many faults a run has at most.
+            /// all (default), none, or the maximum number of faults in a run.
             optional --faults faults: String
-            /// A deliberate fault of the code, such as skip-evidence.
+            /// Deliberate defect in the code, such as skip-evidence.
             optional --mutation mutation: String
-            /// Searches all mutations and prints how soon each is found.
+            /// Runs all mutations and prints after how many seeds each is found.
             optional --mutations
             /// Runs the failures of an earlier report again.
             optional --replay replay: PathBuf
             /// Explores the small models exhaustively.
             optional --models
-            /// Threads; all processors by default.
+            /// Number of threads; one per processor by default.
             optional --threads threads: usize
             /// File for the JSON report.
             optional --report report: PathBuf
@@ -63,20 +64,20 @@
             optional --deployment deployment: String
             /// Length of the workload in seconds; 30 by default.
             optional --seconds seconds: u64
-            /// Seed of all chance; 1 by default.
+            /// Seed of all randomness; 1 by default.
             optional --seed seed: u64
             /// File for the JSON report.
             optional --report report: PathBuf
             /// File for the whole history as JSON.
             optional --history history: PathBuf
-            /// Switches a protection off, to see the checker find it missing:
+            /// Disables a protection as a negative control, which the checker must detect:
             /// check, term or guard.
             optional --without without: String
-            /// Replicas run this far behind, in milliseconds.
+            /// Replay lag of replicas, in milliseconds.
             optional --lag-ms lag_ms: u64
             /// Client sessions for each database.
             optional --clients clients: usize
-            /// No faults: only the workload.
+            /// Runs only the workload, without faults.
             optional --calm
         }
         /// Puts load on any PostgreSQL address and measures latencies.
@@ -91,9 +92,9 @@
             optional --password password: String
             /// messaging, metering, reads, writes or trivial (default).
             optional --mix mix: String
-            /// costa-rica (default) or greece: whose tables there are.
+            /// costa-rica (default) or greece: the deployment whose tables are used.
             optional --deployment deployment: String
-            /// Requests a second over all sessions, as an open loop.
+            /// Requests per second over all sessions, as an open loop.
             optional --rate rate: f64
             /// Pause of each session between requests, as a closed loop.
             optional --pause-ms pause_ms: u64
@@ -103,11 +104,11 @@
             optional --idle idle: usize
             /// Seconds of the measurement; 10 by default.
             optional --seconds seconds: u64
-            /// Seconds before the measurement; 1 by default.
+            /// Warm-up before the measurement, in seconds; 1 by default.
             optional --warm-up warm_up: u64
-            /// Seed of all chance; 1 by default.
+            /// Seed of all randomness; 1 by default.
             optional --seed seed: u64
-            /// Process whose memory and processor time are measured meanwhile.
+            /// Process whose memory and processor time are measured during the load.
             optional --observe pid: u32
             /// File for the JSON report.
             optional --report report: PathBuf
@@ -122,9 +123,9 @@
             optional --databases databases: usize
             /// Groups that each node uses; 1 by default.
             optional --groups groups: usize
-            /// Seconds of quiet measurement at each size; 20 by default.
+            /// Seconds of measurement without changes at each size; 20 by default.
             optional --seconds seconds: u64
-            /// Seed of who uses what; 1 by default.
+            /// Seed that assigns groups to nodes; 1 by default.
             optional --seed seed: u64
             /// File for the JSON report.
             optional --report report: PathBuf
@@ -133,7 +134,7 @@
         cmd idle {
             /// Address as ip:port.
             required --address address: String
-            /// Number of the process that serves it.
+            /// Id of the process that serves the address.
             required --process process: u32
             /// Numbers of connections; 1000,5000,10000 by default.
             optional --connections connections: String
@@ -146,11 +147,12 @@
         }
         /// Runs an experiment and writes its report.
         cmd experiment {
-            /// Its description, a TOML file such as those in lab/experiments.
+            /// Description of the experiment, a TOML file such as those in lab/experiments.
             required file: PathBuf
-            /// An address that the description names, as name=ip:port.
+            /// Value of an address that the description refers to, as name=ip:port.
             repeated --set set: String
-            /// Directory for the report; the name of the file without its ending by default.
+            /// Directory for the report; the name of the file without its ending by
+            /// default.
             optional --report report: PathBuf
         }
     }
--- a/lab/src/fleet.rs
+++ b/lab/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The proxies of a deployment, one a zone, each on a thread of its own, with the
-//! latencies of their zones on all their links.
+//! The proxies of a deployment, one per zone, each on its own thread. All their links have
+//! the latencies between the zones.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,9 +20,9 @@
 use crate::bundles::operator_key;
 use crate::stack::Stack;
 
-/// Key of the laboratory's fleet; it protects nothing.
+/// Fleet key of the laboratory. It is public and protects nothing.
 pub const FLEET_KEY: [u8; 32] = [11; 32];
-/// Key of the laboratory's tokens.
+/// Key that authenticates the laboratory's session tokens.
 const TOKEN_KEY: [u8; 32] = [13; 32];
 
 /// The proxies of a deployment.
@@ -33,37 +33,37 @@
     slots: Vec<ProxySlot>,
 }
 
-/// The place of one proxy; the proxy in it may be replaced.
+/// A slot for one proxy; faults may stop the proxy and start a new one in the same slot.
 struct ProxySlot {
     zone: ZoneSpecification,
-    /// Where callers connect, whichever proxy runs.
+    /// Relay that callers connect to; its address stays when the proxy is replaced.
     entry: LinkProxy,
-    /// Relays to the databases, by the address of the database.
+    /// Relays to the databases, with the address of the database.
     databases: Vec<(SocketAddr, LinkProxy)>,
     running: Mutex<Option<RunningProxy>>,
 }
 
-/// A proxy that runs.
+/// A running proxy and the relays to its peers.
 struct RunningProxy {
     caller_address: SocketAddr,
     admin_address: SocketAddr,
     peer_address: SocketAddr,
     shared: Arc<Shared>,
-    end: oneshot::Sender<Ending>,
-    ended: oneshot::Receiver<()>,
-    /// Relays to other proxies; they end with this one.
+    stop: oneshot::Sender<StopMode>,
+    stopped: oneshot::Receiver<()>,
+    /// Relays to other proxies; dropped when this proxy stops.
     peers: Vec<(LinkProxy, UdpLink)>,
 }
 
-/// How a proxy is to end.
+/// How a proxy is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Ending {
+enum StopMode {
     Planned,
     Abrupt,
 }
 
-/// What a started proxy tells.
-struct Started {
+/// Addresses and shared state that a proxy's thread reports after the start.
+struct StartedProxy {
     caller_address: SocketAddr,
     admin_address: SocketAddr,
     peer_address: SocketAddr,
@@ -74,7 +74,7 @@
     /// Starts one proxy in each of the first `proxies` zones.
     ///
     /// # Errors
-    /// When a proxy or a relay does not start.
+    /// Fails if a proxy or a relay does not start.
     pub async fn start(
         stack: &Stack,
         proxies: usize,
@@ -100,75 +100,77 @@
         Ok(fleet)
     }
 
-    /// Starts a proxy in the place `index`, which must be empty.
+    /// Starts a proxy in slot `index`, which must be empty.
     ///
     /// # Errors
-    /// When it does not start.
+    /// Fails if the slot does not exist or is occupied, or the proxy does not start.
     pub async fn start_proxy(&self, index: usize) -> anyhow::Result<()> {
         let slot = self.slot(index)?;
         if slot.running.lock().is_some() {
-            return Err(anyhow!("proxy {index} runs already"));
+            return Err(anyhow!("proxy {index} is already running"));
         }
-        let (end, ending) = oneshot::channel();
+        let (stop, stop_request) = oneshot::channel();
         let (started_sender, started) = oneshot::channel();
-        let (ended_sender, ended) = oneshot::channel();
+        let (stopped_sender, stopped) = oneshot::channel();
         let settings = self.settings(slot)?;
         std::thread::Builder::new()
             .name(format!("proxy-{index}"))
             .spawn(move || {
                 let system = actix_rt::System::new();
-                system.block_on(run_proxy(settings, started_sender, ending));
-                // Nobody waits when the whole laboratory ends.
-                let _ = ended_sender.send(());
+                system.block_on(run_proxy(settings, started_sender, stop_request));
+                // The receiver is gone when the whole laboratory is shut down.
+                let _ = stopped_sender.send(());
             })
-            .context("no thread for a proxy")?;
-        let started = started.await.context("a proxy's thread ended")??;
+            .context("cannot spawn the thread of a proxy")?;
+        let started = started
+            .await
+            .context("the proxy's thread ended before the proxy was up")??;
         slot.entry.set_target(started.caller_address);
         let running = RunningProxy {
             caller_address: started.caller_address,
             admin_address: started.admin_address,
             peer_address: started.peer_address,
             shared: started.shared,
-            end,
-            ended,
+            stop,
+            stopped,
             peers: Vec::new(),
         };
         *slot.running.lock() = Some(running);
         self.link_peers(index)
     }
 
-    /// Stops a proxy as planned and waits for its end.
+    /// Stops a proxy as planned and waits until it has stopped.
     ///
     /// # Errors
-    /// When none runs there.
+    /// Fails if no proxy is running in that slot.
     pub async fn stop_proxy(&self, index: usize) -> anyhow::Result<()> {
-        self.end_proxy(index, Ending::Planned).await
+        self.end_proxy(index, StopMode::Planned).await
     }
 
-    /// Ends a proxy as if it had died.
+    /// Ends a proxy abruptly, as if its process had died.
     ///
     /// # Errors
-    /// When none runs there.
+    /// Fails if no proxy is running in that slot.
     pub async fn kill_proxy(&self, index: usize) -> anyhow::Result<()> {
-        self.end_proxy(index, Ending::Abrupt).await
+        self.end_proxy(index, StopMode::Abrupt).await
     }
 
-    async fn end_proxy(&self, index: usize, ending: Ending) -> anyhow::Result<()> {
+    async fn end_proxy(&self, index: usize, mode: StopMode) -> anyhow::Result<()> {
         let running = self.slot(index)?.running.lock().take();
-        let running = running.ok_or_else(|| anyhow!("no proxy {index} runs"))?;
-        // A thread that is gone has ended its proxy.
-        let _ = running.end.send(ending);
-        let _ = running.ended.await;
+        let running = running.ok_or_else(|| anyhow!("proxy {index} is not running"))?;
+        // Errors mean that the thread, and the proxy with it, has already ended.
+        let _ = running.stop.send(mode);
+        let _ = running.stopped.await;
         drop(running.peers);
         Ok(())
     }
 
-    /// Where callers connect, by proxy.
+    /// Returns the address that callers connect to, for each slot.
     pub fn entries(&self) -> Vec<SocketAddr> {
         self.slots.iter().map(|slot| slot.entry.address()).collect()
     }
 
-    /// Zones of the proxies.
+    /// Returns the zone of each slot.
     pub fn zones(&self) -> Vec<ZoneName> {
         self.slots
             .iter()
@@ -176,27 +178,29 @@
             .collect()
     }
 
-    /// Addresses of callers' own listeners, without the latency of clients.
+    /// Returns the caller addresses of the running proxies, without the latency of the
+    /// client links.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
-        self.running(|running| running.caller_address)
+        self.map_running(|running| running.caller_address)
     }
 
-    /// Addresses that other nodes reach the proxies by.
+    /// Returns the peer addresses of the running proxies.
     pub fn peer_addresses(&self) -> Vec<SocketAddr> {
-        self.running(|running| running.peer_address)
+        self.map_running(|running| running.peer_address)
     }
 
-    /// Addresses of the operators' endpoints.
+    /// Returns the addresses of the running proxies' admin endpoints.
     pub fn admin_addresses(&self) -> Vec<SocketAddr> {
-        self.running(|running| running.admin_address)
+        self.map_running(|running| running.admin_address)
     }
 
-    /// Shared tables of the proxies that run.
+    /// Returns the shared state of each running proxy.
     pub fn shared(&self) -> Vec<Arc<Shared>> {
-        self.running(|running| running.shared.clone())
+        self.map_running(|running| running.shared.clone())
     }
 
-    /// The lowest version in force on the proxies that run; none while one has none.
+    /// Returns the lowest bundle version in force on the running proxies; `None` if any of
+    /// them has no bundle or none is running.
     pub fn version_in_force(&self) -> Option<BundleVersion> {
         let versions: Option<Vec<BundleVersion>> = self
             .shared()
@@ -206,16 +210,16 @@
         versions?.into_iter().min()
     }
 
-    fn running<T>(&self, of: impl Fn(&RunningProxy) -> T) -> Vec<T> {
+    fn map_running<T>(&self, f: impl Fn(&RunningProxy) -> T) -> Vec<T> {
         let slots = self.slots.iter();
         slots
-            .filter_map(|slot| slot.running.lock().as_ref().map(&of))
+            .filter_map(|slot| slot.running.lock().as_ref().map(&f))
             .collect()
     }
 
     fn slot(&self, index: usize) -> anyhow::Result<&ProxySlot> {
         let slot = self.slots.get(index);
-        slot.ok_or_else(|| anyhow!("there is no proxy {index}"))
+        slot.ok_or_else(|| anyhow!("proxy {index} does not exist"))
     }
 
     fn settings(&self, slot: &ProxySlot) -> anyhow::Result<ProxySettings> {
@@ -223,7 +227,7 @@
         let mut settings = ProxySettings::new(zone.zone.clone(), zone.region.clone());
         settings.tokens.keys = vec![HexKey::new(TOKEN_KEY.to_vec())?];
         settings.peers.keys = vec![HexKey::new(FLEET_KEY.to_vec())?];
-        settings.peers.seeds = self.running(|running| running.peer_address);
+        settings.peers.seeds = self.map_running(|running| running.peer_address);
         settings.platform.urls = vec![self.platform_url.clone()];
         settings.bundles.trusted_keys = vec![operator_key().public_text()];
         let databases = slot.databases.iter();
@@ -234,7 +238,8 @@
         Ok(settings)
     }
 
-    /// Puts the links between `index` and each other proxy, both ways.
+    /// Starts relays between proxy `index` and every other running proxy, in both
+    /// directions.
     fn link_peers(&self, index: usize) -> anyhow::Result<()> {
         for other in 0..self.slots.len() {
             if other != index {
@@ -245,7 +250,8 @@
         Ok(())
     }
 
-    /// Lets proxy `from` reach proxy `to` over the link between their zones.
+    /// Starts relays that carry the traffic of proxy `from` to proxy `to` over the link
+    /// between their zones.
     fn link(&self, from: usize, to: usize) -> anyhow::Result<()> {
         let (source, target) = (self.slot(from)?, self.slot(to)?);
         let address = target.running.lock().as_ref().map(|peer| peer.peer_address);
@@ -296,8 +302,12 @@
     }
 }
 
-/// Relays for a client of `zone` straight to a database, over the same links that a
-/// request through the zone's proxy takes.
+/// Starts relays from a client of `zone` to a database, over the same links that a request
+/// through the zone's proxy takes. Returns the address to connect to and the relays, which
+/// must be kept alive.
+///
+/// # Errors
+/// Fails if a relay does not start.
 pub fn direct_link(
     links: &ZoneLinks,
     deployment: &Deployment,
@@ -305,34 +315,34 @@
     database: (&ZoneName, SocketAddr),
 ) -> anyhow::Result<(SocketAddr, Vec<LinkProxy>)> {
     let zone = deployment.zones[zone].zone.as_str();
-    let far = LinkSettings::new(zone, database.0.as_str(), Some(database.1));
-    let far = LinkProxy::start(links, far)?;
-    let near = LinkSettings::new(CLIENTS, zone, Some(far.address()));
-    let near = LinkProxy::start(links, near)?;
-    Ok((near.address(), vec![near, far]))
+    let database_link = LinkSettings::new(zone, database.0.as_str(), Some(database.1));
+    let database_link = LinkProxy::start(links, database_link)?;
+    let client_link = LinkSettings::new(CLIENTS, zone, Some(database_link.address()));
+    let client_link = LinkProxy::start(links, client_link)?;
+    Ok((client_link.address(), vec![client_link, database_link]))
 }
 
 async fn run_proxy(
     settings: ProxySettings,
-    started: oneshot::Sender<anyhow::Result<Started>>,
-    ending: oneshot::Receiver<Ending>,
+    started: oneshot::Sender<anyhow::Result<StartedProxy>>,
+    stop_request: oneshot::Receiver<StopMode>,
 ) {
     let proxy = match Proxy::start(settings).await {
         Ok(proxy) => proxy,
         Err(error) => {
-            // The starter waits for this answer.
+            // `start_proxy` awaits this result.
             let _ = started.send(Err(error.into()));
             return;
         }
     };
-    let _ = started.send(Ok(Started {
+    let _ = started.send(Ok(StartedProxy {
         caller_address: proxy.caller_address(),
         admin_address: proxy.admin_address(),
         peer_address: proxy.peer_address(),
         shared: proxy.shared().clone(),
     }));
-    match ending.await {
-        Ok(Ending::Planned) => proxy.stop().await,
-        Ok(Ending::Abrupt) | Err(_) => proxy.abort().await,
+    match stop_request.await {
+        Ok(StopMode::Planned) => proxy.stop().await,
+        Ok(StopMode::Abrupt) | Err(_) => proxy.abort().await,
     }
 }
--- a/lab/src/laboratory.rs
+++ b/lab/src/laboratory.rs
@@ -1,4 +1,4 @@
-//! A whole deployment: stand-ins, proxies and the faults that strike them.
+//! A complete deployment of stand-ins and proxies, with fault injection.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -14,38 +14,38 @@
 use crate::fleet::ProxyFleet;
 use crate::stack::{DatabaseOptions, RunningGroup, Stack};
 
-/// Longest wait for a bundle to be in force.
-const BUNDLE_WAIT: Duration = Duration::from_secs(30);
-/// Longest wait for a proxy to know each group's primary.
-const READY_WAIT: Duration = Duration::from_secs(30);
-/// Pause between two looks.
-const POLL_PAUSE: Duration = Duration::from_millis(2);
+/// Timeout for a bundle to be in force on every proxy.
+const BUNDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout until each group's primary is known to at least one proxy.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Polling interval.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What may differ between runs of one deployment.
+/// Options of a run that are not part of the deployment.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LaboratoryOptions {
-    /// Of the databases.
+    /// Options of the database stand-ins.
     pub databases: DatabaseOptions,
-    /// Number of proxies; one a zone where none is given.
+    /// Number of proxies; `None` starts one per zone.
     pub proxies: Option<usize>,
-    /// Safety checks of the proxies, one of which may be off as a negative control.
+    /// Safety checks of the proxies; a negative control disables one of them.
     pub checks: SafetyChecks,
 }
 
-/// A running deployment.
+/// A running deployment. Faults are injected with [`Laboratory::inject`].
 pub struct Laboratory {
-    /// Its stand-ins.
+    /// Stand-ins of the databases, the links and the platform.
     pub stack: Stack,
-    /// Its proxies.
+    /// Proxies of the deployment.
     pub fleet: ProxyFleet,
 }
 
 impl Laboratory {
-    /// Starts stand-ins and proxies, rolls a first bundle and waits until it is in
-    /// force and every group's primary is known to a proxy.
+    /// Starts stand-ins and proxies, rolls a first bundle, and waits until it is in force
+    /// and every group's primary is known to at least one proxy.
     ///
     /// # Errors
-    /// When a part does not start in time.
+    /// Fails if a component does not start in time.
     pub async fn start(
         deployment: Arc<Deployment>,
         options: LaboratoryOptions,
@@ -62,21 +62,24 @@
     }
 
     /// Rolls a bundle with this description. Returns its version and the time from the
-    /// operator's confirmation to its being in force on the last proxy.
+    /// roll's confirmation until the bundle is in force on every proxy.
     ///
     /// # Errors
-    /// When it is not in force in time.
+    /// Fails if the roll fails or the bundle is not in force in time.
     pub async fn roll(&self, description: &str) -> anyhow::Result<(BundleVersion, Duration)> {
         let addresses = self.stack.databases.addresses();
         let bundle = bundle_of(&self.stack.deployment, &addresses, description);
         let version = roll(&self.stack.platform.url(), bundle).await?;
         let rolled = Instant::now();
-        let any = !self.fleet.shared().is_empty();
-        while any && self.fleet.version_in_force() < Some(version) {
-            if rolled.elapsed() > BUNDLE_WAIT {
-                bail!("bundle {} is not in force everywhere", version.0);
+        let has_proxies = !self.fleet.shared().is_empty();
+        while has_proxies && self.fleet.version_in_force() < Some(version) {
+            if rolled.elapsed() > BUNDLE_TIMEOUT {
+                bail!(
+                    "bundle {} did not come into force on every proxy in time",
+                    version.0
+                );
             }
-            tokio::time::sleep(POLL_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok((version, rolled.elapsed()))
     }
@@ -84,10 +87,10 @@
     async fn wait_until_ready(&self) -> anyhow::Result<()> {
         let begin = Instant::now();
         while !self.every_primary_is_known() {
-            if begin.elapsed() > READY_WAIT {
-                bail!("no proxy knows some group's primary");
+            if begin.elapsed() > READY_TIMEOUT {
+                bail!("the primary of at least one group is unknown to all proxies");
             }
-            tokio::time::sleep(POLL_PAUSE).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
@@ -103,25 +106,28 @@
         })
     }
 
-    /// Lets `fault` strike, and says in a few words what happened.
+    /// Injects `fault` and returns the name of the affected component.
     ///
     /// # Errors
-    /// When it names something that is not there.
-    pub async fn strike(&self, fault: &Fault) -> anyhow::Result<String> {
+    /// Fails if the fault names a component that does not exist or is not in the required
+    /// state.
+    pub async fn inject(&self, fault: &Fault) -> anyhow::Result<String> {
         let platform = self.stack.platform.faults();
         match fault {
-            Fault::Kill(target) => self.on(target, |group, name| group.group.kill(name)),
-            Fault::Restart(name) => self.at(name, |group, name| group.group.restart(name)),
-            Fault::Pause(target) => self.on(target, |group, name| group.group.pause(name)),
-            Fault::Resume(name) => self.at(name, |group, name| group.group.resume(name)),
+            Fault::Kill(target) => self.on_target(target, |group, name| group.group.kill(name)),
+            Fault::Restart(name) => self.on_database(name, |group, name| group.group.restart(name)),
+            Fault::Pause(target) => self.on_target(target, |group, name| group.group.pause(name)),
+            Fault::Resume(name) => self.on_database(name, |group, name| group.group.resume(name)),
             Fault::Isolate(target) => {
-                self.on(target, |group, name| group.group.isolate(name, true))
+                self.on_target(target, |group, name| group.group.isolate(name, true))
             }
-            Fault::Rejoin(name) => self.at(name, |group, name| group.group.heal(name)),
+            Fault::Rejoin(name) => self.on_database(name, |group, name| group.group.heal(name)),
             Fault::Lag(name, lag) => {
-                self.at(name, |group, name| group.group.set_replay_lag(name, *lag))
+                self.on_database(name, |group, name| group.group.set_replay_lag(name, *lag))
+            }
+            Fault::Switchover(_, name) => {
+                self.on_database(name, |group, name| group.group.switchover(name))
             }
-            Fault::Switchover(_, name) => self.at(name, |group, name| group.group.switchover(name)),
             Fault::CutZone(zone) => {
                 self.stack.links.cut_zone(zone.as_str());
                 Ok(zone.to_string())
@@ -158,7 +164,8 @@
         }
     }
 
-    /// The groups' databases as they are without faults.
+    /// Ends all cuts, outages, pauses and isolations, restarts databases and restores the
+    /// replica lag. Proxies are not restarted.
     fn heal(&self) -> String {
         self.stack.links.heal_all();
         self.stack.platform.faults().clear();
@@ -175,33 +182,33 @@
         "everything".to_owned()
     }
 
-    fn on(
+    fn on_target(
         &self,
         target: &Target,
-        strike: impl FnOnce(&RunningGroup, &str),
+        inject: impl FnOnce(&RunningGroup, &str),
     ) -> anyhow::Result<String> {
         let name = match target {
             Target::Database(name) => name.clone(),
             Target::PrimaryOf(group) => {
                 let running = self.stack.databases.group(group);
-                let running = running.ok_or_else(|| anyhow!("there is no group {group}"))?;
+                let running = running.ok_or_else(|| anyhow!("group {group} does not exist"))?;
                 let primary = running.primary();
                 primary
                     .ok_or_else(|| anyhow!("group {group} has no primary"))?
                     .0
             }
         };
-        self.at(&name, strike)
+        self.on_database(&name, inject)
     }
 
-    fn at(
+    fn on_database(
         &self,
         name: &DatabaseName,
-        strike: impl FnOnce(&RunningGroup, &str),
+        inject: impl FnOnce(&RunningGroup, &str),
     ) -> anyhow::Result<String> {
         let running = self.stack.databases.group_of(name.as_str());
-        let running = running.ok_or_else(|| anyhow!("there is no database {name}"))?;
-        strike(running, name.as_str());
+        let running = running.ok_or_else(|| anyhow!("database {name} does not exist"))?;
+        inject(running, name.as_str());
         Ok(name.to_string())
     }
 }
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,5 +1,5 @@
-//! The laboratory: stand-ins, proxies, workload and measurements of a whole deployment
-//! in one process on loopback.
+//! The laboratory: runs stand-ins, proxies, workload and measurements of a complete
+//! deployment in one process on loopback.
 #![forbid(unsafe_code)]
 
 pub mod bundles;
--- a/lab/src/logs.rs
+++ b/lab/src/logs.rs
@@ -1,4 +1,4 @@
-//! Logs of the laboratory, on standard error.
+//! Logging of the laboratory to standard error.
 
 use std::str::FromStr;
 
@@ -8,18 +8,19 @@
 use log4rs::config::{Appender, Config, Logger, Root};
 use log4rs::encode::pattern::PatternEncoder;
 
-/// One line a message, with milliseconds.
+/// Format of a line: local time with milliseconds, level and message.
 const PATTERN: &str = "{d(%H:%M:%S%.3f)} {l} {m}{n}";
-/// Variable of the environment that names the least level.
+/// Environment variable that sets the minimum level.
 pub const LEVEL_VARIABLE: &str = "HOOKPOINT_LAB_LOG";
 
-/// Starts the logs at the level that the environment names; none without a name.
+/// Initializes logging at the level in [`LEVEL_VARIABLE`], or for errors only if it is not
+/// set.
 ///
 /// # Errors
-/// When the level is none or logs have been started before.
+/// Fails if the level is unknown or logging is already initialized.
 pub fn start() -> anyhow::Result<()> {
     let level = match std::env::var(LEVEL_VARIABLE) {
-        Ok(level) => LevelFilter::from_str(&level).context("no such log level")?,
+        Ok(level) => LevelFilter::from_str(&level).context("unknown log level")?,
         Err(_) => LevelFilter::Error,
     };
     let encoder = Box::new(PatternEncoder::new(PATTERN));
@@ -29,7 +30,7 @@
         .build();
     let config = Config::builder()
         .appender(Appender::builder().build("console", Box::new(console)))
-        // The stand-in's watches end with their watchers, which its library calls errors.
+        // actix logs an error for each watch of the stand-in whose client disconnects.
         .logger(Logger::builder().build("actix_http", LevelFilter::Off))
         .build(Root::builder().appender("console").build(level))?;
     log4rs::init_config(config)?;
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -13,7 +13,7 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
-        .context("the runtime did not start")?;
+        .context("cannot start the tokio runtime")?;
     runtime.block_on(run(flags))
 }
 
--- a/lab/src/stack/databases.rs
+++ b/lab/src/stack/databases.rs
@@ -1,4 +1,4 @@
-//! The database groups of a deployment.
+//! Stand-ins of a deployment's database groups.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,18 +13,19 @@
 use hookpoint_workload::deployment::{Deployment, GroupSpecification};
 use hookpoint_workload::sql;
 
-/// User of the databases.
+/// User that connects to the databases.
 pub const DATABASE_USER: &str = "hookpoint";
 
-/// What may differ between runs of one deployment.
+/// Options of the databases that are not part of the deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct DatabaseOptions {
-    /// Seed of the elections.
+    /// Seed of the randomness in elections.
     pub seed: u64,
-    /// Whether the databases themselves wait for a majority before they answer a
-    /// commit. Without it only the proxies' evidence protects acknowledged writes.
+    /// Whether the databases themselves wait for a majority before they acknowledge a
+    /// commit. Otherwise acknowledged writes are protected only by the proxies, which wait
+    /// for evidence that a majority holds them.
     pub synchronous_commit: bool,
-    /// How far replicas run behind; the deployment's own lag where none is given.
+    /// Replay lag of replicas; `None` uses the deployment's lag.
     pub replica_lag: Option<Duration>,
 }
 
@@ -38,16 +39,16 @@
     }
 }
 
-/// Running database groups.
+/// The running database groups of a deployment.
 pub struct DatabaseGroups {
     groups: BTreeMap<GroupName, RunningGroup>,
 }
 
-/// One running group.
+/// A running database group.
 pub struct RunningGroup {
-    /// The stand-in.
+    /// Stand-in of the group.
     pub group: DatabaseGroup,
-    /// Its databases and their zones.
+    /// Databases of the group, with their zones.
     pub databases: Vec<(DatabaseName, ZoneName)>,
 }
 
@@ -55,7 +56,7 @@
     /// Starts the groups of `deployment`.
     ///
     /// # Errors
-    /// When a group does not start.
+    /// Fails if a group does not start.
     pub async fn start(
         deployment: &Deployment,
         links: &ZoneLinks,
@@ -79,17 +80,17 @@
         Ok(Self { groups })
     }
 
-    /// The groups by name.
+    /// Iterates over the groups in the order of their names.
     pub fn iter(&self) -> impl Iterator<Item = (&GroupName, &RunningGroup)> {
         self.groups.iter()
     }
 
-    /// The group of that name.
+    /// Returns the group of that name.
     pub fn group(&self, name: &GroupName) -> Option<&RunningGroup> {
         self.groups.get(name)
     }
 
-    /// The group that `database` belongs to.
+    /// Returns the group that `database` belongs to.
     pub fn group_of(&self, database: &str) -> Option<&RunningGroup> {
         self.groups.values().find(|group| {
             let mut names = group.databases.iter().map(|(name, _)| name.as_str());
@@ -97,7 +98,7 @@
         })
     }
 
-    /// All databases with the address they listen on.
+    /// Returns all databases with their zone and the address they listen on.
     pub fn addresses(&self) -> Vec<(DatabaseName, ZoneName, SocketAddr)> {
         let databases = self.groups.values().flat_map(|running| {
             running.databases.iter().map(|(name, zone)| {
@@ -110,7 +111,8 @@
 }
 
 impl RunningGroup {
-    /// The primary of the highest term, with its zone and address.
+    /// Returns the primary of the highest term, with its zone and address; `None` if there
+    /// is none.
     pub fn primary(&self) -> Option<(DatabaseName, ZoneName, SocketAddr)> {
         let primary = self.group.primary()?;
         let (name, zone) = self
@@ -121,7 +123,7 @@
         Some((name.clone(), zone.clone(), address))
     }
 
-    /// The databases that are not the primary.
+    /// Returns the databases that are not the primary.
     pub fn replicas(&self) -> Vec<DatabaseName> {
         let primary = self.group.primary();
         self.databases
@@ -132,7 +134,7 @@
     }
 }
 
-/// Credentials straight to the databases of `group`.
+/// Returns the credentials for direct connections to the databases of `group`.
 pub fn database_credentials(group: &GroupName) -> Credentials {
     Credentials {
         user: DATABASE_USER.to_owned(),
--- a/lab/src/stack/mod.rs
+++ b/lab/src/stack/mod.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of a whole deployment: links, database groups and the platform.
+//! The stand-ins of a deployment: links, database groups and the platform.
 
 mod databases;
 
@@ -14,18 +14,18 @@
     DATABASE_USER, DatabaseGroups, DatabaseOptions, RunningGroup, database_credentials,
 };
 
-/// How far the list of machines lags behind.
+/// Lag of the platform's list of machines behind its changes.
 const MACHINE_LIST_LAG: Duration = Duration::from_secs(2);
 
-/// Running stand-ins.
+/// The running stand-ins of a deployment.
 pub struct Stack {
-    /// What they stand in for.
+    /// Deployment that the stand-ins are started from.
     pub deployment: Arc<Deployment>,
-    /// Latencies and cuts between zones.
+    /// Links between zones, with their latencies and cuts.
     pub links: ZoneLinks,
-    /// The database groups.
+    /// Database groups.
     pub databases: DatabaseGroups,
-    /// The key-value service and the list of machines.
+    /// Platform: the key-value service and the list of machines.
     pub platform: Platform,
 }
 
@@ -33,7 +33,7 @@
     /// Starts the stand-ins of `deployment`.
     ///
     /// # Errors
-    /// When a stand-in does not start.
+    /// Fails if a stand-in does not start.
     pub async fn start(
         deployment: Arc<Deployment>,
         options: DatabaseOptions,
@@ -55,8 +55,8 @@
     }
 }
 
-/// The links of a deployment. Its zones all lie in regions of their own, and the
-/// latency between regions applies between them.
+/// Returns the links of a deployment. Zones of different regions have the deployment's
+/// latency between regions.
 pub fn zone_links(deployment: &Deployment) -> ZoneLinks {
     let zones: Vec<(&str, &str)> = deployment
         .zones
--- a/lab/tests/callers.rs
+++ b/lab/tests/callers.rs
@@ -1,11 +1,11 @@
-//! Ordinary clients on two proxies over a group of databases: what the caller side
-//! promises, seen through real pools.
+//! PostgreSQL clients on two proxies in front of a group of databases: statements,
+//! transactions, session tokens and request ids, over real connection pools.
 
 mod common;
 
 use std::sync::Arc;
 
-use common::{bundle_of, connect, in_force, roll, settings};
+use common::{bundle_of, connect, roll, settings, wait_until_in_force};
 use hookpoint::proxy::{Proxy, ProxyHandle};
 use hookpoint_lab::stack::{DatabaseOptions, Stack};
 use hookpoint_workload::deployment::costa_rica;
@@ -21,13 +21,13 @@
     let first = Proxy::start(settings(&stack, 0)).await.expect("a proxy");
     let second = Proxy::start(settings(&stack, 1)).await.expect("a proxy");
     let version = roll(&stack, bundle_of(&stack)).await;
-    in_force(&first, version).await;
-    in_force(&second, version).await;
+    wait_until_in_force(&first, version).await;
+    wait_until_in_force(&second, version).await;
     let group = stack.deployment.groups[0].name.to_string();
     (stack, group, first, second)
 }
 
-async fn simple(client: &tokio_postgres::Client, text: &str) -> String {
+async fn first_column(client: &tokio_postgres::Client, text: &str) -> String {
     let messages = client.simple_query(text).await.expect("an answer");
     let row = messages.iter().find_map(|message| match message {
         SimpleQueryMessage::Row(row) => row.get(0).map(str::to_owned),
@@ -41,7 +41,7 @@
 }
 
 #[actix_rt::test]
-async fn statements_transactions_and_tokens_work_on_databases() {
+async fn statements_transactions_and_tokens_work() {
     let (_stack, group, first, second) = two_proxies().await;
     let mut client = connect(&first, &group).await;
     let table = "CREATE TABLE notes (id integer, body text)";
@@ -63,7 +63,7 @@
         let row = client.query_one(&select, &[&id]).await.expect("a row");
         assert_eq!(row.get::<_, String>(0), body);
     }
-    let transaction = client.transaction().await.expect("a block");
+    let transaction = client.transaction().await.expect("a transaction");
     let written = transaction.execute(&insert, &[&100_i32, &"undone"]).await;
     written.expect("a write");
     let seen = transaction.query(&select, &[&100_i32]).await.expect("rows");
@@ -71,17 +71,20 @@
     transaction.rollback().await.expect("a rollback");
     let seen = client.query(&select, &[&100_i32]).await.expect("rows");
     assert!(seen.is_empty());
-    let token = simple(&client, "SHOW hookpoint.token").await;
-    let roamed = connect(&second, &group).await;
+    let token = first_column(&client, "SHOW hookpoint.token").await;
+    let moved = connect(&second, &group).await;
     let set = format!("SET hookpoint.token = '{token}'");
-    roamed.batch_execute(&set).await.expect("a token");
-    assert_eq!(simple(&roamed, "SELECT count(*) FROM notes").await, "20");
+    moved.batch_execute(&set).await.expect("a token");
+    assert_eq!(
+        first_column(&moved, "SELECT count(*) FROM notes").await,
+        "20"
+    );
     first.stop().await;
     second.stop().await;
 }
 
 #[actix_rt::test]
-async fn a_marked_request_runs_once_on_databases() {
+async fn a_request_with_an_id_runs_once() {
     let (_stack, group, first, second) = two_proxies().await;
     let client = connect(&first, &group).await;
     let other = connect(&second, &group).await;
@@ -90,8 +93,11 @@
     client.batch_execute(table).await.expect("a table");
     let notice = "INSERT INTO notices VALUES (1) /*request_id='n1'*/";
     client.batch_execute(notice).await.expect("a write");
-    for again in [&client, &other] {
-        let error = again.execute(notice, &[]).await.expect_err("it ran");
+    for repeater in [&client, &other] {
+        let error = repeater
+            .execute(notice, &[])
+            .await
+            .expect_err("already ran");
         assert_eq!(sqlstate(&error), "HR001");
     }
     other
@@ -101,7 +107,10 @@
         )
         .await
         .expect("a write");
-    assert_eq!(simple(&other, "SELECT count(*) FROM notices").await, "2");
+    assert_eq!(
+        first_column(&other, "SELECT count(*) FROM notices").await,
+        "2"
+    );
     first.stop().await;
     second.stop().await;
 }
--- a/lab/tests/common/mod.rs
+++ b/lab/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What several tests of operators and proxies use.
+//! Helpers for the tests of operators and proxies.
 #![allow(dead_code)]
 
 use std::time::Duration;
@@ -12,31 +12,31 @@
 use hookpoint_transport::platform::PlatformClient;
 use tokio_postgres::NoTls;
 
-/// How long anything may take before a test gives up.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Timeout of a step in a test.
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// The operators' key.
+/// Returns the operators' key.
 pub fn operator_key() -> OperatorKey {
     OperatorKey::from_secret([7; 32])
 }
 
-/// A bundle that breaks no rule, of a database that nobody runs.
+/// Returns a valid bundle with one database that is not running.
 pub fn small_bundle() -> Bundle {
     let text = r#"
         zones = { z = "r" }
         groups = { g = { database = "d", user = "u" } }
         databases = { d = { group = "g", zone = "z", address = "127.0.0.1:9", slots = 1 } }
     "#;
-    parse_bundle("small.toml", text).expect("a good bundle")
+    parse_bundle("small.toml", text).expect("a valid bundle")
 }
 
-/// An operator on the stand-ins' platform.
+/// Creates an operator on the platform stand-in.
 pub fn operator(stack: &Stack) -> Operator {
     let client = PlatformClient::new(vec![stack.platform.url()], Duration::from_secs(2));
-    Operator::new(client, "tester", PATIENCE)
+    Operator::new(client, "tester", STEP_TIMEOUT)
 }
 
-/// The bundle of all databases of the stand-ins.
+/// Returns a bundle with all databases of the stand-ins.
 pub fn bundle_of(stack: &Stack) -> Bundle {
     let mut bundle = Bundle::default();
     for zone in &stack.deployment.zones {
@@ -63,7 +63,7 @@
     bundle
 }
 
-/// Prepares, approves and rolls `bundle`.
+/// Prepares, approves and rolls `bundle`, and returns its version.
 pub async fn roll(stack: &Stack, bundle: Bundle) -> BundleVersion {
     let operator = operator(stack);
     let record = operator.prepare(bundle).await.expect("prepared");
@@ -76,7 +76,7 @@
     version
 }
 
-/// Settings of a proxy in the zone of that index.
+/// Returns the settings of a proxy in the zone of index `zone`.
 pub fn settings(stack: &Stack, zone: usize) -> ProxySettings {
     let zone = &stack.deployment.zones[zone];
     let mut settings = ProxySettings::new(zone.zone.clone(), zone.region.clone());
@@ -86,7 +86,7 @@
 }
 
 /// Waits until `proxy` has `version` or a newer one in force.
-pub async fn in_force(proxy: &ProxyHandle, version: BundleVersion) {
+pub async fn wait_until_in_force(proxy: &ProxyHandle, version: BundleVersion) {
     let mut changes = proxy.shared().bundle_changes();
     let reached = async {
         loop {
@@ -94,15 +94,15 @@
             if bundle.is_some_and(|bundle| bundle.version >= version) {
                 return;
             }
-            changes.changed().await.expect("the proxy runs");
+            changes.changed().await.expect("the proxy is running");
         }
     };
-    tokio::time::timeout(PATIENCE, reached)
+    tokio::time::timeout(STEP_TIMEOUT, reached)
         .await
-        .expect("the bundle comes into force");
+        .expect("the bundle is in force");
 }
 
-/// A session of a caller at `proxy` on `group`.
+/// Opens a caller's session on `group` through `proxy`.
 pub async fn connect(proxy: &ProxyHandle, group: &str) -> tokio_postgres::Client {
     let address = proxy.caller_address();
     let parameters = format!(
--- a/lab/tests/direct.rs
+++ b/lab/tests/direct.rs
@@ -1,5 +1,5 @@
-//! The workload straight on a database, without a proxy: its statements run, its
-//! history is clean and the audit finds what was written.
+//! The workload directly on a database, without a proxy: its statements run, its history
+//! has no violations and the audit finds what was written.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,9 +15,9 @@
 use hookpoint_workload::load::{self, LoadSettings, Mix, Pacing, Progress};
 use hookpoint_workload::session::{ClientSession, Protocol, SessionSettings};
 
-const SUBJECT: SessionNumber = SessionNumber(1);
+const SESSION: SessionNumber = SessionNumber(1);
 
-async fn groups(deployment: &Deployment) -> anyhow::Result<DatabaseGroups> {
+async fn start_groups(deployment: &Deployment) -> anyhow::Result<DatabaseGroups> {
     let options = DatabaseOptions {
         replica_lag: Some(Duration::ZERO),
         ..DatabaseOptions::default()
@@ -25,15 +25,15 @@
     DatabaseGroups::start(deployment, &zone_links(deployment), &options).await
 }
 
-async fn story(deployment: Deployment, protocol: Protocol) -> anyhow::Result<()> {
-    let databases = groups(&deployment).await?;
+async fn check_session(deployment: Deployment, protocol: Protocol) -> anyhow::Result<()> {
+    let databases = start_groups(&deployment).await?;
     let group: GroupName = deployment.groups[0].name.clone();
     let primary = deployment.groups[0].databases[0].name.clone();
-    let running = databases.group(&group).expect("the group runs");
+    let running = databases.group(&group).expect("the group is running");
     let address = running.group.address(primary.as_str());
     let recorder = Recorder::new();
     let settings = SessionSettings {
-        number: SUBJECT,
+        number: SESSION,
         group: group.clone(),
         credentials: database_credentials(&group),
         proxies: Arc::new(parking_lot::RwLock::new(vec![address])),
@@ -49,7 +49,7 @@
     assert!(session.write(WriteKind::Reply).await);
     session.billing_run(3, Ending::Commit).await;
     session.billing_run(2, Ending::Rollback).await;
-    session.read_other(SUBJECT).await;
+    session.read_other(SESSION).await;
 
     let credentials = database_credentials(&group);
     let state = final_state(address, &credentials, deployment.application).await?;
@@ -69,23 +69,23 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn messaging_runs_straight_on_a_database() -> anyhow::Result<()> {
-    story(costa_rica(), Protocol::Simple).await?;
-    story(costa_rica(), Protocol::Extended).await
+async fn the_messaging_workload_runs_directly_on_a_database() -> anyhow::Result<()> {
+    check_session(costa_rica(), Protocol::Simple).await?;
+    check_session(costa_rica(), Protocol::Extended).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn metering_runs_straight_on_a_database() -> anyhow::Result<()> {
-    story(greece(), Protocol::Simple).await?;
-    story(greece(), Protocol::Extended).await
+async fn the_metering_workload_runs_directly_on_a_database() -> anyhow::Result<()> {
+    check_session(greece(), Protocol::Simple).await?;
+    check_session(greece(), Protocol::Extended).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn load_counts_every_request() -> anyhow::Result<()> {
+async fn a_load_report_counts_every_request() -> anyhow::Result<()> {
     let deployment = greece();
-    let databases = groups(&deployment).await?;
+    let databases = start_groups(&deployment).await?;
     let group = deployment.groups[0].name.clone();
-    let running = databases.group(&group).expect("the group runs");
+    let running = databases.group(&group).expect("the group is running");
     let address = running
         .group
         .address(deployment.groups[0].databases[0].name.as_str());
--- a/lab/tests/end_to_end.rs
+++ b/lab/tests/end_to_end.rs
@@ -1,5 +1,5 @@
-//! One proxy, one group of three databases, one write and one read on a replica,
-//! through an ordinary client library; the bundle comes from the platform.
+//! One proxy in front of one group of three databases: a write and a read on a replica
+//! through a PostgreSQL client library, with a bundle from the platform.
 
 mod running;
 
@@ -9,20 +9,20 @@
 use hookpoint_workload::history::{History, Recorder, WriteKind};
 use hookpoint_workload::session::Protocol;
 
-/// Reads until one is answered by a replica, at most.
-const READS: usize = 50;
+/// Maximum number of reads until a replica answers one.
+const MAX_READS: usize = 50;
 
 #[tokio::test(flavor = "multi_thread")]
 async fn simple_queries_pass_through_a_proxy() -> anyhow::Result<()> {
-    a_write_and_a_replica_read(Protocol::Simple).await
+    check_write_and_replica_read(Protocol::Simple).await
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn prepared_statements_pass_through_a_proxy() -> anyhow::Result<()> {
-    a_write_and_a_replica_read(Protocol::Extended).await
+    check_write_and_replica_read(Protocol::Extended).await
 }
 
-async fn a_write_and_a_replica_read(protocol: Protocol) -> anyhow::Result<()> {
+async fn check_write_and_replica_read(protocol: Protocol) -> anyhow::Result<()> {
     let laboratory = running::laboratory(1).await?;
     let recorder = Recorder::new();
     let mut session = running::session(&laboratory, &recorder, 1, 0, protocol);
@@ -31,7 +31,7 @@
         "{:?}",
         recorder.snapshot()
     );
-    for _ in 0..READS {
+    for _ in 0..MAX_READS {
         session.read_own().await;
         if running::last_read_on_replica(&recorder) {
             break;
--- a/lab/tests/faults.rs
+++ b/lab/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The language of faults.
+//! Parsing of faults and schedules.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use hookpoint_state::{DatabaseName, GroupName, ZoneName};
 
 #[test]
-fn each_fault_is_read() {
+fn every_fault_is_parsed() {
     let database = || DatabaseName::new("mensajes-1-b");
     let table = [
         (
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_schedule_is_read_in_the_order_of_its_times() {
+fn a_schedule_is_sorted_by_time() {
     let text = "# a comment\n\nat 2.5 heal\nat 1 platform down\n";
     let expected = vec![
         ScheduledFault {
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn bad_lines_are_named() {
+fn errors_name_the_invalid_line() {
     let unknown = |line, text: &str| FaultError::Unknown {
         line,
         text: text.to_owned(),
--- a/lab/tests/operator.rs
+++ b/lab/tests/operator.rs
@@ -1,4 +1,4 @@
-//! What operators do with bundles, against the platform stand-in and its faults.
+//! Operators' commands on bundles, against the platform stand-in and its faults.
 
 mod common;
 
@@ -18,7 +18,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn platform() -> Platform {
     Platform::start(PlatformSettings::default())
@@ -47,9 +47,9 @@
 }
 
 #[actix_rt::test]
-async fn a_bundle_is_prepared_approved_rolled_and_told_of() {
+async fn a_bundle_is_prepared_approved_rolled_and_listed() {
     let platform = platform().await;
-    let operator = operator(&platform.url(), "ana", PATIENCE);
+    let operator = operator(&platform.url(), "ana", COMMAND_TIMEOUT);
     assert_eq!(operator.status().await.expect("a status").active, None);
     let first = prepare_and_approve(&operator).await;
     let second = prepare_and_approve(&operator).await;
@@ -58,7 +58,7 @@
     let approvals: Vec<usize> = status
         .prepared
         .iter()
-        .map(|one| one.approved_by.len())
+        .map(|bundle| bundle.approved_by.len())
         .collect();
     assert_eq!(approvals, vec![1, 1]);
     for (version, seen) in [(first, 0), (second, 1)] {
@@ -80,9 +80,9 @@
 }
 
 #[actix_rt::test]
-async fn what_may_not_be_rolled_changes_nothing() {
+async fn a_refused_roll_changes_nothing() {
     let platform = platform().await;
-    let operator = operator(&platform.url(), "ana", PATIENCE);
+    let operator = operator(&platform.url(), "ana", COMMAND_TIMEOUT);
     let active = prepare_and_approve(&operator).await;
     let unapproved = operator
         .prepare(small_bundle())
@@ -90,15 +90,15 @@
         .expect("prepared")
         .bundle
         .version;
-    let strangers = operator
+    let untrusted = operator
         .prepare(small_bundle())
         .await
         .expect("prepared")
         .bundle
         .version;
-    let stranger = OperatorKey::from_secret([66; 32]);
+    let untrusted_key = OperatorKey::from_secret([66; 32]);
     operator
-        .approve(&stranger, strangers)
+        .approve(&untrusted_key, untrusted)
         .await
         .expect("approved");
     let later = prepare_and_approve(&operator).await;
@@ -114,11 +114,11 @@
     let before = pointer(&platform);
     let cases: Vec<(&str, BundleVersion, Option<u64>, u8)> = vec![
         ("not approved", unapproved, None, 1),
-        ("approved by a stranger", strangers, None, 1),
+        ("approved by an untrusted key", untrusted, None, 1),
         ("not prepared", BundleVersion(99), None, 1),
         ("damaged", damaged, None, 1),
-        ("in force already", active, None, 3),
-        ("seen another version", later, Some(0), 3),
+        ("already in force", active, None, 3),
+        ("another version expected", later, Some(0), 3),
     ];
     for (name, version, seen, code) in cases {
         let seen = seen.map(BundleVersion);
@@ -133,7 +133,7 @@
     broken.zones.clear();
     let error = operator.prepare(broken).await.expect_err("a broken rule");
     assert_eq!(error.exit_code(), 2, "{error}");
-    let refused = operator.roll(strangers, None, Some(&trusted)).await;
+    let refused = operator.roll(untrusted, None, Some(&trusted)).await;
     assert!(matches!(
         refused,
         Err(OperatorError::NotApproved {
@@ -144,35 +144,35 @@
 }
 
 #[actix_rt::test]
-async fn of_two_operators_who_saw_the_same_one_wins_and_the_other_is_told() {
+async fn of_two_concurrent_rolls_one_succeeds_and_the_other_reports_a_conflict() {
     let platform = platform().await;
-    let ana = operator(&platform.url(), "ana", PATIENCE);
-    let luis = operator(&platform.url(), "luis", PATIENCE);
+    let ana = operator(&platform.url(), "ana", COMMAND_TIMEOUT);
+    let luis = operator(&platform.url(), "luis", COMMAND_TIMEOUT);
     for round in 0..10 {
         let seen = Some(BundleVersion(round * 2));
         let (first, second) = (
             prepare_and_approve(&ana).await,
             prepare_and_approve(&luis).await,
         );
-        // Whoever rolls the higher version may win after the other; then the lower one
-        // is the conflict or no longer newer. Both saw the same version at first.
+        // Both rolls expect the same version in force, so exactly one of them is applied,
+        // whichever reaches the store first.
         let (by_ana, by_luis) =
             tokio::join!(ana.roll(second, seen, None), luis.roll(first, seen, None));
         let winner = pointer(&platform);
         let (won, lost) = match (by_ana, by_luis) {
             (Ok(won), Err(lost)) | (Err(lost), Ok(won)) => (won, lost),
-            other => panic!("one of two has to win: {other:?}"),
+            other => panic!("exactly one roll must succeed: {other:?}"),
         };
         assert_eq!(won.pointer, winner);
-        let OperatorError::Conflict { winner: told } = lost else {
-            panic!("the loser is told of a conflict: {lost}");
+        let OperatorError::Conflict { winner: reported } = lost else {
+            panic!("the other roll must report a conflict: {lost}");
         };
         let expected = Winner {
             version: winner.version,
             by: winner.rolled.by.clone(),
         };
-        assert_eq!(told, expected);
-        // The next round starts from the higher of the two.
+        assert_eq!(reported, expected);
+        // The next round expects the higher of the two versions in force.
         if winner.version == first {
             ana.roll(second, None, None).await.expect("rolled");
         }
@@ -180,10 +180,10 @@
 }
 
 #[actix_rt::test]
-async fn a_lost_answer_is_resolved_and_nothing_is_applied_twice() {
+async fn a_lost_answer_is_resolved_without_applying_a_change_twice() {
     for lost in [1, 2, 5] {
         let platform = platform().await;
-        let operator = operator(&platform.url(), "ana", PATIENCE);
+        let operator = operator(&platform.url(), "ana", COMMAND_TIMEOUT);
         platform.faults().lose_next_answers(lost);
         let record = operator.prepare(small_bundle()).await.expect("prepared");
         platform.faults().lose_next_answers(lost);
@@ -212,9 +212,9 @@
 }
 
 #[actix_rt::test]
-async fn a_slow_or_limited_platform_only_takes_longer() {
+async fn commands_succeed_on_a_slow_or_rate_limited_platform() {
     let platform = platform().await;
-    let operator = operator(&platform.url(), "ana", PATIENCE);
+    let operator = operator(&platform.url(), "ana", COMMAND_TIMEOUT);
     platform.faults().set_rate_limit(Some(4.0));
     let first = prepare_and_approve(&operator).await;
     operator
@@ -242,18 +242,18 @@
 }
 
 #[actix_rt::test]
-async fn an_outage_is_told_as_not_run() {
+async fn an_outage_is_reported_as_not_run() {
     for mode in [OutageMode::Refuse, OutageMode::NoLeader, OutageMode::Hang] {
         let platform = platform().await;
-        let ready = operator(&platform.url(), "ana", PATIENCE);
-        let version = prepare_and_approve(&ready).await;
+        let reachable_operator = operator(&platform.url(), "ana", COMMAND_TIMEOUT);
+        let version = prepare_and_approve(&reachable_operator).await;
         platform.faults().set_outage(Some(mode));
-        let hasty = operator(&platform.url(), "ana", Duration::from_millis(1_500));
-        let error = hasty
+        let short_timeout_operator = operator(&platform.url(), "ana", Duration::from_millis(1_500));
+        let error = short_timeout_operator
             .roll(version, None, None)
             .await
             .expect_err("an outage");
-        // Nothing but reads were sent, so the command knows that it changed nothing.
+        // Only reads were sent, so the command can report that nothing was changed.
         assert!(
             matches!(error, OperatorError::NotRun(_)),
             "{mode:?}: {error}"
@@ -264,9 +264,10 @@
     }
 }
 
-/// Relays to the platform until a transaction passes: that one still reaches the
-/// platform, but its answer and everything after it is lost.
-async fn gate_that_closes_behind_a_transaction(platform: &Platform) -> String {
+/// Starts a relay to the platform that closes after the first transaction: the transaction
+/// still reaches the platform, but its answer and all later traffic are lost. Returns the
+/// relay's URL.
+async fn start_relay_that_loses_the_first_transaction_answer(platform: &Platform) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let url = format!("http://{}", listener.local_addr().expect("an address"));
     let target = platform.address();
@@ -313,11 +314,11 @@
 }
 
 #[actix_rt::test]
-async fn unknown_is_only_said_when_the_store_cannot_be_read_back() {
+async fn an_unknown_outcome_is_reported_when_the_store_cannot_be_read() {
     let platform = platform().await;
-    let ready = operator(&platform.url(), "ana", PATIENCE);
-    let version = prepare_and_approve(&ready).await;
-    let url = gate_that_closes_behind_a_transaction(&platform).await;
+    let reachable_operator = operator(&platform.url(), "ana", COMMAND_TIMEOUT);
+    let version = prepare_and_approve(&reachable_operator).await;
+    let url = start_relay_that_loses_the_first_transaction_answer(&platform).await;
     let cut_off = operator(&url, "luis", Duration::from_secs(2));
     let error = cut_off
         .roll(version, None, None)
@@ -325,13 +326,13 @@
         .expect_err("a lost answer");
     assert!(matches!(error, OperatorError::Unknown(_)), "{error}");
     assert_eq!(error.exit_code(), 4);
-    assert_eq!(pointer(&platform).rolled.by, "luis", "it did take effect");
+    assert_eq!(pointer(&platform).rolled.by, "luis", "the roll was applied");
 }
 
 #[actix_rt::test]
-async fn bundles_far_behind_the_one_in_force_are_deleted() {
+async fn bundles_far_below_the_version_in_force_are_deleted() {
     let platform = platform().await;
-    let operator = operator(&platform.url(), "ana", PATIENCE);
+    let operator = operator(&platform.url(), "ana", COMMAND_TIMEOUT);
     for _ in 0..70 {
         let version = prepare_and_approve(&operator).await;
         operator.roll(version, None, None).await.expect("rolled");
--- a/lab/tests/platform_client.rs
+++ b/lab/tests/platform_client.rs
@@ -1,5 +1,6 @@
-//! The platform's client against the platform stand-in, which encodes the API by code
-//! of its own: answers, faults and what each failure says of the request's effect.
+//! The platform's client against the platform stand-in, which has its own implementation of
+//! the API's encoding: answers, faults, and whether each error states correctly if the
+//! request was applied.
 
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
 use hookpoint_state::Outcome;
 use hookpoint_transport::platform::{PlatformClient, PlatformError, Watch};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn platform() -> Platform {
     Platform::start(PlatformSettings::default())
@@ -77,7 +78,7 @@
 }
 
 #[actix_rt::test]
-async fn values_of_a_large_bundle_pass() {
+async fn a_value_of_a_large_bundle_is_stored_and_read() {
     let platform = platform().await;
     let client = client(&platform);
     let large = "x".repeat(1_000_000);
@@ -90,7 +91,8 @@
     assert_eq!(found.value.0.len(), large.len());
 }
 
-/// How the platform is made to fail, and what a write is then said to have done.
+/// Name of the case, the injected fault, the outcome that the write must report, and a
+/// check of its error.
 type FaultCase = (
     &'static str,
     fn(&Platform),
@@ -99,10 +101,10 @@
 );
 
 #[actix_rt::test]
-async fn each_fault_says_whether_the_write_ran() {
+async fn errors_report_whether_the_write_ran() {
     let cases: Vec<FaultCase> = vec![
         (
-            "silent",
+            "hanging",
             |platform| platform.faults().set_outage(Some(OutageMode::Hang)),
             Outcome::Unknown,
             |error| matches!(error, PlatformError::AnswerLost { .. }),
@@ -114,7 +116,7 @@
             |error| matches!(error, PlatformError::AnswerLost { .. }),
         ),
         (
-            "over its limit",
+            "over the rate limit",
             |platform| {
                 platform.faults().set_rate_limit(Some(0.0));
             },
@@ -122,7 +124,7 @@
             |error| matches!(error, PlatformError::RateLimited { .. }),
         ),
         (
-            "losing an answer",
+            "answer lost",
             |platform| platform.faults().lose_next_answers(1),
             Outcome::Unknown,
             |error| matches!(error, PlatformError::AnswerLost { .. }),
@@ -136,11 +138,11 @@
     ];
     for (name, fault, outcome, expected) in cases {
         let platform = platform().await;
-        // A connection of its own for each case, so that none is reused after an outage.
+        // Each case uses a new connection, so that none is reused after an outage.
         let client = client(&platform);
         fault(&platform);
-        if name == "over its limit" {
-            let _uses_the_one_request_in_the_bucket = client.get("x").await;
+        if name == "over the rate limit" {
+            let _uses_the_only_token_in_the_bucket = client.get("x").await;
         }
         let error = client.put(&put("k", "v")).await.expect_err(name);
         assert!(expected(&error), "{name}: {error:?}");
@@ -149,13 +151,13 @@
         let written = platform.get("k").is_some();
         assert!(
             !(written && outcome == Outcome::NotRun),
-            "{name}: it did run"
+            "{name}: the write ran"
         );
     }
 }
 
 #[actix_rt::test]
-async fn a_request_that_is_wrong_is_refused_for_good() {
+async fn an_invalid_request_fails_permanently() {
     let platform = platform().await;
     let client = client(&platform);
     let error = client.put(&put("", "v")).await.expect_err("no key");
@@ -167,7 +169,7 @@
 }
 
 #[actix_rt::test]
-async fn the_next_url_is_asked_when_one_does_not_answer() {
+async fn the_next_url_is_tried_when_one_does_not_answer() {
     let platform = platform().await;
     let urls = vec!["http://127.0.0.1:9".to_owned(), platform.url()];
     let client = PlatformClient::new(urls, Duration::from_secs(1));
@@ -182,8 +184,8 @@
         .expect("the second URL answers");
 }
 
-/// Opens a watch as soon as the platform listens again after an outage.
-async fn reopened(client: &PlatformClient, revision: i64) -> Watch {
+/// Reopens the watch as soon as the platform listens again after an outage.
+async fn reopen_watch(client: &PlatformClient, revision: i64) -> Watch {
     let opening = async {
         loop {
             match client.watch("w/", revision).await {
@@ -193,13 +195,13 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, opening)
+    tokio::time::timeout(TEST_TIMEOUT, opening)
         .await
         .expect("a watch")
 }
 
 #[actix_rt::test]
-async fn a_watch_resumes_where_it_broke_and_says_when_it_cannot() {
+async fn a_watch_resumes_at_its_revision_or_reports_compaction() {
     let platform = platform().await;
     let client = client(&platform);
     platform.put("w/a", b"1");
@@ -212,7 +214,7 @@
     let mut revision = start;
     while seen.len() < 2 {
         let event = watch
-            .next(PATIENCE)
+            .next(TEST_TIMEOUT)
             .await
             .expect("a change")
             .expect("in time");
@@ -221,20 +223,20 @@
             event
                 .changes
                 .iter()
-                .map(|one| (one.kind, one.kv.key.to_text())),
+                .map(|change| (change.kind, change.kv.key.to_text())),
         );
     }
     let expected = [(EventType::Put, "w/b"), (EventType::Delete, "w/a")];
     assert_eq!(seen, expected.map(|(kind, key)| (kind, key.to_owned())));
     platform.faults().set_outage(Some(OutageMode::Refuse));
-    let broken = watch.next(PATIENCE).await;
-    assert!(broken.is_err(), "{broken:?}");
+    let interrupted = watch.next(TEST_TIMEOUT).await;
+    assert!(interrupted.is_err(), "{interrupted:?}");
     platform.put("w/c", b"4");
     platform.faults().clear();
-    let mut watch = reopened(&client, revision + 1).await;
+    let mut watch = reopen_watch(&client, revision + 1).await;
     let change = loop {
         let event = watch
-            .next(PATIENCE)
+            .next(TEST_TIMEOUT)
             .await
             .expect("a change")
             .expect("in time");
@@ -246,7 +248,7 @@
     platform.compact(platform.revision()).expect("compacted");
     let mut watch = client.watch("w/", 1).await.expect("a watch");
     let compacted = loop {
-        match watch.next(PATIENCE).await {
+        match watch.next(TEST_TIMEOUT).await {
             Ok(event) => assert!(event.is_some_and(|event| event.changes.is_empty())),
             Err(error) => break error,
         }
@@ -255,17 +257,17 @@
         matches!(compacted, PlatformError::Compacted { .. }),
         "{compacted:?}"
     );
-    let quiet = client
+    let idle = client
         .watch("w/", 0)
         .await
         .expect("a watch")
         .next(Duration::from_millis(1))
         .await;
-    assert!(quiet.is_ok(), "{quiet:?}");
+    assert!(idle.is_ok(), "{idle:?}");
 }
 
 #[actix_rt::test]
-async fn a_lease_is_renewed_until_it_lapses() {
+async fn a_lease_is_renewed_until_it_expires() {
     let platform = platform().await;
     let client = client(&platform);
     let lease = client
@@ -278,17 +280,17 @@
         ..put("leased", "v")
     };
     client.put(&request).await.expect("written");
-    let kept = client.keep_lease_alive(lease.id).await.expect("renewed");
-    assert!(kept.time_to_live > 0);
-    platform.expire_lease(lease.id).expect("lapsed");
+    let renewed = client.keep_lease_alive(lease.id).await.expect("renewed");
+    assert!(renewed.time_to_live > 0);
+    platform.expire_lease(lease.id).expect("expired");
     assert_eq!(client.get("leased").await.expect("an answer"), None);
-    let lapsed = client.keep_lease_alive(lease.id).await.expect("an answer");
-    assert_eq!(lapsed.time_to_live, 0);
+    let expired = client.keep_lease_alive(lease.id).await.expect("an answer");
+    assert_eq!(expired.time_to_live, 0);
     let other = client
         .grant_lease(Duration::from_secs(60))
         .await
         .expect("a lease");
-    client.revoke_lease(other.id).await.expect("given back");
+    client.revoke_lease(other.id).await.expect("revoked");
     let error = client
         .revoke_lease(other.id)
         .await
--- a/lab/tests/proxy.rs
+++ b/lab/tests/proxy.rs
@@ -1,4 +1,4 @@
-//! One proxy between a client, a group of databases and the platform, in one process.
+//! One proxy with a client, a group of databases and the platform, in one process.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{PATIENCE, bundle_of, connect, in_force, operator_key, roll, settings};
+use common::{STEP_TIMEOUT, bundle_of, connect, operator_key, roll, settings, wait_until_in_force};
 use hookpoint::proxy::{Proxy, ProxyHandle};
 use hookpoint_coordination::explain::{Decision, Entry};
 use hookpoint_lab::stack::{DatabaseOptions, Stack};
@@ -23,7 +23,7 @@
         .expect("stand-ins");
     let proxy = Proxy::start(settings(&stack, 0)).await.expect("a proxy");
     let version = roll(&stack, bundle_of(&stack)).await;
-    in_force(&proxy, version).await;
+    wait_until_in_force(&proxy, version).await;
     let group = stack.deployment.groups[0].name.to_string();
     let client = connect(&proxy, &group).await;
     client
@@ -45,8 +45,9 @@
     assert!(ended.is_err(), "a stopped proxy serves nothing");
 }
 
-/// Waits until `reached` holds; it is looked at again after every change of the bundle.
-async fn until(proxy: &ProxyHandle, name: &str, reached: impl Fn(&Bundle) -> bool) {
+/// Waits until the bundle in force satisfies `reached`, which is checked after every change
+/// of the bundle. `name` describes the condition in a failure.
+async fn wait_for_bundle(proxy: &ProxyHandle, name: &str, reached: impl Fn(&Bundle) -> bool) {
     let mut changes = proxy.shared().bundle_changes();
     let waiting = async {
         while !proxy
@@ -54,10 +55,12 @@
             .bundle()
             .is_some_and(|bundle| reached(&bundle))
         {
-            changes.changed().await.expect("the proxy runs");
+            changes.changed().await.expect("the proxy is running");
         }
     };
-    tokio::time::timeout(PATIENCE, waiting).await.expect(name);
+    tokio::time::timeout(STEP_TIMEOUT, waiting)
+        .await
+        .expect(name);
 }
 
 async fn stack() -> Stack {
@@ -79,25 +82,25 @@
 }
 
 #[actix_rt::test]
-async fn a_database_on_a_leaving_machine_is_drained_until_it_stays() {
+async fn a_database_on_a_leaving_machine_is_drained_until_the_machine_is_live_again() {
     let stack = stack().await;
     let proxy = Proxy::start(settings(&stack, 0)).await.expect("a proxy");
     let version = roll(&stack, bundle_of(&stack)).await;
-    in_force(&proxy, version).await;
+    wait_until_in_force(&proxy, version).await;
     let (name, _, address) = stack.databases.addresses().remove(0);
     put_machine(&stack, address, MachineState::Leaving);
-    until(&proxy, "it is drained", |bundle| {
+    wait_for_bundle(&proxy, "the database is drained", |bundle| {
         bundle.drain.contains(&name)
     })
     .await;
     let bundle = proxy.shared().bundle().expect("a bundle");
     assert_eq!((bundle.drain.len(), bundle.version), (1, version));
     put_machine(&stack, address, MachineState::Live);
-    until(&proxy, "it is in use again", |bundle| {
+    wait_for_bundle(&proxy, "the database is in use again", |bundle| {
         bundle.drain.is_empty()
     })
     .await;
-    // A list that names a whole group is not believed.
+    // A list in which all machines of a group are leaving is ignored.
     let group = bundle.databases[&name].group.clone();
     let members = bundle.databases_of(&group).count();
     for (number, (_, database)) in bundle.databases_of(&group).enumerate() {
@@ -113,59 +116,64 @@
         stack.platform.put(&machine.key(), &value);
         if number + 1 < members {
             let count = number + 1;
-            until(&proxy, "more are drained", |bundle| {
+            wait_for_bundle(&proxy, "one more database is drained", |bundle| {
                 bundle.drain.len() == count
             })
             .await;
         }
     }
-    until(&proxy, "none is drained", |bundle| bundle.drain.is_empty()).await;
+    wait_for_bundle(&proxy, "no database is drained", |bundle| {
+        bundle.drain.is_empty()
+    })
+    .await;
     proxy.stop().await;
 }
 
 #[actix_rt::test]
-async fn what_no_trusted_key_has_signed_never_comes_into_force() {
+async fn a_bundle_without_a_trusted_signature_never_comes_into_force() {
     let stack = stack().await;
     let proxy = Proxy::start(settings(&stack, 0)).await.expect("a proxy");
     let first = roll(&stack, bundle_of(&stack)).await;
-    in_force(&proxy, first).await;
+    wait_until_in_force(&proxy, first).await;
     let operator = common::operator(&stack);
-    let stranger = OperatorKey::from_secret([66; 32]);
+    let untrusted_key = OperatorKey::from_secret([66; 32]);
     let record = operator.prepare(bundle_of(&stack)).await.expect("prepared");
-    let strangers = record.bundle.version;
+    let untrusted = record.bundle.version;
     operator
-        .approve(&stranger, strangers)
+        .approve(&untrusted_key, untrusted)
         .await
         .expect("approved");
-    operator.roll(strangers, None, None).await.expect("rolled");
-    // The one behind it is good; when it is in force, the other has been seen.
+    operator.roll(untrusted, None, None).await.expect("rolled");
+    // The next bundle has a trusted signature; once it is in force, the untrusted one was
+    // processed.
     let third = roll(&stack, bundle_of(&stack)).await;
-    in_force(&proxy, third).await;
+    wait_until_in_force(&proxy, third).await;
     let explained = proxy.shared().explain(None);
-    let in_force: Vec<BundleVersion> = explained
+    let versions: Vec<BundleVersion> = explained
         .iter()
         .filter_map(|entry| match entry.decision {
             Decision::BundleInForce { version } => Some(version),
             _ => None,
         })
         .collect();
-    assert_eq!(in_force, vec![first, third]);
+    assert_eq!(versions, vec![first, third]);
     proxy.stop().await;
 }
 
 #[actix_rt::test]
-async fn a_platform_that_comes_back_with_an_old_state_changes_nothing() {
+async fn a_platform_restored_from_an_old_backup_does_not_revert_the_fleet() {
     let stack = stack().await;
     let proxy = Proxy::start(settings(&stack, 0)).await.expect("a proxy");
     let first = roll(&stack, bundle_of(&stack)).await;
-    in_force(&proxy, first).await;
+    wait_until_in_force(&proxy, first).await;
     let revision = stack.platform.revision();
     let second = roll(&stack, bundle_of(&stack)).await;
-    in_force(&proxy, second).await;
-    stack.platform.restore(revision).expect("an old state");
-    // The platform gives the second version out again; the fleet keeps the one it has.
-    let again = roll(&stack, bundle_of(&stack)).await;
-    assert_eq!(again, second);
+    wait_until_in_force(&proxy, second).await;
+    stack.platform.restore(revision).expect("restored");
+    // The platform assigns the second version again; the fleet keeps the bundle it has in
+    // force.
+    let reassigned = roll(&stack, bundle_of(&stack)).await;
+    assert_eq!(reassigned, second);
     let operator = common::operator(&stack);
     let record = operator
         .prepare_above(bundle_of(&stack), BundleVersion(40))
@@ -177,10 +185,10 @@
         .await
         .expect("approved");
     operator
-        .roll(third, Some(again), None)
+        .roll(third, Some(reassigned), None)
         .await
         .expect("rolled");
-    in_force(&proxy, third).await;
+    wait_until_in_force(&proxy, third).await;
     let versions: Vec<BundleVersion> = proxy
         .shared()
         .explain(None)
@@ -209,20 +217,20 @@
 }
 
 #[actix_rt::test]
-async fn the_operators_endpoint_tells_what_is() {
+async fn the_admin_endpoint_reports_the_current_state() {
     let stack = stack().await;
     let proxy = Proxy::start(settings(&stack, 0)).await.expect("a proxy");
     let (status, body) = get(&proxy, "/health").await;
     assert_eq!(status, 503);
-    let health: Health = serde_json::from_str(&body).expect("a health");
+    let health: Health = serde_json::from_str(&body).expect("a health report");
     assert_eq!(
         (health.node, health.readiness),
         (proxy.node(), Readiness::Starting)
     );
     let version = roll(&stack, bundle_of(&stack)).await;
-    in_force(&proxy, version).await;
+    wait_until_in_force(&proxy, version).await;
     let (status, body) = get(&proxy, "/health").await;
-    let health: Health = serde_json::from_str(&body).expect("a health");
+    let health: Health = serde_json::from_str(&body).expect("a health report");
     assert_eq!((status, health.readiness), (200, Readiness::Ready));
     let group = stack.deployment.groups[0].name.to_string();
     let client = connect(&proxy, &group).await;
@@ -250,20 +258,26 @@
             .all(|entry| entry.session == Some(SessionId(1)))
     );
     let (_, body) = get(&proxy, "/fleet").await;
-    let fleet: FleetStatus = serde_json::from_str(&body).expect("a fleet");
+    let fleet: FleetStatus = serde_json::from_str(&body).expect("a fleet status");
     assert_eq!((fleet.newest, fleet.nodes.len()), (version, 1));
     assert_eq!(get(&proxy, "/explain?session=x").await.0, 400);
     assert_eq!(get(&proxy, "/nothing").await.0, 404);
     proxy.stop().await;
 }
 
-/// The state of the only node in the platform's list, once it satisfies `reached`.
-async fn listed(stack: &Stack, name: &str, reached: impl Fn(Option<MachineState>) -> bool) {
+/// Waits until the state of the last machine in the platform's list, `None` if it is empty,
+/// satisfies `reached`. `name` describes the condition in a failure.
+async fn wait_for_listed_state(
+    stack: &Stack,
+    name: &str,
+    reached: impl Fn(Option<MachineState>) -> bool,
+) {
     let waiting = async {
         loop {
             let entries = stack.platform.list(MACHINE_PREFIX);
             let mut states = entries.iter().map(|entry| {
-                let machine: MachineRecord = serde_json::from_slice(&entry.value).expect("one");
+                let machine: MachineRecord =
+                    serde_json::from_slice(&entry.value).expect("a record");
                 machine.state
             });
             if reached(states.next_back()) {
@@ -272,14 +286,16 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, waiting).await.expect(name);
+    tokio::time::timeout(STEP_TIMEOUT, waiting)
+        .await
+        .expect(name);
 }
 
 #[actix_rt::test]
-async fn a_proxy_enters_itself_in_the_list_and_leaves_it() {
+async fn a_proxy_registers_itself_and_removes_its_registration() {
     let stack = stack().await;
     let proxy = Proxy::start(settings(&stack, 0)).await.expect("a proxy");
-    listed(&stack, "it is listed", |state| {
+    wait_for_listed_state(&stack, "the proxy is listed as live", |state| {
         state == Some(MachineState::Live)
     })
     .await;
@@ -287,27 +303,33 @@
     assert_eq!(leases.len(), 1);
     let stopping = proxy.clone();
     let stop = actix_rt::spawn(async move { stopping.stop().await });
-    listed(&stack, "it is leaving", |state| {
+    wait_for_listed_state(&stack, "the proxy is listed as leaving", |state| {
         state == Some(MachineState::Leaving)
     })
     .await;
-    stop.await.expect("it stops");
-    listed(&stack, "it is gone", |state| state.is_none()).await;
+    stop.await.expect("the proxy stops");
+    wait_for_listed_state(&stack, "the proxy is no longer listed", |state| {
+        state.is_none()
+    })
+    .await;
     assert_eq!(stack.platform.leases(), Vec::<i64>::new());
-    let sudden = Proxy::start(settings(&stack, 0)).await.expect("a proxy");
-    listed(&stack, "it is listed", |state| {
+    let aborted = Proxy::start(settings(&stack, 0)).await.expect("a proxy");
+    wait_for_listed_state(&stack, "the proxy is listed as live", |state| {
         state == Some(MachineState::Live)
     })
     .await;
-    sudden.abort().await;
+    aborted.abort().await;
     assert_eq!(
         stack.platform.list(MACHINE_PREFIX).len(),
         1,
-        "until its lease lapses"
+        "the entry stays until its lease expires"
     );
     stack
         .platform
         .expire_lease(stack.platform.leases()[0])
-        .expect("lapsed");
-    listed(&stack, "it is gone", |state| state.is_none()).await;
+        .expect("expired");
+    wait_for_listed_state(&stack, "the proxy is no longer listed", |state| {
+        state.is_none()
+    })
+    .await;
 }
--- a/lab/tests/resubmission.rs
+++ b/lab/tests/resubmission.rs
@@ -1,5 +1,5 @@
-//! A not-repeatable request that is submitted again to another proxy, with the ledger of
-//! requests and, as a negative control, without it.
+//! A request that must not run twice is submitted again to another proxy: with the request
+//! ledger it runs once; without it, as a negative control, the checker finds it doubled.
 
 mod running;
 
@@ -19,15 +19,15 @@
 
 const SESSION: SessionNumber = SessionNumber(1);
 
-/// Submits one charge notice to both proxies, one after the other, and checks the
-/// history.
+/// Submits one charge notice to both proxies, one after the other, and returns the history.
 async fn submit_twice(checks: SafetyChecks) -> anyhow::Result<History> {
     let options = LaboratoryOptions {
         proxies: Some(2),
         checks,
         ..LaboratoryOptions::default()
     };
-    let laboratory = Arc::new(Laboratory::start(running::small(), options).await?);
+    let laboratory =
+        Arc::new(Laboratory::start(running::single_group_deployment(), options).await?);
     let deployment = laboratory.stack.deployment.clone();
     let group = deployment.groups[0].name.clone();
     let mut history = History::default();
@@ -44,7 +44,7 @@
         let credentials = caller_credentials(&group, 0);
         let none = TokenDelivery::None;
         let mut connection =
-            ClientConnection::open(address, &credentials, &none, running::PATIENCE).await?;
+            ClientConnection::open(address, &credentials, &none, running::REQUEST_TIMEOUT).await?;
         let result = match connection.simple(&statement).await {
             Ok(messages) => OperationResult::Written {
                 rows: affected(&messages).unwrap_or(0),
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_second_submission_is_told_that_it_ran() -> anyhow::Result<()> {
+async fn the_second_submission_reports_already_ran() -> anyhow::Result<()> {
     let history = submit_twice(SafetyChecks::default()).await?;
     assert_eq!(
         history.records[0].result,
@@ -90,7 +90,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn without_the_ledger_the_checker_finds_it_doubled() -> anyhow::Result<()> {
+async fn without_the_ledger_the_checker_finds_a_doubled_write() -> anyhow::Result<()> {
     let checks = SafetyChecks {
         guard: false,
         ..SafetyChecks::default()
--- a/lab/tests/running/mod.rs
+++ b/lab/tests/running/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers of the end-to-end tests.
+//! Helpers for tests that run a laboratory with client sessions.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -11,19 +11,20 @@
 use hookpoint_workload::history::{OperationResult, ProxyIndex, Recorder, SessionNumber};
 use hookpoint_workload::session::{ClientSession, Protocol, SessionSettings};
 
-/// Longest wait of a test's client for an answer.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of a request of a test's client.
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A deployment of one group of three databases.
-pub fn small() -> Arc<Deployment> {
+/// Returns a deployment with one group of three databases.
+pub fn single_group_deployment() -> Arc<Deployment> {
     let mut deployment = costa_rica();
     deployment.groups.truncate(1);
     Arc::new(deployment)
 }
 
-/// Starts a laboratory with one group, whose replicas do not lag, and `proxies` proxies.
+/// Starts a laboratory with `proxies` proxies and one group, whose replicas have no replay
+/// lag.
 pub async fn laboratory(proxies: usize) -> anyhow::Result<Arc<Laboratory>> {
-    // Another test of the process may have started the logs.
+    // Logging may already be initialized by another test in this process.
     let _ = hookpoint_lab::logs::start();
     let options = LaboratoryOptions {
         databases: DatabaseOptions {
@@ -33,10 +34,12 @@
         proxies: Some(proxies),
         ..LaboratoryOptions::default()
     };
-    Ok(Arc::new(Laboratory::start(small(), options).await?))
+    Ok(Arc::new(
+        Laboratory::start(single_group_deployment(), options).await?,
+    ))
 }
 
-/// A session of the first group on proxy `home`.
+/// Creates a client session on the first group, connected to proxy `home` first.
 pub fn session(
     laboratory: &Laboratory,
     recorder: &Recorder,
@@ -54,13 +57,13 @@
         home: ProxyIndex(home),
         application: deployment.application,
         seed: 1,
-        patience: PATIENCE,
+        patience: REQUEST_TIMEOUT,
         protocol,
     };
     ClientSession::new(settings, recorder.clone())
 }
 
-/// Whether the last recorded read was answered by a replica.
+/// Returns whether a replica answered the last recorded read; false if there is no read.
 pub fn last_read_on_replica(recorder: &Recorder) -> bool {
     let records = recorder.snapshot();
     let reads = records.iter().rev().find_map(|record| match record.result {
--- a/lab/tests/statements.rs
+++ b/lab/tests/statements.rs
@@ -1,4 +1,4 @@
-//! The workload's statements, as the proxies classify them.
+//! Classification of the workload's statements by the proxies' classifier.
 
 use hookpoint_coordination::request::Access;
 use hookpoint_protocol::classify::Classifier;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn reads_are_proved_to_be_reads_and_writes_are_not() {
+fn reads_are_classified_as_reads_and_writes_as_writes() {
     let classifier = Classifier::new();
     for application in [Application::Messaging, Application::Metering] {
         let table = [
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn request_identifiers_are_found() {
+fn request_ids_are_extracted() {
     let class = Classifier::new().classify(&write(Application::Messaging, Some("7-1-1")));
     let identifier = class.request_id.map(|request| request.to_string());
     assert_eq!(identifier.as_deref(), Some("7-1-1"));
