--- a/crates/transport/src/caller/actions.rs
+++ b/crates/transport/src/caller/actions.rs
@@ -1,4 +1,5 @@
-//! Carrying out what a request machine asks for.
+//! Carries out the actions of a request machine: acquires connections, sends units and
+//! reports results.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,15 +14,16 @@
 use crate::caller::session::Session;
 use crate::lease::AcquireRequest;
 
-/// Longest wait for the status query ahead of a read. A database that is cut off says
-/// nothing at all, and a read can go elsewhere.
+/// Longest wait for the answer to the status query ahead of a read. A partitioned
+/// database sends no answer at all, and the read can be routed elsewhere.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Longest wait for a status that is to prove a commit.
-const EVIDENCE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest wait for a status that is to prove that a commit happened.
+const COMMIT_STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl Session {
-    /// Hands an event to the machine and carries out its actions.
+    /// Passes an event to the transaction's request machine and performs the resulting
+    /// actions.
     pub(super) fn handle(&mut self, event: RequestEvent) {
         let shared = &self.context.shared;
         let now = shared.now();
@@ -47,7 +49,7 @@
             | RequestAction::Acknowledge {
                 position: Some(position),
             } => self.require(*position),
-            RequestAction::Release { .. } => self.guard.entry.rests(),
+            RequestAction::Release { .. } => self.guard.entry.set_idle(),
             _ => {}
         }
         let Some(active) = &mut self.transaction else {
@@ -84,14 +86,17 @@
         }
     }
 
-    /// Asks for the status of a database whose connection was given back.
+    /// Queries, on another connection, the status of a database whose connection was
+    /// released.
     fn ask_status(&mut self, database: DatabaseName, after: Duration) {
         let verifier = Arc::clone(&self.context.verifier);
         let group = self.group.clone();
         if let Some(active) = &mut self.transaction {
-            active.evidence = Some(Box::pin(async move {
+            active.status_query = Some(Box::pin(async move {
                 tokio::time::sleep(after).await;
-                let status = verifier.status(&group, &database, EVIDENCE_TIMEOUT).await;
+                let status = verifier
+                    .status(&group, &database, COMMIT_STATUS_TIMEOUT)
+                    .await;
                 (database, status)
             }));
         }
@@ -107,10 +112,10 @@
             wait: deadline.since(self.context.shared.now()),
         };
         let leases = Arc::clone(&self.context.leases);
-        self.guard.entry.waits();
+        self.guard.entry.set_waiting();
         let pause = self.retry_pause(deadline);
         if let Some(active) = &mut self.transaction {
-            active.acquiring = Some(request.database.clone());
+            active.requested_database = Some(request.database.clone());
             active.acquire = Some(Box::pin(async move {
                 if let Some(pause) = pause? {
                     tokio::time::sleep(pause).await;
@@ -120,16 +125,16 @@
         }
     }
 
-    /// How long to wait before the next connection is asked for: after a lost one the
-    /// retry policy decides.
+    /// Returns how long to wait before the next connection is acquired. Only after a lost
+    /// connection is there a wait, which the retry policy sets.
     fn retry_pause(&mut self, deadline: Timestamp) -> Result<Option<Duration>, Refusal> {
         let Some(active) = &mut self.transaction else {
             return Ok(None);
         };
-        if !std::mem::take(&mut active.lost_last) {
+        if !std::mem::take(&mut active.lost_since_acquire) {
             return Ok(None);
         }
-        let attempts = active.losses;
+        let attempts = active.lost_connections;
         let shared = &self.context.shared;
         let now = shared.now();
         let next = shared
@@ -142,37 +147,37 @@
         let Some(active) = &mut self.transaction else {
             return;
         };
-        let block = active.mark.is_some() && !self.status.is_open();
+        let block = active.ledger_id.is_some() && !self.status.is_open();
         let wrapping = Wrapping {
             check,
             probe,
-            ledger: active.mark.clone(),
+            ledger: active.ledger_id.clone(),
             block,
             defer: active.plan.open || active.plan.traits.copies_in,
         };
         active.begin_attempt(probe || block);
-        active.marked.extend(active.mark.clone());
+        active.recorded_ids.extend(active.ledger_id.clone());
         let traits = &active.plan.traits;
         active.dirty |= traits.leaves_state || !traits.settings.is_empty();
-        if !std::mem::replace(&mut active.settled, true) {
-            let settings = if active.plan.silent {
+        if !std::mem::replace(&mut active.settings_applied, true) {
+            let settings = if active.plan.internal {
                 BTreeMap::new()
             } else {
                 self.settings.current().clone()
             };
             let command = BackendCommand::EnsureSettings(settings);
-            active.flight.outgoing.push_back(command);
+            active.pipeline.outgoing.push_back(command);
         }
         let unit = active
             .plan
-            .unit(self.status.is_open(), active.mark.is_some());
+            .unit(self.status.is_open(), active.ledger_id.is_some());
         if check && unit.access == Access::Read {
             active.check_due = Some(self.context.shared.now() + CHECK_TIMEOUT);
         }
-        active.flight.launch(&active.plan.commands, &wrapping);
+        active.pipeline.push_unit(&active.plan.commands, &wrapping);
         if let Some(lease) = &active.lease {
-            self.guard.entry.runs(lease.commands.clone());
+            self.guard.entry.set_running(lease.commands.clone());
         }
-        active.hand_over();
+        active.send_queued();
     }
 }
--- a/crates/transport/src/caller/active.rs
+++ b/crates/transport/src/caller/active.rs
@@ -1,5 +1,5 @@
-//! One transaction in progress: its request machine, its connection and what is in
-//! flight on it.
+//! State of one transaction in progress: its request machine, its connection and the
+//! commands and replies in flight.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::future::Future;
@@ -19,83 +19,86 @@
 
 use crate::caller::answer::{Answer, Step};
 use crate::caller::drain;
-use crate::caller::flight::{Flight, Section};
+use crate::caller::flight::{Pipeline, Section};
 use crate::caller::unit::{Translation, UnitPlan};
 use crate::lease::BackendLease;
 
-/// A wait that can be given up by dropping it.
+/// An optional pending operation; dropping the future cancels it.
 pub type Pending<T> = Option<Pin<Box<dyn Future<Output = T> + Send>>>;
 
-/// How often a read begins anew after its connection broke.
+/// Maximum number of times a read is restarted after its connection broke.
 const RESTART_LIMIT: u32 = 4;
-/// How often a status query behind a unit may fail.
+/// Maximum number of failed status queries behind a unit before the connection is given
+/// up.
 const PROBE_FAILURE_LIMIT: u32 = 3;
-/// SQLSTATE of a duplicate key.
+/// SQLSTATE `unique_violation`.
 const UNIQUE_VIOLATION: &str = "23505";
 
-/// How a transaction ended without an answer of its own.
+/// Why a transaction ended without an answer from a database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It did not run.
+    /// The request did not run.
     Refused(Refusal),
-    /// Nobody can tell.
+    /// It is not known whether the request ran.
     Unknown(UnknownCause),
-    /// The caller cancelled it before it was sent.
+    /// The client cancelled the request before it was sent.
     Cancelled,
-    /// The caller has been told already.
-    Told,
+    /// An error was already sent to the client.
+    AlreadyReported,
 }
 
 /// One transaction in progress.
 pub struct ActiveTransaction {
-    /// The machine that decides.
+    /// State machine that decides how the request proceeds.
     pub machine: RequestMachine,
-    /// The unit in progress.
+    /// The current unit.
     pub plan: UnitPlan,
-    /// Its answer.
+    /// Answer to the current unit.
     pub answer: Answer,
-    /// Whether it began as a read and is carried as one to its end.
-    pub reads: bool,
-    /// Whether its connection leads to a replica.
-    pub by_replica: bool,
-    /// Whether it has used savepoints.
+    /// Whether the transaction began as a read; it must then stay read-only to its end.
+    pub read_only: bool,
+    /// Whether the connection leads to a replica, as its last status query reported.
+    pub on_replica: bool,
+    /// Whether the transaction has used savepoints.
     pub savepoints: bool,
-    /// What is in flight.
-    pub flight: Flight,
-    /// The connection, once granted.
+    /// Commands to be sent and replies still to be read for the current unit.
+    pub pipeline: Pipeline,
+    /// The leased connection; `None` until one is granted and after it is released or
+    /// lost.
     pub lease: Option<BackendLease>,
-    /// Whether the connection has the session's parameters.
-    pub settled: bool,
-    /// Whether state may have been left on the connection.
+    /// Whether the session's run-time parameters have been applied to the connection.
+    pub settings_applied: bool,
+    /// Whether the transaction may have left session state on the connection.
     pub dirty: bool,
-    /// Database the wait for a connection is about.
-    pub acquiring: Option<DatabaseName>,
-    /// The wait for a connection.
+    /// Database whose connection is being acquired.
+    pub requested_database: Option<DatabaseName>,
+    /// Pending acquisition of a connection.
     pub acquire: Pending<Result<BackendLease, Refusal>>,
-    /// The wait for a verified term.
+    /// Pending verification of the leadership term.
     pub verify: Pending<Option<Position>>,
-    /// The wait for a database's status, on another connection than the released one.
-    pub evidence: Pending<(DatabaseName, Option<BackendStatus>)>,
-    /// When the machine's timer fires; while set, changes of view are reported too.
+    /// Pending status query to a database, on another connection than the released one.
+    pub status_query: Pending<(DatabaseName, Option<BackendStatus>)>,
+    /// When the machine's timer fires. While it is set, view changes are reported to the
+    /// machine too.
     pub timer: Option<Timestamp>,
     /// When the next status query is sent.
     pub probe_at: Option<Timestamp>,
-    /// When the status query ahead of a read has to be answered.
+    /// Deadline for the answer to the status query ahead of a read.
     pub check_due: Option<Timestamp>,
-    /// How it ended without an answer.
+    /// Why the transaction ended without an answer, if it did.
     pub failure: Option<Failure>,
-    /// Whether the machine has ended.
+    /// Whether the machine has reached its final state.
     pub finished: bool,
     /// Whether the connection broke between two units.
     pub lost_while_idle: bool,
-    /// Connections that broke while they served this transaction.
-    pub losses: u32,
-    /// Whether one broke since a connection was last asked for.
-    pub lost_last: bool,
-    /// Identifier to be put into the ledger with the current unit.
-    pub mark: Option<RequestId>,
-    /// Identifiers already in the ledger by this transaction.
-    pub marked: BTreeSet<RequestId>,
+    /// Number of connections that broke while they served this transaction.
+    pub lost_connections: u32,
+    /// Whether a connection broke since the last acquisition.
+    pub lost_since_acquire: bool,
+    /// Request identifier to be written to the ledger with the current unit.
+    pub ledger_id: Option<RequestId>,
+    /// Request identifiers that this transaction has already written to the ledger.
+    pub recorded_ids: BTreeSet<RequestId>,
     restarts: u32,
     failed_probes: u32,
     collector: StatusCollector,
@@ -104,42 +107,42 @@
     commit_rolled_back: bool,
 }
 
-/// What a reply told.
+/// What a reply of the connection results in.
 pub enum Observed {
-    /// An event for the machine.
+    /// An event for the request machine.
     Event(RequestEvent),
-    /// A status of the database, to be shared.
+    /// A database status to be published in the node's shared tables.
     Status(DatabaseName, BackendStatus),
 }
 
 impl ActiveTransaction {
-    /// A transaction whose first unit is `plan`.
-    pub fn new(machine: RequestMachine, plan: UnitPlan, mark: Option<RequestId>) -> Self {
+    /// Creates a transaction whose first unit is `plan`.
+    pub fn new(machine: RequestMachine, plan: UnitPlan, ledger_id: Option<RequestId>) -> Self {
         Self {
-            reads: plan.unit(false, mark.is_some()).access == Access::Read,
-            by_replica: false,
+            read_only: plan.unit(false, ledger_id.is_some()).access == Access::Read,
+            on_replica: false,
             savepoints: plan.traits.savepoints,
             machine,
             plan,
             answer: Answer::default(),
-            flight: Flight::default(),
+            pipeline: Pipeline::default(),
             lease: None,
-            settled: false,
+            settings_applied: false,
             dirty: false,
-            acquiring: None,
+            requested_database: None,
             acquire: None,
             verify: None,
             timer: None,
-            evidence: None,
+            status_query: None,
             probe_at: None,
             check_due: None,
             failure: None,
             finished: false,
             lost_while_idle: false,
-            losses: 0,
-            lost_last: false,
-            mark,
-            marked: BTreeSet::new(),
+            lost_connections: 0,
+            lost_since_acquire: false,
+            ledger_id,
+            recorded_ids: BTreeSet::new(),
             restarts: 0,
             failed_probes: 0,
             collector: StatusCollector::default(),
@@ -149,16 +152,17 @@
         }
     }
 
-    /// Takes the next unit of the transaction.
-    pub fn next_unit(&mut self, plan: UnitPlan, mark: Option<RequestId>) {
+    /// Makes `plan` the current unit of the transaction.
+    pub fn next_unit(&mut self, plan: UnitPlan, ledger_id: Option<RequestId>) {
         self.savepoints |= plan.traits.savepoints;
         self.plan = plan;
-        self.mark = mark.filter(|request| !self.marked.contains(request));
+        self.ledger_id = ledger_id.filter(|request| !self.recorded_ids.contains(request));
         self.answer = Answer::default();
         self.ledger_error = None;
     }
 
-    /// Prepares for an attempt to send the current unit.
+    /// Resets the answer for an attempt to send the current unit. With `hold_end` the end
+    /// of the answer is held back until it is released.
     pub fn begin_attempt(&mut self, hold_end: bool) {
         self.answer = Answer::new(self.plan.simple, self.plan.steps.clone(), hold_end);
         self.ledger_error = None;
@@ -166,9 +170,10 @@
         self.commit_rolled_back = false;
     }
 
-    /// The end of the wait for a connection.
-    pub fn leased(&mut self, result: Result<BackendLease, Refusal>) -> RequestEvent {
-        let asked = self.acquiring.take().unwrap_or_default();
+    /// Stores a granted connection and returns the event for the result of the
+    /// acquisition.
+    pub fn on_lease_result(&mut self, result: Result<BackendLease, Refusal>) -> RequestEvent {
+        let asked = self.requested_database.take().unwrap_or_default();
         match result {
             Ok(lease) => {
                 let database = lease.database.clone();
@@ -182,14 +187,14 @@
         }
     }
 
-    /// Relays a message of the caller as it is.
-    pub fn relay(&mut self, frame: &Frame) {
+    /// Queues a client message unchanged.
+    pub fn queue_frame(&mut self, frame: &Frame) {
         let command = BackendCommand::Frames(vec![frame.clone()]);
-        self.flight.outgoing.push_back(command);
+        self.pipeline.outgoing.push_back(command);
     }
 
-    /// Sends a further message of a unit that goes on.
-    pub fn follow(&mut self, tag: u8, translation: Translation) {
+    /// Queues a further message of an open unit.
+    pub fn extend_unit(&mut self, tag: u8, translation: Translation) {
         if tag == frontend::SYNC {
             self.plan.open = false;
             self.plan.ready = true;
@@ -199,67 +204,68 @@
         if let Some(step) = translation.step {
             self.answer.expect(step);
         }
-        self.flight.outgoing.extend(translation.commands);
+        self.pipeline.outgoing.extend(translation.commands);
     }
 
-    /// Whether a read whose connection broke may begin anew: nothing of its answer has
-    /// reached the caller.
-    pub fn may_begin_anew(&self) -> bool {
-        let unit = self.plan.unit(false, self.mark.is_some());
+    /// Returns whether a read whose connection broke may be restarted: nothing of its
+    /// answer has been sent to the client.
+    pub fn can_restart(&self) -> bool {
+        let unit = self.plan.unit(false, self.ledger_id.is_some());
         unit.access == Access::Read
             && self.restarts < RESTART_LIMIT
             && self.answer.is_delivering()
-            && !self.answer.has_flowed()
+            && !self.answer.has_started()
             && self.answer.ending().is_none()
     }
 
-    /// Begins the transaction anew with `machine`.
-    pub fn begin_anew(&mut self, machine: RequestMachine) {
+    /// Restarts the transaction with `machine`.
+    pub fn restart_read(&mut self, machine: RequestMachine) {
         self.restarts += 1;
         self.machine = machine;
         self.begin_attempt(false);
         self.release(false);
     }
 
-    /// A simple query ends the messages of a unit that is open, as a `Sync` would, but
-    /// without an answer of its own.
+    /// Ends an open unit because a simple query follows: the extended messages end as
+    /// with a `Sync`, but without a `ReadyForQuery` of their own.
     pub fn end_by_query(&mut self) {
         self.plan.open = false;
         self.plan.ready = false;
         self.answer.expect(Step::Sync);
-        self.relay(&extended::sync());
+        self.queue_frame(&extended::sync());
     }
 
-    /// Whether nothing that is still to come could move the unit on.
-    pub fn waits_for_nothing(&self) -> bool {
+    /// Returns whether no pending event could make the unit progress.
+    pub fn cannot_progress(&self) -> bool {
         self.lease.is_none() && !self.machine_is_busy()
     }
 
-    /// Whether the machine waits for something although the answer is complete.
+    /// Returns whether the machine still waits for something, even if the answer is
+    /// complete.
     pub fn machine_is_busy(&self) -> bool {
         self.acquire.is_some()
             || self.verify.is_some()
-            || self.evidence.is_some()
+            || self.status_query.is_some()
             || self.timer.is_some()
     }
 
-    /// Whether what the caller sends belongs to the current unit.
+    /// Returns whether further client messages belong to the current unit.
     pub fn takes_input(&self) -> bool {
         self.lease.is_some()
             && self.answer.ending().is_none()
             && (self.plan.open || self.answer.is_copying())
     }
 
-    /// Hands commands to the connection as far as it has room.
-    pub fn hand_over(&mut self) {
+    /// Sends queued commands to the connection until its channel is full.
+    pub fn send_queued(&mut self) {
         let Some(lease) = &self.lease else {
             return;
         };
-        while let Some(command) = self.flight.outgoing.pop_front() {
+        while let Some(command) = self.pipeline.outgoing.pop_front() {
             match lease.commands.try_send(command) {
                 Ok(()) => {}
                 Err(mpsc::error::TrySendError::Full(command)) => {
-                    self.flight.outgoing.push_front(command);
+                    self.pipeline.outgoing.push_front(command);
                     return;
                 }
                 Err(mpsc::error::TrySendError::Closed(_)) => return,
@@ -267,45 +273,47 @@
         }
     }
 
-    /// Takes a reply of the connection, or its end.
-    pub fn reply(&mut self, reply: Option<BackendReply>, observed: &mut VecDeque<Observed>) {
+    /// Processes a reply of the connection; `None` means that the connection has ended.
+    pub fn on_reply(&mut self, reply: Option<BackendReply>, observed: &mut VecDeque<Observed>) {
         match reply {
             Some(BackendReply::Frames(frames)) => {
                 for frame in frames {
-                    self.frame(frame, observed);
+                    self.on_frame(frame, observed);
                 }
                 if self.answer.overflowed() || self.is_stuck() {
-                    log::warn!("caller: an answer is larger than what may be held back.");
+                    log::warn!(
+                        "caller: an answer exceeds the limit on buffered bytes; its connection is closed."
+                    );
                     self.lose_connection(observed);
                 }
-                self.hand_over();
+                self.send_queued();
             }
             Some(BackendReply::Refused(refusal)) => self.lose_lease(refusal, observed),
             Some(BackendReply::Lost) | None => self.lose_connection(observed),
         }
     }
 
-    /// Takes a reply that comes between two units: the rest of one that failed, or the
-    /// end of the connection.
+    /// Processes a reply that arrives between two units: the rest of the answer to a
+    /// failed unit, or the end of the connection.
     pub fn reply_while_idle(&mut self, reply: Option<BackendReply>) {
         let mut observed = VecDeque::new();
-        self.reply(reply, &mut observed);
+        self.on_reply(reply, &mut observed);
         let lost = |item: &Observed| matches!(item, Observed::Event(RequestEvent::ConnectionLost));
         self.lost_while_idle |= observed.iter().any(lost);
     }
 
-    /// Whether nothing can move any more: the answer fills its buffer while the
-    /// machine still waits for its end.
+    /// Returns whether the unit is deadlocked: the answer fills its buffer, so the
+    /// connection is not read, while the machine still waits for the end of the answer.
     fn is_stuck(&self) -> bool {
         !self.answer.has_room()
             && !self.answer.is_delivering()
-            && self.flight.sections.front() == Some(&Section::Unit)
+            && self.pipeline.sections.front() == Some(&Section::Unit)
     }
 
-    /// The home refused a lease on which commands were sent early; none of them ran.
+    /// Handles a refused lease on which commands were sent early; none of them ran.
     fn lose_lease(&mut self, refusal: Refusal, observed: &mut VecDeque<Observed>) {
         let lease = self.lease.take();
-        self.flight = Flight::default();
+        self.pipeline = Pipeline::default();
         observed.push_back(Observed::Event(RequestEvent::LeaseRefused {
             database: lease.map(|lease| lease.database).unwrap_or_default(),
             refusal,
@@ -315,15 +323,15 @@
     fn lose_connection(&mut self, observed: &mut VecDeque<Observed>) {
         self.lease = None;
         self.check_due = None;
-        self.flight = Flight::default();
+        self.pipeline = Pipeline::default();
         observed.push_back(Observed::Event(RequestEvent::ConnectionLost));
     }
 
-    fn frame(&mut self, frame: Frame, observed: &mut VecDeque<Observed>) {
+    fn on_frame(&mut self, frame: Frame, observed: &mut VecDeque<Observed>) {
         if BackendError::from_frame(&frame).is_some_and(|error| error.is_fatal()) {
             return;
         }
-        let Some(section) = self.flight.sections.front().copied() else {
+        let Some(section) = self.pipeline.sections.front().copied() else {
             return;
         };
         let ends = frame.tag == backend::READY_FOR_QUERY;
@@ -335,7 +343,7 @@
             Section::Commit => self.commit_frame(frame, observed),
         }
         if ends {
-            self.flight.sections.pop_front();
+            self.pipeline.sections.pop_front();
         }
     }
 
@@ -347,7 +355,7 @@
         let Ok(status) = result else {
             return self.status_failed(section, observed);
         };
-        self.by_replica = status.role == Role::Replica;
+        self.on_replica = status.role == Role::Replica;
         if let Some(lease) = &self.lease {
             observed.push_back(Observed::Status(lease.database.clone(), status.clone()));
         }
@@ -357,12 +365,12 @@
         }));
     }
 
-    /// A cancel request that came late may have hit the status query behind the unit;
-    /// it is asked again then.
+    /// Handles a failed status query. A late cancel request may have hit the query behind
+    /// the unit, which is therefore sent again.
     fn status_failed(&mut self, section: Section, observed: &mut VecDeque<Observed>) {
         if section == Section::Probe && self.failed_probes < PROBE_FAILURE_LIMIT {
             self.failed_probes += 1;
-            self.flight.probe();
+            self.pipeline.push_probe();
         } else {
             self.lose_connection(observed);
         }
@@ -383,9 +391,9 @@
             self.answer.push(frame);
         }
         if ends {
-            self.flight.unit_sent();
+            self.pipeline.push_trailer();
         }
-        let wrapped = self.flight.sections.get(1) == Some(&Section::Commit);
+        let wrapped = self.pipeline.sections.get(1) == Some(&Section::Commit);
         if ends && !wrapped {
             self.unit_ended(observed);
         }
@@ -431,7 +439,7 @@
         let in_transaction = ending.status.is_open();
         if in_transaction && matches!(result, UnitResult::Failed { .. }) {
             self.answer.release_end();
-            self.flight.forget_probes();
+            self.pipeline.mark_probes_stale();
         }
         observed.push_back(Observed::Event(RequestEvent::UnitFinished {
             result,
@@ -439,7 +447,7 @@
         }));
     }
 
-    /// Why the ledger did not take the request's identifier, if it did not.
+    /// Returns why the ledger rejected the request's identifier, if it did.
     pub fn ledger_refusal(&self) -> Option<Refusal> {
         let sqlstate = self.ledger_error.as_deref()?;
         Some(if sqlstate == UNIQUE_VIOLATION {
@@ -451,18 +459,18 @@
         })
     }
 
-    /// Gives the connection back. What is still in flight on it is read to its end
-    /// first, by a task of its own.
+    /// Releases the connection. Replies still in flight are read to their end first, by a
+    /// task of their own.
     pub fn release(&mut self, reusable: bool) {
         self.check_due = None;
-        let flight = std::mem::take(&mut self.flight);
-        self.settled = false;
+        let pipeline = std::mem::take(&mut self.pipeline);
+        self.settings_applied = false;
         self.collector = StatusCollector::default();
         let Some(lease) = self.lease.take() else {
             return;
         };
         let discard = std::mem::take(&mut self.dirty);
-        let whole = flight.outgoing.is_empty();
-        drain::release(lease, flight.sections.len(), reusable && whole, discard);
+        let whole = pipeline.outgoing.is_empty();
+        drain::release(lease, pipeline.sections.len(), reusable && whole, discard);
     }
 }
--- a/crates/transport/src/caller/authentication.rs
+++ b/crates/transport/src/caller/authentication.rs
@@ -1,5 +1,5 @@
-//! How callers prove who they are: SCRAM-SHA-256, or nothing where everyone on loopback
-//! is trusted.
+//! Authentication of clients: SCRAM-SHA-256, or none where every client on loopback is
+//! trusted.
 
 use std::collections::BTreeMap;
 
@@ -16,42 +16,42 @@
 use crate::caller::settings::{Credential, CredentialStore};
 use crate::caller::stream::{CallerGone, CallerStream};
 
-/// Kind of the message that offers mechanisms.
+/// Type of the authentication message that lists the SASL mechanisms.
 const SASL: u32 = 10;
-/// Kind of the message that goes on with an exchange.
+/// Type of the authentication message that continues a SASL exchange.
 const SASL_CONTINUE: u32 = 11;
-/// Kind of the message that ends an exchange.
+/// Type of the authentication message that ends a SASL exchange.
 const SASL_FINAL: u32 = 12;
 
-/// Why a caller was not let in.
+/// Why a client was not authenticated.
 #[derive(Debug, Error)]
 pub enum AuthenticationError {
-    /// The caller has gone.
+    /// The client has disconnected.
     #[error(transparent)]
     Gone(#[from] CallerGone),
-    /// What it sent does not belong into an authentication.
+    /// A message is malformed or not allowed during authentication.
     #[error("the authentication messages are malformed")]
     Malformed,
-    /// The user or the password is wrong; which of the two is not told.
+    /// The user or the password is wrong; the error does not reveal which.
     #[error("password authentication failed for user \"{user}\"")]
     Failed {
-        /// User name as given.
+        /// User name as given by the client.
         user: String,
     },
 }
 
-/// Checks callers' credentials.
+/// Verifies the credentials of clients.
 pub struct Authenticator {
     verifiers: BTreeMap<String, Verifier>,
     secret: [u8; 32],
 }
 
 impl Authenticator {
-    /// An authenticator for these credentials.
+    /// Creates an authenticator for the given credentials.
     pub fn new(credentials: &CredentialStore) -> Self {
         let verifiers = credentials
             .iter()
-            .map(|(user, credential)| (user.clone(), verifier_of(credential)))
+            .map(|(user, credential)| (user.clone(), derive_verifier(credential)))
             .collect();
         Self {
             verifiers,
@@ -59,10 +59,12 @@
         }
     }
 
-    /// Has the caller prove that it is `user`.
+    /// Runs the SCRAM exchange that proves the client to be `user`; does nothing if no
+    /// credentials are configured.
     ///
     /// # Errors
-    /// When it does not.
+    /// When the client disconnects, sends a malformed message or fails to prove its
+    /// identity.
     pub async fn authenticate(
         &self,
         stream: &mut CallerStream,
@@ -89,7 +91,7 @@
     }
 }
 
-fn verifier_of(credential: &Credential) -> Verifier {
+fn derive_verifier(credential: &Credential) -> Verifier {
     match credential {
         Credential::Password(password) => Verifier::from_password(password, DEFAULT_ITERATIONS),
         Credential::Verifier(verifier) => verifier.clone(),
@@ -114,7 +116,7 @@
     }
 }
 
-/// Mechanism and data of a `SASLInitialResponse`.
+/// Returns mechanism and data of a `SASLInitialResponse`.
 fn initial_response(frame: &Frame) -> Result<(String, Bytes), AuthenticationError> {
     let mut body = frame.body.clone();
     let mechanism =
--- a/crates/transport/src/caller/context.rs
+++ b/crates/transport/src/caller/context.rs
@@ -1,4 +1,4 @@
-//! What all sessions of a node share.
+//! State that all sessions of a node share.
 
 use std::sync::Arc;
 
@@ -14,28 +14,28 @@
 use crate::lease::{LeaseSource, TermVerifier};
 use crate::shared::Shared;
 
-/// Shared parts of the caller side.
+/// Shared state of the client side of a node.
 pub struct Context {
-    /// Settings.
+    /// Settings of the client listener.
     pub settings: CallerSettings,
-    /// Tables of the node.
+    /// Shared tables of the node.
     pub shared: Arc<Shared>,
-    /// Where connections come from.
+    /// Source of leased backend connections.
     pub leases: Arc<dyn LeaseSource>,
-    /// Who verifies terms.
+    /// Verifies leadership terms.
     pub verifier: Arc<dyn TermVerifier>,
-    /// The sessions.
+    /// Table of the open sessions.
     pub registry: Arc<Registry>,
-    /// The classifier of statements.
+    /// Classifier of statements.
     pub classifier: Classifier,
-    /// Who checks callers' credentials.
+    /// Verifies the credentials of clients.
     pub authenticator: Authenticator,
-    /// TLS, if offered.
+    /// TLS acceptor; `None` if TLS is not offered.
     pub tls: Option<TlsAcceptance>,
     /// Start-up parameters that databases have accepted.
     pub accepted_settings: AcceptedSettings,
-    /// What became of units.
+    /// Counters of unit outcomes.
     pub counters: UnitCounters,
-    /// How sessions are to go on.
+    /// Stop mode that all sessions observe.
     pub stop: watch::Sender<StopMode>,
 }
--- a/crates/transport/src/caller/counters.rs
+++ b/crates/transport/src/caller/counters.rs
@@ -1,22 +1,22 @@
-//! Counts of what became of units, for the metrics.
+//! Counters of unit outcomes, for the metrics.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// What became of the units of a node's callers since its start.
+/// Outcomes of the units of a node's clients since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UnitCounts {
-    /// Answered by a primary, errors of the database included.
+    /// Units answered by a primary, including answers with database errors.
     pub primary: u64,
-    /// Answered by a replica.
+    /// Units answered by a replica.
     pub replica: u64,
-    /// Told as not run.
+    /// Units reported as not run.
     pub not_run: u64,
-    /// Told as unknown.
+    /// Units whose outcome was reported as unknown.
     pub unknown: u64,
 }
 
-/// The running counts. Each is read for itself, so together they may be of slightly
-/// different moments.
+/// The live counters. Each is read separately, so a snapshot may mix slightly different
+/// moments.
 #[derive(Debug, Default)]
 pub struct UnitCounters {
     primary: AtomicU64,
@@ -26,9 +26,9 @@
 }
 
 impl UnitCounters {
-    /// A database answered a unit.
-    pub fn answered(&self, by_replica: bool) {
-        let counter = if by_replica {
+    /// Counts a unit that a database answered.
+    pub fn count_answered(&self, on_replica: bool) {
+        let counter = if on_replica {
             &self.replica
         } else {
             &self.primary
@@ -36,18 +36,18 @@
         counter.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A unit was told as not run.
-    pub fn refused(&self) {
+    /// Counts a unit that was reported as not run.
+    pub fn count_refused(&self) {
         self.not_run.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A unit was told as unknown.
-    pub fn doubted(&self) {
+    /// Counts a unit whose outcome was reported as unknown.
+    pub fn count_unknown(&self) {
         self.unknown.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// The counts now.
-    pub fn read(&self) -> UnitCounts {
+    /// Returns the current counts.
+    pub fn snapshot(&self) -> UnitCounts {
         let read = |counter: &AtomicU64| counter.load(Ordering::Relaxed);
         UnitCounts {
             primary: read(&self.primary),
--- a/crates/transport/src/caller/drain.rs
+++ b/crates/transport/src/caller/drain.rs
@@ -1,4 +1,4 @@
-//! Giving a connection back, also while an unwanted answer is still on its way.
+//! Releases a connection, also while an unwanted answer is still arriving on it.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 /// Longest time an unwanted answer is read before its connection is closed instead.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Gives `lease` back after `sections` more ends of answers have been read.
+/// Releases `lease` after the ends of `sections` more answers have been read.
 pub fn release(lease: BackendLease, sections: usize, reusable: bool, discard: bool) {
     let command = BackendCommand::Release { reusable, discard };
     if sections == 0 || !reusable {
@@ -33,7 +33,8 @@
     });
 }
 
-/// Reads and drops replies until so many `ReadyForQuery` have come.
+/// Discards replies until `sections` more `ReadyForQuery` have arrived. Returns `None` if
+/// the connection ends first.
 async fn drain(
     mut lease: BackendLease,
     mut sections: usize,
--- a/crates/transport/src/caller/drive.rs
+++ b/crates/transport/src/caller/drive.rs
@@ -1,4 +1,5 @@
-//! Carrying one unit through its request machine: events in, actions out.
+//! Drives one unit through its request machine: feeds events in and performs the
+//! resulting actions.
 
 use std::collections::VecDeque;
 
@@ -14,7 +15,8 @@
 use crate::caller::session::Session;
 use crate::caller::unit::UnitPlan;
 
-/// Output that is sent even while more of a short answer may still come.
+/// Bytes of output from which it is flushed even if more of a short answer may still
+/// follow.
 const FLUSH_THRESHOLD: usize = 8 * 1024;
 
 impl Session {
@@ -29,31 +31,31 @@
             if self.unit_is_over() {
                 return self.finish_unit();
             }
-            self.pump().await?;
+            self.write_available().await?;
             let input = self.next_input().await;
-            self.take_input(input, &mut events)?;
+            self.handle_input(input, &mut events)?;
         }
     }
 
-    /// Enters the unit into the open transaction, or begins one.
+    /// Adds the unit to the open transaction, or begins a new one.
     fn first_event(&mut self, plan: UnitPlan) -> Option<RequestEvent> {
-        self.mark_transaction(&plan);
-        let mark = self.mark_of(&plan);
+        self.keep_transaction_request_id(&plan);
+        let ledger_id = self.ledger_id_of(&plan);
         if let Some(active) = &mut self.transaction {
             let lost = std::mem::take(&mut active.lost_while_idle);
-            active.next_unit(plan, mark);
-            let marked = active.mark.is_some();
-            let unit = active.plan.unit(true, marked);
+            active.next_unit(plan, ledger_id);
+            let has_ledger_id = active.ledger_id.is_some();
+            let unit = active.plan.unit(true, has_ledger_id);
             return Some(if lost {
                 RequestEvent::ConnectionLost
             } else {
                 RequestEvent::NextUnit { unit }
             });
         }
-        let unit = plan.unit(false, mark.is_some());
+        let unit = plan.unit(false, ledger_id.is_some());
         let machine = self.machine(unit);
-        self.transaction = Some(ActiveTransaction::new(machine, plan, mark));
-        self.guard.entry.waits();
+        self.transaction = Some(ActiveTransaction::new(machine, plan, ledger_id));
+        self.guard.entry.set_waiting();
         Some(RequestEvent::Begin)
     }
 
@@ -61,7 +63,8 @@
         let shared = &self.context.shared;
         let limits = shared.bundle().map(|bundle| bundle.limits.clone());
         let limits = limits.unwrap_or_default();
-        // Only a request's first machine is made while no transaction is open.
+        // A machine is created while a transaction is open only to restart a read; that
+        // is not a new request.
         if self.transaction.is_none() {
             shared.retries.requested(&self.tenant, limits.retry_percent);
         }
@@ -77,15 +80,16 @@
         RequestMachine::with_checks(profile, limits.acknowledge(), self.context.settings.checks)
     }
 
-    fn note_loss(&mut self) {
+    fn count_lost_connection(&mut self) {
         if let Some(active) = &mut self.transaction {
-            active.lost_last = true;
-            active.losses += 1;
+            active.lost_since_acquire = true;
+            active.lost_connections += 1;
         }
     }
 
-    /// Begins a read anew whose connection broke before any of its answer was told.
-    fn begin_anew(&mut self) -> RequestEvent {
+    /// Restarts a read whose connection broke before any of its answer was sent to the
+    /// client.
+    fn restart_read(&mut self) -> RequestEvent {
         let unit = self
             .transaction
             .as_ref()
@@ -93,18 +97,18 @@
         if let Some(unit) = unit {
             let machine = self.machine(unit);
             if let Some(active) = &mut self.transaction {
-                active.begin_anew(machine);
+                active.restart_read(machine);
             }
         }
         RequestEvent::Begin
     }
 
-    /// Writes what may flow.
-    async fn pump(&mut self) -> Result<(), SessionEnd> {
+    /// Writes the part of the answer that may be sent.
+    async fn write_available(&mut self) -> Result<(), SessionEnd> {
         let Some(active) = &mut self.transaction else {
             return Ok(());
         };
-        if active.plan.silent {
+        if active.plan.internal {
             return Ok(());
         }
         for frame in active.answer.take_ready() {
@@ -124,7 +128,7 @@
         })
     }
 
-    fn take_input(
+    fn handle_input(
         &mut self,
         input: Input,
         events: &mut VecDeque<RequestEvent>,
@@ -133,7 +137,7 @@
             return Ok(());
         };
         match input {
-            Input::Lease(result) => events.push_back(active.leased(result)),
+            Input::Lease(result) => events.push_back(active.on_lease_result(result)),
             Input::Verified(position) => events.push_back(match position {
                 Some(position) => RequestEvent::TermVerified { position },
                 None => RequestEvent::VerifyFailed,
@@ -153,22 +157,24 @@
             }
             Input::ProbeDue => {
                 active.probe_at = None;
-                active.flight.probe();
-                active.hand_over();
+                active.pipeline.push_probe();
+                active.send_queued();
             }
-            Input::Room => active.hand_over(),
-            Input::CheckLate => {
+            Input::HasCapacity => active.send_queued(),
+            Input::CheckTimedOut => {
                 let database = active.lease.as_ref().map(|lease| lease.database.clone());
-                log::info!("caller: {database:?} did not answer a status query in time.");
+                log::info!("caller: database {database:?} did not answer a status query in time.");
                 self.observe(None, events);
             }
             Input::Stuck => {
-                log::error!("caller: a unit waits for nothing; its outcome is told as unknown.");
+                log::error!(
+                    "caller: a unit cannot make progress; its outcome is reported as unknown."
+                );
                 self.handle(RequestEvent::CallerGone);
                 self.fail_with(Failure::Unknown(UnknownCause::Deadline));
             }
             Input::Reply(reply) => self.observe(reply, events),
-            Input::Message(frame) => self.take_message(&frame)?,
+            Input::Message(frame) => self.handle_message(&frame)?,
             Input::Gone(gone) => {
                 self.handle(RequestEvent::CallerGone);
                 return Err(gone.into());
@@ -190,18 +196,18 @@
             return;
         };
         let mut observed = VecDeque::new();
-        active.reply(reply, &mut observed);
-        let anew = !self.status.is_open() && active.may_begin_anew();
+        active.on_reply(reply, &mut observed);
+        let restarts = !self.status.is_open() && active.can_restart();
         for item in observed {
             match item {
-                Observed::Event(RequestEvent::ConnectionLost) if anew => {
-                    self.note_loss();
-                    let event = self.begin_anew();
+                Observed::Event(RequestEvent::ConnectionLost) if restarts => {
+                    self.count_lost_connection();
+                    let event = self.restart_read();
                     events.push_back(event);
                 }
                 Observed::Event(event) => {
                     if event == RequestEvent::ConnectionLost {
-                        self.note_loss();
+                        self.count_lost_connection();
                     }
                     events.push_back(event);
                 }
@@ -212,9 +218,9 @@
         }
     }
 
-    /// A message that belongs to the unit in progress: COPY data, or the rest of
-    /// messages that were flushed before their `Sync`.
-    fn take_message(&mut self, frame: &Frame) -> Result<(), SessionEnd> {
+    /// Handles a client message that belongs to the unit in progress: COPY data, or
+    /// further messages of a unit that was flushed before its `Sync`.
+    fn handle_message(&mut self, frame: &Frame) -> Result<(), SessionEnd> {
         let Some(active) = &mut self.transaction else {
             return Ok(());
         };
@@ -223,12 +229,12 @@
                 self.handle(RequestEvent::CallerGone);
                 return Err(SessionEnd::Terminated);
             }
-            frontend::COPY_DATA => active.relay(frame),
+            frontend::COPY_DATA => active.queue_frame(frame),
             frontend::COPY_DONE | frontend::COPY_FAIL => {
                 active.answer.copy_ended();
-                active.relay(frame);
+                active.queue_frame(frame);
             }
-            frontend::FLUSH => active.relay(frame),
+            frontend::FLUSH => active.queue_frame(frame),
             frontend::QUERY if !active.answer.is_copying() => {
                 self.stream.put_back(frame.clone());
                 active.end_by_query();
@@ -239,7 +245,7 @@
                         .plan
                         .translate(frame, &mut self.statements, &self.context.classifier);
                 match translated {
-                    Ok(translation) => active.follow(frame.tag, translation),
+                    Ok(translation) => active.extend_unit(frame.tag, translation),
                     Err(error) => {
                         self.stream.write(&error::unit_error(&error));
                         self.abandon_unit();
@@ -247,23 +253,23 @@
                     }
                 }
                 if let Some(refusal) = self.open_refusal() {
-                    self.tell_refusal(&refusal);
+                    self.report_refusal(&refusal);
                     self.abandon_unit();
                     return Ok(());
                 }
             }
         }
         if let Some(active) = &mut self.transaction {
-            active.hand_over();
+            active.send_queued();
         }
         Ok(())
     }
 
-    /// Gives up a unit in the middle of its messages; closing the connection undoes
+    /// Abandons a unit in the middle of its messages; closing the connection rolls back
     /// what it did so far.
     fn abandon_unit(&mut self) {
         self.handle(RequestEvent::CallerGone);
-        self.fail_with(Failure::Told);
+        self.fail_with(Failure::AlreadyReported);
     }
 
     fn fail_with(&mut self, failure: Failure) {
--- a/crates/transport/src/caller/error.rs
+++ b/crates/transport/src/caller/error.rs
@@ -1,4 +1,4 @@
-//! Errors as callers see them, and why sessions end.
+//! Errors as clients see them, and the reasons why sessions end.
 
 use hookpoint_protocol::errors::{BackendError, ErrorReport, Severity};
 use hookpoint_protocol::extended::MalformedMessage;
@@ -29,32 +29,33 @@
 /// Why a session ended.
 #[derive(Debug, Error)]
 pub enum SessionEnd {
-    /// The caller said good-bye.
+    /// The client sent `Terminate`.
     #[error("the caller ended it")]
     Terminated,
-    /// The caller has gone.
+    /// The client has disconnected.
     #[error(transparent)]
     Gone(#[from] CallerGone),
-    /// The caller broke the protocol.
+    /// The client violated the protocol.
     #[error(transparent)]
     Malformed(#[from] MalformedMessage),
-    /// The caller's messages up to `Sync` are larger than allowed.
+    /// The client's messages up to `Sync` exceed the size limit.
     #[error("a unit of messages is over the limit")]
     UnitTooLarge,
     /// The proxy is stopping.
     #[error("the proxy is stopping")]
     Stopping,
-    /// A start-up parameter was refused by a database, or cannot be carried.
+    /// A database refused a start-up parameter (`Some`), or the proxy cannot carry it
+    /// (`None`).
     #[error("a start-up parameter was refused")]
     Setting(Option<BackendError>),
-    /// A transaction stood idle for too long.
+    /// A transaction was idle for too long.
     #[error("a transaction stood idle for too long")]
     IdleTransaction,
 }
 
 impl SessionEnd {
-    /// The last message to the caller, if one can still be sent.
-    pub fn farewell(&self) -> Option<Frame> {
+    /// Returns the last message to the client, if one can still be sent.
+    pub fn final_message(&self) -> Option<Frame> {
         let sqlstate = match self {
             SessionEnd::Terminated => return None,
             SessionEnd::Gone(CallerGone::Frame(
@@ -74,7 +75,7 @@
     }
 }
 
-/// What a connection is told that did not become a session.
+/// Returns the error message for a connection that did not become a session.
 pub fn start_failure(failure: &StartFailure) -> Option<Frame> {
     let sqlstate = match failure {
         StartFailure::Gone(_) | StartFailure::TlsHandshake => return None,
@@ -91,22 +92,22 @@
     Some(fatal(sqlstate, &failure.to_string()))
 }
 
-/// The answer to a request that did not run.
+/// Returns the error message for a request that did not run.
 pub fn refusal(refusal: &Refusal) -> Frame {
     ErrorReport::refusal(refusal).to_frame()
 }
 
-/// The answer to a request that may have run.
+/// Returns the error message for a request that may have run.
 pub fn unknown(cause: UnknownCause) -> Frame {
     ErrorReport::unknown(cause).to_frame()
 }
 
-/// The answer to a request that the caller cancelled before it was sent.
+/// Returns the error message for a request that the client cancelled before it was sent.
 pub fn cancelled() -> Frame {
     error(QUERY_CANCELLED, "the request was cancelled before it ran")
 }
 
-/// The answer to a unit that cannot be made ready.
+/// Returns the error message for a unit that cannot be planned.
 pub fn unit_error(failure: &UnitError) -> Frame {
     let sqlstate = match failure {
         UnitError::Malformed(_) => PROTOCOL_VIOLATION,
@@ -115,7 +116,7 @@
     error(sqlstate, &failure.to_string())
 }
 
-/// The answer inside a failed transaction block.
+/// Returns the error message for a statement inside a failed transaction block.
 pub fn aborted_transaction() -> Frame {
     error(
         FAILED_TRANSACTION,
@@ -123,13 +124,13 @@
     )
 }
 
-/// The answer to `DEALLOCATE` of a statement that is not there.
+/// Returns the error message for `DEALLOCATE` of a statement that does not exist.
 pub fn missing_statement(name: &str) -> Frame {
     let message = format!("prepared statement \"{name}\" does not exist");
     error(INVALID_STATEMENT_NAME, &message)
 }
 
-/// The answer to `DISCARD ALL` inside a transaction block.
+/// Returns the error message for `DISCARD ALL` inside a transaction block.
 pub fn discard_in_transaction() -> Frame {
     error(
         ACTIVE_TRANSACTION,
--- a/crates/transport/src/caller/finish.rs
+++ b/crates/transport/src/caller/finish.rs
@@ -1,4 +1,4 @@
-//! The end of a unit: its answer's end, the session's state after it, and errors in
+//! Completion of a unit: the end of its answer, the session state after it, and errors in
 //! place of an answer.
 
 use hookpoint_coordination::explain::Decision;
@@ -12,19 +12,19 @@
 use crate::caller::setting_checks;
 
 impl Session {
-    /// Writes the end of the current unit's answer and settles the session's state.
+    /// Writes the end of the current unit's answer and updates the session state.
     pub(super) fn finish_unit(&mut self) -> Result<(), SessionEnd> {
-        self.guard.entry.rests();
+        self.guard.entry.set_idle();
         let Some(mut active) = self.transaction.take() else {
             return Ok(());
         };
         match active.failure.take() {
             Some(failure) => self.finish_failed(active, failure),
-            None if active.plan.silent => {
+            None if active.plan.internal => {
                 self.status = TransactionStatus::Idle;
                 let mut answer = active.answer.take_ready();
                 answer.extend(active.answer.take_end());
-                return setting_checks::verdict(&answer);
+                return setting_checks::check_result(&answer);
             }
             None => self.finish_answered(active),
         }
@@ -38,31 +38,32 @@
         }
         let end = active.answer.take_end();
         match &refusal {
-            Some(refusal) => self.tell_refusal(refusal),
+            Some(refusal) => self.report_refusal(refusal),
             None => {
-                self.context.counters.answered(active.by_replica);
+                self.context.counters.count_answered(active.on_replica);
                 end.iter().for_each(|frame| self.stream.write(frame));
             }
         }
-        for name in active.answer.take_parse_failures() {
+        for name in active.answer.take_failed_parses() {
             self.statements.remove(&name);
         }
         if refusal == Some(Refusal::AlreadyRan)
-            && let Some(request) = &active.mark
+            && let Some(request) = &active.ledger_id
         {
-            self.spend_mark(request);
+            self.clear_next_request_id(request);
         }
         let failed = refusal.is_some() || active.answer.has_failed();
         let ready = active.plan.ready;
-        self.settle(active, refusal.is_some());
+        self.apply_changes(active, refusal.is_some());
         if ready || failed {
             self.end_refused(ready);
         }
     }
 
-    /// Tells the caller that its request did not run, and keeps a record of it.
-    pub(super) fn tell_refusal(&mut self, refusal: &Refusal) {
-        self.context.counters.refused();
+    /// Sends the client the error for a request that did not run, counts it and records
+    /// it in the decision log.
+    pub(super) fn report_refusal(&mut self, refusal: &Refusal) {
+        self.context.counters.count_refused();
         self.record_failure(refusal.outcome(), refusal.sqlstate());
         self.stream.write(&error::refusal(refusal));
     }
@@ -76,8 +77,8 @@
         self.context.shared.record(session, decision);
     }
 
-    /// Takes over what the unit changed in the session.
-    fn settle(&mut self, active: ActiveTransaction, refused: bool) {
+    /// Applies the changes that the unit made to the session state.
+    fn apply_changes(&mut self, active: ActiveTransaction, refused: bool) {
         let ending = active.answer.ending().cloned().unwrap_or_default();
         let failed = refused || ending.sqlstate.is_some();
         if !failed {
@@ -93,8 +94,8 @@
             self.settings.roll_back();
         } else {
             self.settings.commit();
-            for request in &active.marked {
-                self.spend_mark(request);
+            for request in &active.recorded_ids {
+                self.clear_next_request_id(request);
             }
         }
         self.statements.end_transaction();
@@ -102,14 +103,14 @@
 
     fn finish_failed(&mut self, mut active: ActiveTransaction, failure: Failure) {
         match &failure {
-            Failure::Refused(refusal) => self.tell_refusal(refusal),
+            Failure::Refused(refusal) => self.report_refusal(refusal),
             Failure::Unknown(cause) => {
-                self.context.counters.doubted();
+                self.context.counters.count_unknown();
                 self.record_failure(Outcome::Unknown, UNKNOWN_SQLSTATE);
                 self.stream.write(&error::unknown(*cause));
             }
             Failure::Cancelled => self.stream.write(&error::cancelled()),
-            Failure::Told => {}
+            Failure::AlreadyReported => {}
         }
         active.release(false);
         let ended = active.plan.traits.ends_transaction;
@@ -122,8 +123,8 @@
         } else {
             self.status = TransactionStatus::Idle;
         }
-        self.check_failed = active.plan.silent;
-        if !active.plan.silent {
+        self.check_failed = active.plan.internal;
+        if !active.plan.internal {
             self.end_refused(ready);
         }
     }
--- a/crates/transport/src/caller/flight.rs
+++ b/crates/transport/src/caller/flight.rs
@@ -1,5 +1,5 @@
-//! What is in flight on a connection for one unit, and which part of the stream of
-//! replies belongs to what.
+//! Commands and replies in flight on a connection for one unit, and which part of the
+//! reply stream answers which command.
 
 use std::collections::VecDeque;
 
@@ -15,7 +15,7 @@
     Check,
     /// Answer to the `BEGIN` put around a request that is not repeatable.
     Begin,
-    /// Answer to the insert of a request identifier.
+    /// Answer to the insert of a request identifier into the ledger.
     Ledger,
     /// Answer to the unit.
     Unit,
@@ -23,39 +23,39 @@
     Commit,
     /// Answer to a status query behind the unit.
     Probe,
-    /// Answer to a status query that nobody waits for any more.
+    /// Answer to a status query whose result is no longer needed.
     Stale,
 }
 
-/// Commands still to be handed over and sections still to be read.
+/// Commands still to be sent and reply sections still to be read.
 #[derive(Debug, Default)]
-pub struct Flight {
-    /// Commands to be handed to the connection, in order.
+pub struct Pipeline {
+    /// Commands to be sent to the connection, in order.
     pub outgoing: VecDeque<BackendCommand>,
-    /// Sections to be read, in order.
+    /// Reply sections to be read, in order.
     pub sections: VecDeque<Section>,
     trailer: Vec<(Section, BackendCommand)>,
 }
 
-/// Which statements are put around a unit.
+/// Which statements are added around a unit.
 #[derive(Clone, Debug, Default)]
 pub struct Wrapping {
-    /// The status query ahead.
+    /// Whether a status query is sent ahead of the unit.
     pub check: bool,
-    /// The status query behind.
+    /// Whether a status query is sent behind the unit.
     pub probe: bool,
-    /// The request identifier to be put into the ledger.
+    /// Request identifier to be written to the ledger.
     pub ledger: Option<RequestId>,
     /// Whether the ledger row and the unit need a transaction block of their own.
     pub block: bool,
-    /// Whether what stands behind the unit has to wait until the caller has sent all
-    /// of it, because it is open or takes COPY data.
+    /// Whether the commands behind the unit have to wait until the client has sent all of
+    /// the unit, because it is open or takes COPY data.
     pub defer: bool,
 }
 
-impl Flight {
-    /// Adds a unit with what is put around it.
-    pub fn launch(&mut self, unit: &[BackendCommand], wrapping: &Wrapping) {
+impl Pipeline {
+    /// Queues a unit and the statements around it.
+    pub fn push_unit(&mut self, unit: &[BackendCommand], wrapping: &Wrapping) {
         if wrapping.check {
             self.push(Section::Check, status_query());
         }
@@ -76,24 +76,25 @@
         }
         self.trailer = trailer;
         if !wrapping.defer {
-            self.unit_sent();
+            self.push_trailer();
         }
     }
 
-    /// The caller has sent all of the unit; what stands behind it may follow.
-    pub fn unit_sent(&mut self) {
+    /// Queues the commands behind the unit, once the client has sent all of it.
+    pub fn push_trailer(&mut self) {
         for (section, command) in std::mem::take(&mut self.trailer) {
             self.push(section, command);
         }
     }
 
-    /// Adds a status query alone.
-    pub fn probe(&mut self) {
+    /// Queues a status query alone.
+    pub fn push_probe(&mut self) {
         self.push(Section::Probe, status_query());
     }
 
-    /// Nobody waits for the status behind the unit any more.
-    pub fn forget_probes(&mut self) {
+    /// Marks the status queries behind the unit as stale; their results are no longer
+    /// needed.
+    pub fn mark_probes_stale(&mut self) {
         for section in &mut self.sections {
             if *section == Section::Probe {
                 *section = Section::Stale;
--- a/crates/transport/src/caller/input.rs
+++ b/crates/transport/src/caller/input.rs
@@ -1,4 +1,4 @@
-//! What a session waits for while a unit is in progress.
+//! Events that a session waits for while a unit is in progress.
 
 use hookpoint_coordination::status::BackendStatus;
 use hookpoint_protocol::backend_command::{BackendCommand, BackendReply};
@@ -11,40 +11,40 @@
 use crate::caller::stream::{CallerGone, CallerStream};
 use crate::lease::BackendLease;
 
-/// Something that happened while a unit is in progress.
+/// An event that occurred while a unit is in progress.
 pub(super) enum Input {
-    /// The wait for a connection is over.
+    /// The acquisition of a connection has ended.
     Lease(Result<BackendLease, Refusal>),
-    /// The verification of the term is over.
+    /// The verification of the term has ended; `None` if it failed.
     Verified(Option<Position>),
-    /// A database told its status, or did not.
+    /// A status query to a database has ended; the status is `None` if it failed.
     Status(DatabaseName, Option<BackendStatus>),
     /// The machine's timer has fired.
     Timer,
     /// The next status query is due.
     ProbeDue,
     /// The status query ahead of a read was not answered in time.
-    CheckLate,
+    CheckTimedOut,
     /// The view of a group has changed.
     ViewChanged,
-    /// The connection replied, or has ended.
+    /// The connection replied, or has ended (`None`).
     Reply(Option<BackendReply>),
-    /// The connection takes commands again.
-    Room,
-    /// The caller sent a message of the unit.
+    /// The connection's command channel has capacity again.
+    HasCapacity,
+    /// The client sent a message of the unit.
     Message(Frame),
-    /// The caller has gone.
+    /// The client has disconnected.
     Gone(CallerGone),
-    /// The caller sent nothing more of its unit for too long.
+    /// The client sent no further message of its unit within the idle limit.
     Idle,
-    /// The caller cancelled the request before it was sent.
+    /// The client cancelled the request before it was sent.
     Cancelled,
-    /// There is nothing to wait for, although the unit is not over.
+    /// No event is pending, although the unit is not complete.
     Stuck,
 }
 
 impl Session {
-    /// Waits for whatever comes first. Cancelling the future loses nothing.
+    /// Waits for the next event. The future is cancel-safe.
     pub(super) async fn next_input(&mut self) -> Input {
         let idle_limit = self.idle_limit();
         let Session {
@@ -59,10 +59,10 @@
             return Input::Timer;
         };
         let now = context.shared.now();
-        let takes_input = active.takes_input() && active.flight.outgoing.is_empty();
+        let takes_input = active.takes_input() && active.pipeline.outgoing.is_empty();
         let has_room = active.answer.has_room();
-        let unsent = active.lease.is_none() && !active.answer.has_flowed();
-        let blocked = !active.flight.outgoing.is_empty();
+        let unsent = active.lease.is_none() && !active.answer.has_started();
+        let blocked = !active.pipeline.outgoing.is_empty();
         let commands = active.lease.as_ref().map(|lease| lease.commands.clone());
         tokio::select! {
             lease = pending(&mut active.acquire) => {
@@ -73,17 +73,17 @@
                 active.verify = None;
                 Input::Verified(position)
             }
-            (database, status) = pending(&mut active.evidence) => {
-                active.evidence = None;
+            (database, status) = pending(&mut active.status_query) => {
+                active.status_query = None;
                 Input::Status(database, status)
             }
             () = sleep_until(now, active.timer) => Input::Timer,
             () = sleep_until(now, active.probe_at) => Input::ProbeDue,
-            () = sleep_until(now, active.check_due) => Input::CheckLate,
-            () = std::future::ready(()), if active.waits_for_nothing() => Input::Stuck,
+            () = sleep_until(now, active.check_due) => Input::CheckTimedOut,
+            () = std::future::ready(()), if active.cannot_progress() => Input::Stuck,
             _ = views.changed(), if active.timer.is_some() => Input::ViewChanged,
-            reply = reply_of(&mut active.lease), if has_room => Input::Reply(reply),
-            () = room_of(commands), if blocked => Input::Room,
+            reply = next_reply(&mut active.lease), if has_room => Input::Reply(reply),
+            () = wait_for_capacity(commands), if blocked => Input::HasCapacity,
             input = caller_input(stream, takes_input) => input,
             () = tokio::time::sleep(idle_limit), if takes_input => Input::Idle,
             () = guard.entry.cancelled(), if unsent => Input::Cancelled,
@@ -91,8 +91,8 @@
     }
 }
 
-/// Waits for the caller's next message where it belongs to the unit in progress, and
-/// otherwise only for its going away.
+/// Waits for the next client message where it belongs to the unit in progress, and
+/// otherwise only for the client's disconnect.
 async fn caller_input(stream: &mut CallerStream, takes_input: bool) -> Input {
     if !takes_input {
         return Input::Gone(stream.read_ahead().await);
@@ -103,7 +103,7 @@
     }
 }
 
-/// Waits for a pending result; for ever if there is none.
+/// Waits for a pending result; never resolves if there is none.
 async fn pending<T>(slot: &mut Pending<T>) -> T {
     match slot {
         Some(future) => future.await,
@@ -118,14 +118,14 @@
     }
 }
 
-async fn reply_of(lease: &mut Option<BackendLease>) -> Option<BackendReply> {
+async fn next_reply(lease: &mut Option<BackendLease>) -> Option<BackendReply> {
     match lease {
         Some(lease) => lease.replies.recv().await,
         None => std::future::pending().await,
     }
 }
 
-async fn room_of(commands: Option<mpsc::Sender<BackendCommand>>) {
+async fn wait_for_capacity(commands: Option<mpsc::Sender<BackendCommand>>) {
     match commands {
         Some(commands) => {
             if commands.reserve().await.is_err() {
--- a/crates/transport/src/caller/listener.rs
+++ b/crates/transport/src/caller/listener.rs
@@ -1,4 +1,4 @@
-//! The listener: accepts callers and spreads their sessions over a pool of arbiters.
+//! The listener: accepts clients and distributes their sessions over a pool of arbiters.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,9 +21,9 @@
 use crate::lease::{LeaseSource, TermVerifier};
 use crate::shared::Shared;
 
-/// Connections that may be starting up besides the sessions a node may have.
+/// Connections allowed to be in start-up in addition to the session limit of the node.
 const STARTING_CONNECTIONS: usize = 512;
-/// Pause after the system refused to accept a connection.
+/// Pause after the operating system failed to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// The actor that owns the listening socket and the arbiters.
@@ -33,22 +33,22 @@
     accepting: Option<actix_rt::task::JoinHandle<()>>,
 }
 
-/// Stop accepting.
+/// Stops accepting connections.
 #[derive(Message)]
 #[rtype(result = "()")]
 struct StopAccepting;
 
-/// Every session is gone; stop the arbiters.
+/// Stops the arbiters after all sessions have ended.
 #[derive(Message)]
 #[rtype(result = "()")]
 struct StopArbiters;
 
-/// Look at the TLS files.
+/// Reloads the TLS files.
 #[derive(Message)]
 #[rtype(result = "Result<bool, CallerError>")]
 struct ReloadTls;
 
-/// A running caller side.
+/// Handle to a running client listener.
 #[derive(Clone)]
 pub struct CallerHandle {
     address: SocketAddr,
@@ -60,8 +60,8 @@
     /// Starts to listen. Must be called inside an actix system.
     ///
     /// # Errors
-    /// When the address cannot be listened on, would be open to strangers, or the TLS
-    /// files cannot be used.
+    /// When the address cannot be listened on, is not a loopback address although no
+    /// credentials are set, or the TLS files cannot be used.
     pub async fn start(
         settings: CallerSettings,
         shared: Arc<Shared>,
@@ -89,7 +89,7 @@
             stop: watch::Sender::new(StopMode::Running),
             settings,
         });
-        let listener = Self::launch(Arc::clone(&context), socket);
+        let listener = Self::push_unit(Arc::clone(&context), socket);
         log::info!("caller: listening on {address}.");
         Ok(CallerHandle {
             address,
@@ -98,7 +98,7 @@
         })
     }
 
-    fn launch(context: Arc<Context>, socket: TcpListener) -> Addr<Self> {
+    fn push_unit(context: Arc<Context>, socket: TcpListener) -> Addr<Self> {
         let count = context.settings.arbiters.max(1);
         let arbiters: Vec<Arbiter> = (0..count).map(|_| Arbiter::new()).collect();
         let handles = arbiters.iter().map(Arbiter::handle).collect();
@@ -131,7 +131,7 @@
         match &result {
             Ok(true) => log::info!("caller: new TLS files are in use."),
             Ok(false) => {}
-            Err(error) => log::warn!("caller: the TLS files were not taken: {error}."),
+            Err(error) => log::warn!("caller: the TLS files could not be reloaded: {error}."),
         }
         result
     }
@@ -175,77 +175,79 @@
 }
 
 impl CallerHandle {
-    /// Address that is listened on.
+    /// Returns the address that is listened on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Lets requests to cancel find their session from any node: the process numbers of
-    /// later sessions begin with `tag`, and requests for others go to `forward`.
+    /// Enables cancel requests across nodes: the process numbers of later sessions begin
+    /// with `tag`, and cancel requests for other tags go to `forward`.
     pub fn set_cancel_route(&self, tag: u16, forward: ForwardCancel) {
         self.context.registry.set_cancel_route(tag, forward);
     }
 
-    /// Cancels what a session of this node runs. Returns whether the key was right.
+    /// Cancels the running request of a session of this node. Returns whether process
+    /// number and secret match a session.
     pub fn cancel(&self, process: u32, secret: u32) -> bool {
         self.context.registry.cancel(process, secret)
     }
 
-    /// Sessions that have been authenticated and have not ended.
+    /// Returns the number of authenticated sessions that have not ended.
     pub fn sessions(&self) -> usize {
         self.context.registry.sessions()
     }
 
-    /// Connections, those that are still starting up included.
+    /// Returns the number of connections, including those still in start-up.
     pub fn connections(&self) -> usize {
         *self.context.registry.connections().borrow()
     }
 
-    /// What became of units since the start.
+    /// Returns the outcomes of units since the start.
     pub fn unit_counts(&self) -> UnitCounts {
-        self.context.counters.read()
+        self.context.counters.snapshot()
     }
 
-    /// Looks at the TLS files now. Returns whether new ones are in use.
+    /// Reloads the TLS files now. Returns whether new ones are in use.
     ///
     /// # Errors
-    /// When the files cannot be used; what was in use stays so.
+    /// When the files cannot be used; the previous ones stay in use.
     pub async fn reload_tls(&self) -> Result<bool, CallerError> {
         self.listener.send(ReloadTls).await.unwrap_or(Ok(false))
     }
 
-    /// Stops gracefully: no more callers are accepted, what is in flight is finished,
-    /// idle sessions get their token and a clean end. Resolves when all are gone.
+    /// Stops gracefully: no more clients are accepted, requests in flight are finished,
+    /// and idle sessions get their token and a final message. Resolves when all sessions
+    /// have ended.
     pub async fn stop(&self) {
-        self.end(StopMode::Graceful).await;
+        self.end_sessions(StopMode::Graceful).await;
     }
 
-    /// Ends every session at once. Resolves when all are gone.
+    /// Ends every session at once. Resolves when all have ended.
     pub async fn abort(&self) {
-        self.end(StopMode::Abort).await;
+        self.end_sessions(StopMode::Abort).await;
     }
 
-    async fn end(&self, mode: StopMode) {
-        let _gone = self.listener.send(StopAccepting).await;
+    async fn end_sessions(&self, mode: StopMode) {
+        let _sent = self.listener.send(StopAccepting).await;
         self.context
             .stop
             .send_modify(|held| *held = mode.max(*held));
         let mut connections = self.context.registry.connections();
         let _count = connections.wait_for(|count| *count == 0).await;
-        let _gone = self.listener.send(StopArbiters).await;
-        log::info!("caller: every session on {} has ended.", self.address);
+        let _sent = self.listener.send(StopArbiters).await;
+        log::info!("caller: all sessions on {} have ended.", self.address);
     }
 }
 
-/// Accepts callers until the task is aborted.
+/// Accepts clients until the task is aborted.
 async fn accept(socket: TcpListener, context: Arc<Context>, arbiters: Vec<ArbiterHandle>) {
     let mut next = 0;
     loop {
         match socket.accept().await {
             Ok((stream, _)) => {
-                if let Some(guard) = admit(&context) {
+                if let Some(guard) = try_connect(&context) {
                     next = (next + 1) % arbiters.len();
-                    hand_to(&arbiters[next], stream, guard, Arc::clone(&context));
+                    spawn_session(&arbiters[next], stream, guard, Arc::clone(&context));
                 }
             }
             Err(error) => {
@@ -256,14 +258,14 @@
     }
 }
 
-/// Counts a connection unless there are far too many.
-fn admit(context: &Context) -> Option<ConnectionGuard> {
+/// Counts a connection, or returns `None` if the connection limit is reached.
+fn try_connect(context: &Context) -> Option<ConnectionGuard> {
     let limit = startup::session_limit(context).saturating_add(STARTING_CONNECTIONS);
     let count = *context.registry.connections().borrow();
     (count < limit).then(|| context.registry.connect())
 }
 
-fn hand_to(
+fn spawn_session(
     arbiter: &ArbiterHandle,
     stream: TcpStream,
     guard: ConnectionGuard,
--- a/crates/transport/src/caller/local.rs
+++ b/crates/transport/src/caller/local.rs
@@ -1,4 +1,4 @@
-//! Statements that the proxy answers by itself: they speak of the session and not of a
+//! Statements that the proxy answers by itself because they concern the session and not a
 //! database.
 
 use hookpoint_protocol::classify::{SettingChange, StatementKind, UnitClass};
@@ -6,12 +6,13 @@
 use hookpoint_protocol::reply;
 use hookpoint_protocol::tags::backend;
 
-/// Parameter that holds the session's token.
+/// Run-time parameter that holds the session's token.
 pub const TOKEN_SETTING: &str = "hookpoint.token";
-/// Parameter that marks the next write as not repeatable.
+/// Run-time parameter that holds the identifier of the next write, which makes that write
+/// not repeatable.
 pub const REQUEST_ID_SETTING: &str = "hookpoint.request_id";
 
-/// A parameter of the proxy itself.
+/// A run-time parameter of the proxy itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalSetting {
     /// [`TOKEN_SETTING`].
@@ -21,7 +22,7 @@
 }
 
 impl LocalSetting {
-    /// The setting called `name`, if it is one of the proxy's own.
+    /// Returns the setting called `name`, if it is one of the proxy's own.
     pub fn named(name: &str) -> Option<Self> {
         if name.eq_ignore_ascii_case(TOKEN_SETTING) {
             Some(Self::Token)
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Its name.
+    /// Returns the parameter name.
     pub fn name(self) -> &'static str {
         match self {
             Self::Token => TOKEN_SETTING,
@@ -41,8 +42,8 @@
     }
 }
 
-/// Whether `text` changes one of the proxy's own parameters in a way that only a
-/// database would notice: among other statements, or through `set_config`.
+/// Returns whether `text` changes one of the proxy's own parameters in a way that the
+/// proxy would not apply itself: among other statements, or through `set_config`.
 pub fn changes_own_setting(text: &str, class: &UnitClass) -> bool {
     let lower = text.to_ascii_lowercase();
     if lower.contains("set_config") {
@@ -56,22 +57,22 @@
     })
 }
 
-/// A statement the proxy answers by itself.
+/// A statement that the proxy answers by itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LocalStatement {
     /// `SHOW` of one of the proxy's own parameters.
     Show(LocalSetting),
-    /// `SET` of one; nothing resets it.
+    /// `SET` of one of the proxy's own parameters; `None` is `RESET`.
     Set(LocalSetting, Option<String>),
-    /// `DEALLOCATE` of one statement or of all.
+    /// `DEALLOCATE` of one statement, or of all (`None`).
     Deallocate(Option<String>),
     /// `DISCARD ALL`.
     DiscardAll,
 }
 
 impl LocalStatement {
-    /// The statement that `text` is, if it is one of these alone.
-    pub fn of(text: &str, class: &UnitClass) -> Option<Self> {
+    /// Returns the local statement that `text` consists of, if it is exactly one.
+    pub fn parse(text: &str, class: &UnitClass) -> Option<Self> {
         if class.statements.len() > 1 {
             return None;
         }
@@ -90,10 +91,10 @@
             }
             _ => {}
         }
-        Self::by_words(text)
+        Self::parse_words(text)
     }
 
-    fn by_words(text: &str) -> Option<Self> {
+    fn parse_words(text: &str) -> Option<Self> {
         let text = text.trim().trim_end_matches(';');
         let mut words = text.split_ascii_whitespace();
         let first = words.next()?.to_ascii_uppercase();
@@ -117,7 +118,7 @@
         }
     }
 
-    /// What describes the statement's rows.
+    /// Returns the message that describes the statement's result rows.
     pub fn description(&self) -> Frame {
         match self {
             Self::Show(setting) => reply::text_column(setting.name()),
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Command tag of its answer.
+    /// Returns the command tag of the answer.
     pub fn tag(&self) -> &'static str {
         match self {
             Self::Show(_) => "SHOW",
--- a/crates/transport/src/caller/marks.rs
+++ b/crates/transport/src/caller/marks.rs
@@ -1,17 +1,18 @@
-//! Requests that are not repeatable: which unit carries which identifier.
+//! Requests that are not repeatable: which unit carries which request identifier.
 
 use hookpoint_state::{Refusal, RequestId};
 
 use crate::caller::session::Session;
 use crate::caller::unit::UnitPlan;
 
-/// Longest request identifier, in bytes.
+/// Maximum length of a request identifier, in bytes.
 const MAXIMUM_REQUEST_ID: usize = 255;
 
 impl Session {
-    /// The identifier that has to be in the ledger before `plan` runs. A comment marks
-    /// the unit that holds it; the session's parameter marks its next write.
-    pub(super) fn mark_of(&self, plan: &UnitPlan) -> Option<RequestId> {
+    /// Returns the identifier that must be in the ledger before `plan` runs. An
+    /// identifier in a comment applies to the unit that contains it; one in the session
+    /// parameter applies to the next write.
+    pub(super) fn ledger_id_of(&self, plan: &UnitPlan) -> Option<RequestId> {
         let traits = &plan.traits;
         if !traits.executes || traits.only_opens || traits.only_ends {
             return None;
@@ -25,20 +26,21 @@
         if traits.reads_only {
             return None;
         }
-        self.request_mark.clone()
+        self.next_request_id.clone()
     }
 
-    /// A comment on a lone `BEGIN` marks the transaction's first write.
-    pub(super) fn mark_transaction(&mut self, plan: &UnitPlan) {
+    /// Keeps an identifier given in a comment on a lone `BEGIN` for the transaction's
+    /// first write.
+    pub(super) fn keep_transaction_request_id(&mut self, plan: &UnitPlan) {
         let traits = &plan.traits;
         if traits.executes && traits.only_opens && traits.request_id.is_some() {
-            self.request_mark.clone_from(&traits.request_id);
+            self.next_request_id.clone_from(&traits.request_id);
         }
     }
 
-    /// Why the unit cannot be run as one that is not repeatable, if so.
-    pub(super) fn mark_refusal(&self, plan: &UnitPlan) -> Option<Refusal> {
-        let request = self.mark_of(plan)?;
+    /// Returns why the unit cannot be run with its request identifier, if so.
+    pub(super) fn request_id_refusal(&self, plan: &UnitPlan) -> Option<Refusal> {
+        let request = self.ledger_id_of(plan)?;
         let text = request.as_str();
         let feature = if text.len() > MAXIMUM_REQUEST_ID
             || text.contains(|character: char| character == '\\' || character.is_control())
@@ -58,19 +60,21 @@
         })
     }
 
-    /// Whether `request` would enter the ledger behind a savepoint. Rolling back to it
-    /// would take the row out again while the transaction goes on.
+    /// Returns whether `request` would be written to the ledger behind a savepoint.
+    /// Rolling back to the savepoint would remove the ledger row while the transaction
+    /// goes on.
     fn is_behind_savepoint(&self, plan: &UnitPlan, request: &RequestId) -> bool {
         let active = self.transaction.as_ref();
-        let entered = active.is_some_and(|active| active.marked.contains(request));
+        let entered = active.is_some_and(|active| active.recorded_ids.contains(request));
         let savepoints = active.is_some_and(|active| active.savepoints);
         !entered && (savepoints || plan.traits.savepoints)
     }
 
-    /// The request with this identifier is known to have run.
-    pub(super) fn spend_mark(&mut self, request: &RequestId) {
-        if self.request_mark.as_ref() == Some(request) {
-            self.request_mark = None;
+    /// Clears the request identifier for the next write, because that request is known to
+    /// have run.
+    pub(super) fn clear_next_request_id(&mut self, request: &RequestId) {
+        if self.next_request_id.as_ref() == Some(request) {
+            self.next_request_id = None;
         }
     }
 }
--- a/crates/transport/src/caller/mod.rs
+++ b/crates/transport/src/caller/mod.rs
@@ -1,9 +1,8 @@
-//! The caller side of a proxy: sessions of PostgreSQL clients, from their start-up to
-//! their end.
+//! The client side of a proxy node: sessions of PostgreSQL clients, from start-up to end.
 //!
-//! A session reads a unit of messages, has it classified, and carries it through a
-//! [`hookpoint_coordination::request::RequestMachine`]: the machine decides, the
-//! session waits, sends, holds back and delivers.
+//! A session reads a unit of messages, classifies it, and runs it through a
+//! [`hookpoint_coordination::request::RequestMachine`]: the machine decides, and the
+//! session waits, sends, holds answers back and delivers them.
 
 mod actions;
 mod active;
--- a/crates/transport/src/caller/own_answers.rs
+++ b/crates/transport/src/caller/own_answers.rs
@@ -1,6 +1,6 @@
 //! Answers that a session gives without a database: its own parameters, `DEALLOCATE`,
-//! `DISCARD ALL`, and everything inside a failed transaction block that has lost its
-//! connection.
+//! `DISCARD ALL`, and every unit inside a failed transaction block that has no connection
+//! any more.
 
 use hookpoint_protocol::frame::Frame;
 use hookpoint_protocol::reply::{self, TransactionStatus};
@@ -12,7 +12,7 @@
 use crate::caller::session::Session;
 use crate::caller::unit::{LocalStep, UnitPlan};
 
-/// Tag of a command that ended a failed transaction block.
+/// Command tag of the answer to a statement that ended a failed transaction block.
 const ROLLBACK_TAG: &str = "ROLLBACK";
 
 impl Session {
@@ -58,7 +58,7 @@
             LocalStatement::DiscardAll => {
                 self.statements.clear();
                 self.settings.reset();
-                self.request_mark = None;
+                self.next_request_id = None;
             }
         }
         let complete = reply::command_complete(statement.tag());
@@ -70,26 +70,26 @@
         match setting {
             LocalSetting::Token => self.token().unwrap_or_default(),
             LocalSetting::RequestId => {
-                let mark = self.request_mark.as_ref();
-                mark.map(ToString::to_string).unwrap_or_default()
+                let request_id = self.next_request_id.as_ref();
+                request_id.map(ToString::to_string).unwrap_or_default()
             }
         }
     }
 
-    /// Takes a new value of one of the proxy's own parameters.
+    /// Sets one of the proxy's own parameters.
     pub(super) fn set_local(&mut self, setting: LocalSetting, value: Option<String>) {
         match setting {
-            LocalSetting::Token => self.take_token(value.as_deref()),
+            LocalSetting::Token => self.apply_token(value.as_deref()),
             LocalSetting::RequestId => {
                 let value = value.filter(|text| !text.is_empty());
-                self.request_mark = value.map(RequestId::from);
+                self.next_request_id = value.map(RequestId::from);
             }
         }
     }
 
-    /// A token adds to what the session requires. Without an authentic one of its own
-    /// group the session's history is not known.
-    fn take_token(&mut self, text: Option<&str>) {
+    /// Adds the position of a token to the position that the session requires. Without an
+    /// authentic token of the session's own group the history of the session is unknown.
+    fn apply_token(&mut self, text: Option<&str>) {
         let keys = self.context.settings.token_keys.iter().map(Vec::as_slice);
         let opened = text.and_then(|text| SessionToken::open(text, keys).ok());
         match opened {
@@ -104,7 +104,8 @@
         self.reported = self.required;
     }
 
-    /// The session's reads must see `position` too.
+    /// Raises the position that the session's reads must have reached to at least
+    /// `position`.
     pub(super) fn require(&mut self, position: Position) {
         self.required = Some(match self.required {
             Some(required) => required.join(position),
@@ -121,7 +122,7 @@
         Some(token.seal(key))
     }
 
-    /// Tells the caller the session's token if it has changed.
+    /// Reports the session's token to the client if it has changed.
     pub(super) fn report_token(&mut self) {
         if self.required == self.reported {
             return;
@@ -134,7 +135,7 @@
     }
 
     /// Answers a unit inside a failed transaction block that has no connection: only
-    /// its end is accepted.
+    /// statements that end the block are accepted.
     pub(super) fn answer_aborted(&mut self, plan: &UnitPlan) {
         let empty = !plan.needs_connection && !plan.has_local;
         if !empty && !plan.traits.only_ends {
--- a/crates/transport/src/caller/refusals.rs
+++ b/crates/transport/src/caller/refusals.rs
@@ -1,4 +1,4 @@
-//! Units that are refused before anything of them is sent.
+//! Units that are refused before any part of them is sent.
 
 use hookpoint_state::Refusal;
 
@@ -6,7 +6,7 @@
 use crate::caller::unit::UnitPlan;
 
 impl Session {
-    /// Why the unit cannot be carried at all, if so.
+    /// Returns why the unit cannot be run at all, if so.
     pub(super) fn refusal_of(&self, plan: &UnitPlan) -> Option<Refusal> {
         if let Some(feature) = &plan.traits.unsupported {
             return Some(unsupported(feature));
@@ -24,11 +24,11 @@
             Some(_) => self
                 .block_refusal(plan)
                 .map(unsupported)
-                .or_else(|| self.mark_refusal(plan)),
+                .or_else(|| self.request_id_refusal(plan)),
         }
     }
 
-    /// Why an open unit cannot go on with the message that was just added to it.
+    /// Returns why an open unit cannot go on with the message just added to it, if so.
     pub(super) fn open_refusal(&self) -> Option<Refusal> {
         let active = self.transaction.as_ref()?;
         let plan = &active.plan;
@@ -40,7 +40,7 @@
                 "the proxy's own settings in messages behind a flush",
             ));
         }
-        if active.mark.is_none() && self.mark_of(plan).is_some() {
+        if active.ledger_id.is_none() && self.ledger_id_of(plan).is_some() {
             return Some(unsupported(
                 "a request identifier in messages behind a flush",
             ));
@@ -48,16 +48,17 @@
         None
     }
 
-    /// What the unit does inside its transaction block that could not be followed.
+    /// Returns what the unit does inside its transaction block that the proxy cannot
+    /// track, if anything.
     ///
-    /// A read-only block is routed, and ended, without the evidence that a write needs,
-    /// so it must stay read-only to its end. A parameter set behind a savepoint may be
-    /// undone without the proxy noticing.
+    /// A read-only block is routed and ended without the proof of commit that a write
+    /// needs, so it must stay read-only to its end. A parameter set behind a savepoint
+    /// may be rolled back without the proxy noticing.
     fn block_refusal(&self, plan: &UnitPlan) -> Option<&'static str> {
         let traits = &plan.traits;
         let active = self.transaction.as_ref();
         let opens_read = traits.opens_transaction.is_some_and(|mode| mode.read_only);
-        let in_read = active.is_some_and(|active| active.reads);
+        let in_read = active.is_some_and(|active| active.read_only);
         if traits.changes_mode && (in_read || opens_read) {
             return Some("a change of the mode of a READ ONLY transaction");
         }
@@ -65,7 +66,7 @@
             return Some("writes in one query with the end of a READ ONLY transaction");
         }
         let savepoints = active.is_some_and(|active| active.savepoints) || traits.savepoints;
-        if savepoints && traits.sets_lasting() {
+        if savepoints && traits.sets_beyond_transaction() {
             return Some("SET in a transaction with savepoints; SET LOCAL is carried");
         }
         None
--- a/crates/transport/src/caller/registry.rs
+++ b/crates/transport/src/caller/registry.rs
@@ -1,8 +1,7 @@
-//! Sessions of this node: their count, their cancel keys and what they run now.
+//! Sessions of this node: their number, their cancel keys and the requests they run.
 //!
-//! Lock order: the table of sessions, then one session's running request. Neither is
-//! held across an await point, and neither while a lock of
-//! [`crate::shared::Shared`] is held.
+//! Lock order: the table of sessions, then one session's running request. Neither is held
+//! across an await point or while a lock of [`crate::shared::Shared`] is held.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -14,39 +13,39 @@
 use parking_lot::{Mutex, RwLock};
 use tokio::sync::{Notify, mpsc, watch};
 
-/// How sessions are to go on.
+/// Whether sessions keep running or how they stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StopMode {
-    /// As usual.
+    /// Sessions run normally.
     Running,
-    /// Finish what is in flight, then end.
+    /// Sessions finish the request in flight, then end.
     Graceful,
     /// End at once.
     Abort,
 }
 
-/// One session as others see it.
+/// Entry of one session in the session table.
 #[derive(Debug)]
 pub struct SessionEntry {
-    /// Number of the session.
+    /// Identifier of the session.
     pub id: SessionId,
-    /// Process number told to the caller.
+    /// Process number sent to the client in `BackendKeyData`.
     pub process: u32,
-    /// Secret told to the caller.
+    /// Secret sent to the client in `BackendKeyData`.
     pub secret: u32,
     running: Mutex<Running>,
     cancelled: Notify,
 }
 
-/// What a session does now, as far as a cancel request is concerned.
+/// What a session runs, as far as a cancel request is concerned.
 #[derive(Debug, Default)]
 enum Running {
     /// Nothing that could be cancelled.
     #[default]
     Nothing,
-    /// It waits for a connection; nothing was sent.
+    /// The session waits for a connection; nothing was sent.
     Waiting {
-        /// Whether a cancel request has come.
+        /// Whether a cancel request has arrived.
         cancelled: bool,
     },
     /// A unit runs on this connection.
@@ -54,22 +53,22 @@
 }
 
 impl SessionEntry {
-    /// A unit begins to wait for its connection.
-    pub fn waits(&self) {
+    /// Records that a unit waits for its connection.
+    pub fn set_waiting(&self) {
         *self.running.lock() = Running::Waiting { cancelled: false };
     }
 
-    /// A unit was sent to the connection behind `commands`.
-    pub fn runs(&self, commands: mpsc::Sender<BackendCommand>) {
+    /// Records that a unit was sent to the connection behind `commands`.
+    pub fn set_running(&self, commands: mpsc::Sender<BackendCommand>) {
         *self.running.lock() = Running::Unit(commands);
     }
 
-    /// The unit is over. A cancel request that comes later does nothing.
-    pub fn rests(&self) {
+    /// Records that the unit has ended. A later cancel request has no effect.
+    pub fn set_idle(&self) {
         *self.running.lock() = Running::Nothing;
     }
 
-    /// Resolves when a cancel request came while the session waited.
+    /// Resolves when a cancel request arrives while the session waits for a connection.
     pub async fn cancelled(&self) {
         loop {
             self.cancelled.notified().await;
@@ -79,9 +78,9 @@
         }
     }
 
-    /// Cancels what runs now. The command is put into the connection's own queue
-    /// under the lock, ahead of the release that ends this session's use of it, so it
-    /// cannot reach another session's request.
+    /// Cancels the running request. The command is put into the connection's own queue
+    /// under the lock, ahead of the release that ends this session's use of the
+    /// connection, so it cannot reach another session's request.
     fn cancel(&self) {
         match &mut *self.running.lock() {
             Running::Nothing => {}
@@ -96,18 +95,19 @@
     }
 }
 
-/// Passes on a request to cancel a session of another node: its process number and
-/// secret.
+/// Forwards a cancel request, given by process number and secret, for a session of
+/// another node.
 pub type ForwardCancel = Arc<dyn Fn(u32, u32) + Send + Sync>;
 
-/// Bits of a process number that count sessions; those above name the node.
+/// Low bits of a process number that number the sessions of a node; the high bits
+/// identify the node.
 const SESSION_BITS: u32 = 16;
-/// Sessions that can be told apart by the rest of a process number.
+/// Number of sessions that the low bits of a process number can tell apart.
 const MAXIMUM_SESSIONS: usize = u16::MAX as usize;
 
-/// How requests to cancel find their node.
+/// How cancel requests are routed to other nodes.
 struct CancelRoute {
-    /// What the process numbers of this node begin with.
+    /// High bits of the process numbers of this node.
     tag: u16,
     forward: ForwardCancel,
 }
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Enters a session unless there are `limit` already.
-    pub fn enter(self: &Arc<Self>, limit: usize) -> Option<SessionGuard> {
+    /// Registers a session, or returns `None` if there are `limit` sessions already.
+    pub fn register(self: &Arc<Self>, limit: usize) -> Option<SessionGuard> {
         let mut sessions = self.sessions.lock();
         if sessions.len() >= limit.min(MAXIMUM_SESSIONS) {
             return None;
@@ -174,14 +174,15 @@
         })
     }
 
-    /// Lets the process numbers of later sessions begin with `tag`, and requests to
-    /// cancel with another one go to `forward`.
+    /// Makes the process numbers of later sessions begin with `tag` and sends cancel
+    /// requests with other tags to `forward`.
     pub fn set_cancel_route(&self, tag: u16, forward: ForwardCancel) {
         *self.cancel_route.write() = Some(CancelRoute { tag, forward });
     }
 
-    /// Takes a cancel request from a caller, for a session of this node or another.
-    pub fn cancel_anywhere(&self, process: u32, secret: u32) {
+    /// Handles a cancel request from a client, for a session of this node or of another
+    /// one.
+    pub fn route_cancel(&self, process: u32, secret: u32) {
         if self.cancel(process, secret) {
             return;
         }
@@ -193,7 +194,8 @@
         }
     }
 
-    /// Carries out a cancel request. Returns whether the key was right.
+    /// Cancels the running request of a session of this node. Returns whether process
+    /// number and secret match a session.
     pub fn cancel(&self, process: u32, secret: u32) -> bool {
         let entry = self.sessions.lock().get(&process).cloned();
         match entry {
@@ -205,18 +207,19 @@
         }
     }
 
-    /// Sessions that have been authenticated.
+    /// Returns the number of authenticated sessions.
     pub fn sessions(&self) -> usize {
         self.sessions.lock().len()
     }
 
-    /// Connections, those still starting up included; wakes when the count changes.
+    /// Returns a watch on the number of connections, including those still in start-up.
     pub fn connections(&self) -> watch::Receiver<usize> {
         self.connections.subscribe()
     }
 }
 
-/// A process number that no session has: the node's tag and then a count.
+/// Returns a process number that no session has: the node's tag in the high bits and a
+/// counter in the low bits.
 fn free_process(sessions: &BTreeMap<u32, Arc<SessionEntry>>, tag: u16, id: SessionId) -> u32 {
     let number = |count: u16| u32::from(tag) << SESSION_BITS | u32::from(count);
     let mut count = (id.0 as u16).max(1);
@@ -226,7 +229,7 @@
     number(count)
 }
 
-/// Counts a connection while it lives.
+/// Keeps a connection counted until it is dropped.
 #[derive(Debug)]
 pub struct ConnectionGuard {
     registry: Arc<Registry>,
@@ -238,11 +241,11 @@
     }
 }
 
-/// A session's place in the table.
+/// Keeps a session in the table until it is dropped.
 #[derive(Debug)]
 pub struct SessionGuard {
     registry: Arc<Registry>,
-    /// The session's entry.
+    /// Entry of the session.
     pub entry: Arc<SessionEntry>,
 }
 
--- a/crates/transport/src/caller/session.rs
+++ b/crates/transport/src/caller/session.rs
@@ -1,5 +1,5 @@
-//! One caller's session: it reads units, has them answered one after another, and ends
-//! politely.
+//! One client session: it reads units, answers them one after another, and sends a final
+//! message when it ends.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -31,20 +31,21 @@
     pub(super) tenant: TenantName,
     pub(super) statements: StatementTable,
     pub(super) settings: SettingsTracker,
-    /// What the session's reads must see; none while its history is not known.
+    /// Position that the session's reads must have reached; `None` while the session's
+    /// history is unknown.
     pub(super) required: Option<Position>,
-    /// What the caller was last told of [`Session::required`].
+    /// Value of [`Session::required`] that was last reported to the client.
     pub(super) reported: Option<Position>,
-    /// Identifier for the next write.
-    pub(super) request_mark: Option<RequestId>,
+    /// Request identifier for the next write.
+    pub(super) next_request_id: Option<RequestId>,
     pub(super) transaction: Option<ActiveTransaction>,
     pub(super) status: TransactionStatus,
-    /// Whether a transaction block has failed and has no connection any more.
+    /// Whether a transaction block has failed and no longer has a connection.
     pub(super) aborted: bool,
     pub(super) views: watch::Receiver<u64>,
     /// Start-up parameters that no database has accepted yet.
-    pub(super) unchecked: Vec<(String, String)>,
-    /// Whether the last check of them could not be done.
+    pub(super) unchecked_settings: Vec<(String, String)>,
+    /// Whether the last check of the start-up parameters could not be completed.
     pub(super) check_failed: bool,
     /// Whether messages are skipped up to the next `Sync`.
     pub(super) skipping: bool,
@@ -53,18 +54,18 @@
     batch_bytes: usize,
 }
 
-/// Who a session belongs to.
+/// Group, tenant and run-time parameters of a session.
 pub struct Identity {
-    /// Group it works on.
+    /// Database group that the session uses.
     pub group: GroupName,
-    /// Tenant it belongs to.
+    /// Tenant that the session belongs to.
     pub tenant: TenantName,
-    /// Its run-time parameters, the proxy's own included.
+    /// Run-time parameters, including those of the proxy itself.
     pub settings: BTreeMap<String, String>,
 }
 
 impl Session {
-    /// A session of `identity`.
+    /// Creates a session for `identity`.
     pub fn new(
         context: Arc<Context>,
         stream: CallerStream,
@@ -80,7 +81,7 @@
         let request_id = settings.remove(REQUEST_ID_SETTING);
         let views = context.shared.view_changes();
         let stop = context.stop.subscribe();
-        let unchecked = context.accepted_settings.unknown_of(&settings);
+        let unchecked_settings = context.accepted_settings.not_yet_accepted(&settings);
         let mut session = Self {
             context,
             stream,
@@ -88,12 +89,12 @@
             group,
             tenant,
             statements: StatementTable::default(),
-            unchecked,
+            unchecked_settings,
             check_failed: false,
             settings: SettingsTracker::new(settings),
             required: None,
             reported: None,
-            request_mark: None,
+            next_request_id: None,
             transaction: None,
             status: TransactionStatus::Idle,
             aborted: false,
@@ -119,7 +120,7 @@
                 Ok(unit) => unit,
                 Err(end) => break end,
             };
-            // On the heap while it lasts: a session that waits keeps no room for it.
+            // Boxed, so that an idle session keeps no memory for this future.
             if let Err(end) = Box::pin(self.answer(unit)).await {
                 break end;
             }
@@ -131,9 +132,9 @@
         if let Some(mut active) = self.transaction.take() {
             active.release(false);
         }
-        self.guard.entry.rests();
+        self.guard.entry.set_idle();
         log::debug!("caller: session {} ends: {end}.", self.guard.entry.id);
-        let Some(frame) = end.farewell() else {
+        let Some(frame) = end.final_message() else {
             return;
         };
         self.report_token();
@@ -154,7 +155,8 @@
         }
     }
 
-    /// Adds a message to the unit being read; returns the unit when that ends it.
+    /// Adds a message to the unit being read; returns the unit if the message completes
+    /// it.
     fn collect(&mut self, frame: Frame) -> Result<Option<CallerUnit>, SessionEnd> {
         if self.skipping && !matches!(frame.tag, frontend::SYNC | frontend::TERMINATE) {
             return Ok(None);
@@ -204,7 +206,7 @@
         bundle.map_or(usize::MAX, |bundle| bundle.limits.message_bytes as usize)
     }
 
-    /// Waits between two units.
+    /// Waits for the next message between two units.
     async fn wait_for_frame(&mut self) -> Result<Frame, SessionEnd> {
         let busy = self.transaction.is_some() || !self.batch.is_empty();
         if !busy {
@@ -247,7 +249,7 @@
         Duration::from_millis(limits.unwrap_or_default().idle_transaction_ms)
     }
 
-    /// Has a unit answered.
+    /// Plans a unit and writes its answer.
     async fn answer(&mut self, unit: CallerUnit) -> Result<(), SessionEnd> {
         let ready = match &unit {
             CallerUnit::Simple(_) => true,
@@ -287,7 +289,7 @@
             return Ok(());
         }
         if let Some(refusal) = self.refusal_of(&plan) {
-            self.tell_refusal(&refusal);
+            self.report_refusal(&refusal);
             self.fail_transaction();
             self.end_refused(ready);
             return Ok(());
@@ -303,8 +305,8 @@
         self.run_unit(plan).await
     }
 
-    /// Ends a unit that was refused: with `ReadyForQuery`, or by skipping what the
-    /// caller still sends of it.
+    /// Ends a refused unit: with `ReadyForQuery`, or by skipping the rest of its
+    /// messages.
     pub(super) fn end_refused(&mut self, ready: bool) {
         if ready {
             self.write_ready();
@@ -313,8 +315,7 @@
         }
     }
 
-    /// A refusal inside a transaction block fails the block, as an error of the
-    /// database would.
+    /// Fails the open transaction block after a refusal, as a database error would.
     pub(super) fn fail_transaction(&mut self) {
         if !self.status.is_open() {
             return;
@@ -322,14 +323,14 @@
         if let Some(mut active) = self.transaction.take() {
             active.release(false);
         }
-        self.guard.entry.rests();
+        self.guard.entry.set_idle();
         self.settings.roll_back();
         self.statements.end_transaction();
         self.aborted = true;
         self.status = TransactionStatus::Failed;
     }
 
-    /// Ends a unit's answer.
+    /// Writes the token, if it has changed, and `ReadyForQuery`.
     pub(super) fn write_ready(&mut self) {
         self.report_token();
         self.stream.write(&reply::ready_for_query(self.status));
--- a/crates/transport/src/caller/setting_checks.rs
+++ b/crates/transport/src/caller/setting_checks.rs
@@ -1,8 +1,8 @@
-//! Start-up parameters are checked by a database before the session's first request.
+//! Checks start-up parameters on a database before the session's first request.
 //!
-//! A pool puts a session's parameters on a connection ahead of its request, in the same
-//! flight. Were one of them refused only there, the request would run without them: a
-//! write might go to another schema.
+//! A pool applies a session's parameters to a connection in the same batch as the
+//! request. If a parameter were refused only there, the request would run without it, and
+//! a write might go to another schema.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -16,19 +16,19 @@
 use crate::caller::session::Session;
 use crate::caller::unit::UnitPlan;
 
-/// Parameters that a node remembers as accepted.
-const REMEMBERED: usize = 4_096;
+/// Maximum number of accepted parameters that a node remembers.
+const MAX_ACCEPTED: usize = 4_096;
 
-/// Names and values that databases have accepted. They are forgotten together when
-/// there are too many.
+/// Names and values of parameters that databases have accepted. All of them are forgotten
+/// when the limit is reached.
 #[derive(Debug, Default)]
 pub struct AcceptedSettings {
     accepted: Mutex<BTreeSet<(String, String)>>,
 }
 
 impl AcceptedSettings {
-    /// Those of `settings` that no database has accepted yet.
-    pub fn unknown_of(&self, settings: &BTreeMap<String, String>) -> Vec<(String, String)> {
+    /// Returns the parameters in `settings` that no database has accepted yet.
+    pub fn not_yet_accepted(&self, settings: &BTreeMap<String, String>) -> Vec<(String, String)> {
         let accepted = self.accepted.lock();
         let pairs = settings.iter();
         pairs
@@ -40,42 +40,44 @@
 
     fn accept(&self, settings: Vec<(String, String)>) {
         let mut accepted = self.accepted.lock();
-        if accepted.len() + settings.len() > REMEMBERED {
+        if accepted.len() + settings.len() > MAX_ACCEPTED {
             accepted.clear();
         }
-        accepted.extend(settings.into_iter().take(REMEMBERED));
+        accepted.extend(settings.into_iter().take(MAX_ACCEPTED));
     }
 }
 
 impl Session {
-    /// Has a database check the start-up parameters that no database has accepted yet.
-    /// Returns false when that could not be done; the caller has been told why.
+    /// Checks on a database the start-up parameters that no database has accepted yet.
+    /// Returns false if the check could not be done; the client has then been sent the
+    /// reason.
     ///
     /// # Errors
     /// When a database refuses a parameter; the session ends.
     pub(super) async fn check_settings(&mut self) -> Result<bool, SessionEnd> {
-        if self.unchecked.is_empty() || self.transaction.is_some() {
+        if self.unchecked_settings.is_empty() || self.transaction.is_some() {
             return Ok(true);
         }
-        let query = extended::query(&statements(&self.unchecked));
+        let query = extended::query(&set_statements(&self.unchecked_settings));
         let mut plan = UnitPlan::simple(&query, &self.context.classifier)
             .map_err(|_| SessionEnd::Setting(None))?;
         if plan.traits.unsupported.is_some() {
             return Err(SessionEnd::Setting(None));
         }
-        plan.silent = true;
+        plan.internal = true;
         self.check_failed = false;
         self.run_unit(plan).await?;
         if self.check_failed {
             return Ok(false);
         }
-        let checked = std::mem::take(&mut self.unchecked);
+        let checked = std::mem::take(&mut self.unchecked_settings);
         self.context.accepted_settings.accept(checked);
         Ok(true)
     }
 }
 
-/// What nearly every driver sends and every database accepts.
+/// Returns whether a parameter is one that nearly every driver sends and every database
+/// accepts.
 fn is_always_accepted(name: &str, value: &str) -> bool {
     match name {
         "application_name" => true,
@@ -87,18 +89,18 @@
     }
 }
 
-/// What the answer to the check says.
+/// Evaluates the answer to the check.
 ///
 /// # Errors
 /// When a parameter was refused.
-pub fn verdict(answer: &[Frame]) -> Result<(), SessionEnd> {
+pub fn check_result(answer: &[Frame]) -> Result<(), SessionEnd> {
     match answer.iter().find_map(BackendError::from_frame) {
         Some(error) => Err(SessionEnd::Setting(Some(error))),
         None => Ok(()),
     }
 }
 
-fn statements(settings: &[(String, String)]) -> String {
+fn set_statements(settings: &[(String, String)]) -> String {
     let mut text = String::new();
     for (name, value) in settings {
         let doubled = value.replace('\'', "''");
--- a/crates/transport/src/caller/settings.rs
+++ b/crates/transport/src/caller/settings.rs
@@ -1,4 +1,4 @@
-//! What the caller side is told when it starts.
+//! Settings and credentials of the client listener.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,30 +10,31 @@
 use hookpoint_protocol::scram::Verifier;
 use thiserror::Error;
 
-/// Settings of the caller side.
+/// Settings of the client listener.
 #[derive(Clone, Debug)]
 pub struct CallerSettings {
     /// Address to listen on; port 0 lets the system choose.
     pub listen: SocketAddr,
-    /// Who may begin a session.
+    /// Credentials of the users that may open a session.
     pub credentials: CredentialStore,
-    /// Certificate and key; without them TLS is not offered.
+    /// Certificate and key; `None` means that TLS is not offered.
     pub tls: Option<TlsSettings>,
-    /// Keys of session tokens: the current one first, then those still accepted. With
-    /// none, sessions get no token.
+    /// Keys of session tokens: the current one first, then older ones still accepted.
+    /// Without keys, sessions get no token.
     pub token_keys: Vec<Vec<u8>>,
-    /// Worker threads that sessions are spread over, at least 1.
+    /// Number of worker threads that run sessions, at least 1.
     pub arbiters: usize,
     /// Longest time from the connection to the end of the authentication.
     pub startup_timeout: Duration,
-    /// Longest time a caller may take next to nothing of what is sent to it.
+    /// Longest time in which a client may make almost no progress reading what is sent to
+    /// it.
     pub write_timeout: Duration,
-    /// Safety checks; the lab alone switches one off.
+    /// Safety checks; only the lab switches one off.
     pub checks: SafetyChecks,
 }
 
 impl CallerSettings {
-    /// Settings with defaults for a listener at `listen`: no credentials, no TLS, no
+    /// Returns default settings for a listener at `listen`: no credentials, no TLS, no
     /// token keys, one worker.
     pub fn new(listen: SocketAddr) -> Self {
         Self {
@@ -49,20 +50,20 @@
     }
 }
 
-/// Files of a certificate and its key, read again when they change.
+/// Files of a certificate and its key; they are reloaded when they change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TlsSettings {
-    /// Certificate chain in PEM form.
+    /// Path of the certificate chain in PEM format.
     pub certificate: PathBuf,
-    /// Private key in PEM form.
+    /// Path of the private key in PEM format.
     pub key: PathBuf,
-    /// How often the files are looked at.
+    /// How often the files are checked for changes; zero disables the checks.
     pub reload_interval: Duration,
     /// Whether a session without TLS is refused.
     pub required: bool,
 }
 
-/// What a user proves itself with.
+/// What a user is authenticated against.
 #[derive(Clone)]
 pub enum Credential {
     /// A password in clear text; the SCRAM verifier is derived when the proxy starts.
@@ -80,76 +81,76 @@
     }
 }
 
-/// Credentials by user. An empty store trusts everyone, and then the listener must not
-/// be reachable from beyond loopback.
+/// Credentials by user name. With an empty store every client is trusted, and then the
+/// listener must not be reachable from beyond loopback.
 #[derive(Clone, Debug, Default)]
 pub struct CredentialStore {
     users: BTreeMap<String, Credential>,
 }
 
 impl CredentialStore {
-    /// A store of these users.
+    /// Creates a store of the given users.
     pub fn new(users: impl IntoIterator<Item = (String, Credential)>) -> Self {
         Self {
             users: users.into_iter().collect(),
         }
     }
 
-    /// Whether everyone is trusted.
+    /// Returns whether the store is empty, so that every client is trusted.
     pub fn is_empty(&self) -> bool {
         self.users.is_empty()
     }
 
-    /// The credential of `user`.
+    /// Returns the credential of `user`.
     pub fn get(&self, user: &str) -> Option<&Credential> {
         self.users.get(user)
     }
 
-    /// Users and their credentials, in the order of the names.
+    /// Iterates over users and credentials, ordered by user name.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &Credential)> {
         self.users.iter()
     }
 }
 
-/// Why the caller side did not start, or did not take new TLS files.
+/// Why the client listener did not start, or did not reload its TLS files.
 #[derive(Debug, Error)]
 pub enum CallerError {
     /// Without credentials the listener would be open to the network.
     #[error("no credentials are set, so listening on {address} beyond loopback is refused")]
     TrustBeyondLoopback {
-        /// Address asked for.
+        /// The requested address.
         address: SocketAddr,
     },
     /// The address cannot be listened on.
     #[error("cannot listen on {address}: {source}")]
     Bind {
-        /// Address asked for.
+        /// The requested address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// A TLS file cannot be read.
     #[error("cannot read {path}: {source}")]
     TlsFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// A TLS file does not hold what it should.
+    /// A TLS file does not contain what it should.
     #[error("{path} holds no usable {content}")]
     TlsContent {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What was looked for.
+        /// The content that was expected.
         content: TlsContent,
     },
-    /// Certificate and key do not work together.
+    /// Certificate and key do not match or are not accepted.
     #[error("the certificate and key are not usable: {0}")]
     Tls(#[from] rustls::Error),
 }
 
-/// Content of a TLS file.
+/// Expected content of a TLS file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TlsContent {
     /// A certificate chain.
--- a/crates/transport/src/caller/startup.rs
+++ b/crates/transport/src/caller/startup.rs
@@ -1,4 +1,4 @@
-//! The beginning of a connection: encryption, start-up packet, authentication.
+//! The start of a connection: encryption, start-up packet and authentication.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,27 +20,27 @@
 use crate::caller::session::{Identity, Session};
 use crate::caller::stream::{CallerGone, CallerStream};
 
-/// Largest message accepted before a caller is authenticated, in bytes.
+/// Largest message accepted before a client is authenticated, in bytes.
 const STARTUP_MESSAGE_LIMIT: usize = 16 * 1024;
-/// Requests for encryption answered on one connection.
+/// Maximum number of encryption requests answered on one connection.
 const ENCRYPTION_REQUESTS: usize = 4;
-/// Time after which a silent caller is asked whether it is still there.
+/// Idle time after which TCP keepalive probes a client.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(60);
-/// Time between two such questions.
+/// Time between two TCP keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(15);
-/// Version of the server that callers are told.
+/// Server version reported to clients.
 const SERVER_VERSION: &str = "16.0";
 
 /// Why a connection did not become a session.
 #[derive(Debug, Error)]
 pub enum StartFailure {
-    /// The caller has gone.
+    /// The client has disconnected.
     #[error(transparent)]
     Gone(#[from] CallerGone),
-    /// Its start-up packet is not acceptable.
+    /// The start-up packet is malformed or not supported.
     #[error(transparent)]
     Packet(#[from] StartupError),
-    /// It did not prove who it is.
+    /// The client was not authenticated.
     #[error(transparent)]
     Authentication(#[from] AuthenticationError),
     /// TLS is required and was not used.
@@ -49,30 +49,30 @@
     /// The TLS handshake failed.
     #[error("the TLS handshake failed")]
     TlsHandshake,
-    /// It asked for encryption again and again.
+    /// The client requested encryption too often.
     #[error("encryption was asked for too often")]
     TooManyEncryptionRequests,
-    /// It asked for a replication connection.
+    /// The client requested a replication connection.
     #[error("replication connections are not supported")]
     Replication,
-    /// A run-time parameter has an impossible name, or may not be changed.
+    /// A run-time parameter has an invalid name, or may not be changed.
     #[error("`{name}` is no run-time parameter that a session may set")]
     SettingName {
-        /// The name, shortened.
+        /// The parameter name, truncated.
         name: String,
     },
-    /// The node has all the sessions it may have.
+    /// The session limit of the node is reached.
     #[error("the proxy has as many sessions as it may have")]
     TooManySessions,
-    /// The bundle does not know the group.
+    /// The bundle does not contain the group.
     #[error("there is no database group `{group}`")]
     UnknownGroup {
-        /// The group asked for.
+        /// The requested group.
         group: GroupName,
     },
 }
 
-/// Sessions this node may have.
+/// Returns the session limit of this node.
 pub fn session_limit(context: &Context) -> usize {
     let bundle = context.shared.bundle();
     let limits = bundle
@@ -105,17 +105,19 @@
     match started {
         Ok(Some(session)) => session.run().await,
         Ok(None) => {}
-        Err(_) => log::debug!("caller: a connection did not start up in {limit:?}."),
+        Err(_) => {
+            log::debug!("caller: a connection did not complete its start-up within {limit:?}.")
+        }
     }
 }
 
-/// Turns a connection into a session. A connection that fails is told why.
+/// Turns a connection into a session. A connection that fails is sent the reason.
 async fn begin(socket: TcpStream, context: &Arc<Context>) -> Option<Box<Session>> {
     let write_timeout = context.settings.write_timeout;
     let mut stream = CallerStream::new(Box::new(socket), STARTUP_MESSAGE_LIMIT, write_timeout);
     let failure = match encryption(&mut stream, context).await {
         Ok(None) => return None,
-        Ok(Some(parameters)) => match enter(&mut stream, context, parameters).await {
+        Ok(Some(parameters)) => match open_session(&mut stream, context, parameters).await {
             Ok((guard, identity)) => {
                 stream.limit_messages(message_limit(context));
                 let context = Arc::clone(context);
@@ -141,7 +143,8 @@
     limits.message_bytes as usize
 }
 
-/// Answers requests for encryption and cancelling, up to a session's own packet.
+/// Answers encryption and cancel requests, until the client sends its start-up packet.
+/// Returns `None` after a cancel request.
 async fn encryption(
     stream: &mut CallerStream,
     context: &Context,
@@ -150,7 +153,7 @@
     for _ in 0..=ENCRYPTION_REQUESTS {
         match read_packet(stream).await? {
             StartupPacket::Cancel { process, secret } => {
-                context.registry.cancel_anywhere(process, secret);
+                context.registry.route_cancel(process, secret);
                 return Ok(None);
             }
             StartupPacket::Tls if !encrypted && context.tls.is_some() => {
@@ -196,9 +199,9 @@
         .map_err(|_| StartFailure::TlsHandshake)
 }
 
-/// Checks who the caller is and what it asks for, and tells it that the session has
-/// begun.
-async fn enter(
+/// Authenticates the client, checks its request, registers the session and reports to the
+/// client that it has begun.
+async fn open_session(
     stream: &mut CallerStream,
     context: &Arc<Context>,
     parameters: SessionParameters,
@@ -221,9 +224,9 @@
     }
     let guard = context
         .registry
-        .enter(session_limit(context))
+        .register(session_limit(context))
         .ok_or(StartFailure::TooManySessions)?;
-    greet(stream, &guard, &parameters).await?;
+    send_session_start(stream, &guard, &parameters).await?;
     let identity = Identity {
         group,
         tenant: TenantName::new(&parameters.user),
@@ -249,7 +252,7 @@
     Ok(())
 }
 
-async fn greet(
+async fn send_session_start(
     stream: &mut CallerStream,
     guard: &SessionGuard,
     parameters: &SessionParameters,
@@ -265,7 +268,7 @@
     Ok(())
 }
 
-/// Parameters that a server reports when a session begins.
+/// Returns the parameters that a server reports when a session begins.
 fn reported_settings(parameters: &SessionParameters) -> Vec<(&'static str, &str)> {
     let setting = |name: &'static str, key: &str, default: &'static str| {
         let value = parameters.settings.get(key);
--- a/crates/transport/src/caller/statements.rs
+++ b/crates/transport/src/caller/statements.rs
@@ -1,5 +1,5 @@
-//! A session's prepared statements and portals. Statements live with the session and
-//! are put on whichever connection its transaction runs on, under a name derived from
+//! A session's prepared statements and portals. Statements belong to the session and are
+//! prepared on whichever connection its transaction runs on, under a name derived from
 //! their text, so that sessions share them.
 
 use std::collections::BTreeMap;
@@ -12,41 +12,42 @@
 
 use crate::caller::local::LocalStatement;
 
-/// Bytes of statement text one session may keep.
-const STATEMENT_BYTES: usize = 4 * 1024 * 1024;
-/// Portals one transaction may have at a time.
-const PORTALS: usize = 10_000;
-/// Bytes counted for a statement besides its text.
+/// Maximum bytes of statement text that one session may keep.
+const MAX_STATEMENT_BYTES: usize = 4 * 1024 * 1024;
+/// Maximum number of portals that one transaction may have at a time.
+const MAX_PORTALS: usize = 10_000;
+/// Bytes counted for a statement in addition to its text.
 const STATEMENT_OVERHEAD: usize = 256;
 
-/// A statement as the caller prepared it.
+/// A statement as the client prepared it.
 #[derive(Debug)]
 pub struct Statement {
-    /// Name on shared connections.
+    /// Name of the statement on shared connections.
     pub shared_name: String,
-    /// Its text.
+    /// Text of the statement.
     pub query: String,
-    /// Its parameter types.
+    /// Object identifiers of the parameter types.
     pub parameter_types: Vec<u32>,
-    /// What it does.
+    /// Classification of the statement.
     pub class: UnitClass,
-    /// What the proxy answers by itself, if it does.
+    /// The local statement, if the proxy answers it by itself.
     pub local: Option<LocalStatement>,
 }
 
 impl Statement {
-    /// The statement of a `Parse` message.
+    /// Creates the statement of a `Parse` message.
     pub fn new(parse: &Parse, class: UnitClass) -> Self {
         Self {
             shared_name: prepared::shared_name(&parse.query, &parse.parameter_types),
             query: parse.query.clone(),
             parameter_types: parse.parameter_types.clone(),
-            local: LocalStatement::of(&parse.query, &class),
+            local: LocalStatement::parse(&parse.query, &class),
             class,
         }
     }
 
-    /// The command that puts it on a connection.
+    /// Returns the command that prepares the statement on a connection, unless it is
+    /// prepared already.
     pub fn ensure(&self) -> BackendCommand {
         BackendCommand::EnsurePrepared {
             name: self.shared_name.clone(),
@@ -60,7 +61,7 @@
     }
 }
 
-/// The session keeps more statement text than it may.
+/// The session keeps more statement text or portals than it may.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TooManyStatements;
 
@@ -74,10 +75,10 @@
 }
 
 impl StatementTable {
-    /// Keeps `statement` as `name`, in place of an earlier one of that name.
+    /// Stores `statement` as `name`, replacing an earlier one of that name.
     ///
     /// # Errors
-    /// When the session's statements would take too much memory.
+    /// When the session's statements would exceed the memory limit.
     pub fn insert(
         &mut self,
         name: &str,
@@ -88,7 +89,7 @@
             return Ok(());
         }
         self.remove(name);
-        if self.bytes + statement.weight() > STATEMENT_BYTES {
+        if self.bytes + statement.weight() > MAX_STATEMENT_BYTES {
             return Err(TooManyStatements);
         }
         self.bytes += statement.weight();
@@ -96,7 +97,7 @@
         Ok(())
     }
 
-    /// The statement called `name`.
+    /// Returns the statement called `name`.
     pub fn get(&self, name: &str) -> Option<&Arc<Statement>> {
         if name.is_empty() {
             self.unnamed.as_ref()
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Forgets the statement called `name`. Returns whether there was one.
+    /// Removes the statement called `name`. Returns whether there was one.
     pub fn remove(&mut self, name: &str) -> bool {
         if name.is_empty() {
             return self.unnamed.take().is_some();
@@ -119,14 +120,14 @@
         }
     }
 
-    /// Forgets all statements.
+    /// Removes all statements.
     pub fn clear(&mut self) {
         self.named.clear();
         self.unnamed = None;
         self.bytes = 0;
     }
 
-    /// Notes that `portal` runs `statement`.
+    /// Binds `portal` to `statement`.
     ///
     /// # Errors
     /// When the transaction has too many portals.
@@ -135,24 +136,24 @@
         portal: &str,
         statement: Arc<Statement>,
     ) -> Result<(), TooManyStatements> {
-        if self.portals.len() >= PORTALS {
+        if self.portals.len() >= MAX_PORTALS {
             return Err(TooManyStatements);
         }
         self.portals.insert(portal.to_owned(), statement);
         Ok(())
     }
 
-    /// The statement that `portal` runs.
+    /// Returns the statement that `portal` runs.
     pub fn portal(&self, portal: &str) -> Option<&Arc<Statement>> {
         self.portals.get(portal)
     }
 
-    /// Forgets `portal`.
+    /// Removes `portal`.
     pub fn close_portal(&mut self, portal: &str) {
         self.portals.remove(portal);
     }
 
-    /// Forgets all portals, at the end of a transaction.
+    /// Removes all portals, at the end of a transaction.
     pub fn end_transaction(&mut self) {
         self.portals.clear();
     }
--- a/crates/transport/src/caller/stream.rs
+++ b/crates/transport/src/caller/stream.rs
@@ -1,4 +1,4 @@
-//! The byte stream of one caller: frames in, frames out, both with bounds.
+//! The byte stream of one client: reads and writes frames, both within limits.
 
 use std::time::Duration;
 
@@ -10,35 +10,36 @@
 use tokio_rustls::TlsAcceptor;
 use tokio_util::codec::Decoder;
 
-/// Bytes read ahead of the unit that runs. Past this the caller is not read.
+/// Maximum bytes read ahead of the running unit. At this limit the client is no longer
+/// read.
 const READ_AHEAD: usize = 64 * 1024;
-/// Room kept for the next read of a session that is idle.
+/// Buffer space reserved for the next read of an idle session.
 const SHORT_READ: usize = 512;
-/// Room for a read where the beginning of a message is there already.
+/// Buffer space reserved for a read once the beginning of a message has arrived.
 const LONG_READ: usize = 8 * 1024;
-/// Bytes a caller has to take within the write timeout.
-const LEAST_PROGRESS: usize = 4 * 1024;
-/// Output buffer that is given back to the allocator when it is empty.
+/// Bytes that a client must accept within the write timeout.
+const MIN_WRITE_PROGRESS: usize = 4 * 1024;
+/// Capacity above which an empty output buffer is returned to the allocator.
 const RETAINED_BUFFER: usize = 16 * 1024;
 
-/// Longest wait for a caller to close its side after the last message.
-const LINGER: Duration = Duration::from_secs(1);
+/// Longest wait for a client to close its side after the last message.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A connection with or without TLS.
 pub trait ByteStream: AsyncRead + AsyncWrite + Unpin + Send {}
 
 impl<T: AsyncRead + AsyncWrite + Unpin + Send> ByteStream for T {}
 
-/// The caller cannot be spoken to any more.
+/// The client can no longer be reached.
 #[derive(Debug, Error)]
 pub enum CallerGone {
-    /// It closed the connection.
+    /// The client closed the connection.
     #[error("the caller closed the connection")]
     Closed,
-    /// It took no bytes for too long.
+    /// The client accepted too few bytes for the given time.
     #[error("the caller took no bytes for {0:?}")]
     Stalled(Duration),
-    /// What it sent is no sequence of messages, or the connection failed.
+    /// The client sent malformed messages, or the connection failed.
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
@@ -49,7 +50,7 @@
     }
 }
 
-/// One caller's connection.
+/// The connection of one client.
 pub struct CallerStream {
     io: Box<dyn ByteStream>,
     input: BytesMut,
@@ -77,8 +78,8 @@
         self.codec = FrameCodec::new(limit);
     }
 
-    /// Goes on encrypted. Bytes that came ahead of the handshake are refused, because
-    /// nobody knows who sent them.
+    /// Performs the TLS handshake as server. Bytes received ahead of the handshake are
+    /// refused, because their sender is not authenticated.
     pub async fn encrypt(&mut self, acceptor: &TlsAcceptor) -> Result<(), CallerGone> {
         if !self.input.is_empty() {
             return Err(CallerGone::Closed);
@@ -88,7 +89,7 @@
         Ok(())
     }
 
-    /// Reads exactly `length` raw bytes; used before messages have tags.
+    /// Reads exactly `length` raw bytes; used for start-up packets, which have no tag.
     pub async fn raw(&mut self, length: usize) -> Result<BytesMut, CallerGone> {
         while self.input.len() < length {
             let missing = length - self.input.len();
@@ -100,12 +101,12 @@
         Ok(self.input.split_to(length))
     }
 
-    /// Puts a frame back to be read again.
+    /// Returns a frame to the stream, to be read again.
     pub fn put_back(&mut self, frame: Frame) {
         self.returned = Some(frame);
     }
 
-    /// A frame that has already arrived whole.
+    /// Returns the next frame if it has arrived completely.
     pub fn buffered(&mut self) -> Result<Option<Frame>, CallerGone> {
         if let Some(frame) = self.returned.take() {
             return Ok(Some(frame));
@@ -113,21 +114,21 @@
         Ok(self.codec.decode(&mut self.input)?)
     }
 
-    /// The next frame. Cancelling the future loses nothing.
+    /// Reads the next frame. The future is cancel-safe.
     pub async fn frame(&mut self) -> Result<Frame, CallerGone> {
         loop {
             if let Some(frame) = self.buffered()? {
                 return Ok(frame);
             }
-            self.make_room();
+            self.reserve_input();
             if self.io.read_buf(&mut self.input).await? == 0 {
                 return Err(CallerGone::Closed);
             }
         }
     }
 
-    /// Room for a short message; more once a longer one is on its way.
-    fn make_room(&mut self) {
+    /// Reserves space for a short message, or more once part of a message has arrived.
+    fn reserve_input(&mut self) {
         let room = if self.input.is_empty() {
             SHORT_READ
         } else {
@@ -136,14 +137,14 @@
         self.input.reserve(room);
     }
 
-    /// Reads what comes while a unit runs, to notice that the caller has gone. Waits
-    /// for ever once enough was read ahead. Cancelling the future loses nothing.
+    /// Reads ahead while a unit runs, to detect that the client has disconnected. Never
+    /// resolves once the read-ahead limit is reached. The future is cancel-safe.
     pub async fn read_ahead(&mut self) -> CallerGone {
         loop {
             if self.input.len() >= READ_AHEAD {
                 std::future::pending::<()>().await;
             }
-            self.make_room();
+            self.reserve_input();
             match self.io.read_buf(&mut self.input).await {
                 Ok(0) => return CallerGone::Closed,
                 Ok(_) => {}
@@ -157,18 +158,19 @@
         frame.write_to(&mut self.output);
     }
 
-    /// Appends raw bytes to the output; used before messages have tags.
+    /// Appends raw bytes to the output; used during start-up, for answers that have no
+    /// tag.
     pub fn write_raw(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
 
-    /// Bytes waiting to be sent.
+    /// Returns the number of bytes waiting to be sent.
     pub fn pending(&self) -> usize {
         self.output.len()
     }
 
-    /// Sends the output. A caller that takes next to nothing for the write timeout is
-    /// given up, so that it holds no connection to a database any longer.
+    /// Sends the output. A client that accepts almost nothing within the write timeout is
+    /// given up, so that it no longer occupies a database connection.
     pub async fn flush(&mut self) -> Result<(), CallerGone> {
         let mut deadline = Instant::now() + self.write_timeout;
         let mut progress = 0;
@@ -182,7 +184,7 @@
                 }
                 Ok(Err(error)) => return Err(error.into()),
             }
-            if progress >= LEAST_PROGRESS {
+            if progress >= MIN_WRITE_PROGRESS {
                 deadline = Instant::now() + self.write_timeout;
                 progress = 0;
             }
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Gives unused memory back while the session is idle.
+    /// Releases unused buffer memory while the session is idle.
     pub fn shrink(&mut self) {
         if self.input.is_empty() {
             self.input = BytesMut::new();
@@ -206,20 +208,20 @@
         }
     }
 
-    /// Sends what is left and closes the connection; failures no longer matter.
+    /// Sends the remaining output and closes the connection, ignoring failures.
     pub async fn close(mut self) {
         if self.flush().await.is_err() {
             return;
         }
         let _closed = timeout(self.write_timeout, self.io.shutdown()).await;
-        // Closing with unread input would reset the connection, and a reset may take
-        // the last message from the caller.
-        let _drained = timeout(LINGER, self.drain()).await;
+        // Closing with unread input would reset the connection, and a reset may discard
+        // the last message before the client has read it.
+        let _drained = timeout(CLOSE_TIMEOUT, self.drain()).await;
     }
 
-    /// Reads and drops what still comes, until the caller closes its side.
+    /// Discards further input until the client closes its side.
     async fn drain(&mut self) {
-        let mut scrap = [0; 512];
-        while matches!(self.io.read(&mut scrap).await, Ok(length) if length > 0) {}
+        let mut discarded = [0; 512];
+        while matches!(self.io.read(&mut discarded).await, Ok(length) if length > 0) {}
     }
 }
--- a/crates/transport/src/caller/tls.rs
+++ b/crates/transport/src/caller/tls.rs
@@ -1,4 +1,4 @@
-//! TLS towards callers, with files that are read again while the proxy runs.
+//! TLS towards clients, with certificate files that are reloaded while the proxy runs.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -11,13 +11,13 @@
 
 use crate::caller::settings::{CallerError, TlsContent, TlsSettings};
 
-/// The certificate in use and where it came from.
+/// The certificate in use and the files it was loaded from.
 pub struct TlsAcceptance {
     settings: TlsSettings,
     current: RwLock<Loaded>,
 }
 
-/// Content of the files and what was made of it.
+/// Content of the files and the configuration built from it.
 struct Loaded {
     certificate: Vec<u8>,
     key: Vec<u8>,
@@ -25,7 +25,7 @@
 }
 
 impl TlsAcceptance {
-    /// Reads the files.
+    /// Loads the files.
     ///
     /// # Errors
     /// When a file cannot be read or used.
@@ -34,13 +34,13 @@
         Ok(Self { settings, current })
     }
 
-    /// Settings it was loaded by.
+    /// Returns the settings.
     pub fn settings(&self) -> &TlsSettings {
         &self.settings
     }
 
-    /// Reads the files again. Returns whether they had changed; when they cannot be
-    /// used, what was in use stays so.
+    /// Reloads the files. Returns whether they had changed; if they cannot be used, the
+    /// previous configuration stays in use.
     ///
     /// # Errors
     /// When a file cannot be read or used.
@@ -57,7 +57,7 @@
         Ok(true)
     }
 
-    /// An acceptor with the certificate in use now.
+    /// Returns an acceptor with the certificate currently in use.
     pub fn acceptor(&self) -> TlsAcceptor {
         TlsAcceptor::from(Arc::clone(&self.current.read().config))
     }
--- a/crates/transport/src/caller/traits.rs
+++ b/crates/transport/src/caller/traits.rs
@@ -6,37 +6,35 @@
 };
 use hookpoint_state::RequestId;
 
-/// Parameter that says whether the transaction is read-only.
+/// Run-time parameter that says whether the transaction is read-only.
 const READ_ONLY_SETTING: &str = "transaction_read_only";
 
 /// What a unit may do, over all its statements.
 #[derive(Clone, Debug, Default)]
 pub struct UnitTraits {
-    /// Whether every statement is a proved read.
+    /// Whether every statement is proved to be a read.
     pub reads_only: bool,
-    /// Whether its end may commit when it runs outside a transaction block.
+    /// Whether it may commit when it runs outside a transaction block.
     pub may_commit: bool,
     /// Whether it may commit when it runs inside a transaction block.
     pub may_commit_in_block: bool,
-    /// Whether it leaves a transaction block open, and which.
+    /// Mode of the transaction block that it leaves open, if it does.
     pub opens_transaction: Option<TransactionMode>,
     /// Whether it ends a transaction block.
     pub ends_transaction: bool,
-    /// Whether it may leave state on the connection.
+    /// Whether it may leave session state on the connection.
     pub leaves_state: bool,
     /// Changes of run-time parameters.
     pub settings: Vec<SettingChange>,
-    /// A feature that pooling cannot carry.
+    /// A feature in use that is not compatible with connection pooling.
     pub unsupported: Option<String>,
     /// Identifier of a request that is not repeatable.
     pub request_id: Option<RequestId>,
-    /// Whether the caller has to send COPY data.
+    /// Whether the client has to send COPY data.
     pub copies_in: bool,
-    /// Whether it is made of statements that end a transaction block, and of nothing
-    /// else.
+    /// Whether it consists only of statements that end a transaction block.
     pub only_ends: bool,
-    /// Whether it is made of statements that open a transaction block, and of nothing
-    /// else.
+    /// Whether it consists only of statements that open a transaction block.
     pub only_opens: bool,
     /// Whether it executes anything.
     pub executes: bool,
@@ -47,14 +45,14 @@
 }
 
 impl UnitTraits {
-    /// Whether it changes a parameter for longer than its transaction.
-    pub fn sets_lasting(&self) -> bool {
+    /// Returns whether it changes a parameter for longer than its transaction.
+    pub fn sets_beyond_transaction(&self) -> bool {
         let local =
             |change: &SettingChange| matches!(change, SettingChange::Set { local: true, .. });
         !self.settings.iter().all(local)
     }
 
-    /// Traits of a unit without statements.
+    /// Returns the traits of a unit without statements.
     pub fn new() -> Self {
         Self {
             reads_only: true,
@@ -82,11 +80,11 @@
         if self.request_id.is_none() {
             self.request_id.clone_from(&class.request_id);
         }
-        self.mention(class);
+        self.add_prepared(class);
     }
 
     /// Adds a statement that is only prepared or described.
-    pub fn mention(&mut self, class: &UnitClass) {
+    pub fn add_prepared(&mut self, class: &UnitClass) {
         self.only_ends &= class.ends_transaction.is_some() && class.statements.len() == 1;
         self.only_opens &= class.opens_transaction.is_some() && class.statements.len() == 1;
         if self.unsupported.is_none() {
@@ -95,7 +93,8 @@
     }
 }
 
-/// `SET TRANSACTION`, or `SET` of the parameter behind it.
+/// Returns whether the statement is `SET TRANSACTION`, or `SET` of the underlying
+/// parameter.
 fn changes_mode(class: &UnitClass) -> bool {
     let read_only = |change: &SettingChange| match change {
         SettingChange::Set { name, .. } | SettingChange::Reset { name } => {
--- a/crates/transport/src/caller/unit.rs
+++ b/crates/transport/src/caller/unit.rs
@@ -1,5 +1,5 @@
-//! One unit of a caller's messages, made ready for any connection: what is sent, which
-//! parts its answer has, and what it may do.
+//! One unit of a client's messages, prepared to run on any connection: the commands to
+//! send, the parts of its answer, and what it may do.
 
 use std::collections::{BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -19,16 +19,16 @@
 use crate::caller::statements::{Statement, StatementTable};
 use crate::caller::traits::UnitTraits;
 
-/// A unit as it came from the caller.
+/// A unit as received from the client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerUnit {
     /// A simple query.
     Simple(Frame),
-    /// Extended messages, without the `Sync`.
+    /// Messages of the extended query protocol, without the `Sync`.
     Extended {
         /// The messages.
         frames: Vec<Frame>,
-        /// What ended them.
+        /// What ended the series of messages.
         end: UnitEnd,
     },
 }
@@ -36,49 +36,50 @@
 /// What ends a series of extended messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnitEnd {
-    /// `Sync`: the caller waits for `ReadyForQuery`.
+    /// `Sync`: the client waits for `ReadyForQuery`.
     Sync,
-    /// `Flush`: the caller waits for the answers so far, and its `Sync` is yet to come.
+    /// `Flush`: the client waits for the answers so far; its `Sync` follows later.
     Flush,
-    /// A simple query: it ends them as well, but is answered for itself.
+    /// A simple query: it ends the series as well, but has an answer of its own.
     Query,
 }
 
-/// A unit that cannot be made ready.
+/// Why a unit cannot be planned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum UnitError {
     /// A message is malformed.
     #[error(transparent)]
     Malformed(#[from] MalformedMessage),
-    /// The session keeps too much statement text.
+    /// The session keeps too much statement text or too many portals.
     #[error("the session keeps too many prepared statements or portals")]
     TooManyStatements,
 }
 
-/// A unit ready to be sent, again if need be.
+/// A unit prepared to be sent, more than once if needed.
 #[derive(Debug)]
 pub struct UnitPlan {
-    /// Whether it is a simple query.
+    /// Whether the unit is a simple query.
     pub simple: bool,
-    /// What is sent.
+    /// Commands to be sent to the connection.
     pub commands: Vec<BackendCommand>,
-    /// Parts of the answer to extended messages.
+    /// Expected parts of the answer to extended messages.
     pub steps: VecDeque<Step>,
-    /// Whether more messages of the caller belong to it: its `Sync` is yet to come.
+    /// Whether further client messages belong to the unit, because its `Sync` is still to
+    /// come.
     pub open: bool,
-    /// Whether `ReadyForQuery` ends its answer.
+    /// Whether `ReadyForQuery` ends the answer.
     pub ready: bool,
-    /// What it may do.
+    /// What the unit may do.
     pub traits: UnitTraits,
-    /// How the proxy answers by itself, if no connection is needed.
+    /// Steps by which the proxy answers the unit itself, if no connection is needed.
     pub local: Vec<LocalStep>,
-    /// Tags of the answer if every statement returned no rows, in order.
+    /// Message tags of the answer, in order, if no statement returned rows.
     pub answer_tags: Vec<u8>,
-    /// Whether it holds a statement that no database may see.
+    /// Whether the unit contains a statement that must not be sent to a database.
     pub has_local: bool,
-    /// Whether the proxy sends it by itself, so that its answer is not relayed.
-    pub silent: bool,
-    /// Whether something in it needs a connection.
+    /// Whether the proxy generated the unit itself, so that its answer is not relayed.
+    pub internal: bool,
+    /// Whether any part of the unit needs a connection.
     pub needs_connection: bool,
     uses_portals: bool,
     ensured: BTreeSet<String>,
@@ -88,23 +89,23 @@
 /// A part of an answer that needs no connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LocalStep {
-    /// A message.
+    /// A message to be sent to the client.
     Message(Frame),
-    /// The statement runs now.
+    /// A local statement to be run at this point.
     Run(LocalStatement),
 }
 
-/// One message of an open unit made ready.
+/// The translation of one message of an open unit.
 #[derive(Debug, Default)]
 pub struct Translation {
-    /// What is sent for it.
+    /// Commands to be sent for the message.
     pub commands: Vec<BackendCommand>,
-    /// The part of the answer that belongs to it.
+    /// Expected part of the answer that belongs to the message.
     pub step: Option<Step>,
 }
 
 impl UnitPlan {
-    /// A plan of a simple query.
+    /// Plans a simple query.
     ///
     /// # Errors
     /// When the message is malformed.
@@ -112,7 +113,7 @@
         let text = extended::query_text(frame)?;
         let class = classifier.classify(&text);
         let mut plan = Self::empty(true);
-        match LocalStatement::of(&text, &class) {
+        match LocalStatement::parse(&text, &class) {
             Some(local) => plan.run_locally(local, true),
             None => {
                 plan.traits.execute(&class);
@@ -123,13 +124,15 @@
         Ok(plan)
     }
 
-    /// A plan of extended messages. Messages that only prepare and describe statements
-    /// leave nothing open, so they are a unit of their own also when a `Flush` ends them;
-    /// others keep their connection until the `Sync`. Statements they prepare are kept in `statements`
-    /// at once; those that fail are removed when the answer tells so.
+    /// Plans a series of extended messages. Messages that only prepare and describe
+    /// statements leave nothing open, so they are a complete unit even if a `Flush` ends
+    /// them; others keep their connection until the `Sync`. Statements that they prepare
+    /// are stored in `statements` at once and removed again if the answer shows that
+    /// preparing them failed.
     ///
     /// # Errors
-    /// When a message is malformed or too much would have to be kept.
+    /// When a message is malformed or a limit on stored statements or portals is
+    /// exceeded.
     pub fn extended(
         messages: &[Frame],
         end: UnitEnd,
@@ -170,7 +173,7 @@
             steps: VecDeque::new(),
             open: false,
             ready: true,
-            silent: false,
+            internal: false,
             uses_portals: false,
             traits: UnitTraits::new(),
             local: Vec::new(),
@@ -188,16 +191,17 @@
         }
     }
 
-    /// What the request machine is told of the unit. Inside a transaction block only
-    /// its end may commit. An open unit may turn into anything.
-    pub fn unit(&self, in_transaction: bool, marked: bool) -> Unit {
-        if marked && !in_transaction {
+    /// Returns the unit as the request machine sees it. Inside a transaction block only
+    /// the end of the block may commit. An open unit is assumed to write and to commit,
+    /// because later messages may do either.
+    pub fn unit(&self, in_transaction: bool, has_ledger_id: bool) -> Unit {
+        if has_ledger_id && !in_transaction {
             return Unit {
                 access: Access::Write,
                 may_commit: true,
             };
         }
-        let read = self.traits.reads_only && !self.open && !marked;
+        let read = self.traits.reads_only && !self.open && !has_ledger_id;
         let may_commit = if in_transaction {
             self.traits.may_commit_in_block || self.open
         } else {
@@ -209,10 +213,10 @@
         }
     }
 
-    /// Makes one extended message ready.
+    /// Translates one extended message.
     ///
     /// # Errors
-    /// When it is malformed or too much would have to be kept.
+    /// When it is malformed or a limit on stored statements or portals is exceeded.
     pub fn translate(
         &mut self,
         message: &Frame,
@@ -246,7 +250,7 @@
         match &statement.local {
             Some(_) => self.has_local = true,
             None => {
-                self.traits.mention(&statement.class);
+                self.traits.add_prepared(&statement.class);
                 self.relay_class(&statement.query, &statement.class);
             }
         }
@@ -277,7 +281,7 @@
                 .map_err(|_| UnitError::TooManyStatements)?;
         }
         self.answer_locally(reply::empty(backend::BIND_COMPLETE));
-        let (mut commands, name) = self.refer(&bind.statement, statement.as_ref());
+        let (mut commands, name) = self.resolve_statement(&bind.statement, statement.as_ref());
         commands.push(frames(vec![bind.with_statement(&name)]));
         Ok(Translation {
             commands,
@@ -301,12 +305,12 @@
         let statement = statements.get(&named.name);
         if let Some(statement) = statement {
             if statement.local.is_none() {
-                self.traits.mention(&statement.class);
+                self.traits.add_prepared(&statement.class);
             }
             self.answer_locally(reply::no_parameters());
         }
         self.describe_locally(statement);
-        let (mut commands, name) = self.refer(&named.name, statement);
+        let (mut commands, name) = self.resolve_statement(&named.name, statement);
         commands.push(frames(vec![named.renamed(frontend::DESCRIBE, &name)]));
         Ok(Translation {
             commands,
@@ -368,8 +372,8 @@
         Ok(relayed(message.clone(), Step::Rows))
     }
 
-    /// A statement goes to a database. One that also changes the proxy's own
-    /// parameters must not: the database would take them and the proxy would not.
+    /// Adds a statement that goes to a database. It must not also change the proxy's own
+    /// parameters: the database would apply the change and the proxy would not.
     fn relay_class(&mut self, text: &str, class: &UnitClass) {
         self.needs_connection = true;
         self.has_local |= local::changes_own_setting(text, class);
@@ -387,7 +391,8 @@
         }
     }
 
-    /// A local statement runs; a simple query describes its rows unasked.
+    /// Adds a local statement to be run; for a simple query the description of its rows
+    /// is sent first.
     fn run_locally(&mut self, local: LocalStatement, described: bool) {
         self.has_local = true;
         self.traits.only_ends = false;
@@ -399,8 +404,9 @@
         self.local.push(LocalStep::Run(local));
     }
 
-    /// The name that `statement` has on the connection, and what puts it there.
-    fn refer(
+    /// Returns the name of `statement` on the connection, and the commands that prepare
+    /// it there.
+    fn resolve_statement(
         &mut self,
         name: &str,
         statement: Option<&Arc<Statement>>,
