--- a/crates/transport/src/backend/cancel.rs
+++ b/crates/transport/src/backend/cancel.rs
@@ -8,7 +8,7 @@
 
 use super::outgoing;
 
-/// What a cancel request has to name.
+/// Address and cancel key of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CancelKey {
     pub address: SocketAddr,
@@ -16,12 +16,12 @@
     pub secret: u32,
 }
 
-/// Sends a cancel request and waits until the database has closed the connection it came
-/// on, which says that the request has been dealt with. False when that could not be
-/// seen within `limit`.
+/// Sends a cancel request and waits until the database has closed the connection that the
+/// request was sent on, which means that the request has been processed. Returns false if
+/// that was not observed within `limit`.
 pub(super) async fn cancel(key: CancelKey, limit: Duration) -> bool {
-    let dealt_with = tokio::time::timeout(limit, send_and_wait(key)).await;
-    matches!(dealt_with, Ok(Ok(())))
+    let result = tokio::time::timeout(limit, send_and_wait(key)).await;
+    matches!(result, Ok(Ok(())))
 }
 
 async fn send_and_wait(key: CancelKey) -> std::io::Result<()> {
--- a/crates/transport/src/backend/connection.rs
+++ b/crates/transport/src/backend/connection.rs
@@ -1,4 +1,4 @@
-//! One connection and its state.
+//! One connection to a database and its state.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 
 use super::cancel::{self, CancelKey};
 use super::error::ConnectError;
-use super::ledger::{Ledger, Verdict};
+use super::ledger::{MessageAction, OutstandingAnswers};
 use super::message::Target;
 use super::outgoing;
 use super::prepared::PreparedStatements;
@@ -27,12 +27,12 @@
 use crate::shared::Shared;
 use hookpoint_protocol::tags::backend;
 
-/// Status of a connection outside a transaction block.
+/// Transaction status of a connection outside a transaction block.
 const STATUS_IDLE: u8 = b'I';
 /// Statement that removes all session state.
 const DISCARD_ALL: &str = "DISCARD ALL";
 
-/// What all connections of one pool know.
+/// Data shared by all connections of one pool.
 pub(super) struct ConnectionContext {
     pub shared: Arc<Shared>,
     pub settings: Arc<BackendSettings>,
@@ -42,7 +42,7 @@
 }
 
 impl ConnectionContext {
-    /// The address as this node reaches it.
+    /// Returns the address of the database as this node reaches it.
     pub fn address(&self) -> Result<SocketAddr, ConnectError> {
         match &self.target.address {
             Ok(address) => Ok(self.shared.addresses.resolve(*address)),
@@ -53,13 +53,13 @@
     }
 }
 
-/// An open connection and what is known of its state.
+/// An open connection and its tracked state.
 pub(super) struct Connection {
     pub reader: FramedRead<OwnedReadHalf, FrameCodec>,
     pub writer: OwnedWriteHalf,
     /// Bytes not yet written.
     pub outgoing: BytesMut,
-    pub ledger: Ledger,
+    pub ledger: OutstandingAnswers,
     pub prepared: PreparedStatements,
     /// Run-time parameters set by the proxy.
     pub parameters: BTreeMap<String, String>,
@@ -73,7 +73,7 @@
 }
 
 impl Connection {
-    /// A connection that has just become ready.
+    /// Creates a connection that has just become ready.
     pub fn new(
         reader: FramedRead<OwnedReadHalf, FrameCodec>,
         writer: OwnedWriteHalf,
@@ -84,7 +84,7 @@
             reader,
             writer,
             outgoing: BytesMut::new(),
-            ledger: Ledger::default(),
+            ledger: OutstandingAnswers::default(),
             prepared: PreparedStatements::new(prepared_statements),
             parameters: BTreeMap::new(),
             status: STATUS_IDLE,
@@ -95,27 +95,29 @@
         }
     }
 
-    /// Notes that the database has just heard from the proxy.
-    pub fn used(&mut self) {
+    /// Records that the proxy has just used the connection, which restarts the database's
+    /// idle timer.
+    pub fn mark_used(&mut self) {
         self.last_used = Instant::now();
     }
 
-    /// When it has to be used again to be kept, if it is not used for `interval`.
-    pub fn due(&self, interval: Duration) -> Instant {
+    /// Returns when the connection has to be used next if it may stay unused for
+    /// `interval`.
+    pub fn next_use_due(&self, interval: Duration) -> Instant {
         self.last_used + interval
     }
 
-    /// Whether another session may have it as it is.
+    /// Returns whether another session may use the connection as it is.
     pub fn is_clean(&self) -> bool {
-        self.ledger.is_settled()
-            && !self.ledger.is_out_of_step()
+        self.ledger.is_complete()
+            && !self.ledger.is_out_of_sync()
             && self.outgoing.is_empty()
             && self.status == STATUS_IDLE
     }
 
-    /// Sends a cancel request for what runs now, if anything does.
+    /// Sends a cancel request for the running query, if there is one.
     pub fn cancel(&mut self, limit: Duration) {
-        if self.ledger.is_settled() {
+        if self.ledger.is_complete() {
             return;
         }
         if let Some(key) = self.key {
@@ -124,67 +126,67 @@
         }
     }
 
-    /// Matches a message with what was sent and takes in what it says of the connection.
-    pub fn receive(&mut self, frame: &Frame) -> Verdict {
-        let verdict = self.ledger.received(frame.tag);
-        for fate in self.ledger.take_fates() {
-            self.prepared.settle(fate);
+    /// Matches a message with the messages sent and updates the connection state from it.
+    pub fn receive(&mut self, frame: &Frame) -> MessageAction {
+        let action = self.ledger.received(frame.tag);
+        for outcome in self.ledger.take_outcomes() {
+            self.prepared.apply_outcome(outcome);
         }
         if frame.tag == backend::READY_FOR_QUERY {
             self.status = frame.body.first().copied().unwrap_or_default();
-            self.used();
+            self.mark_used();
         }
-        verdict
+        action
     }
 
-    /// Runs a query of the proxy's own on an idle connection and shows each message of
-    /// the answer to `look`. Returns whether it succeeded.
-    pub async fn ask(
+    /// Runs a query of the proxy itself on an idle connection and passes each message of
+    /// the answer to `on_frame`. Returns whether the query succeeded.
+    pub async fn query(
         &mut self,
         text: &str,
         limit: Duration,
-        look: impl FnMut(&Frame),
+        on_frame: impl FnMut(&Frame),
     ) -> Result<bool, ConnectError> {
         extended::query(text).write_to(&mut self.outgoing);
         self.ledger.own_query();
-        self.used();
-        tokio::time::timeout(limit, self.answer(look))
+        self.mark_used();
+        tokio::time::timeout(limit, self.run_query(on_frame))
             .await
             .map_err(|_| ConnectError::Timeout)?
     }
 
-    async fn answer(&mut self, mut look: impl FnMut(&Frame)) -> Result<bool, ConnectError> {
+    async fn run_query(&mut self, mut on_frame: impl FnMut(&Frame)) -> Result<bool, ConnectError> {
         self.writer.write_all_buf(&mut self.outgoing).await?;
         loop {
             let frame = self.reader.next().await.ok_or(ConnectError::Closed)??;
-            let verdict = self.receive(&frame);
-            look(&frame);
-            if let Verdict::OwnEnded { succeeded } = verdict {
+            let action = self.receive(&frame);
+            on_frame(&frame);
+            if let MessageAction::OwnQueryEnded { succeeded } = action {
                 return Ok(succeeded);
             }
         }
     }
 
-    /// Writes what is left and drops messages until nothing is outstanding.
-    async fn settle(&mut self) -> Result<(), ConnectError> {
+    /// Writes the remaining output and discards messages until no answer is outstanding.
+    async fn drain(&mut self) -> Result<(), ConnectError> {
         self.writer.write_all_buf(&mut self.outgoing).await?;
-        while !self.ledger.is_settled() {
+        while !self.ledger.is_complete() {
             let frame = self.reader.next().await.ok_or(ConnectError::Closed)??;
             self.receive(&frame);
         }
         Ok(())
     }
 
-    /// Makes the connection ready for another session, if that can be done.
-    pub async fn restore(&mut self, discard: bool, limit: Duration) -> Result<bool, ConnectError> {
-        tokio::time::timeout(limit, self.settle())
+    /// Resets the connection for use by another session. Returns whether that succeeded.
+    pub async fn reset(&mut self, discard: bool, limit: Duration) -> Result<bool, ConnectError> {
+        tokio::time::timeout(limit, self.drain())
             .await
             .map_err(|_| ConnectError::Timeout)??;
-        if !self.is_clean() || !self.outlive_cancels(limit).await? {
+        if !self.is_clean() || !self.await_cancels(limit).await? {
             return Ok(false);
         }
         if discard || std::mem::take(&mut self.tainted) {
-            let succeeded = self.ask(DISCARD_ALL, limit, |_| {}).await?;
+            let succeeded = self.query(DISCARD_ALL, limit, |_| {}).await?;
             self.prepared.clear();
             self.parameters.clear();
             return Ok(succeeded && self.is_clean());
@@ -192,9 +194,9 @@
         Ok(true)
     }
 
-    /// Waits until no cancel request of the past can hit a later query: the database has
-    /// closed the connection each came on, and has answered another query since.
-    async fn outlive_cancels(&mut self, limit: Duration) -> Result<bool, ConnectError> {
+    /// Waits until no earlier cancel request can hit a later query: the database has
+    /// closed the connection of each request, and has answered another query since.
+    async fn await_cancels(&mut self, limit: Duration) -> Result<bool, ConnectError> {
         if self.cancels.is_empty() {
             return Ok(true);
         }
@@ -203,45 +205,47 @@
                 return Ok(false);
             }
         }
-        // Its answer may be the error that the cancel request has caused.
-        self.ask(STATUS_QUERY, limit, |_| {}).await?;
+        // The answer may be the error that the cancel request caused.
+        self.query(STATUS_QUERY, limit, |_| {}).await?;
         Ok(self.is_clean())
     }
 
-    /// Whether the database has closed it, or will have by its idle timeout.
-    pub fn is_gone(&mut self, lapse: Duration) -> bool {
+    /// Returns whether the database has closed the connection, or will have done so by
+    /// its idle timeout.
+    pub fn is_expired(&mut self, lapse: Duration) -> bool {
         if self.last_used.elapsed() >= lapse {
             return true;
         }
         while let Some(message) = self.reader.next().now_or_never() {
-            if !self.is_harmless(message) {
+            if !self.accept_idle_message(message) {
                 return true;
             }
         }
         false
     }
 
-    /// Whether an idle connection may go on after this message.
-    pub fn is_harmless(&mut self, message: Option<Result<Frame, FrameError>>) -> bool {
+    /// Processes a message received while idle. Returns whether the connection remains
+    /// usable.
+    pub fn accept_idle_message(&mut self, message: Option<Result<Frame, FrameError>>) -> bool {
         let Some(Ok(frame)) = message else {
             return false;
         };
         self.receive(&frame);
-        frame.tag != backend::ERROR && !self.ledger.is_out_of_step()
+        frame.tag != backend::ERROR && !self.ledger.is_out_of_sync()
     }
 
-    /// Ends the connection and waits until the database has ended it too, so that the
+    /// Closes the connection and waits until the database has closed it too, so that its
     /// slot is free afterwards.
     pub async fn close(mut self, limit: Duration) {
         self.cancel(limit);
         self.outgoing.clear();
         outgoing::terminate().write_to(&mut self.outgoing);
-        let goodbye = async {
+        let closing = async {
             self.writer.write_all_buf(&mut self.outgoing).await?;
             self.writer.shutdown().await?;
             while let Some(Ok(_)) = self.reader.next().await {}
             Ok::<(), std::io::Error>(())
         };
-        let _ended = tokio::time::timeout(limit, goodbye).await;
+        let _ended = tokio::time::timeout(limit, closing).await;
     }
 }
--- a/crates/transport/src/backend/error.rs
+++ b/crates/transport/src/backend/error.rs
@@ -1,4 +1,4 @@
-//! Why a connection to a database cannot be had or used.
+//! Errors of opening and using database connections.
 
 use hookpoint_coordination::slots::OpenFailure;
 use hookpoint_protocol::errors::BackendError;
@@ -8,18 +8,18 @@
 
 /// SQLSTATE `too_many_connections`.
 const TOO_MANY_CONNECTIONS: &str = "53300";
-/// SQLSTATEs of a database that starts, stops or crashed.
+/// SQLSTATEs of a database that is starting up, is shutting down or has crashed.
 const NOT_SERVING: [&str; 3] = ["57P01", "57P02", "57P03"];
-/// SQLSTATE `invalid_authorization_specification`, for failures found on this side.
+/// SQLSTATE `invalid_authorization_specification`, for failures detected by the proxy.
 const INVALID_AUTHORIZATION: &str = "28000";
 
-/// A failure to connect, or of a connection.
+/// Why a connection could not be opened or has failed.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// The network failed.
+    /// A network operation failed.
     #[error("the network failed: {0}")]
     Io(#[from] std::io::Error),
-    /// The database sent no valid messages.
+    /// The database sent malformed messages.
     #[error(transparent)]
     Frame(#[from] FrameError),
     /// The database closed the connection.
@@ -28,20 +28,20 @@
     /// The database did not answer in time.
     #[error("the database did not answer in time")]
     Timeout,
-    /// The database refused.
-    #[error("the database refused: {0}")]
+    /// The database answered with an error.
+    #[error("the database answered with an error: {0}")]
     Refused(BackendError),
-    /// The address in the bundle is no address.
-    #[error("`{address}` is no address of the form ip:port")]
+    /// The address in the bundle is not valid.
+    #[error("`{address}` is not an address of the form ip:port")]
     BadAddress {
-        /// The text in the bundle.
+        /// The address text in the bundle.
         address: String,
     },
-    /// The database wants a password and the settings name none.
-    #[error("the database wants a password and none is set for the group")]
+    /// The database requires a password and the settings contain none.
+    #[error("the database requires a password and none is set for the group")]
     NoPassword,
-    /// The database wants an authentication that hookpoint does not do.
-    #[error("the database wants authentication method {method}, which is not supported")]
+    /// The database requires an authentication method that hookpoint does not support.
+    #[error("the database requires authentication method {method}, which is not supported")]
     UnsupportedAuthentication {
         /// Number of the method in the protocol.
         method: u32,
@@ -49,8 +49,8 @@
     /// The SCRAM exchange failed.
     #[error("the SCRAM exchange failed: {0}")]
     Scram(#[from] ScramError),
-    /// The database sent a message that has no place here.
-    #[error("a message of tag {tag} is out of place")]
+    /// The database sent a message that is not allowed at this point.
+    #[error("unexpected message with tag {tag}")]
     OutOfPlace {
         /// Tag of the message.
         tag: u8,
@@ -58,8 +58,8 @@
 }
 
 impl ConnectError {
-    /// What it means for the slots.
-    pub(super) fn open_failure(&self) -> OpenFailure {
+    /// Returns the kind of failure as the slot table distinguishes it.
+    pub(super) fn as_open_failure(&self) -> OpenFailure {
         match self {
             Self::Io(_) | Self::Frame(_) | Self::Closed | Self::Timeout => OpenFailure::Unreachable,
             Self::Refused(error) if error.sqlstate == TOO_MANY_CONNECTIONS => {
--- a/crates/transport/src/backend/handshake.rs
+++ b/crates/transport/src/backend/handshake.rs
@@ -1,4 +1,4 @@
-//! From an address to a connection that is ready for queries.
+//! Opens connections: connect, start-up message and authentication.
 
 use std::time::Duration;
 
@@ -20,7 +20,7 @@
 /// `application_name` of every connection.
 const APPLICATION_NAME: &str = "hookpoint";
 
-/// Methods of authentication, as numbered in the protocol.
+/// Authentication methods, as numbered in the protocol.
 mod method {
     pub const OK: u32 = 0;
     pub const CLEARTEXT: u32 = 3;
@@ -36,7 +36,7 @@
     exchange: Option<ClientExchange>,
 }
 
-/// Connects, starts up and authenticates.
+/// Connects, sends the start-up message and authenticates, within the connect timeout.
 pub(super) async fn connect(context: &ConnectionContext) -> Result<Connection, ConnectError> {
     let limit = context.settings.connect_timeout;
     tokio::time::timeout(limit, connect_unbounded(context))
@@ -147,7 +147,7 @@
             let frame = self.next().await?;
             match frame.tag {
                 backend::READY_FOR_QUERY => return Ok(key),
-                backend::BACKEND_KEY_DATA => key = key_of(&frame),
+                backend::BACKEND_KEY_DATA => key = parse_key_data(&frame),
                 backend::NOTICE | backend::PARAMETER_STATUS => {}
                 tag => return Err(ConnectError::OutOfPlace { tag }),
             }
@@ -170,7 +170,7 @@
         Ok(())
     }
 
-    /// The next message; an error message is an error.
+    /// Reads the next message; an error message becomes an error.
     async fn next(&mut self) -> Result<Frame, ConnectError> {
         let frame = self.reader.next().await.ok_or(ConnectError::Closed)??;
         match BackendError::from_frame(&frame) {
@@ -180,15 +180,15 @@
     }
 }
 
-/// A time as the database reads it in a start-up parameter; the longest one it knows
-/// where it is longer.
+/// Formats a duration for a start-up parameter, in milliseconds and capped at the largest
+/// value that the database accepts.
 fn milliseconds(time: Duration) -> String {
     let bounded = i32::try_from(time.as_millis()).unwrap_or(i32::MAX);
     bounded.to_string()
 }
 
-/// Process and secret of a `BackendKeyData`.
-fn key_of(frame: &Frame) -> Option<(u32, u32)> {
+/// Returns process number and secret of a `BackendKeyData` message.
+fn parse_key_data(frame: &Frame) -> Option<(u32, u32)> {
     let (process, rest) = frame.body.split_first_chunk::<4>()?;
     let (secret, _) = rest.split_first_chunk::<4>()?;
     Some((u32::from_be_bytes(*process), u32::from_be_bytes(*secret)))
--- a/crates/transport/src/backend/ledger.rs
+++ b/crates/transport/src/backend/ledger.rs
@@ -1,7 +1,8 @@
-//! What a connection still owes: one entry for each message sent that will be answered.
+//! Tracks the answers outstanding on a connection: one entry for each message sent that
+//! will be answered.
 //!
-//! The ledger tells the answers to the proxy's own messages, which are not relayed, from
-//! those to the session's, and knows when nothing is outstanding any more.
+//! Distinguishes answers to the proxy's own messages, which are not relayed, from answers
+//! to the session's messages, and detects when no answer is outstanding.
 
 #[cfg(test)]
 mod tests;
@@ -12,103 +13,104 @@
 
 use hookpoint_protocol::tags::{backend, frontend};
 
-/// An answer that is still to come.
+/// An outstanding answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Expected {
-    /// `ParseComplete`; of a statement put in by the proxy when named.
+    /// `ParseComplete`; with a name, of a statement that the proxy prepared itself.
     Parse(Option<String>),
     Bind,
     Describe,
     Execute,
-    /// `CloseComplete`; of a statement taken out by the proxy when named.
+    /// `CloseComplete`; with a name, of a statement that the proxy closed itself.
     Close(Option<String>),
     Sync,
     /// Everything up to `ReadyForQuery`.
     Query,
     FunctionCall,
-    /// Everything up to `ReadyForQuery` of the proxy's own query.
+    /// Everything up to `ReadyForQuery` of a query of the proxy itself.
     Own,
-    /// End of the data of a COPY; not answered by itself.
+    /// End of the COPY data; it has no answer of its own.
     CopyEnd,
 }
 
 /// What to do with a message of the database.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Verdict {
-    /// It belongs to the session.
+pub(super) enum MessageAction {
+    /// Relay the message to the session.
     Relay,
-    /// It answers the proxy's own message.
-    Swallow,
-    /// The proxy's own query has ended.
-    OwnEnded {
-        /// Whether without an error.
+    /// Discard the message, because it answers a message of the proxy itself or is
+    /// unexpected.
+    Discard,
+    /// A query of the proxy itself has ended.
+    OwnQueryEnded {
+        /// Whether it ended without an error.
         succeeded: bool,
     },
 }
 
-/// What became of the proxy's own statements.
+/// Result of preparing or closing one of the proxy's own statements.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum StatementFate {
-    /// It is on the connection.
+pub(super) enum StatementOutcome {
+    /// The statement is prepared on the connection.
     Parsed(String),
-    /// Its `Parse` was refused or skipped.
+    /// The `Parse` of the statement failed or was skipped.
     NotParsed(String),
-    /// It is gone from the connection.
+    /// The statement is closed on the connection.
     Closed(String),
-    /// Its `Close` was skipped.
+    /// The `Close` of the statement was skipped.
     NotClosed(String),
 }
 
 /// Answers outstanding on one connection.
 #[derive(Debug, Default)]
-pub(super) struct Ledger {
+pub(super) struct OutstandingAnswers {
     expected: VecDeque<Expected>,
     copying_in: bool,
     own_failed: bool,
-    out_of_step: bool,
+    out_of_sync: bool,
     sections: u64,
-    fates: Vec<StatementFate>,
+    outcomes: Vec<StatementOutcome>,
 }
 
-impl Ledger {
-    /// Whether every answer has arrived.
-    pub fn is_settled(&self) -> bool {
+impl OutstandingAnswers {
+    /// Returns whether every answer has arrived.
+    pub fn is_complete(&self) -> bool {
         self.expected.is_empty() && !self.copying_in
     }
 
-    /// Whether an answer came that nothing sent explains. The connection is not usable
-    /// for anyone else then.
-    pub fn is_out_of_step(&self) -> bool {
-        self.out_of_step
+    /// Returns whether an answer arrived that matches no message sent. No other session
+    /// may use the connection then.
+    pub fn is_out_of_sync(&self) -> bool {
+        self.out_of_sync
     }
 
-    /// Number of `Sync`s and queries sent so far.
+    /// Returns the number of `Sync`s and queries sent so far.
     pub fn sections(&self) -> u64 {
         self.sections
     }
 
-    /// Takes what became of the proxy's own statements since the last call.
-    pub fn take_fates(&mut self) -> Vec<StatementFate> {
-        std::mem::take(&mut self.fates)
+    /// Takes the results for the proxy's own statements since the last call.
+    pub fn take_outcomes(&mut self) -> Vec<StatementOutcome> {
+        std::mem::take(&mut self.outcomes)
     }
 
-    /// Notes a `Parse` put in by the proxy.
+    /// Records a `Parse` sent by the proxy itself.
     pub fn own_parse(&mut self, name: String) {
         self.expected.push_back(Expected::Parse(Some(name)));
     }
 
-    /// Notes a `Close` put in by the proxy.
+    /// Records a `Close` sent by the proxy itself.
     pub fn own_close(&mut self, name: String) {
         self.expected.push_back(Expected::Close(Some(name)));
     }
 
-    /// Notes a simple query put in by the proxy.
+    /// Records a simple query sent by the proxy itself.
     pub fn own_query(&mut self) {
         self.sections += 1;
         self.expected.push_back(Expected::Own);
     }
 
-    /// Notes a message of the session.
+    /// Records a message sent for the session.
     pub fn sent(&mut self, frame: &Frame) {
         let expected = match frame.tag {
             frontend::PARSE => Expected::Parse(None),
@@ -118,7 +120,7 @@
             frontend::CLOSE => Expected::Close(None),
             frontend::QUERY => Expected::Query,
             frontend::FUNCTION_CALL => Expected::FunctionCall,
-            // The database ignores a Sync while it takes the data of a COPY.
+            // The database ignores a `Sync` while it receives COPY data.
             frontend::SYNC if self.copying_in => return,
             frontend::SYNC => Expected::Sync,
             frontend::COPY_DONE | frontend::COPY_FAIL => {
@@ -137,26 +139,26 @@
         self.expected.push_back(expected);
     }
 
-    /// Matches a message of the database with what was sent.
-    pub fn received(&mut self, tag: u8) -> Verdict {
+    /// Matches a message of the database with the messages sent.
+    pub fn received(&mut self, tag: u8) -> MessageAction {
         if is_asynchronous(tag) {
             return self.asynchronous();
         }
         self.skip_copy_ends();
-        let verdict = match tag {
+        let action = match tag {
             backend::ERROR => self.error(),
             backend::READY_FOR_QUERY => self.ready(),
             backend::COPY_IN_RESPONSE => self.copy_in(),
             _ => self.answer(tag),
         };
         self.skip_copy_ends();
-        verdict
+        action
     }
 
-    fn asynchronous(&self) -> Verdict {
+    fn asynchronous(&self) -> MessageAction {
         match self.expected.front() {
-            None | Some(Expected::Own) => Verdict::Swallow,
-            Some(_) => Verdict::Relay,
+            None | Some(Expected::Own) => MessageAction::Discard,
+            Some(_) => MessageAction::Relay,
         }
     }
 
@@ -166,14 +168,14 @@
         }
     }
 
-    fn answer(&mut self, tag: u8) -> Verdict {
+    fn answer(&mut self, tag: u8) -> MessageAction {
         match self.expected.front() {
             None => {
-                self.out_of_step = true;
-                return Verdict::Swallow;
+                self.out_of_sync = true;
+                return MessageAction::Discard;
             }
-            Some(Expected::Own) => return Verdict::Swallow,
-            Some(Expected::Query | Expected::FunctionCall) => return Verdict::Relay,
+            Some(Expected::Own) => return MessageAction::Discard,
+            Some(Expected::Query | Expected::FunctionCall) => return MessageAction::Relay,
             Some(_) => {}
         }
         let ends = match self.expected.front() {
@@ -186,35 +188,35 @@
                 backend::COMMAND_COMPLETE | backend::EMPTY_QUERY | backend::PORTAL_SUSPENDED
             ),
             _ => {
-                self.out_of_step = true;
+                self.out_of_sync = true;
                 false
             }
         };
         if !ends {
-            return Verdict::Relay;
+            return MessageAction::Relay;
         }
         match self.expected.pop_front() {
             Some(Expected::Parse(Some(name))) => {
-                self.fates.push(StatementFate::Parsed(name));
-                Verdict::Swallow
+                self.outcomes.push(StatementOutcome::Parsed(name));
+                MessageAction::Discard
             }
             Some(Expected::Close(Some(name))) => {
-                self.fates.push(StatementFate::Closed(name));
-                Verdict::Swallow
+                self.outcomes.push(StatementOutcome::Closed(name));
+                MessageAction::Discard
             }
-            _ => Verdict::Relay,
+            _ => MessageAction::Relay,
         }
     }
 
     /// After an error the database skips everything up to the next `Sync`.
-    fn error(&mut self) -> Verdict {
+    fn error(&mut self) -> MessageAction {
         self.copying_in = false;
         match self.expected.front() {
             Some(Expected::Own) => {
                 self.own_failed = true;
-                return Verdict::Swallow;
+                return MessageAction::Discard;
             }
-            Some(Expected::Query | Expected::FunctionCall) | None => return Verdict::Relay,
+            Some(Expected::Query | Expected::FunctionCall) | None => return MessageAction::Relay,
             Some(_) => {}
         }
         while let Some(expected) = self.expected.front() {
@@ -223,34 +225,34 @@
             }
             match self.expected.pop_front() {
                 Some(Expected::Parse(Some(name))) => {
-                    self.fates.push(StatementFate::NotParsed(name));
+                    self.outcomes.push(StatementOutcome::NotParsed(name));
                 }
                 Some(Expected::Close(Some(name))) => {
-                    self.fates.push(StatementFate::NotClosed(name));
+                    self.outcomes.push(StatementOutcome::NotClosed(name));
                 }
                 _ => {}
             }
         }
-        Verdict::Relay
+        MessageAction::Relay
     }
 
-    fn ready(&mut self) -> Verdict {
+    fn ready(&mut self) -> MessageAction {
         self.copying_in = false;
         match self.expected.pop_front() {
-            Some(Expected::Own) => Verdict::OwnEnded {
+            Some(Expected::Own) => MessageAction::OwnQueryEnded {
                 succeeded: !std::mem::take(&mut self.own_failed),
             },
-            Some(Expected::Query | Expected::FunctionCall | Expected::Sync) => Verdict::Relay,
+            Some(Expected::Query | Expected::FunctionCall | Expected::Sync) => MessageAction::Relay,
             _ => {
-                self.out_of_step = true;
-                Verdict::Relay
+                self.out_of_sync = true;
+                MessageAction::Relay
             }
         }
     }
 
-    /// The database takes the data of a COPY now. It ignores every `Sync` up to the end
-    /// of the data.
-    fn copy_in(&mut self) -> Verdict {
+    /// Handles the start of a COPY from the client. The database ignores every `Sync` up
+    /// to the end of the data.
+    fn copy_in(&mut self) -> MessageAction {
         let end = self
             .expected
             .iter()
@@ -263,11 +265,11 @@
             index += 1;
             !ignored
         });
-        Verdict::Relay
+        MessageAction::Relay
     }
 }
 
-/// Messages that may come at any time and answer nothing.
+/// Returns whether a message may arrive at any time and answers nothing.
 fn is_asynchronous(tag: u8) -> bool {
     matches!(
         tag,
--- a/crates/transport/src/backend/ledger/tests.rs
+++ b/crates/transport/src/backend/ledger/tests.rs
@@ -1,13 +1,15 @@
-//! Tests of the ledger: what is relayed, and when nothing is outstanding.
+//! Tests of the tracking of outstanding answers: which messages are relayed, and when no
+//! answer is outstanding.
 
 use hookpoint_protocol::frame::Frame;
 use quickcheck::{Arbitrary, Gen};
 
-use super::{Ledger, StatementFate, Verdict};
+use super::{MessageAction, OutstandingAnswers, StatementOutcome};
 
-/// What is sent, letter by letter: `p`, `x` and `q` are the proxy's own `Parse`, `Close`
-/// and query; `D` to `S` are the session's messages, as is `c` (`CopyDone`).
-fn send(ledger: &mut Ledger, letters: &str) {
+/// Records the sent messages, one for each letter: `p`, `x` and `q` are the proxy's own
+/// `Parse`, `Close` and query; `D` to `S` are the session's messages, as is `c`
+/// (`CopyDone`).
+fn send(ledger: &mut OutstandingAnswers, letters: &str) {
     for letter in letters.chars() {
         match letter {
             'p' => ledger.own_parse("s".to_owned()),
@@ -18,14 +20,15 @@
     }
 }
 
-/// The tags of `answer` that are relayed; `!` where an own query failed.
-fn receive(ledger: &mut Ledger, answer: &str) -> String {
+/// Returns the tags of `answer` that are relayed, with `!` where a query of the proxy
+/// itself failed.
+fn receive(ledger: &mut OutstandingAnswers, answer: &str) -> String {
     let mut relayed = String::new();
     for tag in answer.chars() {
         match ledger.received(tag as u8) {
-            Verdict::Relay => relayed.push(tag),
-            Verdict::OwnEnded { succeeded: false } => relayed.push('!'),
-            Verdict::Swallow | Verdict::OwnEnded { succeeded: true } => {}
+            MessageAction::Relay => relayed.push(tag),
+            MessageAction::OwnQueryEnded { succeeded: false } => relayed.push('!'),
+            MessageAction::Discard | MessageAction::OwnQueryEnded { succeeded: true } => {}
         }
     }
     relayed
@@ -61,22 +64,22 @@
         ("old function call", "F", "VZ", "VZ"),
     ];
     for (name, sent, answer, relayed) in cases {
-        let mut ledger = Ledger::default();
+        let mut ledger = OutstandingAnswers::default();
         send(&mut ledger, sent);
         for (index, _) in answer.char_indices().skip(1) {
-            let mut partial = Ledger::default();
+            let mut partial = OutstandingAnswers::default();
             send(&mut partial, sent);
             receive(&mut partial, &answer[..index]);
-            assert!(!partial.is_settled(), "{name} is settled early");
+            assert!(!partial.is_complete(), "{name} is complete too early");
         }
         assert_eq!(receive(&mut ledger, answer), relayed, "{name}");
-        assert!(ledger.is_settled() && !ledger.is_out_of_step(), "{name}");
+        assert!(ledger.is_complete() && !ledger.is_out_of_sync(), "{name}");
     }
 }
 
-/// A database ignores every `Sync` while it takes the data of a COPY.
+/// A database ignores every `Sync` while it receives COPY data.
 #[test]
-fn a_copy_in_ignores_syncs_until_its_data_ends() {
+fn copy_in_ignores_syncs_until_its_data_ends() {
     let cases: [(&str, &[(&str, &str)]); 6] = [
         ("simple", &[("Q", "G"), ("ddc", "CZ")]),
         ("simple, pipelined", &[("Qddc", "GCZ")]),
@@ -89,47 +92,47 @@
         ("it fails before any data", &[("PBES", "12EZ")]),
     ];
     for (name, steps) in cases {
-        let mut ledger = Ledger::default();
+        let mut ledger = OutstandingAnswers::default();
         for (index, (sent, answer)) in steps.iter().enumerate() {
             send(&mut ledger, sent);
             assert_eq!(receive(&mut ledger, answer), *answer, "{name}");
             let ended = index + 1 == steps.len();
-            assert_eq!(ledger.is_settled(), ended, "{name}, step {index}");
+            assert_eq!(ledger.is_complete(), ended, "{name}, step {index}");
         }
-        assert!(!ledger.is_out_of_step(), "{name}");
+        assert!(!ledger.is_out_of_sync(), "{name}");
     }
 }
 
 #[test]
-fn the_fate_of_each_own_statement_is_told() {
-    let parsed = StatementFate::Parsed("s".to_owned());
-    let not_parsed = StatementFate::NotParsed("s".to_owned());
-    let closed = StatementFate::Closed("s".to_owned());
-    let not_closed = StatementFate::NotClosed("s".to_owned());
+fn the_outcome_of_each_own_statement_is_reported() {
+    let parsed = StatementOutcome::Parsed("s".to_owned());
+    let not_parsed = StatementOutcome::NotParsed("s".to_owned());
+    let closed = StatementOutcome::Closed("s".to_owned());
+    let not_closed = StatementOutcome::NotClosed("s".to_owned());
     let cases = [
         ("xpS", "31Z", vec![closed, parsed.clone()]),
         ("xpS", "EZ", vec![not_closed, not_parsed.clone()]),
         ("pBSpBS", "EZ12Z", vec![not_parsed, parsed]),
     ];
-    for (sent, answer, fates) in cases {
-        let mut ledger = Ledger::default();
+    for (sent, answer, outcomes) in cases {
+        let mut ledger = OutstandingAnswers::default();
         send(&mut ledger, sent);
         receive(&mut ledger, answer);
-        assert_eq!(ledger.take_fates(), fates, "{sent} {answer}");
+        assert_eq!(ledger.take_outcomes(), outcomes, "{sent} {answer}");
     }
 }
 
 #[test]
-fn answers_that_nothing_explains_are_noticed_and_none_panics() {
+fn unexpected_answers_are_detected_and_none_panics() {
     for (sent, answer) in [("", "CZ"), ("Q", "CZZ"), ("BS", "2Z1"), ("S", "C")] {
-        let mut ledger = Ledger::default();
+        let mut ledger = OutstandingAnswers::default();
         send(&mut ledger, sent);
         receive(&mut ledger, answer);
-        assert!(ledger.is_out_of_step(), "{sent} {answer}");
+        assert!(ledger.is_out_of_sync(), "{sent} {answer}");
     }
     for seed in 0..2_000 {
         let mut random = Gen::from_size_and_seed(40, seed);
-        let mut ledger = Ledger::default();
+        let mut ledger = OutstandingAnswers::default();
         for byte in Vec::<u8>::arbitrary(&mut random) {
             if bool::arbitrary(&mut random) {
                 ledger.sent(&Frame::new(byte, Vec::new()));
--- a/crates/transport/src/backend/message.rs
+++ b/crates/transport/src/backend/message.rs
@@ -1,4 +1,4 @@
-//! Messages between the pools' table, a pool and its connections.
+//! Messages between the pool table, a pool and its connections.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -13,23 +13,23 @@
 
 use crate::lease::BackendLease;
 
-/// Where the answer to a request for a lease goes.
+/// Channel for the result of a lease request.
 pub(super) type LeaseReply = oneshot::Sender<Result<BackendLease, Refusal>>;
 
-/// Where connections lead and as whom.
+/// Address and credentials of a database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Target {
-    /// Address by the bundle; none if the text there is no address.
+    /// Address given in the bundle; `Err` holds the text if it is not a valid address.
     pub address: Result<SocketAddr, String>,
     pub user: String,
     pub database: String,
-    /// After this time in an open transaction without a query the database ends the
-    /// connection. The proxy ends such a transaction earlier; this is for the ones
-    /// whose proxy has died.
+    /// Idle time in an open transaction after which the database closes the connection.
+    /// The proxy ends such a transaction earlier; this limit covers transactions whose
+    /// proxy has died.
     pub idle_transaction_timeout: Duration,
 }
 
-/// What a bundle says about one database.
+/// Settings of one database from the bundle.
 #[derive(Clone, Debug)]
 pub(super) struct PoolConfiguration {
     pub policy: SlotPolicy,
@@ -37,7 +37,7 @@
     pub draining: bool,
 }
 
-/// A request for a lease.
+/// Requests a lease.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(super) struct Acquire {
@@ -45,36 +45,36 @@
     pub reply: LeaseReply,
 }
 
-/// The request is no longer wanted.
+/// Cancels a request for a lease.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(super) struct Cancelled(pub RequestNumber);
 
-/// A bundle came into force.
+/// Applies the settings of a new bundle.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(super) struct Configure(pub PoolConfiguration);
 
-/// Whether this node is the database's home.
+/// Sets whether this node is the database's home.
 #[derive(Message)]
 #[rtype(result = "()")]
-pub(super) struct Home(pub bool);
+pub(super) struct SetHome(pub bool);
 
-/// Waiting requests had better look for another database.
+/// Makes waiting requests look for another database.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(super) struct Reroute {
-    /// Whether the database has lost the primary's role. Sessions that wait for it to
-    /// answer then wait only a little longer.
-    pub deposed: bool,
+    /// Whether the database has lost the primary role. Sessions that wait for its answer
+    /// then wait only a little longer.
+    pub former_primary: bool,
 }
 
-/// The database left the bundle or the process stops.
+/// Shuts the pool down, because the database left the bundle or the process stops.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(super) struct Retire;
 
-/// What a connection tells its pool.
+/// Reports an event of a connection to its pool.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(super) struct FromConnection {
@@ -82,19 +82,19 @@
     pub event: ConnectionEvent,
 }
 
-/// An event in the life of a connection.
+/// A state change of a connection.
 pub(super) enum ConnectionEvent {
-    /// It is ready.
+    /// The connection is ready.
     Opened,
-    /// It could not be opened.
+    /// The connection could not be opened.
     Failed(OpenFailure),
-    /// Its lease is over.
+    /// The lease has ended.
     Returned { reusable: bool },
-    /// It is closed, by the pool's will.
+    /// The pool closed the connection.
     Closed,
-    /// It is closed, by the database or the network.
+    /// The database or the network closed the connection.
     Broken,
-    /// It was found closed before the request used it.
+    /// The connection was found closed before the request used it.
     GrantFailed(Box<Grant>),
 }
 
@@ -104,17 +104,17 @@
     pub reply: LeaseReply,
 }
 
-/// What a pool tells a connection.
+/// A command of a pool to a connection.
 pub(super) enum Order {
-    /// Serve this request.
+    /// Serve the request.
     Serve(Box<Grant>),
-    /// Close.
+    /// Close the connection.
     Close,
-    /// Break the lease unless the database says something soon.
-    Doubt,
+    /// Break the lease unless the database sends a message soon.
+    AbortIfSilent,
 }
 
-/// Orders a connection buffers: at most one of each kind is under way.
+/// Capacity of a connection's order channel; at most one order of each kind is pending.
 pub(super) const ORDER_BUFFER: usize = 4;
-/// Where a pool sends its orders.
+/// Channel for a pool's orders to a connection.
 pub(super) type OrderSender = mpsc::Sender<Order>;
--- a/crates/transport/src/backend/mod.rs
+++ b/crates/transport/src/backend/mod.rs
@@ -1,6 +1,6 @@
-//! Connections to databases: one pool a database, each an actor that carries out what
-//! its [`SlotTable`](hookpoint_coordination::slots::SlotTable) decides, and one task a
-//! connection that serves one lease at a time.
+//! Connections to databases: one pool for each database, an actor that carries out the
+//! decisions of its [`SlotTable`](hookpoint_coordination::slots::SlotTable), and one task
+//! for each connection, which serves one lease at a time.
 
 mod cancel;
 mod connection;
--- a/crates/transport/src/backend/outgoing.rs
+++ b/crates/transport/src/backend/outgoing.rs
@@ -1,4 +1,4 @@
-//! Messages that the proxy itself writes to a database.
+//! Messages that the proxy itself sends to a database.
 
 use bytes::{BufMut, BytesMut};
 use hookpoint_protocol::frame::Frame;
@@ -7,9 +7,9 @@
 
 /// Version 3.0 of the protocol.
 const PROTOCOL_VERSION: u32 = 196_608;
-/// Code of a cancel request.
+/// Request code of a cancel request.
 const CANCEL_CODE: u32 = 80_877_102;
-/// Length of a cancel request.
+/// Length of a cancel request, in bytes.
 const CANCEL_LENGTH: u32 = 16;
 
 fn put_text(body: &mut BytesMut, text: &str) {
@@ -17,7 +17,7 @@
     body.put_u8(0);
 }
 
-/// The start-up message with these parameters.
+/// Returns a start-up message with the given parameters.
 pub(super) fn startup<'a>(parameters: impl IntoIterator<Item = (&'a str, &'a str)>) -> BytesMut {
     let mut body = BytesMut::new();
     body.put_u32(PROTOCOL_VERSION);
@@ -32,7 +32,7 @@
     message
 }
 
-/// A cancel request for the connection of this process and secret.
+/// Returns a cancel request for the connection with this process number and secret.
 pub(super) fn cancel_request(process: u32, secret: u32) -> BytesMut {
     let mut message = BytesMut::with_capacity(CANCEL_LENGTH as usize);
     message.put_u32(CANCEL_LENGTH);
@@ -42,7 +42,7 @@
     message
 }
 
-/// A `Parse` of a named statement.
+/// Returns a `Parse` of a named statement.
 pub(super) fn parse(name: &str, text: &str, types: &[u32]) -> Frame {
     let mut body = BytesMut::new();
     put_text(&mut body, name);
@@ -54,7 +54,7 @@
     Frame::new(frontend::PARSE, body.freeze())
 }
 
-/// A `Close` of a named statement.
+/// Returns a `Close` of a named statement.
 pub(super) fn close_statement(name: &str) -> Frame {
     let mut body = BytesMut::new();
     body.put_u8(b'S');
@@ -62,14 +62,14 @@
     Frame::new(frontend::CLOSE, body.freeze())
 }
 
-/// A clear-text password.
+/// Returns a message with a clear-text password.
 pub(super) fn password(password: &str) -> Frame {
     let mut body = BytesMut::new();
     put_text(&mut body, password);
     Frame::new(frontend::PASSWORD, body.freeze())
 }
 
-/// The first message of a SASL exchange.
+/// Returns the first client message of a SASL exchange.
 pub(super) fn sasl_initial(mechanism: &str, data: &str) -> Frame {
     let mut body = BytesMut::new();
     put_text(&mut body, mechanism);
@@ -78,12 +78,12 @@
     Frame::new(frontend::PASSWORD, body.freeze())
 }
 
-/// A later message of a SASL exchange.
+/// Returns a later client message of a SASL exchange.
 pub(super) fn sasl_response(data: &str) -> Frame {
     Frame::new(frontend::PASSWORD, data.as_bytes().to_vec())
 }
 
-/// The end of a connection.
+/// Returns a `Terminate` message.
 pub(super) fn terminate() -> Frame {
     Frame::new(frontend::TERMINATE, Vec::new())
 }
--- a/crates/transport/src/backend/pool.rs
+++ b/crates/transport/src/backend/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of one database.
+//! The connection pool of one database.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -14,17 +14,17 @@
 
 use super::connection::ConnectionContext;
 use super::message::{
-    Acquire, Cancelled, Configure, ConnectionEvent, FromConnection, Grant, Home, ORDER_BUFFER,
-    Order, OrderSender, PoolConfiguration, Reroute, Retire,
+    Acquire, Cancelled, Configure, ConnectionEvent, FromConnection, Grant, ORDER_BUFFER, Order,
+    OrderSender, PoolConfiguration, Reroute, Retire, SetHome,
 };
 use super::settings::BackendSettings;
 use super::task::ConnectionTask;
 use crate::shared::Shared;
 
-/// Where a pool tells of connections that broke.
-pub(super) type LossSender = mpsc::Sender<DatabaseName>;
+/// Channel for the names of databases whose connections broke.
+pub(super) type BrokenConnectionSender = mpsc::Sender<DatabaseName>;
 
-/// What a pool is made of.
+/// Parameters of a new pool.
 pub(super) struct PoolParts {
     pub shared: Arc<Shared>,
     pub settings: Arc<BackendSettings>,
@@ -34,10 +34,10 @@
     pub home: bool,
     pub seed: u64,
     pub counts: Arc<Mutex<SlotCounts>>,
-    pub losses: LossSender,
+    pub broken_connections: BrokenConnectionSender,
 }
 
-/// The actor that carries out what the slot table of one database decides.
+/// The actor that carries out the decisions of the slot table of one database.
 pub(super) struct PoolActor {
     parts: PoolParts,
     context: Arc<ConnectionContext>,
@@ -52,7 +52,7 @@
     pub fn new(parts: PoolParts) -> Self {
         let table = SlotTable::new(parts.configuration.policy.clone(), parts.seed);
         Self {
-            context: Arc::new(context_of(&parts)),
+            context: Arc::new(connection_context(&parts)),
             table,
             parts,
             waiting: BTreeMap::new(),
@@ -69,7 +69,7 @@
         while let Some(event) = events.pop_front() {
             self.table.handle(now, event, &mut actions);
             for action in actions.drain(..) {
-                events.extend(self.carry_out(action, context));
+                events.extend(self.perform(action, context));
             }
         }
         *self.parts.counts.lock() = self.table.counts();
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Returns the event that follows when the action turns out to be impossible.
-    fn carry_out(&mut self, action: SlotAction, context: &mut Context<Self>) -> Option<SlotEvent> {
+    /// Performs an action. Returns the event that follows if the action is not possible.
+    fn perform(&mut self, action: SlotAction, context: &mut Context<Self>) -> Option<SlotEvent> {
         match action {
             SlotAction::OpenConnection(number) => self.open(number, context),
             SlotAction::Grant {
@@ -113,8 +113,8 @@
         actix_rt::spawn(task.run());
     }
 
-    /// Hands a request to its connection. If that has ended meanwhile the request goes
-    /// back to the queue.
+    /// Hands a request to its connection. If the connection has ended meanwhile, the
+    /// request returns to the queue.
     fn grant(&mut self, request: RequestNumber, connection: ConnectionNumber) -> Option<SlotEvent> {
         let Some(grant) = self.waiting.remove(&request) else {
             return Some(SlotEvent::ConnectionReturned {
@@ -126,14 +126,14 @@
         match orders.try_send(Order::Serve(Box::new(grant))) {
             Err(TrySendError::Full(order) | TrySendError::Closed(order)) => match order {
                 Order::Serve(grant) => Some(self.grant_failed(connection, *grant)),
-                Order::Close | Order::Doubt => None,
+                Order::Close | Order::AbortIfSilent => None,
             },
             Ok(()) => None,
         }
     }
 
     fn grant_failed(&mut self, connection: ConnectionNumber, grant: Grant) -> SlotEvent {
-        self.lost(connection);
+        self.remove_broken(connection);
         let request = grant.request.clone();
         self.waiting.insert(request.number, grant);
         SlotEvent::GrantFailed {
@@ -159,17 +159,17 @@
         });
     }
 
-    /// Forgets a connection that the database or the network has ended.
-    fn lost(&mut self, connection: ConnectionNumber) {
+    /// Removes a connection that the database or the network has closed.
+    fn remove_broken(&mut self, connection: ConnectionNumber) {
         if self.connections.remove(&connection).is_some() {
             let database = &self.parts.database;
             log::info!("pool: a connection to {database} broke.");
-            let _full = self.parts.losses.try_send(database.clone());
+            let _full = self.parts.broken_connections.try_send(database.clone());
         }
     }
 }
 
-fn context_of(parts: &PoolParts) -> ConnectionContext {
+fn connection_context(parts: &PoolParts) -> ConnectionContext {
     ConnectionContext {
         shared: parts.shared.clone(),
         settings: parts.settings.clone(),
@@ -229,7 +229,7 @@
     fn handle(&mut self, message: Configure, context: &mut Context<Self>) {
         let before = std::mem::replace(&mut self.parts.configuration, message.0);
         if before.target != self.parts.configuration.target {
-            self.context = Arc::new(context_of(&self.parts));
+            self.context = Arc::new(connection_context(&self.parts));
             self.handle(SlotEvent::Renew, context);
         }
         let draining = self.parts.configuration.draining;
@@ -243,10 +243,10 @@
     }
 }
 
-impl Handler<Home> for PoolActor {
+impl Handler<SetHome> for PoolActor {
     type Result = ();
 
-    fn handle(&mut self, message: Home, context: &mut Context<Self>) {
+    fn handle(&mut self, message: SetHome, context: &mut Context<Self>) {
         self.handle(SlotEvent::Home(message.0), context);
     }
 }
@@ -256,9 +256,9 @@
 
     fn handle(&mut self, message: Reroute, context: &mut Context<Self>) {
         self.handle(SlotEvent::Reroute, context);
-        if message.deposed {
+        if message.former_primary {
             for orders in self.connections.values() {
-                let _ended = orders.try_send(Order::Doubt);
+                let _ended = orders.try_send(Order::AbortIfSilent);
             }
         }
     }
@@ -296,7 +296,7 @@
                 SlotEvent::ConnectionClosed(connection)
             }
             ConnectionEvent::Broken => {
-                self.lost(connection);
+                self.remove_broken(connection);
                 SlotEvent::ConnectionClosed(connection)
             }
             ConnectionEvent::GrantFailed(grant) => self.grant_failed(connection, *grant),
--- a/crates/transport/src/backend/pools.rs
+++ b/crates/transport/src/backend/pools.rs
@@ -14,22 +14,23 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::message::{
-    Acquire, Cancelled, Configure, Home, PoolConfiguration, Reroute, Retire, Target,
+    Acquire, Cancelled, Configure, PoolConfiguration, Reroute, Retire, SetHome, Target,
 };
-use super::pool::{LossSender, PoolActor, PoolParts};
+use super::pool::{BrokenConnectionSender, PoolActor, PoolParts};
 use super::settings::BackendSettings;
 use crate::lease::{AcquireRequest, BackendLease, LeaseSource};
 use crate::observe::{OWN_SESSION, SharedStatuses, shared_statuses};
 use crate::shared::Shared;
 
-/// Says which databases this node is home for.
+/// Returns whether this node is the home of a database.
 pub type HomeFilter = Arc<dyn Fn(&DatabaseName) -> bool + Send + Sync>;
 
 /// How much longer than the proxy's own limit a database waits before it ends an idle
 /// transaction.
 const IDLE_TRANSACTION_GRACE: Duration = Duration::from_secs(5);
-/// Losses that wait to be looked at; more of them say nothing new.
-const LOSS_BUFFER: usize = 256;
+/// Capacity of the channel of broken connections; further entries would add no
+/// information.
+const BROKEN_CONNECTION_BUFFER: usize = 256;
 
 struct PoolEntry {
     group: GroupName,
@@ -37,68 +38,68 @@
     counts: Arc<Mutex<SlotCounts>>,
 }
 
-/// The pools of this node, one for each database that has been asked for.
+/// The pools of this node, one for each database that has been requested.
 ///
 /// Lock order: `pools`, then `home` or any lock of [`Shared`]. A [`HomeFilter`] is called
-/// with `pools` held and must not come back here.
+/// with `pools` held and must not call back into `LocalPools`.
 pub struct LocalPools {
     shared: Arc<Shared>,
     settings: Arc<BackendSettings>,
     pools: Mutex<BTreeMap<DatabaseName, PoolEntry>>,
     home: RwLock<HomeFilter>,
     next_request: AtomicU64,
-    losses: LossSender,
-    loss_receiver: Mutex<Option<mpsc::Receiver<DatabaseName>>>,
+    broken_connections: BrokenConnectionSender,
+    broken_receiver: Mutex<Option<mpsc::Receiver<DatabaseName>>>,
     statuses: Arc<SharedStatuses>,
 }
 
 impl LocalPools {
-    /// Empty pools that follow the bundle in force.
+    /// Creates an empty table of pools that follows the current bundle.
     pub fn new(shared: Arc<Shared>, settings: BackendSettings) -> Arc<Self> {
-        let (losses, loss_receiver) = mpsc::channel(LOSS_BUFFER);
+        let (broken_connections, broken_receiver) = mpsc::channel(BROKEN_CONNECTION_BUFFER);
         let arbiter = arbiter_of(&settings, 0);
-        let pools = Arc::new_cyclic(|itself| Self {
-            statuses: shared_statuses(shared.clone(), arbiter, itself.clone()),
+        let pools = Arc::new_cyclic(|weak_self| Self {
+            statuses: shared_statuses(shared.clone(), arbiter, weak_self.clone()),
             shared,
             settings: Arc::new(settings),
             pools: Mutex::new(BTreeMap::new()),
             home: RwLock::new(Arc::new(|_| true)),
             next_request: AtomicU64::new(0),
-            losses,
-            loss_receiver: Mutex::new(Some(loss_receiver)),
+            broken_connections,
+            broken_receiver: Mutex::new(Some(broken_receiver)),
         });
-        pools.follow_bundles();
-        pools.follow_views();
+        pools.watch_bundles();
+        pools.watch_views();
         pools
     }
 
-    /// Zone of this node.
+    /// Returns the zone of this node.
     pub fn zone(&self) -> &ZoneName {
         &self.shared.zone
     }
 
-    /// Replaces the filter that says which databases this node is home for.
+    /// Replaces the filter that determines which databases this node is home for.
     pub fn set_home(&self, filter: HomeFilter) {
         *self.home.write() = filter;
         self.refresh_homes();
     }
 
-    /// Asks the filter again for each pool, after the membership has changed. Pools of
-    /// databases that have moved to another home give their idle connections back.
+    /// Evaluates the filter again for each pool after a membership change. Pools of
+    /// databases that have moved to another home release their idle connections.
     pub fn refresh_homes(&self) {
         for (database, entry) in &*self.pools.lock() {
             let home = self.is_home(database);
-            entry.address.do_send(Home(home));
+            entry.address.do_send(SetHome(home));
         }
     }
 
-    /// Whether this node is home for `database`.
+    /// Returns whether this node is home for `database`.
     pub fn is_home(&self, database: &DatabaseName) -> bool {
         let filter = self.home.read().clone();
         filter(database)
     }
 
-    /// Connections and waiting requests of each pool.
+    /// Returns the numbers of connections and waiting requests of each pool.
     pub fn counts(&self) -> BTreeMap<DatabaseName, SlotCounts> {
         let pools = self.pools.lock();
         pools
@@ -107,19 +108,20 @@
             .collect()
     }
 
-    /// Lets requests that wait for `database` look for another one, because it does not
+    /// Makes requests that wait for `database` look for another one, because it does not
     /// answer.
     pub fn reroute(&self, database: &DatabaseName) {
         self.send_reroute(database, false);
     }
 
-    fn send_reroute(&self, database: &DatabaseName, deposed: bool) {
+    fn send_reroute(&self, database: &DatabaseName, former_primary: bool) {
         if let Some(entry) = self.pools.lock().get(database) {
-            entry.address.do_send(Reroute { deposed });
+            entry.address.do_send(Reroute { former_primary });
         }
     }
 
-    /// Refuses what waits, closes what is idle and lets the rest finish.
+    /// Shuts all pools down: refuses waiting requests, closes idle connections and lets
+    /// running leases finish.
     pub fn retire(&self) {
         for entry in std::mem::take(&mut *self.pools.lock()).into_values() {
             entry.address.do_send(Retire);
@@ -146,12 +148,12 @@
             request: waiting,
             reply,
         });
-        let mut withdrawal = Withdrawal {
+        let mut cancel_on_drop = CancelOnDrop {
             address,
             number: Some(number),
         };
         let result = answer.await.unwrap_or(Err(Refusal::NoDatabase));
-        withdrawal.number = None;
+        cancel_on_drop.number = None;
         result
     }
 
@@ -159,9 +161,9 @@
         &self.statuses
     }
 
-    /// The receiver of connections that broke; there is one.
-    pub(crate) fn take_losses(&self) -> Option<mpsc::Receiver<DatabaseName>> {
-        self.loss_receiver.lock().take()
+    /// Takes the receiver of broken connections; `None` after the first call.
+    pub(crate) fn take_broken_connections(&self) -> Option<mpsc::Receiver<DatabaseName>> {
+        self.broken_receiver.lock().take()
     }
 
     fn pool(&self, database: &DatabaseName) -> Result<Addr<PoolActor>, Refusal> {
@@ -189,7 +191,7 @@
             home: self.is_home(database),
             seed: self.settings.seed.wrapping_add(index as u64),
             counts: counts.clone(),
-            losses: self.losses.clone(),
+            broken_connections: self.broken_connections.clone(),
         };
         let arbiter = arbiter_of(&self.settings, index);
         let address = PoolActor::start_in_arbiter(&arbiter, move |_| PoolActor::new(parts));
@@ -200,8 +202,8 @@
         })
     }
 
-    /// Starts the task that tells the pools of each new bundle.
-    fn follow_bundles(self: &Arc<Self>) {
+    /// Starts the task that applies each new bundle to the pools.
+    fn watch_bundles(self: &Arc<Self>) {
         let mut changes = self.shared.bundle_changes();
         let pools = Arc::downgrade(self);
         arbiter_of(&self.settings, 0).spawn(async move {
@@ -214,8 +216,9 @@
         });
     }
 
-    /// Starts the task that reroutes what waits for a primary that has been replaced.
-    fn follow_views(self: &Arc<Self>) {
+    /// Starts the task that reroutes requests waiting for a primary that has been
+    /// replaced.
+    fn watch_views(self: &Arc<Self>) {
         let mut changes = self.shared.view_changes();
         let pools = Arc::downgrade(self);
         let mut primaries = BTreeMap::new();
@@ -224,12 +227,12 @@
                 let Some(pools) = pools.upgrade() else {
                     return;
                 };
-                pools.follow_primaries(&mut primaries);
+                pools.reroute_from_former_primaries(&mut primaries);
             }
         });
     }
 
-    fn follow_primaries(&self, primaries: &mut BTreeMap<GroupName, DatabaseName>) {
+    fn reroute_from_former_primaries(&self, primaries: &mut BTreeMap<GroupName, DatabaseName>) {
         let groups: BTreeSet<GroupName> = {
             let pools = self.pools.lock();
             pools.values().map(|entry| entry.group.clone()).collect()
@@ -241,8 +244,8 @@
                 continue;
             };
             let before = primaries.insert(group.clone(), primary.name.clone());
-            if let Some(deposed) = before.filter(|before| *before != primary.name) {
-                self.send_reroute(&deposed, true);
+            if let Some(former_primary) = before.filter(|before| *before != primary.name) {
+                self.send_reroute(&former_primary, true);
             }
         }
     }
@@ -276,13 +279,13 @@
     }
 }
 
-/// Withdraws a request whose future was dropped.
-struct Withdrawal {
+/// Cancels a request when its future is dropped.
+struct CancelOnDrop {
     address: Addr<PoolActor>,
     number: Option<RequestNumber>,
 }
 
-impl Drop for Withdrawal {
+impl Drop for CancelOnDrop {
     fn drop(&mut self) {
         if let Some(number) = self.number {
             self.address.do_send(Cancelled(number));
--- a/crates/transport/src/backend/prepared.rs
+++ b/crates/transport/src/backend/prepared.rs
@@ -1,12 +1,12 @@
-//! The prepared statements that the proxy has put on one connection.
+//! The statements that the proxy has prepared on one connection.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use super::ledger::StatementFate;
+use super::ledger::StatementOutcome;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Presence {
-    /// Its `Parse` was sent in this section of the stream.
+    /// The `Parse` was sent in this section of the stream.
     Sent {
         section: u64,
     },
@@ -26,11 +26,11 @@
     None,
     /// A `Parse`.
     Parse,
-    /// A `Close`, then a `Parse`: it is not known whether it is there.
-    Renew,
+    /// A `Close`, then a `Parse`: it is unknown whether the statement is prepared.
+    CloseAndParse,
 }
 
-/// Statements on the connection, the least recently used evicted first.
+/// Statements prepared on a connection, with eviction of the least recently used.
 #[derive(Debug)]
 pub(super) struct PreparedStatements {
     capacity: usize,
@@ -40,7 +40,7 @@
 }
 
 impl PreparedStatements {
-    /// Room for `capacity` statements, at least one.
+    /// Creates an empty set with room for `capacity` statements, at least one.
     pub fn new(capacity: usize) -> Self {
         Self {
             capacity: capacity.max(1),
@@ -50,24 +50,24 @@
         }
     }
 
-    /// Marks `name` as used and says what to send first. `section` numbers the part of
-    /// the stream between two `Sync`s that the statement is used in.
+    /// Marks `name` as used and returns what has to be sent first. `section` numbers the
+    /// part of the stream between two `Sync`s in which the statement is used.
     pub fn ensure(&mut self, name: &str, section: u64) -> Preparation {
         let preparation = match self.entries.get(name).map(|entry| entry.presence) {
             Some(Presence::Present) => Preparation::None,
             Some(Presence::Sent { section: sent }) if sent == section => Preparation::None,
-            Some(Presence::Sent { .. }) => Preparation::Renew,
+            Some(Presence::Sent { .. }) => Preparation::CloseAndParse,
             None => Preparation::Parse,
         };
         let presence = match preparation {
             Preparation::None => None,
-            Preparation::Parse | Preparation::Renew => Some(Presence::Sent { section }),
+            Preparation::Parse | Preparation::CloseAndParse => Some(Presence::Sent { section }),
         };
         self.touch(name, presence);
         preparation
     }
 
-    /// Takes out the least recently used statement while there are too many.
+    /// Removes and returns the least recently used statement if the capacity is exceeded.
     pub fn evict(&mut self) -> Option<String> {
         if self.entries.len() <= self.capacity {
             return None;
@@ -77,17 +77,17 @@
         Some(name)
     }
 
-    /// Takes in what became of a statement.
-    pub fn settle(&mut self, fate: StatementFate) {
-        match fate {
-            StatementFate::Parsed(name) => {
+    /// Applies the result of preparing or closing a statement.
+    pub fn apply_outcome(&mut self, outcome: StatementOutcome) {
+        match outcome {
+            StatementOutcome::Parsed(name) => {
                 if let Some(entry) = self.entries.get_mut(&name) {
                     entry.presence = Presence::Present;
                 }
             }
-            StatementFate::NotParsed(name) => self.forget(&name),
-            StatementFate::Closed(_) => {}
-            StatementFate::NotClosed(name) => {
+            StatementOutcome::NotParsed(name) => self.remove(&name),
+            StatementOutcome::Closed(_) => {}
+            StatementOutcome::NotClosed(name) => {
                 if !self.entries.contains_key(&name) {
                     self.touch(&name, Some(Presence::Present));
                 }
@@ -95,13 +95,13 @@
         }
     }
 
-    /// Forgets all statements.
+    /// Removes all statements.
     pub fn clear(&mut self) {
         self.entries.clear();
         self.order.clear();
     }
 
-    fn forget(&mut self, name: &str) {
+    fn remove(&mut self, name: &str) {
         if let Some(entry) = self.entries.remove(name) {
             self.order.remove(&(entry.used, name.to_owned()));
         }
--- a/crates/transport/src/backend/run_settings.rs
+++ b/crates/transport/src/backend/run_settings.rs
@@ -1,27 +1,27 @@
-//! Run-time parameters of one connection, and the statements that change them into
-//! those of a session.
+//! Run-time parameters of one connection, and the statements that change them to those of
+//! a session.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
 use thiserror::Error;
 
-/// Parameters whose value is a list of names; the list is set element by element.
+/// Parameters whose value is a list of names, which is set element by element.
 const LIST_PARAMETERS: [&str; 3] = ["search_path", "temp_tablespaces", "local_preload_libraries"];
 
-/// A parameter name that cannot be put into a statement.
+/// A parameter name that must not be put into a statement.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("`{name}` is no name of a run-time parameter")]
+#[error("`{name}` is not a valid name of a run-time parameter")]
 pub(super) struct BadParameterName {
-    /// The name.
+    /// The name, truncated to 64 characters.
     pub name: String,
 }
 
-/// The statements that lead from the parameters `current` to `wanted`; none if they are
-/// the same.
+/// Returns the statements that change the parameters `current` to `wanted`; `None` if
+/// they are equal.
 ///
 /// # Errors
-/// A name that is none; the connection stays as it is.
+/// When a name is not valid; the connection is not changed.
 pub(super) fn changes(
     current: &BTreeMap<String, String>,
     wanted: &BTreeMap<String, String>,
@@ -43,9 +43,9 @@
 }
 
 fn check_name(name: &str) -> Result<(), BadParameterName> {
-    let starts_well = name.starts_with(|c: char| c.is_ascii_alphabetic() || c == '_');
+    let valid_start = name.starts_with(|c: char| c.is_ascii_alphabetic() || c == '_');
     let valid = |c: char| c.is_ascii_alphanumeric() || matches!(c, '_' | '.');
-    if starts_well && name.chars().all(valid) {
+    if valid_start && name.chars().all(valid) {
         return Ok(());
     }
     Err(BadParameterName {
@@ -64,7 +64,8 @@
     elements.join(", ")
 }
 
-/// A string literal that means the same whatever `standard_conforming_strings` is.
+/// Returns a string literal that is read the same with `standard_conforming_strings` on
+/// and off.
 fn quoted(value: &str) -> String {
     let doubled = value.replace('\'', "''");
     if doubled.contains('\\') {
--- a/crates/transport/src/backend/serve.rs
+++ b/crates/transport/src/backend/serve.rs
@@ -1,4 +1,5 @@
-//! One lease of a connection: commands in, replies out, with back-pressure both ways.
+//! Serves one lease of a connection: commands in, replies out, with back-pressure in both
+//! directions.
 
 use std::time::Duration;
 
@@ -11,7 +12,7 @@
 use tokio::time::Instant;
 
 use super::connection::{Connection, ConnectionContext};
-use super::ledger::Verdict;
+use super::ledger::MessageAction;
 use super::message::{Grant, Order};
 use super::outgoing;
 use super::prepared::Preparation;
@@ -19,14 +20,15 @@
 use crate::lease::{BackendLease, LEASE_COMMAND_BUFFER, LEASE_REPLY_BUFFER};
 use hookpoint_protocol::tags::backend;
 
-/// Bytes that may wait to be written before no more commands are taken.
+/// Output bytes waiting to be written at which no more commands are accepted.
 const OUTGOING_LIMIT: usize = 256 * 1024;
-/// Bytes of one reply, after which no more messages are read until it is taken.
+/// Bytes of a reply batch at which no more messages are read until the batch is
+/// delivered.
 const BATCH_LIMIT: usize = 64 * 1024;
-/// How long a request may still run without a word on a database that is the primary
-/// no more.
-const DOUBT_TIME: Duration = Duration::from_millis(500);
-/// Command tags that leave state on the connection.
+/// How long a request may still run without any message from a database that is no longer
+/// the primary.
+const MAX_SILENCE: Duration = Duration::from_millis(500);
+/// Command tags of statements that leave state on the connection.
 const TAINTING_TAGS: [&[u8]; 7] = [
     b"SET\0",
     b"RESET\0",
@@ -40,24 +42,24 @@
 /// How a lease ended.
 #[derive(Debug)]
 pub(super) enum ServeEnd {
-    /// The session gave it back.
+    /// The session released the connection.
     Released { reusable: bool, discard: bool },
-    /// The session went away without a word before it sent anything.
+    /// The session dropped the lease without a release before it sent anything.
     Unused,
-    /// The session went away without a word.
+    /// The session dropped the lease without a release.
     Abandoned,
     /// The connection broke.
     Lost,
 }
 
-/// What happened first.
+/// The event that completed first.
 enum Step {
     Command(Option<BackendCommand>),
     Written(bool),
     Message(Option<Result<Frame, FrameError>>),
     Delivered,
-    Doubted,
-    DoubtConfirmed,
+    AbortIfSilent,
+    AbortDue,
     SessionGone,
 }
 
@@ -67,8 +69,8 @@
     commands: mpsc::Receiver<BackendCommand>,
     replies: mpsc::Sender<BackendReply>,
     orders: &'a mut mpsc::Receiver<Order>,
-    /// When the lease is broken unless the database says something.
-    doubted_until: Option<Instant>,
+    /// When the lease is broken unless the database sends a message before.
+    abort_at: Option<Instant>,
     batch: Vec<Frame>,
     batch_bytes: usize,
     used: bool,
@@ -97,14 +99,14 @@
         commands,
         replies,
         orders,
-        doubted_until: None,
+        abort_at: None,
         batch: Vec::new(),
         batch_bytes: 0,
         used: false,
     };
     let end = lease.run().await;
     if matches!(end, ServeEnd::Lost) {
-        lease.tell_lost();
+        lease.send_lost();
     }
     end
 }
@@ -112,7 +114,7 @@
 impl Lease<'_> {
     async fn run(&mut self) -> ServeEnd {
         loop {
-            let takes_commands = self.connection.outgoing.len() < OUTGOING_LIMIT;
+            let accepts_commands = self.connection.outgoing.len() < OUTGOING_LIMIT;
             let writes = !self.connection.outgoing.is_empty();
             let reads = self.batch_bytes < BATCH_LIMIT;
             let replies = !self.batch.is_empty();
@@ -123,7 +125,7 @@
                 ..
             } = &mut *self.connection;
             let step = tokio::select! {
-                command = self.commands.recv(), if takes_commands => Step::Command(command),
+                command = self.commands.recv(), if accepts_commands => Step::Command(command),
                 written = writer.write_buf(outgoing), if writes => Step::Written(written.is_ok()),
                 message = reader.next(), if reads => Step::Message(message),
                 permit = self.replies.reserve(), if replies => match permit {
@@ -133,34 +135,34 @@
                     }
                     Err(_) => Step::SessionGone,
                 },
-                Some(_) = self.orders.recv() => Step::Doubted,
-                () = sleep_until(self.doubted_until) => Step::DoubtConfirmed,
+                Some(_) = self.orders.recv() => Step::AbortIfSilent,
+                () = sleep_until(self.abort_at) => Step::AbortDue,
                 () = self.replies.closed() => Step::SessionGone,
             };
-            if let Some(end) = self.step(step) {
+            if let Some(end) = self.on_step(step) {
                 return end;
             }
         }
     }
 
-    fn step(&mut self, step: Step) -> Option<ServeEnd> {
+    fn on_step(&mut self, step: Step) -> Option<ServeEnd> {
         match step {
-            Step::Command(command) => return self.commands_taken(command),
-            Step::Written(true) => self.connection.used(),
+            Step::Command(command) => return self.run_commands(command),
+            Step::Written(true) => self.connection.mark_used(),
             Step::Written(false) => return Some(ServeEnd::Lost),
             Step::Message(message) => {
-                if !self.messages_read(message) {
+                if !self.receive_messages(message) {
                     return Some(ServeEnd::Lost);
                 }
             }
             Step::Delivered => self.batch_bytes = 0,
-            Step::Doubted => {
-                let waits = !self.connection.ledger.is_settled();
-                self.doubted_until = waits.then(|| Instant::now() + DOUBT_TIME);
+            Step::AbortIfSilent => {
+                let waits = !self.connection.ledger.is_complete();
+                self.abort_at = waits.then(|| Instant::now() + MAX_SILENCE);
             }
-            Step::DoubtConfirmed => {
+            Step::AbortDue => {
                 log::info!(
-                    "pool: {} is given up while it runs a request.",
+                    "pool: a connection to {} is closed while it runs a request.",
                     self.context.database
                 );
                 return Some(ServeEnd::Lost);
@@ -170,10 +172,10 @@
         None
     }
 
-    /// The session has dropped its end; it may have released the connection before.
+    /// Handles the session dropping its end; it may have released the connection before.
     fn session_gone(&mut self) -> ServeEnd {
         while let Ok(command) = self.commands.try_recv() {
-            if let Some(end) = self.command(command) {
+            if let Some(end) = self.run_command(command) {
                 return end;
             }
         }
@@ -188,13 +190,13 @@
         }
     }
 
-    fn commands_taken(&mut self, first: Option<BackendCommand>) -> Option<ServeEnd> {
+    fn run_commands(&mut self, first: Option<BackendCommand>) -> Option<ServeEnd> {
         let Some(first) = first else {
             return Some(self.abandoned());
         };
         let mut next = Some(first);
         while let Some(command) = next {
-            if let Some(end) = self.command(command) {
+            if let Some(end) = self.run_command(command) {
                 return Some(end);
             }
             if self.connection.outgoing.len() >= OUTGOING_LIMIT {
@@ -205,7 +207,7 @@
         None
     }
 
-    fn command(&mut self, command: BackendCommand) -> Option<ServeEnd> {
+    fn run_command(&mut self, command: BackendCommand) -> Option<ServeEnd> {
         if let BackendCommand::Release { reusable, discard } = command {
             return Some(ServeEnd::Released { reusable, discard });
         }
@@ -231,7 +233,7 @@
                         self.connection.parameters = wanted;
                     }
                     Err(error) => {
-                        log::warn!("pool: a session cannot be served: {error}.");
+                        log::warn!("pool: the parameters of a session cannot be set: {error}.");
                         return Some(ServeEnd::Lost);
                     }
                 }
@@ -256,7 +258,7 @@
         if preparation == Preparation::None {
             return;
         }
-        if preparation == Preparation::Renew {
+        if preparation == Preparation::CloseAndParse {
             close_statement(name, connection);
         }
         while let Some(evicted) = connection.prepared.evict() {
@@ -266,15 +268,16 @@
         connection.ledger.own_parse(name.to_owned());
     }
 
-    /// Takes a message and all others that are there already.
-    fn messages_read(&mut self, first: Option<Result<Frame, FrameError>>) -> bool {
-        self.doubted_until = None;
+    /// Processes a message and all further messages that have already arrived. Returns
+    /// whether the connection remains usable.
+    fn receive_messages(&mut self, first: Option<Result<Frame, FrameError>>) -> bool {
+        self.abort_at = None;
         let mut next = first;
         loop {
             let Some(Ok(frame)) = next else {
                 return false;
             };
-            if !self.message(frame) {
+            if !self.on_message(frame) {
                 return false;
             }
             if self.batch_bytes >= BATCH_LIMIT {
@@ -289,7 +292,7 @@
         true
     }
 
-    /// Hands the batch over if there is room for it.
+    /// Delivers the batch if the reply channel has capacity.
     fn send_batch(&mut self) {
         if self.batch.is_empty() {
             return;
@@ -300,19 +303,19 @@
         }
     }
 
-    fn message(&mut self, frame: Frame) -> bool {
+    fn on_message(&mut self, frame: Frame) -> bool {
         match self.connection.receive(&frame) {
-            Verdict::Swallow => true,
-            Verdict::OwnEnded { succeeded } => {
+            MessageAction::Discard => true,
+            MessageAction::OwnQueryEnded { succeeded } => {
                 if !succeeded {
                     log::warn!(
-                        "pool: {} refused a session's parameters.",
+                        "pool: database {} rejected the parameters of a session.",
                         self.context.database
                     );
                 }
                 succeeded
             }
-            Verdict::Relay => {
+            MessageAction::Relay => {
                 let leaves_state = frame.tag == backend::COMMAND_COMPLETE
                     && TAINTING_TAGS.iter().any(|tag| frame.body.starts_with(tag));
                 self.connection.tainted |= leaves_state;
@@ -323,8 +326,9 @@
         }
     }
 
-    /// Tells the session that the connection broke, after all it may still read.
-    fn tell_lost(&mut self) {
+    /// Reports to the session that the connection broke, after the messages that it may
+    /// still read.
+    fn send_lost(&mut self) {
         let replies = self.replies.clone();
         let batch = std::mem::take(&mut self.batch);
         actix_rt::spawn(async move {
@@ -341,7 +345,7 @@
     connection.ledger.own_close(name.to_owned());
 }
 
-/// Sleeps until `time`, or for ever without one.
+/// Sleeps until `time`; never resolves without one.
 async fn sleep_until(time: Option<Instant>) {
     match time {
         Some(time) => tokio::time::sleep_until(time).await,
--- a/crates/transport/src/backend/settings.rs
+++ b/crates/transport/src/backend/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the side towards databases.
+//! Settings of the connections to databases.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,31 +6,31 @@
 use actix::ArbiterHandle;
 use hookpoint_state::GroupName;
 
-/// What the pools need besides the bundle.
+/// Settings of the pools that are not part of the bundle.
 #[derive(Clone)]
 pub struct BackendSettings {
-    /// Password of each group's user; none where the databases trust the proxy.
+    /// Password of each group's user; absent where the databases need none.
     pub passwords: BTreeMap<GroupName, String>,
     /// Longest time from the first packet to a usable connection.
     pub connect_timeout: Duration,
-    /// After this time without a query the database closes a connection by itself, so
-    /// that a dead holder's slots come back.
+    /// Time without a query after which the database closes a connection, so that the
+    /// slots of a dead holder are freed.
     pub idle_session_timeout: Duration,
     /// Longest wait for an answer to the proxy's own queries, and for the end of a
     /// connection that is being closed.
     pub answer_timeout: Duration,
     /// Largest message accepted from a database, in bytes.
     pub message_bytes: usize,
-    /// Prepared statements kept on one connection.
+    /// Maximum number of prepared statements kept on one connection.
     pub prepared_statements: usize,
-    /// Seed of the jitter.
+    /// Seed of the random jitter.
     pub seed: u64,
-    /// Threads the pools are spread over; the current one where there is none.
+    /// Threads that the pools are spread over; if empty, the current thread.
     pub arbiters: Vec<ArbiterHandle>,
 }
 
 impl BackendSettings {
-    /// Settings with defaults for pools on `arbiters`.
+    /// Returns default settings for pools on `arbiters`.
     pub fn new(arbiters: Vec<ArbiterHandle>) -> Self {
         Self {
             passwords: BTreeMap::new(),
@@ -44,14 +44,15 @@
         }
     }
 
-    /// How long a connection stays idle before its holder queries it. Well below
+    /// Returns how long a connection stays idle before its holder queries it. Well below
     /// [`BackendSettings::idle_session_timeout`].
     pub fn heartbeat_interval(&self) -> Duration {
         self.idle_session_timeout / 3
     }
 
-    /// After this time without a query a connection counts as closed by the database,
-    /// even if the holder has not noticed. A holder that was paused gets here.
+    /// Returns the time without a query after which a connection counts as closed by the
+    /// database, even if the holder has not noticed. A holder that was paused can exceed
+    /// it.
     pub fn lapse(&self) -> Duration {
         self.idle_session_timeout * 4 / 5
     }
--- a/crates/transport/src/backend/task.rs
+++ b/crates/transport/src/backend/task.rs
@@ -23,34 +23,36 @@
     pub orders: mpsc::Receiver<Order>,
 }
 
-/// How the life of a connection ended.
-enum LifeEnd {
+/// Why a connection ended.
+enum ConnectionEnd {
     Ordered,
     Broken,
     Stale(Box<Grant>),
 }
 
 impl ConnectionTask {
-    /// Opens the connection and serves until it ends.
+    /// Opens the connection and serves leases until it ends.
     pub async fn run(mut self) {
         let connection = match handshake::connect(&self.context).await {
             Ok(connection) => connection,
-            Err(error) => return self.failed(&error),
+            Err(error) => return self.report_open_failure(&error),
         };
-        self.tell(ConnectionEvent::Opened);
+        self.notify_pool(ConnectionEvent::Opened);
         let limit = self.context.settings.answer_timeout;
         let mut connection = connection;
-        let end = self.live(&mut connection).await;
+        let end = self.serve_leases(&mut connection).await;
         connection.close(limit).await;
         let last_grant = self.last_grant();
-        self.tell(match (end, last_grant) {
-            (LifeEnd::Stale(grant), _) | (_, Some(grant)) => ConnectionEvent::GrantFailed(grant),
-            (LifeEnd::Ordered, None) => ConnectionEvent::Closed,
-            (LifeEnd::Broken, None) => ConnectionEvent::Broken,
+        self.notify_pool(match (end, last_grant) {
+            (ConnectionEnd::Stale(grant), _) | (_, Some(grant)) => {
+                ConnectionEvent::GrantFailed(grant)
+            }
+            (ConnectionEnd::Ordered, None) => ConnectionEvent::Closed,
+            (ConnectionEnd::Broken, None) => ConnectionEvent::Broken,
         });
     }
 
-    /// A grant that came too late to be served.
+    /// Returns a grant that arrived too late to be served, if any.
     fn last_grant(&mut self) -> Option<Box<Grant>> {
         self.orders.close();
         while let Ok(order) = self.orders.try_recv() {
@@ -61,28 +63,31 @@
         None
     }
 
-    fn failed(&self, error: &ConnectError) {
-        let failure = error.open_failure();
-        log::warn!("pool: no connection to {}: {error}.", self.context.database);
+    fn report_open_failure(&self, error: &ConnectError) {
+        let failure = error.as_open_failure();
+        log::warn!(
+            "pool: cannot connect to {}: {error}.",
+            self.context.database
+        );
         if failure == OpenFailure::Unreachable {
             let ConnectionContext {
                 group, database, ..
             } = &*self.context;
             self.context.shared.unreachable(group, database);
         }
-        self.tell(ConnectionEvent::Failed(failure));
+        self.notify_pool(ConnectionEvent::Failed(failure));
     }
 
-    fn tell(&self, event: ConnectionEvent) {
+    fn notify_pool(&self, event: ConnectionEvent) {
         self.pool.do_send(FromConnection {
             connection: self.number,
             event,
         });
     }
 
-    async fn live(&mut self, connection: &mut Connection) -> LifeEnd {
+    async fn serve_leases(&mut self, connection: &mut Connection) -> ConnectionEnd {
         loop {
-            let heartbeat = connection.due(self.context.settings.heartbeat_interval());
+            let heartbeat = connection.next_use_due(self.context.settings.heartbeat_interval());
             tokio::select! {
                 order = self.orders.recv() => match order {
                     Some(Order::Serve(grant)) => {
@@ -90,61 +95,66 @@
                             return end;
                         }
                     }
-                    Some(Order::Doubt) => {}
-                    Some(Order::Close) | None => return LifeEnd::Ordered,
+                    Some(Order::AbortIfSilent) => {}
+                    Some(Order::Close) | None => return ConnectionEnd::Ordered,
                 },
                 message = connection.reader.next() => {
-                    if !connection.is_harmless(message) {
-                        return LifeEnd::Broken;
+                    if !connection.accept_idle_message(message) {
+                        return ConnectionEnd::Broken;
                     }
                 }
                 () = tokio::time::sleep_until(heartbeat) => {
                     if !self.heartbeat(connection).await {
-                        return LifeEnd::Broken;
+                        return ConnectionEnd::Broken;
                     }
                 }
             }
         }
     }
 
-    async fn serve(&mut self, connection: &mut Connection, grant: Box<Grant>) -> Option<LifeEnd> {
+    async fn serve(
+        &mut self,
+        connection: &mut Connection,
+        grant: Box<Grant>,
+    ) -> Option<ConnectionEnd> {
         let settings = self.context.settings.clone();
-        if connection.is_gone(settings.lapse()) {
-            return Some(LifeEnd::Stale(grant));
+        if connection.is_expired(settings.lapse()) {
+            return Some(ConnectionEnd::Stale(grant));
         }
         let end = serve::serve(connection, &self.context, *grant, &mut self.orders).await;
         let reusable = match end {
-            ServeEnd::Lost => return Some(LifeEnd::Broken),
+            ServeEnd::Lost => return Some(ConnectionEnd::Broken),
             ServeEnd::Unused => Ok(true),
             ServeEnd::Abandoned => Ok(false),
             ServeEnd::Released {
                 reusable: false, ..
             } => Ok(false),
             ServeEnd::Released { discard, .. } => {
-                connection.restore(discard, settings.answer_timeout).await
+                connection.reset(discard, settings.answer_timeout).await
             }
         };
         let reusable = reusable.unwrap_or_else(|error| {
             log::info!(
-                "pool: a connection to {} is given up: {error}.",
+                "pool: a connection to {} is closed: {error}.",
                 self.context.database
             );
             false
         });
-        self.tell(ConnectionEvent::Returned { reusable });
-        (!reusable).then_some(LifeEnd::Ordered)
+        self.notify_pool(ConnectionEvent::Returned { reusable });
+        (!reusable).then_some(ConnectionEnd::Ordered)
     }
 
-    /// Shows the database that the holder lives, and takes its status along.
+    /// Queries the database to restart its idle timer, and publishes the status from the
+    /// answer.
     async fn heartbeat(&self, connection: &mut Connection) -> bool {
-        if connection.is_gone(self.context.settings.lapse()) {
+        if connection.is_expired(self.context.settings.lapse()) {
             return false;
         }
         let mut collector = StatusCollector::new();
         let mut status = None;
         let limit = self.context.settings.answer_timeout;
         let answered = connection
-            .ask(STATUS_QUERY, limit, |frame| {
+            .query(STATUS_QUERY, limit, |frame| {
                 if let Some(Ok(answer)) = collector.push(frame) {
                     status = Some(answer);
                 }
--- a/crates/transport/src/caller/startup.rs
+++ b/crates/transport/src/caller/startup.rs
@@ -238,12 +238,12 @@
 fn check_setting_names(parameters: &SessionParameters) -> Result<(), StartFailure> {
     for name in parameters.settings.keys() {
         let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'_' | b'.');
-        let starts_well =
+        let valid_start =
             name.starts_with(|first: char| first.is_ascii_alphabetic() || first == '_');
         let fixed = FIXED_PARAMETERS
             .iter()
             .any(|fixed| name.eq_ignore_ascii_case(fixed));
-        if !starts_well || fixed || !name.bytes().all(allowed) {
+        if !valid_start || fixed || !name.bytes().all(allowed) {
             return Err(StartFailure::SettingName {
                 name: name.chars().take(64).collect(),
             });
--- a/crates/transport/src/observe/prober.rs
+++ b/crates/transport/src/observe/prober.rs
@@ -32,7 +32,7 @@
     seed: u64,
     arbiter: &ArbiterHandle,
 ) {
-    let Some(losses) = pools.take_losses() else {
+    let Some(losses) = pools.take_broken_connections() else {
         return;
     };
     let (results, finished) = mpsc::channel(RESULT_BUFFER);
