--- a/crates/transport/src/peer/actor.rs
+++ b/crates/transport/src/peer/actor.rs
@@ -1,4 +1,4 @@
-//! The actor that owns the sockets and drives the node machine.
+//! The actor that owns the peer sockets and drives the node machine.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,17 +26,18 @@
 use super::sockets::Sockets;
 use super::status::count;
 
-/// Handshakes under way at once; more wait in the listener's queue.
+/// Maximum number of concurrent incoming handshakes; further connections wait in the
+/// listener's queue.
 const MAXIMUM_HANDSHAKES: usize = 256;
-/// Pause of the listener after it failed to accept.
+/// Pause of the listener after it failed to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Actions of the node machine to carry out.
+/// Actions of the node machine to perform.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(super) struct Perform(pub Vec<NodeAction>);
 
-/// Ends the actor and closes its sockets.
+/// Stops the actor and closes its sockets.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(super) struct Shutdown;
@@ -91,7 +92,7 @@
         Ok(())
     }
 
-    fn tell(&mut self, event: NodeEvent, context: &mut Context<Self>) {
+    fn handle_event(&mut self, event: NodeEvent, context: &mut Context<Self>) {
         let mut actions = Vec::new();
         let now = self.core.shared.now();
         self.core
@@ -106,21 +107,21 @@
                 NodeAction::SendPeer { to, message } => self.send_peer(to, message),
                 NodeAction::HomeChanged(change) => {
                     let duty = if change.is_home { "is" } else { "is no longer" };
-                    log::info!("fleet: this node {duty} home of {}.", change.database);
+                    log::info!("fleet: this node {duty} the home of {}.", change.database);
                     self.core.home_changes.send_modify(|count| *count += 1);
                 }
-                NodeAction::LeadershipLearned(news) => self.learn(&news),
+                NodeAction::LeadershipLearned(news) => self.apply_leadership(&news),
                 NodeAction::MemberChanged { info, state } => self.member_changed(&info, state),
                 NodeAction::ZoneRankChanged(rank) => {
-                    self.core.tell_rollout(RolloutEvent::ZoneRank(rank));
+                    self.core.notify_rollout(RolloutEvent::ZoneRank(rank));
                 }
                 NodeAction::RolloutReceived { from, message } => {
                     let event = RolloutEvent::PeerMessage { from, message };
-                    self.core.tell_rollout(event);
+                    self.core.notify_rollout(event);
                 }
                 NodeAction::PeerVersionSeen { node, version } => {
                     let event = RolloutEvent::PeerVersion { node, version };
-                    self.core.tell_rollout(event);
+                    self.core.notify_rollout(event);
                 }
             }
         }
@@ -138,12 +139,13 @@
         let sealed = match sealed {
             Ok(sealed) => sealed,
             Err(error) => {
-                log::error!("fleet: a datagram was not sent: {error}.");
+                log::error!("fleet: a datagram could not be sealed: {error}.");
                 return;
             }
         };
         let to = self.core.shared.addresses.resolve_datagrams(to);
-        // A datagram that does not fit the socket's buffer is lost like any other.
+        // A datagram that does not fit into the socket's buffer is lost, as any datagram
+        // may be.
         if udp.try_send_to(&sealed, to).is_ok() {
             count(&self.core.counters.datagrams_sent, 1);
             count(&self.core.counters.datagram_bytes_sent, sealed.len() as u64);
@@ -158,13 +160,13 @@
                 Err(_) => false,
             };
             if !sent && matches!(message, PeerMessage::Rollout(_)) {
-                core.tell_rollout(RolloutEvent::PeerGone(to));
+                core.notify_rollout(RolloutEvent::PeerGone(to));
             }
         });
     }
 
-    fn learn(&self, news: &LeadershipNews) {
-        leadership::learn(&self.core.shared, news);
+    fn apply_leadership(&self, news: &LeadershipNews) {
+        leadership::apply(&self.core.shared, news);
     }
 
     fn member_changed(&self, info: &MemberInfo, state: MemberState) {
@@ -174,12 +176,12 @@
         };
         self.core.shared.record(None, decision);
         if state == MemberState::Dead {
-            self.core.links.forget(info.node);
-            self.core.tell_rollout(RolloutEvent::PeerGone(info.node));
+            self.core.links.remove_peer(info.node);
+            self.core.notify_rollout(RolloutEvent::PeerGone(info.node));
         }
     }
 
-    /// Sets the timer to the machine's next time.
+    /// Sets the timer to the machine's next wake-up time.
     fn schedule(&mut self, context: &mut Context<Self>) {
         let wake = self.core.with_machine(|machine| machine.next_wake());
         if let Some((at, handle)) = self.timer {
@@ -191,7 +193,7 @@
         let delay = wake.since(self.core.shared.now());
         let handle = context.run_later(delay, |actor, context| {
             actor.timer = None;
-            actor.tell(NodeEvent::Timer, context);
+            actor.handle_event(NodeEvent::Timer, context);
         });
         self.timer = Some((wake, handle));
     }
@@ -202,7 +204,7 @@
         let watching = async move {
             loop {
                 if let Some(bundle) = core.shared.bundle() {
-                    core.tell(NodeEvent::BundleInstalled(bundle));
+                    core.handle_event(NodeEvent::BundleInstalled(bundle));
                 }
                 if changes.changed().await.is_err() {
                     return;
@@ -216,10 +218,11 @@
 }
 
 async fn receive(udp: &UdpSocket) -> Incoming {
-    // One byte more than allowed reveals what is too large.
+    // One byte more than allowed, to detect datagrams that are too large.
     let mut buffer = vec![0; MAXIMUM_DATAGRAM_BYTES + 1];
     loop {
-        // An error here is an earlier datagram's bounce; it says nothing of this socket.
+        // An error here concerns an earlier datagram that was rejected by its receiver;
+        // this socket stays usable.
         if let Ok((length, _)) = udp.recv_from(&mut buffer).await {
             buffer.truncate(length);
             return Incoming(buffer);
@@ -240,7 +243,7 @@
                 return Accepted(stream);
             }
             Err(error) => {
-                log::warn!("fleet: a link was not accepted: {error}.");
+                log::warn!("fleet: a link connection could not be accepted: {error}.");
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
@@ -258,7 +261,7 @@
         }
         self.watch_bundles(context);
         let seeds = std::mem::take(&mut self.seeds);
-        self.tell(NodeEvent::Seeds(seeds), context);
+        self.handle_event(NodeEvent::Seeds(seeds), context);
     }
 }
 
@@ -274,7 +277,7 @@
             return;
         }
         count(&self.core.counters.datagrams_received, 1);
-        self.tell(NodeEvent::Datagram(Box::new(datagram)), context);
+        self.handle_event(NodeEvent::Datagram(Box::new(datagram)), context);
     }
 }
 
@@ -285,7 +288,7 @@
         actix_rt::spawn(async move {
             if let Err(error) = link::accept(&core, stream).await {
                 count(&core.counters.links_refused, 1);
-                log::warn!("fleet: a link was refused: {error}.");
+                log::warn!("fleet: an incoming link was rejected: {error}.");
             }
             handshakes.add_permits(1);
         });
--- a/crates/transport/src/peer/core.rs
+++ b/crates/transport/src/peer/core.rs
@@ -1,4 +1,4 @@
-//! What the actor, the links and the lease source share.
+//! State shared by the actor, the links and the lease source.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -65,13 +65,13 @@
         let _ = self.actor.set(actor);
     }
 
-    /// Reads or changes the machine.
+    /// Gives access to the node machine under its lock.
     pub fn with_machine<R>(&self, access: impl FnOnce(&mut NodeMachine) -> R) -> R {
         access(&mut self.machine.lock())
     }
 
-    /// Tells the machine of an event and has its actions carried out.
-    pub fn tell(&self, event: NodeEvent) {
+    /// Passes an event to the node machine and has its actions performed.
+    pub fn handle_event(&self, event: NodeEvent) {
         let mut actions = Vec::new();
         let now = self.shared.now();
         self.machine.lock().handle(now, event, &mut actions);
@@ -84,20 +84,20 @@
         }
     }
 
-    /// Carries out one action as if the machine had asked for it.
+    /// Performs one action as if the machine had returned it.
     pub fn perform_one(&self, action: NodeAction) {
         self.perform(vec![action]);
     }
 
-    /// Tells the rollout machine of an event, once there is one.
-    pub fn tell_rollout(&self, event: RolloutEvent) {
+    /// Passes an event to the rollout machine, if one is set.
+    pub fn notify_rollout(&self, event: RolloutEvent) {
         let rollout = self.rollout.read();
         if let Some(rollout) = &*rollout {
             rollout.tell(event);
         }
     }
 
-    /// Where a request goes first.
+    /// Returns where a request is routed first.
     pub fn route(&self, group: &GroupName, database: &DatabaseName) -> Option<Route> {
         let mut actions = Vec::new();
         let now = self.shared.now();
@@ -111,7 +111,7 @@
         route
     }
 
-    /// Address of a member.
+    /// Returns the peer address of a member.
     pub fn address_of(&self, node: NodeId) -> Option<SocketAddr> {
         self.machine.lock().address_of(node)
     }
--- a/crates/transport/src/peer/error.rs
+++ b/crates/transport/src/peer/error.rs
@@ -1,4 +1,4 @@
-//! Why the fleet did not start or a peer was not reached.
+//! Errors of starting the fleet and of connecting to peers.
 
 use hookpoint_protocol::peer::{FleetKeyError, LinkError};
 use hookpoint_state::NodeId;
@@ -10,12 +10,12 @@
     /// A socket could not be bound.
     #[error("cannot listen to peers: {0}")]
     Listen(#[source] std::io::Error),
-    /// No key, or one that cannot be used.
+    /// The fleet keys are missing or not valid.
     #[error("the fleet keys cannot be used: {0}")]
     Key(#[from] FleetKeyError),
 }
 
-/// Why a link could not be had.
+/// Why a link could not be established.
 #[derive(Debug, Error)]
 pub(super) enum ConnectError {
     /// The connection failed.
@@ -24,21 +24,21 @@
     /// The handshake failed.
     #[error("the handshake failed: {0}")]
     Handshake(#[from] LinkError),
-    /// It took too long.
+    /// The peer did not answer within the connect timeout.
     #[error("the peer did not answer in time")]
     Timeout,
-    /// Another node answered.
-    #[error("another node answered at the address of {0}")]
+    /// Another node answered, or no address of the node is known.
+    #[error("no connection to node {0}: another node answered or its address is unknown")]
     WrongNode(NodeId),
-    /// A recent attempt failed.
+    /// A recent attempt failed, and its back-off time is not over.
     #[error("a recent attempt failed")]
     BackingOff,
-    /// The peer broke the protocol.
-    #[error("the peer broke the protocol")]
+    /// The peer violated the link protocol.
+    #[error("the peer violated the link protocol")]
     Protocol,
 }
 
-/// The home could not be reached; nothing was sent to it.
+/// The home could not be reached; nothing was sent to the database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the home was not reached")]
+#[error("the home could not be reached")]
 pub(super) struct HomeUnreachable;
--- a/crates/transport/src/peer/forward.rs
+++ b/crates/transport/src/peer/forward.rs
@@ -1,5 +1,5 @@
-//! Leases of connections wherever they are: local when this node is the database's
-//! home, forwarded to the home otherwise.
+//! Leases of connections on any node: local if this node is the database's home,
+//! forwarded to the home otherwise.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,12 +20,12 @@
     AcquireRequest, BackendLease, LEASE_COMMAND_BUFFER, LEASE_REPLY_BUFFER, LeaseSource,
 };
 
-/// Other nodes tried for one request.
+/// Maximum number of other nodes tried for one request.
 const MAXIMUM_PEERS: usize = 2;
 /// How much longer than the request's own wait the home's refusal may take.
 const ANSWER_GRACE: Duration = Duration::from_millis(250);
 
-/// Grants leases of connections that any node of the fleet holds.
+/// Grants leases of connections held by any node of the fleet.
 pub struct FleetLeases {
     core: Arc<Core>,
 }
@@ -50,7 +50,7 @@
             if let Ok(lease) = self.acquire_from(node, &request).await {
                 return Ok(lease);
             }
-            // Nothing was sent to the database, so another node may take the request.
+            // Nothing was sent to the database, so another node may run the request.
             failed.push(node);
             if Instant::now() >= deadline {
                 return Err(Refusal::WaitDeadline);
@@ -88,13 +88,13 @@
             .map_err(|_| HomeUnreachable)?;
         let (commands, command_queue) = mpsc::channel(LEASE_COMMAND_BUFFER);
         let (reply_queue, replies) = mpsc::channel(LEASE_REPLY_BUFFER);
-        let answers = Answers {
+        let reply_relay = ReplyRelay {
             core: self.core.clone(),
             home: node,
             limit: wait + ANSWER_GRACE,
             replies: reply_queue,
         };
-        tokio::spawn(relay(sender, receiver, command_queue, answers));
+        tokio::spawn(relay(sender, receiver, command_queue, reply_relay));
         Ok(BackendLease {
             database: request.database.clone(),
             commands,
@@ -114,42 +114,42 @@
     }
 }
 
-/// Carries one lease until either end is done.
+/// Relays one lease until either end finishes.
 async fn relay(
     sender: StreamSender,
     receiver: StreamReceiver,
     commands: mpsc::Receiver<BackendCommand>,
-    answers: Answers,
+    reply_relay: ReplyRelay,
 ) {
     tokio::select! {
         () = relay_commands(commands, sender) => {}
-        () = answers.relay(receiver) => {}
+        () = reply_relay.relay(receiver) => {}
     }
 }
 
-/// Sends commands until the session is done with the lease.
+/// Relays commands until the session ends the lease.
 async fn relay_commands(mut commands: mpsc::Receiver<BackendCommand>, sender: StreamSender) {
     while let Some(command) = commands.recv().await {
         if sender.send_message(&command).await.is_err() {
-            // The other half notices the loss and tells the session; here all that is
-            // left is to wait for the session to be done.
+            // The reply relay detects the loss and reports it to the session; only wait
+            // here until the session ends the lease.
             while commands.recv().await.is_some() {}
             return;
         }
     }
 }
 
-/// The way of a forwarded lease's answers to its session.
-struct Answers {
+/// Relays the replies of a forwarded lease to its session.
+struct ReplyRelay {
     core: Arc<Core>,
     home: NodeId,
-    /// Longest time until the home says whether the lease is granted.
+    /// Longest wait for the home's decision whether the lease is granted.
     limit: Duration,
     replies: mpsc::Sender<BackendReply>,
 }
 
-impl Answers {
-    /// Hands the home's answers to the session until the stream ends.
+impl ReplyRelay {
+    /// Relays the home's replies to the session until the stream ends.
     async fn relay(self, mut receiver: StreamReceiver) {
         let first = tokio::time::timeout(self.limit, receiver.next()).await;
         let last = match first {
@@ -157,9 +157,9 @@
                 count(&self.core.counters.leases_forwarded, 1);
                 self.relay_replies(receiver).await
             }
-            Ok(Some(StreamEvent::Refused(refusal))) => Some(refused_by_home(refusal)),
+            Ok(Some(StreamEvent::Refused(refusal))) => Some(reply_of_refusal(refusal)),
             Ok(Some(StreamEvent::Data { .. } | StreamEvent::Closed) | None) | Err(_) => {
-                self.core.tell(NodeEvent::PeerLost(self.home));
+                self.core.handle_event(NodeEvent::PeerLost(self.home));
                 Some(BackendReply::Lost)
             }
         };
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Hands on replies; returns what is left to say when the stream has ended.
+    /// Relays replies; returns the last reply still to be sent when the stream has ended.
     async fn relay_replies(&self, mut receiver: StreamReceiver) -> Option<BackendReply> {
         let mut assembler = Assembler::default();
         loop {
@@ -179,13 +179,14 @@
                 Ok(Some(reply)) => reply,
                 Ok(None) => continue,
                 Err(error) => {
-                    log::warn!("fleet: a forwarded reply cannot be read: {error}.");
+                    log::warn!("fleet: a forwarded reply cannot be decoded: {error}.");
                     return Some(BackendReply::Lost);
                 }
             };
             let lost = reply == BackendReply::Lost;
             if self.replies.send(reply).await.is_err() {
-                // The session is done; what it said last may still be on its way out.
+                // The session has ended the lease; its last commands may still be in
+                // transit.
                 std::future::pending::<()>().await;
             }
             if lost {
@@ -195,9 +196,9 @@
     }
 }
 
-/// The home's refusal as the session is told. A home that is stopping is no reason to
-/// refuse the caller: the request looks for the database again, at its next home.
-fn refused_by_home(refusal: Refusal) -> BackendReply {
+/// Returns the reply for a lease that the home refused. A stopping home is no reason to
+/// refuse the client: the request is routed again, to the database's next home.
+fn reply_of_refusal(refusal: Refusal) -> BackendReply {
     BackendReply::Refused(match refusal {
         Refusal::Stopping => Refusal::NoDatabase,
         other => other,
--- a/crates/transport/src/peer/handle.rs
+++ b/crates/transport/src/peer/handle.rs
@@ -1,4 +1,4 @@
-//! Starting, asking and leaving the fleet.
+//! Starting, querying and leaving the fleet.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -29,18 +29,19 @@
 use crate::platform::{RolloutHandle, RolloutLinks};
 use crate::shared::Shared;
 
-/// How long the news that this node leaves has to get around.
-const LEAVING_TIME: Duration = Duration::from_millis(750);
-/// Time between two looks at the streams that are left.
-const DRAIN_LOOK_PERIOD: Duration = Duration::from_millis(20);
-/// Bits of a node's identifier in a process number told to callers. One less than its
-/// upper half has, so that the number is never negative to a driver.
+/// Time allowed for the announcement that this node leaves to propagate.
+const LEAVE_PROPAGATION_TIME: Duration = Duration::from_millis(750);
+/// Interval at which the number of remaining streams is checked.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Bits of a node identifier that are put into process numbers sent to clients. One bit
+/// less than the upper half of a process number, so that drivers never read the number as
+/// negative.
 const TAG_BITS: u32 = 15;
 
-/// Starts fleets.
+/// Starts the fleet membership of a node.
 pub struct Fleet;
 
-/// This node as a member of its fleet. Clones mean the same node.
+/// Handle to this node's membership in its fleet. Clones refer to the same node.
 #[derive(Clone)]
 pub struct FleetHandle {
     core: Arc<Core>,
@@ -58,11 +59,11 @@
 
 impl Fleet {
     /// Joins the fleet on an arbiter of its own. `local` holds the connections of the
-    /// databases that this node is home of. Needs a running actix system.
+    /// databases that this node is the home of. Needs a running actix system.
     ///
     /// # Errors
     /// A [`FleetError`] if the sockets or the keys cannot be used. Seeds that do not
-    /// answer are no error; they are tried again.
+    /// answer are not an error; they are retried.
     pub fn start(
         settings: FleetSettings,
         shared: Arc<Shared>,
@@ -97,17 +98,17 @@
 }
 
 impl FleetHandle {
-    /// This node.
+    /// Returns the identifier of this node.
     pub fn node(&self) -> NodeId {
         self.core.own.node
     }
 
-    /// Address that peers reach this node by.
+    /// Returns the address that peers reach this node at.
     pub fn address(&self) -> SocketAddr {
         self.core.own.address
     }
 
-    /// The other members, remembered dead ones included.
+    /// Returns the other members, including dead ones that are still remembered.
     pub fn members(&self) -> Vec<MemberStatus> {
         self.core.with_machine(|machine| {
             let members = machine.membership().members();
@@ -115,7 +116,7 @@
         })
     }
 
-    /// The fleet as this node sees it.
+    /// Returns the fleet as this node sees it.
     pub fn status(&self) -> FleetStatus {
         let (links, streams) = self.core.links.counts();
         let members = self.members();
@@ -139,35 +140,39 @@
         }
     }
 
-    /// Leases of connections wherever in the fleet they are.
+    /// Returns a source of leases of connections on any node of the fleet.
     pub fn lease_source(&self) -> Arc<dyn LeaseSource> {
         Arc::new(FleetLeases::new(self.core.clone()))
     }
 
-    /// Whether this node is home of `database`, and so observes it and holds its
-    /// connections.
+    /// Returns whether this node is the home of `database`, which means that it probes
+    /// the database and holds its connections.
     pub fn is_home(&self, database: &DatabaseName) -> bool {
         self.core.with_machine(|machine| machine.is_home(database))
     }
 
-    /// Databases that this node is home of.
+    /// Returns the databases that this node is the home of.
     pub fn homes(&self) -> Vec<DatabaseName> {
         self.core
             .with_machine(|machine| machine.held().cloned().collect())
     }
 
-    /// A receiver that wakes when this node becomes home of a database or is no longer.
+    /// Returns a watch that changes when this node becomes the home of a database or
+    /// ceases to be it.
     pub fn home_changes(&self) -> watch::Receiver<u64> {
         self.core.home_changes.subscribe()
     }
 
-    /// Takes the platform's list of machines, which lags.
+    /// Passes the platform's list of machines to the membership. The list may be
+    /// outdated.
     pub fn platform_machines(&self, machines: Vec<PlatformMachine>) {
-        self.core.tell(NodeEvent::PlatformMachines(machines));
+        self.core
+            .handle_event(NodeEvent::PlatformMachines(machines));
     }
 
-    /// Takes the platform's list as it was read. Databases in it are no nodes.
-    pub fn take_machine_records(&self, records: &[MachineRecord]) {
+    /// Passes the platform's machine records to the membership, without the records of
+    /// databases, which are not nodes.
+    pub fn apply_machine_records(&self, records: &[MachineRecord]) {
         let bundle = self.core.shared.bundle();
         let is_database = |address: &SocketAddr| {
             bundle.as_ref().is_some_and(|bundle| {
@@ -185,8 +190,8 @@
         self.platform_machines(machines.collect());
     }
 
-    /// Joins the rollout machine's driver to the fleet: it hears of versions, messages
-    /// and its rank from now on, and of what is known already.
+    /// Connects the rollout driver to the fleet: it receives versions, messages and the
+    /// zone rank from now on, and those already known at once.
     pub fn set_rollout(&self, rollout: RolloutHandle) {
         *self.core.rollout.write() = Some(rollout);
         let (rank, versions) = self.core.with_machine(|machine| {
@@ -197,40 +202,41 @@
                 .collect();
             (machine.zone_rank(), versions)
         });
-        self.core.tell_rollout(RolloutEvent::ZoneRank(rank));
+        self.core.notify_rollout(RolloutEvent::ZoneRank(rank));
         for (node, version) in versions {
             let event = RolloutEvent::PeerVersion { node, version };
-            self.core.tell_rollout(event);
+            self.core.notify_rollout(event);
         }
     }
 
-    /// Asks every member that is not known to have `version` in force; a moment later
-    /// [`FleetHandle::status`] knows better.
+    /// Requests the bundle version of every member that is not known to have `version` in
+    /// force; the answers show in [`FleetHandle::status`] a moment later.
     pub fn refresh_versions(&self, version: BundleVersion) {
-        self.core.tell(NodeEvent::VersionsRequested(version));
+        self.core
+            .handle_event(NodeEvent::VersionsRequested(version));
     }
 
-    /// Replaces the fleet keys, the one to send with first. Links that are open stay.
+    /// Replaces the fleet keys; the first one is used for sending. Open links are kept.
     ///
     /// # Errors
-    /// [`FleetError::Key`]; the keys stay as they were.
+    /// [`FleetError::Key`]; the previous keys stay in use.
     pub fn set_keys(&self, keys: Vec<FleetKey>) -> Result<(), FleetError> {
         *self.core.keys.write() = FleetKeys::new(keys)?;
         Ok(())
     }
 
-    /// The part of this node's identifier to put into the process numbers told to
-    /// callers, so that a request to cancel finds its way here from any node.
+    /// Returns the part of this node's identifier that is put into process numbers sent
+    /// to clients, so that any node can route a cancel request to this node.
     pub fn tag(&self) -> u16 {
         tag_of(self.core.own.node)
     }
 
-    /// Sets what is done with requests to cancel that other nodes pass on.
+    /// Sets the handler for cancel requests that other nodes forward.
     pub fn set_cancel_handler(&self, handler: CancelHandler) {
         *self.core.cancel.write() = Some(handler);
     }
 
-    /// Passes a caller's request to cancel to the nodes whose tag the process number
+    /// Forwards a client's cancel request to the nodes whose tag the process number
     /// begins with.
     pub async fn cancel_session(&self, process: u32, secret: u32) {
         let tag = (process >> u16::BITS) as u16;
@@ -248,16 +254,17 @@
         }
     }
 
-    /// Takes no new duties and tells the others. Returns when the news has had time to
-    /// get around; forwarded leases go on in both directions.
+    /// Stops accepting home duties and announces to the other nodes that this node
+    /// leaves. Returns after the announcement has had time to propagate; forwarded leases
+    /// continue in both directions.
     pub async fn leave(&self) {
         self.core.set_stopping();
-        self.core.tell(NodeEvent::StopRequested);
-        tokio::time::sleep(LEAVING_TIME).await;
+        self.core.handle_event(NodeEvent::StopRequested);
+        tokio::time::sleep(LEAVE_PROPAGATION_TIME).await;
     }
 
-    /// Waits until no lease flows over a link, for at most `limit`. Returns how many
-    /// are left.
+    /// Waits until no lease uses a link, for at most `limit`. Returns the number of
+    /// remaining streams.
     pub async fn drain(&self, limit: Duration) -> usize {
         let deadline = tokio::time::Instant::now() + limit;
         loop {
@@ -265,11 +272,11 @@
             if streams == 0 || tokio::time::Instant::now() >= deadline {
                 return streams;
             }
-            tokio::time::sleep(DRAIN_LOOK_PERIOD).await;
+            tokio::time::sleep(DRAIN_POLL_INTERVAL).await;
         }
     }
 
-    /// Closes all sockets at once, as if the process had died.
+    /// Closes all sockets immediately, as if the process had died.
     pub fn shutdown(&self) {
         self.actor.do_send(Shutdown);
         *self.core.cancel.write() = None;
@@ -281,10 +288,10 @@
 
 impl RolloutLinks for FleetHandle {
     fn machines(&self, machines: &[MachineRecord]) {
-        self.take_machine_records(machines);
+        self.apply_machine_records(machines);
     }
 
-    fn tell_zone(&self, message: RolloutMessage) {
+    fn send_to_zone(&self, message: RolloutMessage) {
         let zone = &self.core.own.zone;
         let present = |member: &MemberStatus| member.state != MemberState::Dead;
         let members = self.members();
--- a/crates/transport/src/peer/leadership.rs
+++ b/crates/transport/src/peer/leadership.rs
@@ -1,4 +1,4 @@
-//! Passing leadership changes between the shared tables and the node machine.
+//! Exchange of leadership changes between the shared tables and the node machine.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,11 +11,12 @@
 use super::core::Core;
 use crate::shared::Shared;
 
-/// Shortest time between two looks at the tables.
-const LOOK_PERIOD: Duration = Duration::from_millis(20);
+/// Shortest time between two reads of the tables.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Puts news from another node into the shared tables; older terms change nothing there.
-pub(super) fn learn(shared: &Shared, news: &LeadershipNews) {
+/// Applies a leadership change from another node to the shared tables; older terms have
+/// no effect there.
+pub(super) fn apply(shared: &Shared, news: &LeadershipNews) {
     shared.learn_term(&news.group, news.term);
     let Some(primary) = &news.primary else {
         return;
@@ -29,19 +30,19 @@
     shared.observe(&news.group, primary, &status);
 }
 
-/// Tells the machine of each change that this node observes itself.
+/// Passes each leadership change that this node observes itself to the node machine.
 pub(super) async fn watch(core: Arc<Core>) {
     let mut changes = core.shared.view_changes();
-    let mut told: BTreeMap<GroupName, LeadershipNews> = BTreeMap::new();
+    let mut reported: BTreeMap<GroupName, LeadershipNews> = BTreeMap::new();
     loop {
         for news in core.shared.leaderships() {
-            let before = told.get(&news.group);
+            let before = reported.get(&news.group);
             if before.is_none_or(|before| news.is_newer_than(before)) {
-                told.insert(news.group.clone(), news.clone());
-                core.tell(NodeEvent::LeadershipObserved(news));
+                reported.insert(news.group.clone(), news.clone());
+                core.handle_event(NodeEvent::LeadershipObserved(news));
             }
         }
-        tokio::time::sleep(LOOK_PERIOD).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
         if changes.changed().await.is_err() {
             return;
         }
--- a/crates/transport/src/peer/link/connect.rs
+++ b/crates/transport/src/peer/link/connect.rs
@@ -1,4 +1,4 @@
-//! Making links: dialling, accepting, the handshake and the first frames.
+//! Establishes links: dialling, accepting, the handshake and the first frames.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,20 +20,20 @@
 use crate::peer::error::ConnectError;
 use crate::peer::status::count;
 
-/// Longest time to connect and shake hands.
+/// Longest time for connecting and the handshake together.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Number of the first record behind that of the greeting.
+/// Number of the first record after the `Hello` record.
 const FIRST_RECORD: u64 = 1;
 
-/// A connection whose ends know each other.
-struct Greeted {
+/// A connection after the handshake, which has identified the peer.
+struct EstablishedConnection {
     peer: MemberInfo,
     cipher: Arc<LinkCipher>,
     reader: OwnedReadHalf,
     writer: OwnedWriteHalf,
 }
 
-/// The link to a peer, dialled if there is none.
+/// Returns the link to a peer, dialling if there is none.
 pub(in crate::peer) async fn connect(
     core: &Arc<Core>,
     node: NodeId,
@@ -43,7 +43,7 @@
     }
     let address = core.address_of(node).ok_or(ConnectError::WrongNode(node))?;
     let dial = core.links.dial(node);
-    // Others who want the same link wait here and then find it.
+    // Concurrent requests for the same link wait here and then find it established.
     let mut dial = dial.lock().await;
     if let Some(link) = core.links.get(node) {
         return Ok(link);
@@ -53,13 +53,13 @@
     }
     match dial_peer(core, node, address).await {
         Ok(link) => {
-            dial.succeeded();
+            dial.record_success();
             Ok(link)
         }
         Err(error) => {
-            log::warn!("fleet: no link to {node} at {address}: {error}.");
-            dial.failed();
-            core.tell(NodeEvent::PeerLost(node));
+            log::warn!("fleet: cannot establish a link to node {node} at {address}: {error}.");
+            dial.record_failure();
+            core.handle_event(NodeEvent::PeerLost(node));
             Err(error)
         }
     }
@@ -71,33 +71,36 @@
     address: SocketAddr,
 ) -> Result<Arc<Link>, ConnectError> {
     let address = core.shared.addresses.resolve(address);
-    let greeting = greet_as_dialler(core, address);
-    let greeted = tokio::time::timeout(CONNECT_TIMEOUT, greeting)
+    let handshake = handshake_as_dialler(core, address);
+    let connection = tokio::time::timeout(CONNECT_TIMEOUT, handshake)
         .await
         .map_err(|_| ConnectError::Timeout)??;
-    if greeted.peer.node != node {
+    if connection.peer.node != node {
         return Err(ConnectError::WrongNode(node));
     }
-    Ok(run(core, greeted, true))
+    Ok(run(core, connection, true))
 }
 
-/// Makes a link of an accepted connection.
+/// Establishes a link on an accepted connection.
 pub(in crate::peer) async fn accept(
     core: &Arc<Core>,
     socket: TcpStream,
 ) -> Result<(), ConnectError> {
-    let greeting = greet_as_acceptor(core, socket);
-    let greeted = tokio::time::timeout(CONNECT_TIMEOUT, greeting)
+    let handshake = handshake_as_acceptor(core, socket);
+    let connection = tokio::time::timeout(CONNECT_TIMEOUT, handshake)
         .await
         .map_err(|_| ConnectError::Timeout)??;
-    if greeted.peer.node == core.own.node {
+    if connection.peer.node == core.own.node {
         return Err(ConnectError::Protocol);
     }
-    run(core, greeted, false);
+    run(core, connection, false);
     Ok(())
 }
 
-async fn greet_as_dialler(core: &Core, address: SocketAddr) -> Result<Greeted, ConnectError> {
+async fn handshake_as_dialler(
+    core: &Core,
+    address: SocketAddr,
+) -> Result<EstablishedConnection, ConnectError> {
     let mut socket = TcpStream::connect(address).await?;
     socket.set_nodelay(true)?;
     let (dialler, message) = Dialler::start(core.keys.read().current())?;
@@ -108,7 +111,7 @@
     let (mut reader, mut writer) = socket.into_split();
     send_hello(core, &cipher, &mut writer).await?;
     let peer = read_hello(&cipher, &mut reader).await?;
-    Ok(Greeted {
+    Ok(EstablishedConnection {
         peer,
         cipher,
         reader,
@@ -116,7 +119,10 @@
     })
 }
 
-async fn greet_as_acceptor(core: &Core, mut socket: TcpStream) -> Result<Greeted, ConnectError> {
+async fn handshake_as_acceptor(
+    core: &Core,
+    mut socket: TcpStream,
+) -> Result<EstablishedConnection, ConnectError> {
     socket.set_nodelay(true)?;
     let mut message = [0; HANDSHAKE_BYTES];
     socket.read_exact(&mut message).await?;
@@ -124,10 +130,10 @@
     socket.write_all(&answer).await?;
     let cipher = Arc::new(cipher);
     let (mut reader, mut writer) = socket.into_split();
-    // A dialler that only repeats what it once heard cannot seal a record.
+    // A dialler that replays recorded messages cannot seal a record.
     let peer = read_hello(&cipher, &mut reader).await?;
     send_hello(core, &cipher, &mut writer).await?;
-    Ok(Greeted {
+    Ok(EstablishedConnection {
         peer,
         cipher,
         reader,
@@ -165,16 +171,16 @@
     }
 }
 
-fn run(core: &Arc<Core>, greeted: Greeted, dialled: bool) -> Arc<Link> {
-    let (link, frames) = Link::new(Arc::new(greeted.peer), dialled);
+fn run(core: &Arc<Core>, connection: EstablishedConnection, dialled: bool) -> Arc<Link> {
+    let (link, frames) = Link::new(Arc::new(connection.peer), dialled);
     core.links.register(core.own.node, &link);
-    let cipher = greeted.cipher;
+    let cipher = connection.cipher;
     let writing = writer::write(
         core.clone(),
         link.clone(),
         frames,
         cipher.clone(),
-        greeted.writer,
+        connection.writer,
         FIRST_RECORD,
     );
     tokio::spawn(writing);
@@ -182,7 +188,7 @@
         core.clone(),
         link.clone(),
         cipher,
-        greeted.reader,
+        connection.reader,
         FIRST_RECORD,
     );
     tokio::spawn(reading);
--- a/crates/transport/src/peer/link/mod.rs
+++ b/crates/transport/src/peer/link/mod.rs
@@ -1,4 +1,4 @@
-//! Links: secured connections between two nodes that carry many streams.
+//! Links: encrypted connections between two nodes that carry many streams.
 
 mod connect;
 mod reader;
@@ -22,33 +22,33 @@
 pub(super) use stream::{StreamEvent, StreamReceiver, StreamSender, StreamTable};
 pub(super) use table::LinkTable;
 
-/// Frames waiting for the writer; more hold up their senders.
+/// Capacity of the queue of frames to be written; senders wait when it is full.
 const WRITER_BUFFER: usize = 64;
 /// Time between two heartbeats while streams are open.
 const HEARTBEAT_PERIOD: Duration = Duration::from_millis(300);
-/// Heartbeats left out while no stream is open: one in so many is sent. Nothing waits on
+/// While no stream is open, only one of this many heartbeats is sent. No request waits on
 /// such a link; the membership closes it when the peer dies, and the first stream
-/// starts the heartbeats again.
-const IDLE_HEARTBEAT_SHARE: u32 = 64;
-/// How long a heartbeat may go unanswered before the link counts as lost.
+/// restores the full heartbeat rate.
+const IDLE_HEARTBEAT_INTERVAL: u32 = 64;
+/// How long a heartbeat may stay unanswered before the link counts as lost.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(1_150);
-/// Lateness of the monitor itself that shows that this process was paused.
+/// Delay of the monitor itself that indicates that this process was paused.
 const MONITOR_PAUSE: Duration = Duration::from_millis(400);
-/// How long a link without streams is kept.
+/// How long a link without streams is kept open.
 const IDLE_TIME: Duration = Duration::from_secs(60);
 
-/// One link.
+/// A link to one peer.
 pub(super) struct Link {
-    /// The node at the other end.
+    /// Identity of the peer.
     pub peer: Arc<MemberInfo>,
-    /// Whether this node dialled.
+    /// Whether this node dialled the link.
     pub dialled: bool,
     frames: mpsc::Sender<LinkFrame>,
     streams: Mutex<StreamTable>,
     next_stream: AtomicU32,
-    /// Held while the pieces of a control message are sent.
+    /// Held while the fragments of a control message are sent.
     control: tokio::sync::Mutex<()>,
-    /// Set when the link takes no new streams and closes after the last one.
+    /// Set when the link accepts no new streams and closes after the last one.
     retiring: AtomicBool,
     closed: watch::Sender<bool>,
     health: Mutex<Health>,
@@ -56,7 +56,7 @@
 
 struct Health {
     unanswered_since: Option<Instant>,
-    busy_at: Instant,
+    last_used: Instant,
 }
 
 impl Link {
@@ -73,13 +73,14 @@
             closed: watch::Sender::new(false),
             health: Mutex::new(Health {
                 unanswered_since: None,
-                busy_at: Instant::now(),
+                last_used: Instant::now(),
             }),
         };
         (Arc::new(link), outgoing)
     }
 
-    /// Sends a frame; waits while the writer is busy. Returns false if the link is lost.
+    /// Sends a frame, waiting while the writer is busy. Returns false if the link is
+    /// lost.
     pub async fn send(&self, frame: LinkFrame) -> bool {
         if self.is_closed() {
             return false;
@@ -91,8 +92,7 @@
         }
     }
 
-    /// Sends a message to the node machine at the other end. Returns false if the link
-    /// is lost.
+    /// Sends a message to the peer's node machine. Returns false if the link is lost.
     pub async fn send_control(&self, message: &PeerMessage) -> bool {
         let Ok(pieces) = fragments(message) else {
             return false;
@@ -106,19 +106,20 @@
         true
     }
 
-    /// Opens a stream of this side.
+    /// Opens a stream from this side. Returns `None` if the link is lost or has too many
+    /// streams.
     pub fn open_stream(self: &Arc<Self>) -> Option<(StreamSender, StreamReceiver)> {
         let number = self.next_stream.fetch_add(2, Ordering::Relaxed);
         self.add_stream(number)
     }
 
-    /// Takes a stream that the other side has opened; none if there are too many, or if
-    /// its number is in use.
+    /// Accepts a stream opened by the peer. Returns `None` if the link is lost, has too
+    /// many streams, or uses the stream number already.
     pub fn accept_stream(self: &Arc<Self>, number: u32) -> Option<(StreamSender, StreamReceiver)> {
         self.add_stream(number)
     }
 
-    /// Refuses a stream that the other side has opened.
+    /// Refuses a stream opened by the peer.
     pub fn refuse_stream(self: &Arc<Self>, stream: u32, refusal: Refusal) {
         let link = self.clone();
         let frame = LinkFrame::Refused { stream, refusal };
@@ -126,7 +127,8 @@
     }
 
     fn add_stream(self: &Arc<Self>, number: u32) -> Option<(StreamSender, StreamReceiver)> {
-        // Under the lock, so that closing either sees the stream or is seen.
+        // Checked under the lock, so that `close` either sees the new stream or is seen
+        // here.
         let mut streams = self.streams.lock();
         if self.is_closed() {
             return None;
@@ -136,11 +138,12 @@
         Some(stream::join(self.clone(), number, parts))
     }
 
-    /// Forgets a stream that has ended here and tells the other side.
-    fn end_stream(self: &Arc<Self>, number: u32, tell: bool) {
+    /// Removes a stream that has ended on this side and notifies the peer if
+    /// `notify_peer` is set.
+    fn end_stream(self: &Arc<Self>, number: u32, notify_peer: bool) {
         self.streams.lock().remove(number);
-        self.health.lock().busy_at = Instant::now();
-        if !tell || self.is_closed() {
+        self.health.lock().last_used = Instant::now();
+        if !notify_peer || self.is_closed() {
             return;
         }
         let frame = LinkFrame::Closed { stream: number };
@@ -150,36 +153,36 @@
         }
     }
 
-    /// Streams open now.
+    /// Returns the number of open streams.
     pub fn stream_count(&self) -> usize {
         self.streams.lock().len()
     }
 
-    /// Whether the link is lost.
+    /// Returns whether the link is lost.
     pub fn is_closed(&self) -> bool {
         *self.closed.borrow()
     }
 
-    /// Lets the link take no new streams; it closes after the last one.
+    /// Makes the link accept no new streams; it closes after the last one.
     pub fn retire(&self) {
         self.retiring.store(true, Ordering::Release);
     }
 
-    /// Breaks the link: all its streams are lost.
+    /// Closes the link; all its streams are lost.
     pub fn close(&self) {
         self.closed.send_replace(true);
         self.streams.lock().clear();
     }
 
-    fn heard(&self) {
+    fn record_answer(&self) {
         self.health.lock().unanswered_since = None;
     }
 
-    /// Sends heartbeats and closes the link when they go unanswered, or when it is of
-    /// no more use.
+    /// Sends heartbeats, and closes the link when they stay unanswered or the link is no
+    /// longer used.
     async fn monitor(self: Arc<Self>) {
         let mut closed = self.closed.subscribe();
-        let mut beat: u32 = 0;
+        let mut tick: u32 = 0;
         let mut due = Instant::now() + HEARTBEAT_PERIOD;
         loop {
             tokio::select! {
@@ -189,20 +192,21 @@
             let now = Instant::now();
             let late = now.saturating_duration_since(due) > MONITOR_PAUSE;
             due = now + HEARTBEAT_PERIOD;
-            beat = beat.wrapping_add(1);
-            if self.is_lost(now, late) || self.is_useless(now) {
+            tick = tick.wrapping_add(1);
+            if self.is_lost(now, late) || self.is_unused(now) {
                 self.close();
                 return;
             }
-            if self.stream_count() > 0 || beat.is_multiple_of(IDLE_HEARTBEAT_SHARE) {
-                self.beat(now);
+            if self.stream_count() > 0 || tick.is_multiple_of(IDLE_HEARTBEAT_INTERVAL) {
+                self.send_heartbeat(now);
             }
         }
     }
 
-    fn beat(&self, now: Instant) {
+    fn send_heartbeat(&self, now: Instant) {
         self.health.lock().unanswered_since.get_or_insert(now);
-        // A writer too busy to take it is a writer whose peer does not read.
+        // A full queue means that the peer does not read, so the heartbeat counts as
+        // sent.
         let _ = self.frames.try_send(LinkFrame::Ping);
     }
 
@@ -212,27 +216,30 @@
             return false;
         };
         if late {
-            // This process was paused; answers may lie unread in the socket.
+            // This process was paused; answers may be unread in the socket.
             health.unanswered_since = Some(now);
             return false;
         }
         let lost = now.saturating_duration_since(since) > HEARTBEAT_TIMEOUT;
         if lost {
-            log::warn!("fleet: the link to {} is silent.", self.peer.node);
+            log::warn!(
+                "fleet: heartbeats on the link to {} are unanswered.",
+                self.peer.node
+            );
         }
         lost
     }
 
-    fn is_useless(&self, now: Instant) -> bool {
+    fn is_unused(&self, now: Instant) -> bool {
         if self.stream_count() > 0 {
             return false;
         }
-        let idle = now.saturating_duration_since(self.health.lock().busy_at);
-        let patience = if self.retiring.load(Ordering::Acquire) {
+        let idle = now.saturating_duration_since(self.health.lock().last_used);
+        let limit = if self.retiring.load(Ordering::Acquire) {
             HEARTBEAT_TIMEOUT
         } else {
             IDLE_TIME
         };
-        idle > patience
+        idle > limit
     }
 }
--- a/crates/transport/src/peer/link/reader.rs
+++ b/crates/transport/src/peer/link/reader.rs
@@ -1,4 +1,4 @@
-//! The reading task of a link.
+//! The task that reads from a link.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use crate::peer::core::Core;
 use crate::peer::serve;
 
-/// Why reading ended.
+/// Why reading from a link ended.
 #[derive(Debug, Error)]
 pub(super) enum ReadError {
     /// The connection failed or was closed.
@@ -23,14 +23,14 @@
     /// A record is not authentic.
     #[error("{0}")]
     Record(#[from] LinkError),
-    /// A record holds something else than frames.
+    /// A record contains something other than frames.
     #[error("{0}")]
     Frame(#[from] FrameDecodeError),
-    /// A stream was misused.
+    /// The peer violated the flow control of a stream or sent an invalid message.
     #[error("{0}")]
     Stream(#[from] StreamError),
-    /// A frame came at the wrong time.
-    #[error("a frame came at the wrong time")]
+    /// A frame arrived that is not allowed at this point.
+    #[error("unexpected frame")]
     Unexpected,
 }
 
@@ -47,8 +47,8 @@
     Ok(decode_frames(&content)?)
 }
 
-/// Reads until the link is lost and hands every frame to whom it concerns. It never
-/// waits for any of them.
+/// Reads until the link is lost and dispatches every frame. Never waits for the receiver
+/// of a frame.
 pub(super) async fn read(
     core: Arc<Core>,
     link: Arc<Link>,
@@ -65,33 +65,33 @@
             _ = closed.wait_for(|closed| *closed) => break,
         };
         number += 1;
-        link.heard();
-        let taken = frames.and_then(|frames| take_frames(&core, &link, &mut control, frames));
-        if let Err(error) = taken {
+        link.record_answer();
+        let result = frames.and_then(|frames| handle_frames(&core, &link, &mut control, frames));
+        if let Err(error) = result {
             if !matches!(error, ReadError::Io(_)) {
-                log::warn!("fleet: the link to {} is broken: {error}.", link.peer.node);
+                log::warn!("fleet: the link to {} failed: {error}.", link.peer.node);
             }
             break;
         }
     }
     link.close();
     core.links.remove(&link);
-    core.tell(NodeEvent::PeerLost(link.peer.node));
+    core.handle_event(NodeEvent::PeerLost(link.peer.node));
 }
 
-fn take_frames(
+fn handle_frames(
     core: &Arc<Core>,
     link: &Arc<Link>,
     control: &mut Assembler,
     frames: Vec<LinkFrame>,
 ) -> Result<(), ReadError> {
     for frame in frames {
-        take_frame(core, link, control, frame)?;
+        handle_frame(core, link, control, frame)?;
     }
     Ok(())
 }
 
-fn take_frame(
+fn handle_frame(
     core: &Arc<Core>,
     link: &Arc<Link>,
     control: &mut Assembler,
@@ -100,7 +100,7 @@
     match frame {
         LinkFrame::Hello(_) => return Err(ReadError::Unexpected),
         LinkFrame::Ping => {
-            // Where the writer is busy, what it sends is answer enough.
+            // If the writer is busy, the frames it sends serve as the answer.
             let _ = link.frames.try_send(LinkFrame::Pong);
         }
         LinkFrame::Pong => {}
@@ -127,7 +127,7 @@
         LinkFrame::Control { last, bytes } => {
             if let Some(message) = control.push(last, &bytes)? {
                 let from = link.peer.node;
-                core.tell(NodeEvent::PeerMessage { from, message });
+                core.handle_event(NodeEvent::PeerMessage { from, message });
             }
         }
         LinkFrame::CancelSession { process, secret } => {
--- a/crates/transport/src/peer/link/stream.rs
+++ b/crates/transport/src/peer/link/stream.rs
@@ -1,4 +1,4 @@
-//! Streams of a link: one lease each.
+//! Streams of a link, one for each lease.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,28 +15,28 @@
 
 use super::Link;
 
-/// Streams of one link at once.
+/// Maximum number of concurrent streams of one link.
 const MAXIMUM_STREAMS: usize = 4_096;
 
-/// What arrives on a stream.
+/// An event received on a stream.
 #[derive(Debug)]
 pub(in crate::peer) enum StreamEvent {
-    /// The connection is there.
+    /// The lease was granted.
     Granted,
-    /// No connection.
+    /// The lease was refused.
     Refused(Refusal),
-    /// A piece of a message.
+    /// A fragment of a message.
     Data { last: bool, bytes: Bytes },
-    /// The other side is done.
+    /// The peer has closed the stream.
     Closed,
 }
 
-/// What reader and user of a stream share.
+/// Flow control state shared by the reader and the user of a stream.
 #[derive(Debug)]
 pub(super) struct Flow {
-    /// Bytes this side may still send.
+    /// Bytes that this side may still send.
     credit: Semaphore,
-    /// Bytes received and not yet credited.
+    /// Bytes received for which no credit was returned yet.
     received: AtomicU32,
 }
 
@@ -51,7 +51,7 @@
     flow: Arc<Flow>,
 }
 
-/// Open streams of a link by number.
+/// Open streams of a link, by stream number.
 #[derive(Debug, Default)]
 pub(in crate::peer) struct StreamTable {
     slots: BTreeMap<u32, Slot>,
@@ -62,7 +62,7 @@
         if self.slots.len() >= MAXIMUM_STREAMS || self.slots.contains_key(&number) {
             return None;
         }
-        // Bounded by the credit: what arrives beyond it breaks the link.
+        // Bounded by the credit: data beyond it breaks the link.
         let (sender, events) = mpsc::unbounded_channel();
         let flow = Arc::new(Flow {
             credit: Semaphore::new(INITIAL_CREDIT as usize),
@@ -88,7 +88,8 @@
         self.slots.len()
     }
 
-    /// Hands an event to a stream; one that has ended here is not told.
+    /// Delivers an event to a stream; events for streams that have ended on this side are
+    /// dropped.
     pub(super) fn deliver(&mut self, number: u32, event: StreamEvent) -> Result<(), StreamError> {
         let Some(slot) = self.slots.get(&number) else {
             return Ok(());
@@ -100,12 +101,12 @@
                 return Err(StreamError::Overrun);
             }
         }
-        // Its user may be about to end it.
+        // The user may be about to end the stream.
         let _ = slot.events.send(event);
         Ok(())
     }
 
-    /// Takes a credit for a stream.
+    /// Adds credit to a stream.
     pub(super) fn credit(&mut self, number: u32, bytes: u32) -> Result<(), StreamError> {
         let Some(slot) = self.slots.get(&number) else {
             return Ok(());
@@ -123,18 +124,18 @@
     link: Arc<Link>,
     number: u32,
     flow: Arc<Flow>,
-    /// Set when the other side knows that the stream has ended.
+    /// Set when the peer knows that the stream has ended.
     ended: AtomicBool,
 }
 
 impl Drop for StreamShared {
     fn drop(&mut self) {
-        let tell = !self.ended.load(Ordering::Acquire);
-        self.link.end_stream(self.number, tell);
+        let notify_peer = !self.ended.load(Ordering::Acquire);
+        self.link.end_stream(self.number, notify_peer);
     }
 }
 
-/// The sending half of a stream. When both halves are gone the stream is closed.
+/// The sending half of a stream. The stream closes when both halves are dropped.
 pub(in crate::peer) struct StreamSender {
     shared: Arc<StreamShared>,
 }
@@ -143,10 +144,10 @@
 pub(in crate::peer) struct StreamReceiver {
     shared: Arc<StreamShared>,
     events: mpsc::UnboundedReceiver<StreamEvent>,
-    taken: u32,
+    consumed: u32,
 }
 
-/// A stream cannot be used any more.
+/// The stream can no longer be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the stream is lost")]
 pub(in crate::peer) struct StreamLost;
@@ -168,36 +169,36 @@
     let receiver = StreamReceiver {
         shared,
         events: parts.events,
-        taken: 0,
+        consumed: 0,
     };
     (sender, receiver)
 }
 
 impl StreamSender {
-    /// Asks for a connection.
+    /// Requests a lease.
     pub async fn open(&self, request: OpenRequest) -> Result<(), StreamLost> {
         let stream = self.shared.number;
         self.send(LinkFrame::Open { stream, request }).await
     }
 
-    /// Tells that the connection is there.
+    /// Reports to the peer that the lease is granted.
     pub async fn grant(&self) -> Result<(), StreamLost> {
         let stream = self.shared.number;
         self.send(LinkFrame::Granted { stream }).await
     }
 
-    /// Tells that there is none, which ends the stream.
+    /// Reports to the peer that the lease is refused, which ends the stream.
     pub async fn refuse(&self, refusal: Refusal) -> Result<(), StreamLost> {
         let stream = self.shared.number;
         self.shared.ended.store(true, Ordering::Release);
         self.send(LinkFrame::Refused { stream, refusal }).await
     }
 
-    /// Sends a command or a reply, as fast as the other side gives credit.
+    /// Sends a command or a reply, waiting for credit from the peer.
     pub async fn send_message<M: Serialize>(&self, message: &M) -> Result<(), StreamLost> {
         let pieces = fragments(message).map_err(|_| StreamLost)?;
         for (last, bytes) in pieces {
-            self.take_credit(bytes.len()).await?;
+            self.acquire_credit(bytes.len()).await?;
             let stream = self.shared.number;
             self.send(LinkFrame::Data {
                 stream,
@@ -209,7 +210,7 @@
         Ok(())
     }
 
-    async fn take_credit(&self, bytes: usize) -> Result<(), StreamLost> {
+    async fn acquire_credit(&self, bytes: usize) -> Result<(), StreamLost> {
         let mut closed = self.shared.link.closed.subscribe();
         let bytes = u32::try_from(bytes).map_err(|_| StreamLost)?;
         tokio::select! {
@@ -231,7 +232,7 @@
 }
 
 impl StreamReceiver {
-    /// The next event; none when the link is lost.
+    /// Returns the next event; `None` when the link is lost.
     pub async fn next(&mut self) -> Option<StreamEvent> {
         let event = self.next_unacknowledged().await?;
         if let StreamEvent::Data { bytes, .. } = &event {
@@ -240,7 +241,7 @@
         Some(event)
     }
 
-    /// The next event; data is not counted as taken before
+    /// Returns the next event; data counts as consumed only after
     /// [`StreamReceiver::acknowledge`]. Dropping the future loses no event.
     pub async fn next_unacknowledged(&mut self) -> Option<StreamEvent> {
         let event = self.events.recv().await?;
@@ -250,18 +251,18 @@
         Some(event)
     }
 
-    /// Counts data as taken, so that the other side may send more.
+    /// Counts data as consumed, so that the peer may send more.
     pub async fn acknowledge(&mut self, bytes: &Bytes) {
-        self.take(bytes.len() as u32).await;
+        self.consume(bytes.len() as u32).await;
     }
 
-    /// Counts bytes taken, and lets the other side send as many more now and then.
-    async fn take(&mut self, bytes: u32) {
-        self.taken += bytes;
-        if self.taken < CREDIT_STEP {
+    /// Counts consumed bytes, and returns credit to the peer in steps of `CREDIT_STEP`.
+    async fn consume(&mut self, bytes: u32) {
+        self.consumed += bytes;
+        if self.consumed < CREDIT_STEP {
             return;
         }
-        let bytes = std::mem::take(&mut self.taken);
+        let bytes = std::mem::take(&mut self.consumed);
         self.shared.flow.received.fetch_sub(bytes, Ordering::AcqRel);
         let stream = self.shared.number;
         self.shared
--- a/crates/transport/src/peer/link/table.rs
+++ b/crates/transport/src/peer/link/table.rs
@@ -1,4 +1,4 @@
-//! The links of this node, at most one in use per peer.
+//! The links of this node, at most one in use for each peer.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,12 +10,12 @@
 
 use super::Link;
 
-const FIRST_BACK_OFF: Duration = Duration::from_millis(50);
-const LONGEST_BACK_OFF: Duration = Duration::from_secs(2);
-/// Doublings after which the back-off is at its longest.
+const MINIMUM_BACK_OFF: Duration = Duration::from_millis(50);
+const MAXIMUM_BACK_OFF: Duration = Duration::from_secs(2);
+/// Number of doublings after which the back-off reaches its maximum.
 const MAXIMUM_DOUBLINGS: u32 = 6;
 
-/// State of dialling one peer. Whoever holds its lock may dial.
+/// Dial state of one peer. Only the holder of its lock may dial.
 #[derive(Debug, Default)]
 pub(in crate::peer) struct Dial {
     failures: u32,
@@ -23,21 +23,21 @@
 }
 
 impl Dial {
-    /// Whether the peer was found unreachable a moment ago.
+    /// Returns whether the back-off after a failed attempt is still running.
     pub fn is_backing_off(&self) -> bool {
         self.retry_at.is_some_and(|at| at > Instant::now())
     }
 
-    /// Notes a failure.
-    pub fn failed(&mut self) {
+    /// Records a failed attempt and starts the back-off.
+    pub fn record_failure(&mut self) {
         let doublings = self.failures.min(MAXIMUM_DOUBLINGS);
-        let pause = (FIRST_BACK_OFF * 2u32.pow(doublings)).min(LONGEST_BACK_OFF);
+        let pause = (MINIMUM_BACK_OFF * 2u32.pow(doublings)).min(MAXIMUM_BACK_OFF);
         self.failures += 1;
         self.retry_at = Some(Instant::now() + pause);
     }
 
-    /// Notes a success.
-    pub fn succeeded(&mut self) {
+    /// Records a successful attempt, which resets the back-off.
+    pub fn record_success(&mut self) {
         *self = Self::default();
     }
 }
@@ -48,7 +48,7 @@
     dial: Arc<tokio::sync::Mutex<Dial>>,
 }
 
-/// Links by peer, and those that are retiring.
+/// Links by peer, and links that are retiring.
 #[derive(Default)]
 pub(in crate::peer) struct LinkTable {
     peers: Mutex<BTreeMap<NodeId, Peer>>,
@@ -56,21 +56,21 @@
 }
 
 impl LinkTable {
-    /// The link in use to a peer.
+    /// Returns the link in use to a peer.
     pub fn get(&self, node: NodeId) -> Option<Arc<Link>> {
         let peers = self.peers.lock();
         let link = peers.get(&node)?.link.as_ref()?;
         (!link.is_closed()).then(|| link.clone())
     }
 
-    /// The state of dialling a peer.
+    /// Returns the dial state of a peer.
     pub fn dial(&self, node: NodeId) -> Arc<tokio::sync::Mutex<Dial>> {
         self.peers.lock().entry(node).or_default().dial.clone()
     }
 
-    /// Takes a new link into use. Where there is one already, the link dialled by the
-    /// smaller node stays in use and the other one retires; a newer one of the same
-    /// direction replaces the older.
+    /// Puts a new link into use. If there is one already, the link dialled by the node
+    /// with the smaller identifier stays in use and the other one retires; of two links
+    /// dialled by the same node the newer one stays.
     pub fn register(&self, own: NodeId, link: &Arc<Link>) {
         let node = link.peer.node;
         let mut peers = self.peers.lock();
@@ -94,7 +94,7 @@
         retiring.push(retired);
     }
 
-    /// Takes a lost link out of use.
+    /// Removes a lost link.
     pub fn remove(&self, link: &Arc<Link>) {
         let mut peers = self.peers.lock();
         let Some(peer) = peers.get_mut(&link.peer.node) else {
@@ -109,9 +109,9 @@
         }
     }
 
-    /// Forgets a peer that is held for dead. An open link to it stays: its own
-    /// heartbeats know better whether its leases still flow.
-    pub fn forget(&self, node: NodeId) {
+    /// Removes a peer that is considered dead. An open link to it is kept: its own
+    /// heartbeats detect more reliably whether its leases still work.
+    pub fn remove_peer(&self, node: NodeId) {
         let mut peers = self.peers.lock();
         let open = peers
             .get(&node)
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Open links and their streams.
+    /// Returns the numbers of open links and of their streams.
     pub fn counts(&self) -> (usize, usize) {
         let in_use: Vec<Arc<Link>> = {
             let peers = self.peers.lock();
--- a/crates/transport/src/peer/link/writer.rs
+++ b/crates/transport/src/peer/link/writer.rs
@@ -1,4 +1,4 @@
-//! The writing task of a link.
+//! The task that writes to a link.
 
 use std::sync::Arc;
 
@@ -13,10 +13,10 @@
 use crate::peer::core::Core;
 use crate::peer::status::count;
 
-/// A record is sent once it holds this many bytes; one more frame still fits.
+/// Size in bytes from which a record is sent; one more frame still fits.
 const RECORD_TARGET_BYTES: usize = 2 * MAXIMUM_FRAGMENT_BYTES;
 
-/// Sends frames until the link is lost, several in a record where they wait.
+/// Writes frames until the link is lost, combining frames that wait into one record.
 pub(super) async fn write(
     core: Arc<Core>,
     link: Arc<Link>,
@@ -35,7 +35,7 @@
         let Some(frame) = frame else {
             return;
         };
-        let content = gather(frame, &mut frames);
+        let content = collect_record(frame, &mut frames);
         let sent = tokio::select! {
             sent = send_record(&cipher, number, &content, &mut socket) => sent,
             _ = closed.wait_for(|closed| *closed) => return,
@@ -50,7 +50,7 @@
     }
 }
 
-fn gather(first: LinkFrame, frames: &mut mpsc::Receiver<LinkFrame>) -> Vec<u8> {
+fn collect_record(first: LinkFrame, frames: &mut mpsc::Receiver<LinkFrame>) -> Vec<u8> {
     let mut content = encode_frame(&first, Vec::new());
     while content.len() < RECORD_TARGET_BYTES
         && let Ok(frame) = frames.try_recv()
--- a/crates/transport/src/peer/serve.rs
+++ b/crates/transport/src/peer/serve.rs
@@ -15,27 +15,27 @@
 use super::status::count;
 use crate::lease::{AcquireRequest, BackendLease};
 
-/// Longest wait accepted from a peer.
+/// Longest wait that a peer may request.
 const LONGEST_WAIT: Duration = Duration::from_secs(600);
 /// How long a connection may refuse a command before the lease is dropped.
-const COMMAND_PATIENCE: Duration = Duration::from_secs(30);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Commands that came before the lease was granted. Credit bounds them: none is given
-/// back before the lease is granted.
+/// Commands that arrived before the lease was granted. Their number is bounded by the
+/// credit, which is not returned before the lease is granted.
 #[derive(Default)]
 struct EarlyCommands {
     pieces: VecDeque<(bool, Bytes)>,
 }
 
 impl EarlyCommands {
-    /// Takes commands until the stream ends.
+    /// Collects commands until the stream ends.
     async fn collect(&mut self, receiver: &mut StreamReceiver) {
         while let Some(StreamEvent::Data { last, bytes }) = receiver.next_unacknowledged().await {
             self.pieces.push_back((last, bytes));
         }
     }
 
-    /// The next piece, of the early ones first.
+    /// Returns the next fragment, early ones first.
     async fn next(&mut self, receiver: &mut StreamReceiver) -> Option<(bool, Bytes)> {
         if let Some((last, bytes)) = self.pieces.pop_front() {
             receiver.acknowledge(&bytes).await;
@@ -83,7 +83,7 @@
     let mut early = EarlyCommands::default();
     let acquired = tokio::select! {
         acquired = acquiring => acquired,
-        // The peer has given up, is lost, or has broken the protocol.
+        // The peer has closed the stream, is lost, or has violated the protocol.
         () = early.collect(&mut receiver) => return,
     };
     let lease = match acquired {
@@ -127,7 +127,7 @@
     }
 }
 
-/// Hands on commands until the stream ends. Returns whether there were any.
+/// Relays commands until the stream ends. Returns whether there were any.
 async fn relay_commands(
     mut receiver: StreamReceiver,
     mut early: EarlyCommands,
@@ -141,11 +141,11 @@
             Ok(Some(command)) => command,
             Ok(None) => continue,
             Err(error) => {
-                log::warn!("fleet: a forwarded command was dropped: {error}.");
+                log::warn!("fleet: a forwarded command cannot be decoded: {error}.");
                 break;
             }
         };
-        let sent = commands.send_timeout(command, COMMAND_PATIENCE).await;
+        let sent = commands.send_timeout(command, COMMAND_TIMEOUT).await;
         if sent.is_err() {
             break;
         }
@@ -153,7 +153,7 @@
     used
 }
 
-/// Hands on replies until there are no more.
+/// Relays replies until the connection ends.
 async fn relay_replies(
     replies: &mut mpsc::Receiver<hookpoint_protocol::backend_command::BackendReply>,
     sender: StreamSender,
--- a/crates/transport/src/peer/settings.rs
+++ b/crates/transport/src/peer/settings.rs
@@ -7,32 +7,33 @@
 use hookpoint_protocol::peer::FleetKey;
 use hookpoint_state::{RegionName, ZoneName};
 
-/// Called when a peer passes on a caller's request to cancel: process number and secret
-/// of the session.
+/// Called with process number and secret of the session when a peer forwards a client's
+/// cancel request.
 pub type CancelHandler = Arc<dyn Fn(u32, u32) + Send + Sync>;
 
 /// Settings of this node as a member of a fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// Address for datagrams and links, both on one port; port 0 lets the system choose.
+    /// Address for datagrams and links, both on one port; with port 0 the system chooses
+    /// one.
     pub listen: SocketAddr,
-    /// Address that peers reach this node by; the bound one where none is given.
+    /// Address that peers reach this node at; `None` means the bound address.
     pub advertise: Option<SocketAddr>,
     /// Zone of this node.
     pub zone: ZoneName,
     /// Region of the zone.
     pub region: RegionName,
-    /// Addresses of nodes that may be up already.
+    /// Addresses of nodes that may already be running.
     pub seeds: Vec<SocketAddr>,
-    /// Keys, the one to send with first.
+    /// Fleet keys; the first one is used for sending.
     pub keys: Vec<FleetKey>,
-    /// Periods and bounds of the membership.
+    /// Intervals and limits of the membership protocol.
     pub membership: MembershipSettings,
 }
 
 impl FleetSettings {
-    /// A node on a port of the loopback interface that the system chooses, without
-    /// seeds.
+    /// Returns settings of a node without seeds on a loopback port that the system
+    /// chooses.
     pub fn on_loopback(zone: ZoneName, region: RegionName, key: FleetKey) -> Self {
         Self {
             listen: SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0),
--- a/crates/transport/src/peer/sockets.rs
+++ b/crates/transport/src/peer/sockets.rs
@@ -1,22 +1,23 @@
-//! Binding one port for datagrams and links.
+//! Binds one port for both datagrams and links.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
-/// Ports tried when the system chooses and the other protocol's port is taken.
+/// Number of ports tried when the system chooses the port and the other protocol's port
+/// is taken.
 const ATTEMPTS: usize = 32;
 
 /// Both sockets, non-blocking and on the same port.
 pub struct Sockets {
-    /// For datagrams.
+    /// Socket for datagrams.
     pub udp: UdpSocket,
-    /// For links.
+    /// Listener for links.
     pub tcp: TcpListener,
-    /// Their address.
+    /// Address of both sockets.
     pub address: SocketAddr,
 }
 
-/// Binds `listen`; with port 0 the system chooses one that is free for both.
+/// Binds `listen`; with port 0 the system chooses a port that is free for both protocols.
 pub fn bind(listen: SocketAddr) -> io::Result<Sockets> {
     let attempts = if listen.port() == 0 { ATTEMPTS } else { 1 };
     let mut failure = io::Error::from(io::ErrorKind::AddrInUse);
--- a/crates/transport/src/peer/status.rs
+++ b/crates/transport/src/peer/status.rs
@@ -1,4 +1,4 @@
-//! What an operator sees of the fleet from one node.
+//! Status of the fleet as one node reports it to operators.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -7,25 +7,25 @@
 use hookpoint_state::{BundleVersion, NodeId, RegionName, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// One member.
+/// Status of one member.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The node.
+    /// Identifier of the node.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// Its region.
+    /// Region of the node.
     pub region: RegionName,
-    /// Its peer address.
+    /// Peer address of the node.
     pub address: SocketAddr,
-    /// Its state.
+    /// Membership state of the node.
     pub state: MemberState,
-    /// Version of the bundle it was last heard to have in force.
+    /// Bundle version that the node last reported to have in force.
     pub bundle: BundleVersion,
 }
 
 impl MemberStatus {
-    /// Status of a member of that state and bundle.
+    /// Creates the status of a member with the given state and bundle.
     pub(super) fn new(info: &MemberInfo, state: MemberState, bundle: BundleVersion) -> Self {
         Self {
             node: info.node,
@@ -45,36 +45,37 @@
 /// The fleet as one node sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// The node that answers.
+    /// The reporting node.
     pub own: MemberStatus,
-    /// The others, remembered dead ones included.
+    /// The other nodes, including dead ones that are still remembered.
     pub members: Vec<MemberStatus>,
-    /// Open links.
+    /// Number of open links.
     pub links: usize,
-    /// Leases that flow over links, in both directions.
+    /// Number of leases that use links, in both directions.
     pub streams: usize,
-    /// Databases this node is home of.
+    /// Number of databases that the node is the home of.
     pub homes: usize,
-    /// What was sent and received since the start.
+    /// Counters since the start.
     pub counters: FleetCounters,
 }
 
-/// Counts since the start.
+/// Counters since the start of the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetCounters {
     /// Datagrams sent.
     pub datagrams_sent: u64,
-    /// Bytes of them, without IP and UDP headers.
+    /// Bytes of datagrams sent, without IP and UDP headers.
     pub datagram_bytes_sent: u64,
     /// Datagrams accepted.
     pub datagrams_received: u64,
-    /// Datagrams dropped as not authentic, malformed or repeated.
+    /// Datagrams dropped because they were not authentic, malformed or replayed.
     pub datagrams_dropped: u64,
-    /// Records sent over links; one holds the frames that waited together.
+    /// Records sent over links; a record combines the frames that waited together.
     pub link_records_sent: u64,
-    /// Bytes of them, without IP and TCP headers; those of forwarded requests included.
+    /// Bytes of link records sent, without IP and TCP headers; includes forwarded
+    /// requests.
     pub link_bytes_sent: u64,
-    /// Links refused for a wrong key or a broken protocol.
+    /// Links rejected because of a wrong key or a protocol violation.
     pub links_refused: u64,
     /// Leases forwarded to other nodes.
     pub leases_forwarded: u64,
