--- a/crates/transport/src/observe/mod.rs
+++ b/crates/transport/src/observe/mod.rs
@@ -1,5 +1,5 @@
-//! Status queries to databases: the probes of the databases this node is home for, and
-//! the verification of a group's term.
+//! Status queries to databases: probes of the databases that this node is the home of,
+//! and verification of a group's term.
 
 mod prober;
 mod sharing;
--- a/crates/transport/src/observe/prober.rs
+++ b/crates/transport/src/observe/prober.rs
@@ -1,4 +1,4 @@
-//! Probes the databases this node is home for.
+//! Probes the databases that this node is the home of.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,16 +15,16 @@
 use crate::backend::LocalPools;
 use crate::shared::Shared;
 
-/// Longest time of a probe. The query itself gives up earlier, unless another one was
-/// under way when it was asked for.
+/// Longest duration of a probe. The query itself times out earlier, unless it had to wait
+/// for one already running.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time between two looks at what this node is home for.
+/// Interval at which the databases that this node is the home of are read again.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
-/// Finished probes that wait to be noted.
+/// Capacity of the channel of finished probes.
 const RESULT_BUFFER: usize = 64;
 
-/// Starts the observer of `pools` on `arbiter`; databases of other homes are asked
-/// through `fleet`. It ends with the pools. Only the first call does anything.
+/// Starts the observer of `pools` on `arbiter`; databases of other homes are queried
+/// through `fleet`. The observer ends with the pools. Only the first call has an effect.
 pub fn start_observer(
     shared: Arc<Shared>,
     pools: Arc<LocalPools>,
@@ -32,7 +32,7 @@
     seed: u64,
     arbiter: &ArbiterHandle,
 ) {
-    let Some(losses) = pools.take_broken_connections() else {
+    let Some(broken_connections) = pools.take_broken_connections() else {
         return;
     };
     let (results, finished) = mpsc::channel(RESULT_BUFFER);
@@ -43,7 +43,7 @@
         schedule: ProbeSchedule::new(ProbePace::default(), seed),
         results,
     };
-    arbiter.spawn(prober.run(losses, finished));
+    arbiter.spawn(prober.run(broken_connections, finished));
 }
 
 struct Prober {
@@ -57,7 +57,7 @@
 impl Prober {
     async fn run(
         mut self,
-        mut losses: mpsc::Receiver<DatabaseName>,
+        mut broken_connections: mpsc::Receiver<DatabaseName>,
         mut finished: mpsc::Receiver<DatabaseName>,
     ) {
         let mut bundles = self.shared.bundle_changes();
@@ -66,7 +66,7 @@
         let mut due = None;
         loop {
             let event = tokio::select! {
-                Some(database) = losses.recv() => ObserverEvent::ConnectionLost(database),
+                Some(database) = broken_connections.recv() => ObserverEvent::ConnectionLost(database),
                 Some(database) = finished.recv() => ObserverEvent::Probed(database),
                 changed = bundles.changed() => match changed {
                     Ok(()) => self.configuration(),
@@ -83,8 +83,8 @@
         }
     }
 
-    /// The databases, draining ones aside, of each group that this node is home for a
-    /// part of or takes a part of for unreachable.
+    /// Returns the databases to observe, without draining ones, of each group that has a
+    /// database homed on this node or considered unreachable by it.
     fn configuration(&self) -> ObserverEvent {
         let Some(bundle) = self.shared.bundle() else {
             return ObserverEvent::Configured(Vec::new());
@@ -102,12 +102,12 @@
             groups.entry(&entry.group).or_default().push(observed);
         }
         groups.retain(|group, databases| {
-            databases.iter().any(|database| database.home) || self.doubts(group)
+            databases.iter().any(|database| database.home) || self.has_unreachable(group)
         });
         ObserverEvent::Configured(groups.into_values().flatten().collect())
     }
 
-    fn doubts(&self, group: &GroupName) -> bool {
+    fn has_unreachable(&self, group: &GroupName) -> bool {
         self.shared.with_view(group, |view| {
             view.databases.iter().any(|database| !database.reachable)
         })
@@ -134,16 +134,16 @@
         let shared = self.shared.clone();
         let results = self.results.clone();
         if home {
-            let probe = probe_own(shared, self.pools.clone(), group, database.clone());
+            let probe = probe_home_database(shared, self.pools.clone(), group, database.clone());
             actix_rt::spawn(report(probe, database, results));
         } else {
-            let probe = probe_other(shared, self.fleet.clone(), group, database.clone());
+            let probe = probe_through_fleet(shared, self.fleet.clone(), group, database.clone());
             actix_rt::spawn(report(probe, database, results));
         }
     }
 }
 
-/// Sleeps until `due`, or for ever without one.
+/// Sleeps until `due`; never resolves without one.
 async fn wait_until(shared: &Shared, due: Option<Timestamp>) {
     match due {
         Some(due) => tokio::time::sleep(due.since(shared.now())).await,
@@ -160,7 +160,7 @@
     let _stopped = results.send(database).await;
 }
 
-async fn probe_own(
+async fn probe_home_database(
     shared: Arc<Shared>,
     pools: Arc<LocalPools>,
     group: GroupName,
@@ -169,16 +169,17 @@
     match pools.query_status(&group, &database, PROBE_TIMEOUT).await {
         Ok(status) => shared.observe(&group, &database, &status),
         Err(StatusError::Timeout) => {
-            log::warn!("observer: {database} does not answer.");
+            log::warn!("observer: database {database} does not answer.");
             shared.unreachable(&group, &database);
             pools.reroute(&database);
         }
-        Err(error) => log::debug!("observer: no status of {database}: {error}."),
+        Err(error) => log::debug!("observer: the status query to {database} failed: {error}."),
     }
 }
 
-/// No answer says nothing of the database: the way to its home may be cut.
-async fn probe_other(
+/// A missing answer proves nothing about the database: the path to its home may be
+/// interrupted.
+async fn probe_through_fleet(
     shared: Arc<Shared>,
     fleet: Arc<dyn StatusSource>,
     group: GroupName,
@@ -186,6 +187,6 @@
 ) {
     match fleet.query_status(&group, &database, PROBE_TIMEOUT).await {
         Ok(status) => shared.observe(&group, &database, &status),
-        Err(error) => log::debug!("observer: no status of {database}: {error}."),
+        Err(error) => log::debug!("observer: the status query to {database} failed: {error}."),
     }
 }
--- a/crates/transport/src/observe/sharing.rs
+++ b/crates/transport/src/observe/sharing.rs
@@ -1,4 +1,4 @@
-//! Rounds of queries that concurrent callers share.
+//! Query rounds that concurrent callers share.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Weak};
@@ -14,7 +14,7 @@
 
 use crate::shared::Shared;
 
-/// A round of queries about `K` that comes to `R`.
+/// Runs a round of queries about `K` with the result `R`.
 pub(crate) type Round<K, R> = Box<dyn Fn(K) -> BoxFuture<'static, R> + Send + Sync>;
 
 struct Entry<R> {
@@ -24,15 +24,15 @@
     timer: Option<Timestamp>,
 }
 
-/// Runs rounds for each key. A caller gets the result of a round that started after its
-/// call.
+/// Runs rounds for each key. Each caller gets the result of a round that started after
+/// its call.
 pub(crate) struct SharedRounds<K, R> {
     shared: Arc<Shared>,
     arbiter: ArbiterHandle,
     policy: RoundPolicy,
     round: Round<K, R>,
     entries: Mutex<BTreeMap<K, Entry<R>>>,
-    itself: Weak<SharedRounds<K, R>>,
+    weak_self: Weak<SharedRounds<K, R>>,
 }
 
 impl<K, R> SharedRounds<K, R>
@@ -40,31 +40,31 @@
     K: Clone + Ord + Send + 'static,
     R: Clone + Send + 'static,
 {
-    /// Rounds that run `round` on `arbiter`.
+    /// Creates shared rounds that run `round` on `arbiter`.
     pub fn new(
         shared: Arc<Shared>,
         arbiter: ArbiterHandle,
         policy: RoundPolicy,
         round: Round<K, R>,
     ) -> Arc<Self> {
-        Arc::new_cyclic(|itself| Self {
+        Arc::new_cyclic(|weak_self| Self {
             shared,
             arbiter,
             policy,
             round,
             entries: Mutex::new(BTreeMap::new()),
-            itself: itself.clone(),
+            weak_self: weak_self.clone(),
         })
     }
 
-    /// The result of a round about `key` that starts from now on; none if the rounds
-    /// have ended.
+    /// Returns the result of a round about `key` that starts after the call; `None` if
+    /// the rounds have ended.
     pub async fn call(&self, key: K) -> Option<R> {
-        let result = self.enter(key);
+        let result = self.add_waiter(key);
         result.await.ok()
     }
 
-    fn enter(&self, key: K) -> oneshot::Receiver<R> {
+    fn add_waiter(&self, key: K) -> oneshot::Receiver<R> {
         let (sender, result) = oneshot::channel();
         let mut entries = self.entries.lock();
         let entry = entries.entry(key.clone()).or_insert_with(|| Entry {
@@ -80,7 +80,7 @@
         result
     }
 
-    fn finished(&self, key: &K, round: RoundNumber, result: R) {
+    fn on_finished(&self, key: &K, round: RoundNumber, result: R) {
         let mut entries = self.entries.lock();
         let Some(entry) = entries.get_mut(key) else {
             return;
@@ -91,7 +91,7 @@
         }
     }
 
-    fn timer(&self, key: &K) {
+    fn on_timer(&self, key: &K) {
         if let Some(entry) = self.entries.lock().get_mut(key) {
             entry.timer = None;
             self.handle(key, entry, RoundEvent::Timer, None);
@@ -119,23 +119,23 @@
             return;
         }
         entry.timer = Some(due);
-        let rounds = self.itself.clone();
+        let rounds = self.weak_self.clone();
         let key = key.clone();
         self.arbiter.spawn(async move {
             tokio::time::sleep(due.since(now)).await;
             if let Some(rounds) = rounds.upgrade() {
-                rounds.timer(&key);
+                rounds.on_timer(&key);
             }
         });
     }
 
     fn start(&self, key: K, round: RoundNumber) {
-        let rounds = self.itself.clone();
+        let rounds = self.weak_self.clone();
         let running = (self.round)(key.clone());
         self.arbiter.spawn(async move {
             let result = running.await;
             if let Some(rounds) = rounds.upgrade() {
-                rounds.finished(&key, round, result);
+                rounds.on_finished(&key, round, result);
             }
         });
     }
--- a/crates/transport/src/observe/status.rs
+++ b/crates/transport/src/observe/status.rs
@@ -1,4 +1,4 @@
-//! Asking one database for its status.
+//! Status queries to a single database.
 
 use std::sync::{Arc, Weak};
 use std::time::Duration;
@@ -19,13 +19,13 @@
 use crate::lease::{AcquireRequest, BackendLease, LeaseSource};
 use crate::shared::Shared;
 
-/// Session number of the proxies' own status queries; callers' sessions count from 1.
-/// Requests of this session go ahead of all work.
+/// Session number of the proxy's own status queries; client sessions count from 1.
+/// Requests of this session take precedence over client requests.
 pub(crate) const OWN_SESSION: SessionId = SessionId(0);
 /// Tenant of the proxy's own status queries.
 const OWN_TENANT: &str = "hookpoint";
 
-/// Why a database did not tell its status.
+/// Why the status of a database could not be determined.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StatusError {
     /// No connection was granted.
@@ -34,18 +34,19 @@
     /// The connection broke.
     #[error("the connection broke")]
     Lost,
-    /// The answer did not come in time.
+    /// The answer did not arrive in time.
     #[error("the answer did not come in time")]
     Timeout,
-    /// The answer could not be read.
+    /// The answer could not be decoded.
     #[error(transparent)]
     Unreadable(#[from] StatusQueryError),
 }
 
-/// Asks databases for their status, here or through another node.
+/// Queries databases for their status, from this node or through another node.
 #[async_trait]
 pub trait StatusSource: Send + Sync {
-    /// The status of `database`, evaluated by it after the call. Waits for at most `wait`.
+    /// Returns the status of `database`, which the database evaluates after the call.
+    /// Waits for at most `wait`.
     ///
     /// # Errors
     /// A [`StatusError`].
@@ -57,18 +58,19 @@
     ) -> Result<BackendStatus, StatusError>;
 }
 
-/// Status queries to local databases: one a database at a time, shared by all who ask.
+/// Status queries to local databases: at most one per database at a time, shared by
+/// concurrent callers.
 pub(crate) type SharedStatuses = SharedRounds<DatabaseName, Result<BackendStatus, StatusError>>;
 
 /// Longest wait for a connection, and again for the answer on it.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
-/// A status query waits for the one under way to end.
+/// A status query waits for the running one to end.
 const QUERY_POLICY: RoundPolicy = RoundPolicy {
     patience: Duration::MAX,
     maximum: 1,
 };
 
-/// The status queries of `pools`.
+/// Creates the shared status queries of `pools`.
 pub(crate) fn shared_statuses(
     shared: Arc<Shared>,
     arbiter: ArbiterHandle,
@@ -87,13 +89,13 @@
     SharedRounds::new(shared, arbiter, QUERY_POLICY, Box::new(round))
 }
 
-/// Asks on a connection of `leases`.
+/// Queries the status on a connection acquired from `leases`.
 async fn query_within(
     leases: &dyn LeaseSource,
     request: AcquireRequest,
 ) -> Result<BackendStatus, StatusError> {
     let lease = leases.acquire(request).await?;
-    let answer = tokio::time::timeout(QUERY_TIMEOUT, ask(lease)).await;
+    let answer = tokio::time::timeout(QUERY_TIMEOUT, query_on(lease)).await;
     answer.map_err(|_| StatusError::Timeout)?
 }
 
@@ -103,7 +105,7 @@
 }
 
 impl FleetStatuses {
-    /// Queries on connections of `leases`, run on `arbiter`.
+    /// Creates status queries on connections of `leases`, run on `arbiter`.
     pub fn new(
         shared: Arc<Shared>,
         leases: Arc<dyn LeaseSource>,
@@ -130,11 +132,11 @@
         wait: Duration,
     ) -> Result<BackendStatus, StatusError> {
         let answer = self.rounds.call((group.clone(), database.clone()));
-        within(wait, answer).await
+        with_timeout(wait, answer).await
     }
 }
 
-async fn within(
+async fn with_timeout(
     wait: Duration,
     answer: impl Future<Output = Option<Result<BackendStatus, StatusError>>>,
 ) -> Result<BackendStatus, StatusError> {
@@ -163,13 +165,13 @@
         wait: Duration,
     ) -> Result<BackendStatus, StatusError> {
         let answer = self.statuses().call(database.clone());
-        within(wait, answer).await
+        with_timeout(wait, answer).await
     }
 }
 
-/// Asks for the status on `lease` and gives the connection back. A lease dropped midway
-/// closes its connection.
-async fn ask(mut lease: BackendLease) -> Result<BackendStatus, StatusError> {
+/// Queries the status on `lease` and releases the connection. A lease that is dropped
+/// before closes its connection.
+async fn query_on(mut lease: BackendLease) -> Result<BackendStatus, StatusError> {
     let query = BackendCommand::Frames(vec![extended::query(STATUS_QUERY)]);
     let sent = lease.commands.send(query).await;
     sent.map_err(|_| StatusError::Lost)?;
--- a/crates/transport/src/observe/verifier.rs
+++ b/crates/transport/src/observe/verifier.rs
@@ -1,4 +1,4 @@
-//! Verifies the term of a group by asking a majority of its databases.
+//! Verifies the term of a group by querying a majority of its databases.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,9 +16,10 @@
 use crate::lease::TermVerifier;
 use crate::shared::Shared;
 
-/// Longest time of a round.
+/// Longest duration of a round.
 const ROUND_TIMEOUT: Duration = Duration::from_secs(1);
-/// A round held up by a slow database does not hold the next one up for longer.
+/// A round delayed by a slow database delays the next one by at most 60 ms; up to 4
+/// rounds run at once.
 const ROUND_POLICY: RoundPolicy = RoundPolicy {
     patience: Duration::from_millis(60),
     maximum: 4,
@@ -31,7 +32,8 @@
 }
 
 impl MajorityVerifier {
-    /// A verifier that asks through `statuses` and runs its rounds on `arbiter`.
+    /// Creates a verifier that queries through `statuses` and runs its rounds on
+    /// `arbiter`.
     pub fn new(
         shared: Arc<Shared>,
         statuses: Arc<dyn StatusSource>,
@@ -88,13 +90,14 @@
         position
     }
 
-    /// Asks all databases of the group at once and ends as soon as the result is known.
+    /// Queries all databases of the group at once and returns as soon as the result is
+    /// known.
     async fn run(&self) -> Option<Position> {
         let members = self.members();
         let mut verification = Verification::new(members.len());
         let (answers, mut received) = mpsc::channel(members.len().max(1));
         for database in members {
-            actix_rt::spawn(self.ask(database, answers.clone()));
+            actix_rt::spawn(self.query_member(database, answers.clone()));
         }
         drop(answers);
         while let Some((database, status)) = received.recv().await {
@@ -116,7 +119,7 @@
         databases.map(|(name, _)| name.clone()).collect()
     }
 
-    fn ask(
+    fn query_member(
         &self,
         database: DatabaseName,
         answers: mpsc::Sender<(DatabaseName, Option<BackendStatus>)>,
