--- a/crates/transport/src/platform/client.rs
+++ b/crates/transport/src/platform/client.rs
@@ -1,4 +1,4 @@
-//! Requests with one answer.
+//! Requests with a single answer.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -17,7 +17,7 @@
 
 use super::error::PlatformError;
 
-/// Longest wait for an answer unless told otherwise.
+/// Default limit on the time to wait for an answer.
 pub const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(3);
 /// Largest answer accepted, in bytes.
 const MAXIMUM_ANSWER_BYTES: usize = 32 * 1024 * 1024;
@@ -31,8 +31,8 @@
 }
 
 impl PlatformClient {
-    /// A client that asks the first of `urls` that answers. Each is a base URL such as
-    /// `http://127.0.0.1:2379`.
+    /// Creates a client that uses the first of `urls` that answers. Each is a base URL
+    /// such as `http://127.0.0.1:2379`.
     pub fn new(urls: Vec<String>, timeout: Duration) -> Self {
         let connector = awc::Connector::new().timeout(timeout);
         let http = awc::Client::builder()
@@ -103,7 +103,7 @@
         self.call("/v3/kv/txn", request).await
     }
 
-    /// Asks for a lease of `time_to_live`, rounded up to whole seconds.
+    /// Requests a lease of `time_to_live`, rounded up to whole seconds.
     ///
     /// # Errors
     /// A [`PlatformError`].
@@ -119,7 +119,7 @@
         self.call("/v3/lease/grant", &request).await
     }
 
-    /// Renews a lease once. An answer with no time left means that it has lapsed.
+    /// Renews a lease once. An answer with no time left means that the lease has expired.
     ///
     /// # Errors
     /// A [`PlatformError`].
@@ -129,12 +129,12 @@
             self.call("/v3/lease/keepalive", &request).await?;
         match (item.result, item.error) {
             (Some(result), _) => Ok(result),
-            (None, Some(error)) => Err(refusal_of(&error)),
+            (None, Some(error)) => Err(api_error(&error)),
             (None, None) => Err(malformed("neither a result nor an error")),
         }
     }
 
-    /// Gives a lease back.
+    /// Revokes a lease.
     ///
     /// # Errors
     /// A [`PlatformError`].
@@ -143,12 +143,12 @@
             .await
     }
 
-    /// Whether there is any URL to ask.
+    /// Returns whether any URL is configured.
     pub(super) fn has_urls(&self) -> bool {
         !self.urls.is_empty()
     }
 
-    /// Base URL in use.
+    /// Returns the base URL in use.
     pub(super) fn base_url(&self) -> Result<&str, PlatformError> {
         let count = self.urls.len().max(1);
         self.urls
@@ -156,11 +156,11 @@
             .map(String::as_str)
             .ok_or_else(|| PlatformError::Connect {
                 url: String::new(),
-                reason: "no URL of the platform is set".to_owned(),
+                reason: "no platform URL is configured".to_owned(),
             })
     }
 
-    /// Turns to the next URL after a failure.
+    /// Switches to the next URL after a failure.
     pub(super) fn rotate(&self) {
         self.current.set(self.current.get().wrapping_add(1));
     }
@@ -197,8 +197,8 @@
             .insert_header((CONTENT_TYPE, "application/json"))
             .send_body(body)
             .await
-            .map_err(|error| error_of_sending(&url, &error))?;
-        let retry_after = retry_after_of(&response);
+            .map_err(|error| send_error(&url, &error))?;
+        let retry_after = parse_retry_after(&response);
         let status = response.status();
         let body = response
             .body()
@@ -208,7 +208,7 @@
                 reason: error.to_string(),
             })?;
         if !status.is_success() {
-            return Err(error_of_status(status, &body, retry_after));
+            return Err(status_error(status, &body, retry_after));
         }
         serde_json::from_slice(&body).map_err(|error| malformed(error.to_string()))
     }
@@ -226,9 +226,9 @@
     }
 }
 
-/// An error before the head of the answer. Only a failure to connect proves that
-/// nothing was sent.
-pub(super) fn error_of_sending(url: &str, error: &SendRequestError) -> PlatformError {
+/// Classifies an error that occurred before the head of the answer. Only a failure to
+/// connect proves that nothing was sent.
+pub(super) fn send_error(url: &str, error: &SendRequestError) -> PlatformError {
     let reason = error.to_string();
     match error {
         SendRequestError::Connect(error) if is_before_sending(error) => PlatformError::Connect {
@@ -243,8 +243,8 @@
     }
 }
 
-/// Whether an error proves that nothing was sent. The library also gives
-/// `Disconnected` for a connection that was closed in place of an answer.
+/// Returns whether an error proves that nothing was sent. The library also returns
+/// `Disconnected` for a connection that was closed instead of an answer.
 fn is_before_sending(error: &ConnectError) -> bool {
     matches!(
         error,
@@ -257,9 +257,9 @@
     )
 }
 
-/// An answer with an error status. Without a readable body only the statuses that a
-/// gateway gives before it passes a request on prove that nothing ran.
-pub(super) fn error_of_status(
+/// Classifies an answer with an error status. Without a readable body, only the statuses
+/// that a gateway returns before it forwards a request prove that nothing ran.
+pub(super) fn status_error(
     status: HttpStatus,
     body: &[u8],
     retry_after: Option<Duration>,
@@ -268,15 +268,15 @@
         return PlatformError::RateLimited { retry_after };
     }
     match serde_json::from_slice::<ErrorBody>(body) {
-        Ok(error) if error.code != 0 => refusal_of(&error),
+        Ok(error) if error.code != 0 => api_error(&error),
         _ => PlatformError::AnswerLost {
             reason: format!("HTTP status {status}"),
         },
     }
 }
 
-/// An error body of the API.
-pub(super) fn refusal_of(error: &ErrorBody) -> PlatformError {
+/// Classifies an error body of the API.
+pub(super) fn api_error(error: &ErrorBody) -> PlatformError {
     let code = StatusCode::from_number(error.code);
     let message = if error.message.is_empty() {
         error.error.clone()
@@ -295,7 +295,7 @@
     PlatformError::AnswerLost { reason: message }
 }
 
-fn retry_after_of<Body>(response: &awc::ClientResponse<Body>) -> Option<Duration> {
+fn parse_retry_after<Body>(response: &awc::ClientResponse<Body>) -> Option<Duration> {
     let text = response.headers().get(RETRY_AFTER)?.to_str().ok()?;
     text.trim().parse().ok().map(Duration::from_secs)
 }
--- a/crates/transport/src/platform/error.rs
+++ b/crates/transport/src/platform/error.rs
@@ -1,4 +1,4 @@
-//! Why a request to the platform failed, and what that says of its effect.
+//! Errors of platform requests, and whether the request may have taken effect.
 
 use std::time::Duration;
 
@@ -11,15 +11,15 @@
     /// No connection could be made; nothing was sent.
     #[error("cannot connect to the platform at {url}: {reason}")]
     Connect {
-        /// Base URL tried.
+        /// The base URL that was tried.
         url: String,
-        /// Text of the library's error.
+        /// Error text of the library.
         reason: String,
     },
-    /// Over the rate limit; the request did not run.
+    /// The rate limit was exceeded; the request did not run.
     #[error("the platform refuses requests at its rate limit")]
     RateLimited {
-        /// Pause the service asked for, if it did.
+        /// Pause requested by the service, if any.
         retry_after: Option<Duration>,
     },
     /// The service refused the request; it did not run.
@@ -27,37 +27,38 @@
     Refused {
         /// Status code of the underlying call.
         code: i32,
-        /// The service's text.
+        /// Error text of the service.
         message: String,
     },
-    /// The service or the way to it failed after the request was sent; it may have run.
+    /// The service or the connection to it failed after the request was sent; the request
+    /// may have run.
     #[error("the platform's answer was lost: {reason}")]
     AnswerLost {
-        /// What happened.
+        /// Description of the failure.
         reason: String,
     },
-    /// The answer is no answer of the API; the request may have run.
+    /// The answer does not conform to the API; the request may have run.
     #[error("the platform's answer is malformed: {reason}")]
     MalformedAnswer {
-        /// What is wrong with it.
+        /// Description of the error in the answer.
         reason: String,
     },
-    /// The revision asked of a watch is no longer held.
-    #[error("the platform has forgotten changes before revision {compact_revision}")]
+    /// The revision requested by a watch has been compacted.
+    #[error("the platform has compacted changes before revision {compact_revision}")]
     Compacted {
-        /// Oldest revision still held.
+        /// Oldest revision still available.
         compact_revision: i64,
     },
-    /// The body cannot be encoded; nothing was sent.
+    /// The request body cannot be encoded; nothing was sent.
     #[error("the request cannot be encoded: {reason}")]
     Encode {
-        /// Text of the library's error.
+        /// Error text of the library.
         reason: String,
     },
 }
 
 impl PlatformError {
-    /// What the error says of the request's effect.
+    /// Returns whether the request may have run.
     pub fn outcome(&self) -> Outcome {
         match self {
             Self::AnswerLost { .. } | Self::MalformedAnswer { .. } => Outcome::Unknown,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Whether the same request may succeed a little later.
+    /// Returns whether the same request may succeed a little later.
     pub fn is_transient(&self) -> bool {
         matches!(
             self,
@@ -80,7 +81,7 @@
         )
     }
 
-    /// The pause the service asked for.
+    /// Returns the pause requested by the service, if any.
     pub fn retry_after(&self) -> Option<Duration> {
         match self {
             Self::RateLimited { retry_after } => *retry_after,
--- a/crates/transport/src/platform/follower.rs
+++ b/crates/transport/src/platform/follower.rs
@@ -1,4 +1,4 @@
-//! Follows the platform for one node: the pointer to the bundle in force, the bundles,
+//! Watches the platform for one node: the pointer to the bundle in force, the bundles,
 //! and the list of machines.
 
 use std::collections::BTreeMap;
@@ -22,53 +22,54 @@
 
 /// Shortest and longest pause after a failed watch.
 const WATCH_PAUSE: (Duration, Duration) = (Duration::from_millis(100), Duration::from_secs(5));
-/// How long a silent watch is trusted before it is opened anew.
-const WATCH_PATIENCE: Duration = Duration::from_secs(30);
-/// Commands and events that may wait.
+/// How long a watch may be silent before it is reopened.
+const WATCH_SILENCE_LIMIT: Duration = Duration::from_secs(30);
+/// Capacity of the command and event channels.
 const CHANNEL_CAPACITY: usize = 64;
-/// Most machines read from the list.
+/// Maximum number of machines read from the list.
 const MAXIMUM_MACHINES: usize = 10_000;
 
-/// What the follower is asked to do.
+/// A command to the follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformCommand {
-    /// Begin or end to watch.
+    /// Starts or stops watching.
     Watch(bool),
-    /// Read the pointer and its bundle once.
+    /// Reads the pointer and its bundle once.
     Fetch,
 }
 
-/// What the follower brings.
+/// An event from the follower.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PlatformEvent {
-    /// The pointer names this version.
+    /// The pointer refers to this version.
     Version(BundleVersion),
-    /// The bundle that was asked for, as an encoded change.
+    /// The requested bundle, as an encoded change.
     Change(Bytes),
-    /// The bundle that was asked for could not be had.
+    /// The requested bundle could not be read.
     Failed,
-    /// The list of machines.
+    /// The current list of machines.
     Machines {
-        /// Revision of the store that the list was read at.
+        /// Revision of the store at which the list was read.
         revision: u64,
-        /// The machines.
+        /// Records of all machines.
         machines: Vec<MachineRecord>,
     },
 }
 
-/// The running follower. It belongs to the thread that started it, and ends when its
+/// The running follower. It is bound to the thread that started it, and ends when its
 /// channels close.
 pub struct PlatformFollower {
     client: Rc<PlatformClient>,
     events: mpsc::Sender<PlatformEvent>,
     watches: Vec<JoinHandle<()>>,
-    /// Whether it was told that nothing has been rolled yet; said once, not at each try.
-    told_empty: bool,
+    /// Whether it was already logged that no bundle has been rolled out; logged once
+    /// instead of at each attempt.
+    logged_empty: bool,
 }
 
 impl PlatformFollower {
-    /// Starts a follower on this thread. Returns where to send commands and where its
-    /// events arrive.
+    /// Starts a follower on this thread. Returns the sender of its commands and the
+    /// receiver of its events.
     pub fn start(
         client: PlatformClient,
     ) -> (mpsc::Sender<PlatformCommand>, mpsc::Receiver<PlatformEvent>) {
@@ -78,7 +79,7 @@
             client: Rc::new(client),
             events,
             watches: Vec::new(),
-            told_empty: false,
+            logged_empty: false,
         };
         actix_rt::spawn(follower.run(receiver));
         (commands, event_receiver)
@@ -118,7 +119,7 @@
         } else {
             PlatformEvent::Failed
         };
-        // A closed channel means that the proxy is ending.
+        // A closed channel means that the proxy is shutting down.
         let _receiver_gone = self.events.send(event).await;
     }
 
@@ -126,9 +127,9 @@
         match fetch_active(&self.client).await {
             Ok(Some(change)) => PlatformEvent::Change(change),
             Ok(None) => {
-                if !self.told_empty {
-                    log::info!("platform: no bundle has been rolled yet.");
-                    self.told_empty = true;
+                if !self.logged_empty {
+                    log::info!("platform: no bundle has been rolled out yet.");
+                    self.logged_empty = true;
                 }
                 PlatformEvent::Failed
             }
@@ -140,18 +141,19 @@
     }
 }
 
-/// Reads the bundle that the pointer names, as an encoded change; `None` while there is
-/// no pointer.
+/// Reads the bundle that the pointer refers to, as an encoded change; `None` if there is
+/// no pointer yet.
 async fn fetch_active(client: &PlatformClient) -> Result<Option<Bytes>, PlatformError> {
     let Some(pointer) = client.get(ACTIVE_KEY).await? else {
         return Ok(None);
     };
     let pointer: ActivePointer = read_json(&pointer.value.0)?;
     let record = client.get(&bundle_key(pointer.version)).await?;
-    let record = record.ok_or_else(|| malformed("the pointer names a bundle that is missing"))?;
+    let record =
+        record.ok_or_else(|| malformed("the pointer refers to a bundle that is missing"))?;
     let record: BundleRecord = read_json(&record.value.0)?;
     if record.bundle.version != pointer.version || record.digest != pointer.digest {
-        return Err(malformed("the pointer names another bundle than is stored"));
+        return Err(malformed("the pointer does not match the stored bundle"));
     }
     Ok(Some(Change::Full(record.signed()).encode()))
 }
@@ -164,37 +166,38 @@
     let (shortest, longest) = WATCH_PAUSE;
     let mut backoff = Backoff::new(shortest, longest);
     loop {
-        let result = follow_pointer(&client, &events, &mut backoff).await;
+        let result = watch_pointer_once(&client, &events, &mut backoff).await;
         let Err(error) = result else { return };
         log::info!("platform: the watch of the pointer was interrupted: {error}.");
         tokio::time::sleep(backoff.after(&error)).await;
     }
 }
 
-/// Follows the pointer until the watch breaks; `Ok` when nobody listens any more.
-async fn follow_pointer(
+/// Watches the pointer until the watch breaks; returns `Ok` when the event receiver is
+/// gone.
+async fn watch_pointer_once(
     client: &PlatformClient,
     events: &mpsc::Sender<PlatformEvent>,
     backoff: &mut Backoff,
 ) -> Result<(), PlatformError> {
     let range = client.list(ACTIVE_KEY).await?;
     for entry in &range.kvs {
-        if tell_version(&entry.value.0, events).await.is_err() {
+        if send_version(&entry.value.0, events).await.is_err() {
             return Ok(());
         }
     }
     let mut watch = client.watch(ACTIVE_KEY, range.header.revision + 1).await?;
     backoff.reset();
     loop {
-        let Some(event) = watch.next(WATCH_PATIENCE).await? else {
-            // Nothing heard for long: a half-open connection looks the same.
+        let Some(event) = watch.next(WATCH_SILENCE_LIMIT).await? else {
+            // A long silence may also mean a half-open connection.
             return Err(PlatformError::AnswerLost {
-                reason: "the watch was silent for long".to_owned(),
+                reason: "the watch was silent for too long".to_owned(),
             });
         };
         let puts = event.changes.iter().filter(|change| is_put(change));
         for change in puts {
-            if tell_version(&change.kv.value.0, events).await.is_err() {
+            if send_version(&change.kv.value.0, events).await.is_err() {
                 return Ok(());
             }
         }
@@ -207,7 +210,7 @@
 
 struct ReceiverGone;
 
-async fn tell_version(
+async fn send_version(
     value: &[u8],
     events: &mpsc::Sender<PlatformEvent>,
 ) -> Result<(), ReceiverGone> {
@@ -227,15 +230,16 @@
     let (shortest, longest) = WATCH_PAUSE;
     let mut backoff = Backoff::new(shortest, longest);
     loop {
-        let result = follow_machines(&client, &events, &mut backoff).await;
+        let result = watch_machines_once(&client, &events, &mut backoff).await;
         let Err(error) = result else { return };
         log::info!("platform: the watch of the machines was interrupted: {error}.");
         tokio::time::sleep(backoff.after(&error)).await;
     }
 }
 
-/// Follows the list of machines until the watch breaks; `Ok` when nobody listens.
-async fn follow_machines(
+/// Watches the list of machines until the watch breaks; returns `Ok` when the event
+/// receiver is gone.
+async fn watch_machines_once(
     client: &PlatformClient,
     events: &mpsc::Sender<PlatformEvent>,
     backoff: &mut Backoff,
@@ -257,9 +261,9 @@
             return Ok(());
         }
         let changes = loop {
-            let Some(event) = watch.next(WATCH_PATIENCE).await? else {
+            let Some(event) = watch.next(WATCH_SILENCE_LIMIT).await? else {
                 return Err(PlatformError::AnswerLost {
-                    reason: "the watch was silent for long".to_owned(),
+                    reason: "the watch was silent for too long".to_owned(),
                 });
             };
             revision = event.revision;
--- a/crates/transport/src/platform/mod.rs
+++ b/crates/transport/src/platform/mod.rs
@@ -1,7 +1,7 @@
 //! Client of the platform's key-value service (etcd v3 by JSON over HTTP).
 //!
-//! The client belongs to the thread that made it. Every error says whether the request
-//! ran, so that a caller knows when it may simply ask again.
+//! A client is bound to the thread that created it. Every error states whether the
+//! request may have run, so that the caller knows when a plain retry is safe.
 
 mod client;
 mod error;
--- a/crates/transport/src/platform/registration.rs
+++ b/crates/transport/src/platform/registration.rs
@@ -1,4 +1,4 @@
-//! The node's own entry in the list of machines, under a lease.
+//! Registration of the node in the platform's list of machines, under a lease.
 
 use std::time::Duration;
 
@@ -12,18 +12,18 @@
 use super::error::PlatformError;
 use super::retry::Backoff;
 
-/// Time to live of the lease. Long, since the list lags anyway, and 1,500 nodes then
+/// Time to live of the lease. Long, because the list lags anyway, and 1,500 nodes then
 /// renew about 40 leases a second.
 const LEASE_TIME: Duration = Duration::from_secs(120);
-/// Time between two renewals, in the mean.
+/// Mean time between two renewals.
 const RENEWAL_PERIOD: Duration = Duration::from_secs(40);
-/// Share of the period that a renewal comes earlier or later, so that nodes that started
-/// together do not renew together for ever.
+/// Fraction of the period by which a renewal is moved earlier or later, so that nodes
+/// that started together do not keep renewing together.
 const RENEWAL_JITTER: f64 = 0.25;
 /// Shortest and longest pause after a failure.
 const PAUSE: (Duration, Duration) = (Duration::from_secs(1), Duration::from_secs(30));
 
-/// Longest wait for the entry's removal.
+/// Longest wait for the removal of the entry.
 const REMOVAL_LIMIT: Duration = Duration::from_secs(1);
 
 enum Request {
@@ -31,22 +31,23 @@
     Remove(oneshot::Sender<()>),
 }
 
-/// Keeps the entry as long as it lives.
+/// Keeps the node registered until it is dropped.
 pub struct Registration {
     requests: mpsc::Sender<Request>,
     task: JoinHandle<()>,
 }
 
-/// Enters `machine` into the list and keeps it there as long as the result lives. All
-/// of it is best effort: the list is a hint, and the membership is the truth.
+/// Registers `machine` in the list and keeps it registered while the result exists.
+/// Registration is best effort: the list is only a hint, and the membership is
+/// authoritative.
 pub fn register(client: PlatformClient, machine: MachineRecord) -> Registration {
     let (requests, receiver) = mpsc::channel(2);
-    let keeper = Keeper {
+    let registration = RegistrationTask {
         client,
         machine,
         lease: None,
     };
-    let task = actix_rt::spawn(keeper.run(receiver));
+    let task = actix_rt::spawn(registration.run(receiver));
     Registration { requests, task }
 }
 
@@ -56,7 +57,8 @@
         let _queue_full_or_ended = self.requests.try_send(Request::Leave);
     }
 
-    /// Removes the entry. Without the platform it lapses with its lease.
+    /// Removes the entry. If the platform cannot be reached, the entry expires with its
+    /// lease.
     pub async fn remove(&self) {
         let (removed, removal) = oneshot::channel();
         if self.requests.send(Request::Remove(removed)).await.is_ok() {
@@ -71,13 +73,13 @@
     }
 }
 
-struct Keeper {
+struct RegistrationTask {
     client: PlatformClient,
     machine: MachineRecord,
     lease: Option<i64>,
 }
 
-impl Keeper {
+impl RegistrationTask {
     async fn run(mut self, mut requests: mpsc::Receiver<Request>) {
         let (shortest, longest) = PAUSE;
         let mut backoff = Backoff::new(shortest, longest);
@@ -90,7 +92,7 @@
                     RENEWAL_PERIOD.mul_f64(rand::rng().random_range(share))
                 }
                 Err(error) => {
-                    log::debug!("platform: the node's entry cannot be renewed: {error}.");
+                    log::debug!("platform: the node's registration cannot be renewed: {error}.");
                     backoff.after(&error)
                 }
             };
@@ -101,7 +103,7 @@
                 }
                 Ok(Some(Request::Remove(removed))) => {
                     self.remove().await;
-                    let _nobody_waits = removed.send(());
+                    let _receiver_gone = removed.send(());
                     return;
                 }
                 Ok(None) => return,
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Renews the lease, or takes a new one, and writes the entry where it is not.
+    /// Renews the lease or acquires a new one, and writes the entry if needed.
     async fn renew(&mut self, written: &mut bool) -> Result<(), PlatformError> {
         if let Some(id) = self.lease {
             let kept = self.client.keep_lease_alive(id).await?;
@@ -142,7 +144,7 @@
         if let Some(id) = self.lease.take()
             && let Err(error) = self.client.revoke_lease(id).await
         {
-            log::debug!("platform: the node's entry cannot be removed: {error}.");
+            log::debug!("platform: the node's registration cannot be removed: {error}.");
         }
     }
 }
--- a/crates/transport/src/platform/retry.rs
+++ b/crates/transport/src/platform/retry.rs
@@ -1,4 +1,4 @@
-//! Pauses between attempts: exponential with full jitter.
+//! Pauses between attempts: exponential back-off with jitter.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 use super::error::PlatformError;
 
-/// The next pause, which grows until an attempt succeeds.
+/// Exponential back-off whose pauses grow until an attempt succeeds.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
     shortest: Duration,
@@ -15,7 +15,7 @@
 }
 
 impl Backoff {
-    /// Pauses from about `shortest` to about `longest`.
+    /// Creates a back-off with pauses from about `shortest` to about `longest`.
     pub fn new(shortest: Duration, longest: Duration) -> Self {
         Self {
             shortest,
@@ -24,13 +24,13 @@
         }
     }
 
-    /// Begins anew after a success.
+    /// Resets the back-off after a success.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// The pause after a failure: between half of the present step and all of it, and
-    /// no less than the service asked for.
+    /// Returns the pause after a failure: between half of the current step and all of it,
+    /// and at least the pause that the service requested.
     pub fn after(&mut self, error: &PlatformError) -> Duration {
         let factor = 1_u32 << self.failures.min(16);
         self.failures += 1;
--- a/crates/transport/src/platform/rollout.rs
+++ b/crates/transport/src/platform/rollout.rs
@@ -1,5 +1,5 @@
-//! Drives the rollout machine of one node: carries its actions out towards the
-//! platform, the other nodes and the shared tables.
+//! Drives the rollout machine of one node: performs its actions towards the platform, the
+//! other nodes and the shared tables.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -19,33 +19,32 @@
 use super::follower::{PlatformCommand, PlatformEvent};
 use crate::shared::Shared;
 
-/// Events that may wait.
+/// Capacity of the event channel.
 const EVENT_CAPACITY: usize = 1_024;
-/// Longest sleep; a machine without a timer sleeps this long.
+/// Longest sleep, used when the machine has no timer.
 const LONGEST_SLEEP: Duration = Duration::from_secs(60);
 
-/// What lies beyond the rollout machine: the other nodes.
+/// The links from the rollout machine to the other nodes.
 pub trait RolloutLinks: Send + Sync {
-    /// Takes the platform's list of machines.
+    /// Receives the platform's list of machines.
     fn machines(&self, machines: &[MachineRecord]);
 
     /// Sends `message` to all other members of this node's zone.
-    fn tell_zone(&self, message: RolloutMessage);
+    fn send_to_zone(&self, message: RolloutMessage);
 
-    /// Sends `message` to `to`, or reports the failure as
-    /// [`RolloutEvent::PeerGone`].
+    /// Sends `message` to `to`, or reports the failure as [`RolloutEvent::PeerGone`].
     fn send(&self, to: NodeId, message: RolloutMessage);
 }
 
-/// Where the driver hears of events.
+/// Sends events to the rollout driver.
 #[derive(Clone, Debug)]
 pub struct RolloutHandle {
     events: mpsc::Sender<RolloutEvent>,
 }
 
 impl RolloutHandle {
-    /// Tells the machine of an event. When the driver is far behind, the event is
-    /// dropped: versions are told again, and pulls have a deadline.
+    /// Passes an event to the rollout machine. If the driver is far behind, the event is
+    /// dropped: versions are sent again, and pulls have a deadline.
     pub fn tell(&self, event: RolloutEvent) {
         if self.events.try_send(event).is_err() {
             log::debug!("rollout: an event was dropped.");
@@ -53,19 +52,18 @@
     }
 }
 
-/// The running driver.
+/// The running rollout driver.
 pub struct RolloutDriver {
     machine: RolloutMachine<SignedStore>,
     shared: Arc<Shared>,
     commands: mpsc::Sender<PlatformCommand>,
     links: Arc<dyn RolloutLinks>,
-    /// The list of machines as last read, with its revision.
+    /// The last list of machines, with its revision.
     machines: Option<(u64, Vec<MachineRecord>)>,
 }
 
 impl RolloutDriver {
-    /// Starts a driver on this thread. It ends when every handle is gone and the
-    /// platform's events have ended.
+    /// Starts a driver on this thread. It ends when every handle has been dropped.
     pub fn start(
         shared: Arc<Shared>,
         trusted: TrustedKeys,
@@ -119,13 +117,14 @@
             PlatformEvent::Machines { revision, machines } => {
                 self.links.machines(&machines);
                 self.machines = Some((revision, machines));
-                self.tell_leaving();
+                self.report_leaving();
             }
         }
     }
 
-    /// Tells the machine which databases of the bundle in force are leaving.
-    fn tell_leaving(&mut self) {
+    /// Reports to the machine which databases of the bundle in force are on leaving
+    /// machines.
+    fn report_leaving(&mut self) {
         let (Some((revision, machines)), Some(bundle)) = (&self.machines, self.shared.bundle())
         else {
             return;
@@ -149,16 +148,16 @@
         let mut actions = Vec::new();
         self.machine.handle(self.shared.now(), event, &mut actions);
         for action in actions {
-            self.carry_out(action);
+            self.perform(action);
         }
     }
 
-    fn carry_out(&mut self, action: RolloutAction) {
+    fn perform(&mut self, action: RolloutAction) {
         match action {
             RolloutAction::WatchPlatform(on) => self.command(PlatformCommand::Watch(on)),
             RolloutAction::FetchFromPlatform => self.command(PlatformCommand::Fetch),
             RolloutAction::SendPeer { to, message } => self.links.send(to, message),
-            RolloutAction::TellZone(message) => self.links.tell_zone(message),
+            RolloutAction::TellZone(message) => self.links.send_to_zone(message),
             RolloutAction::DrainLeaving(addresses) => self.drain(addresses),
             RolloutAction::Install(version) => self.install(version.0),
             RolloutAction::Rejected { source, error } => {
@@ -186,7 +185,7 @@
         };
         if self.shared.install_bundle((*signed.bundle).clone()) {
             log::info!("rollout: bundle version {version} is in force.");
-            self.tell_leaving();
+            self.report_leaving();
         }
     }
 }
--- a/crates/transport/src/platform/watch.rs
+++ b/crates/transport/src/platform/watch.rs
@@ -10,24 +10,22 @@
     Event, StreamItem, WatchCreateRequest, WatchRequest, WatchResponse, prefix_end,
 };
 
-use super::client::{
-    PlatformClient, encode, error_of_sending, error_of_status, malformed, refusal_of,
-};
+use super::client::{PlatformClient, api_error, encode, malformed, send_error, status_error};
 use super::error::PlatformError;
 
 /// Longest line accepted on a watch, in bytes.
 const MAXIMUM_LINE_BYTES: usize = 32 * 1024 * 1024;
-/// Largest body read of an answer that refuses a watch, in bytes.
+/// Largest body read from an answer that refuses a watch, in bytes.
 const MAXIMUM_ERROR_BYTES: usize = 64 * 1024;
 
 type Body = Pin<Box<dyn Stream<Item = Result<Bytes, awc::error::PayloadError>>>>;
 
-/// What a watch brings.
+/// Changes received from a watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchEvent {
-    /// Revision up to which changes have been seen; a watch resumes behind it.
+    /// Revision up to which changes have been received; a watch resumes after it.
     pub revision: i64,
-    /// The changes, in order; none when the service only tells its revision.
+    /// The changes, in order; empty when the service only reports its revision.
     pub changes: Vec<Event>,
 }
 
@@ -39,7 +37,7 @@
 
 impl PlatformClient {
     /// Watches all keys that start with `prefix`, from `start_revision` on, or from now
-    /// on when that is 0.
+    /// on if that is 0.
     ///
     /// # Errors
     /// A [`PlatformError`].
@@ -67,11 +65,11 @@
             .insert_header((CONTENT_TYPE, "application/json"))
             .send_body(encode(request)?)
             .await
-            .map_err(|error| error_of_sending(&url, &error))?;
+            .map_err(|error| send_error(&url, &error))?;
         let status = response.status();
         if !status.is_success() {
             let body = response.body().limit(MAXIMUM_ERROR_BYTES).await;
-            return Err(error_of_status(status, &body.unwrap_or_default(), None));
+            return Err(status_error(status, &body.unwrap_or_default(), None));
         }
         Ok(Watch {
             body: Box::pin(response),
@@ -81,17 +79,17 @@
 }
 
 impl Watch {
-    /// Waits for the next changes; `None` when nothing arrived within `patience`, which
-    /// loses nothing.
+    /// Waits for the next changes; `None` if nothing arrived within `limit`, in which
+    /// case no change is lost.
     ///
     /// # Errors
-    /// A [`PlatformError`] when the watch is over; it resumes with a new one.
-    pub async fn next(&mut self, patience: Duration) -> Result<Option<WatchEvent>, PlatformError> {
+    /// A [`PlatformError`] when the watch has ended; a new watch can resume it.
+    pub async fn next(&mut self, limit: Duration) -> Result<Option<WatchEvent>, PlatformError> {
         loop {
             if let Some(line) = self.take_line() {
                 return read_line(&line).map(Some);
             }
-            let Ok(chunk) = tokio::time::timeout(patience, self.body.next()).await else {
+            let Ok(chunk) = tokio::time::timeout(limit, self.body.next()).await else {
                 return Ok(None);
             };
             let chunk = chunk
@@ -125,7 +123,7 @@
     let item: StreamItem<WatchResponse> =
         serde_json::from_slice(line).map_err(|error| malformed(error.to_string()))?;
     if let Some(error) = item.error {
-        return Err(refusal_of(&error));
+        return Err(api_error(&error));
     }
     let Some(response) = item.result else {
         return Err(malformed("neither a result nor an error"));
