--- a/crates/transport/src/admin/decisions.rs
+++ b/crates/transport/src/admin/decisions.rs
@@ -1,11 +1,11 @@
-//! Counts of the decisions made, by kind, for the metrics.
+//! Counters of decisions by kind, for the metrics.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use hookpoint_coordination::explain::{Decision, HoldReason, RouteReason};
 use hookpoint_state::Outcome;
 
-/// Kind and detail of each count, in the order of the counts.
+/// Kind and detail labels of each counter, in the order of the counters.
 const LABELS: [(&str, &str); 16] = [
     ("routed", "write"),
     ("routed", "preference"),
@@ -25,17 +25,17 @@
     ("member", ""),
 ];
 
-/// Counts since the start.
+/// Counters of decisions since the start.
 #[derive(Debug, Default)]
 pub struct DecisionCounts([AtomicU64; LABELS.len()]);
 
 impl DecisionCounts {
     /// Counts a decision.
     pub fn count(&self, decision: &Decision) {
-        self.0[place_of(decision)].fetch_add(1, Ordering::Relaxed);
+        self.0[index_of(decision)].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Kind, detail and count of each.
+    /// Iterates over kind, detail and value of each counter.
     pub fn read(&self) -> impl Iterator<Item = (&'static str, &'static str, u64)> {
         LABELS
             .iter()
@@ -44,8 +44,8 @@
     }
 }
 
-/// Place of a decision's count in [`LABELS`].
-fn place_of(decision: &Decision) -> usize {
+/// Returns the index of a decision's counter in [`LABELS`].
+fn index_of(decision: &Decision) -> usize {
     match decision {
         Decision::Routed { reason, .. } => match reason {
             RouteReason::Write => 0,
--- a/crates/transport/src/admin/metrics.rs
+++ b/crates/transport/src/admin/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics read from the shared tables when they are asked for.
+//! Metrics that are read from the shared tables on each scrape.
 
 use std::sync::Arc;
 
@@ -8,7 +8,8 @@
 
 use crate::shared::Shared;
 
-/// Bundle version, terms, positions and reachability of the databases.
+/// Collector of bundle version, terms, positions and reachability of the databases, and
+/// decision counts.
 pub struct SharedCollector {
     shared: Arc<Shared>,
     bundle: IntGauge,
@@ -20,10 +21,10 @@
 }
 
 impl SharedCollector {
-    /// A collector over `shared`.
+    /// Creates a collector over `shared`.
     ///
     /// # Errors
-    /// When the library refuses a name.
+    /// When the metrics library rejects a name.
     pub fn new(shared: Arc<Shared>) -> prometheus::Result<Self> {
         let by_database = |name: &str, help: &str| {
             IntGaugeVec::new(Opts::new(name, help), &["group", "database"])
--- a/crates/transport/src/admin/mod.rs
+++ b/crates/transport/src/admin/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP endpoint: `/metrics`, `/health`, `/explain` and `/fleet`.
+//! The HTTP endpoint for operators: `/metrics`, `/health`, `/explain` and `/fleet`.
 
 mod decisions;
 mod metrics;
--- a/crates/transport/src/admin/server.rs
+++ b/crates/transport/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server.
+//! The HTTP server of the admin endpoint.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::Arc;
@@ -15,7 +15,7 @@
 use super::status::{FleetSource, FleetStatus, Health, Readiness};
 use crate::shared::Shared;
 
-/// Connections the endpoint accepts at once.
+/// Maximum number of concurrent connections to the endpoint.
 const MAXIMUM_CONNECTIONS: usize = 64;
 
 /// Why the endpoint did not start.
@@ -24,22 +24,22 @@
     /// The address cannot be listened on.
     #[error("cannot listen on {address}: {source}")]
     Bind {
-        /// Address asked for.
+        /// The requested address.
         address: SocketAddr,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// What the endpoint reads.
+/// State that the endpoint reports.
 pub struct AdminState {
-    /// This node.
+    /// Identifier of this node.
     pub node: NodeId,
-    /// The shared tables.
+    /// Shared tables of this node.
     pub shared: Arc<Shared>,
-    /// The metrics of this proxy.
+    /// Metrics registry of this proxy.
     pub registry: Registry,
-    /// The other nodes.
+    /// Source of the status of all nodes.
     pub fleet: Arc<dyn FleetSource>,
     /// Whether the node is leaving.
     pub stopping: Arc<AtomicBool>,
@@ -64,7 +64,7 @@
     }
 }
 
-/// The running endpoint.
+/// Handle to the running endpoint.
 #[derive(Clone)]
 pub struct AdminHandle {
     address: SocketAddr,
@@ -72,12 +72,12 @@
 }
 
 impl AdminHandle {
-    /// Address listened on.
+    /// Returns the address that is listened on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Ends the endpoint; `graceful` lets running requests finish.
+    /// Stops the endpoint; with `graceful`, running requests finish first.
     pub async fn stop(&self, graceful: bool) {
         self.server.stop(graceful).await;
     }
@@ -141,7 +141,7 @@
     response.json(health)
 }
 
-/// Query of `/explain`.
+/// Query parameters of `/explain`.
 #[derive(Deserialize)]
 struct ExplainQuery {
     session: Option<u64>,
--- a/crates/transport/src/admin/status.rs
+++ b/crates/transport/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! What the endpoint tells, as JSON bodies that `hookpoint` reads as well.
+//! JSON bodies of the endpoint's answers, which the `hookpoint` command reads as well.
 
 use std::net::SocketAddr;
 
@@ -6,85 +6,86 @@
 use hookpoint_state::{BundleVersion, NodeId, RegionName, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// State of a node that the membership takes for dead.
+/// State of a node that the membership considers dead.
 const DEAD: &str = "dead";
 
-/// Whether the node takes sessions.
+/// Whether the node accepts sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Readiness {
     /// No bundle is in force yet.
     Starting,
-    /// Sessions are taken.
+    /// Sessions are accepted.
     Ready,
     /// The node is leaving.
     Stopping,
 }
 
-/// Answer of `/health`: HTTP status 200 when ready, else 503.
+/// Answer of `/health`: HTTP status 200 when ready, 503 otherwise.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Health {
-    /// The node.
+    /// Identifier of the node.
     #[serde(with = "node_text")]
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// Whether it takes sessions.
+    /// Whether the node accepts sessions.
     pub readiness: Readiness,
     /// Version of the bundle in force; 0 for none.
     pub bundle: BundleVersion,
 }
 
-/// One node as another sees it.
+/// One node as another node sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeStatus {
-    /// The node.
+    /// Identifier of the node.
     #[serde(with = "node_text")]
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// Its region.
+    /// Region of the node.
     pub region: RegionName,
-    /// Its peer address.
+    /// Peer address of the node.
     pub address: SocketAddr,
-    /// State in the membership.
+    /// Membership state of the node.
     pub state: String,
-    /// Version of the bundle it was last heard to have in force; 0 for none.
+    /// Bundle version that the node last reported to have in force; 0 for none.
     pub bundle: BundleVersion,
 }
 
 /// Answer of `/fleet`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// The node that answers.
+    /// The node that answers the request.
     #[serde(with = "node_text")]
     pub answered_by: NodeId,
-    /// The newest version that it knows of.
+    /// The newest bundle version known to the answering node.
     pub newest: BundleVersion,
-    /// The nodes, the answering one included.
+    /// All nodes, including the answering one.
     pub nodes: Vec<NodeStatus>,
 }
 
 impl FleetStatus {
-    /// The nodes that are not known to be dead.
+    /// Returns the nodes that are not known to be dead.
     pub fn present(&self) -> impl Iterator<Item = &NodeStatus> {
         self.nodes.iter().filter(|node| node.state != DEAD)
     }
 
-    /// The present nodes that do not have the newest version in force.
+    /// Returns the present nodes that do not have the newest version in force.
     pub fn behind(&self) -> impl Iterator<Item = &NodeStatus> {
         self.present().filter(|node| node.bundle < self.newest)
     }
 }
 
-/// Knows the nodes of the fleet.
+/// Source of the status of the fleet's nodes.
 #[async_trait]
 pub trait FleetSource: Send + Sync {
-    /// The nodes, after the versions of those that seem behind were asked for again.
+    /// Returns the nodes, after requesting the versions of those that appear to be behind
+    /// again.
     async fn nodes(&self) -> Vec<NodeStatus>;
 }
 
-/// Nodes as hexadecimal digits, as logs write them.
+/// Node identifiers as hexadecimal digits, in the format of the logs.
 mod node_text {
     use hookpoint_state::NodeId;
     use serde::{Deserialize, Deserializer, Serializer, de};
