--- a/crates/transport/src/address.rs
+++ b/crates/transport/src/address.rs
@@ -1,15 +1,15 @@
-//! Addresses as one node reaches them.
+//! Address translation for one node.
 //!
-//! A bundle and the membership name each address once for all nodes. Where a node
-//! reaches one by another address, such as through a translating router, its table
-//! says so, for streams and for datagrams apart.
+//! The bundle and the membership contain one address per database or node, valid for all
+//! nodes. Where a node reaches one at another address, such as behind a translating
+//! router, its table holds the replacement, separately for streams and datagrams.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use parking_lot::RwLock;
 
-/// Replacements of addresses. Its locks are never held together with another one.
+/// Address replacements. Its locks are never held together with another one.
 #[derive(Debug, Default)]
 pub struct AddressTable {
     streams: RwLock<BTreeMap<SocketAddr, SocketAddr>>,
@@ -17,24 +17,26 @@
 }
 
 impl AddressTable {
-    /// The address to connect to for `address`: itself unless it is replaced.
+    /// Returns the address to connect to for `address`: its replacement, or `address`
+    /// itself.
     pub fn resolve(&self, address: SocketAddr) -> SocketAddr {
         let streams = self.streams.read();
         streams.get(&address).copied().unwrap_or(address)
     }
 
-    /// The address to send datagrams to for `address`: itself unless it is replaced.
+    /// Returns the address to send datagrams to for `address`: its replacement, or
+    /// `address` itself.
     pub fn resolve_datagrams(&self, address: SocketAddr) -> SocketAddr {
         let datagrams = self.datagrams.read();
         datagrams.get(&address).copied().unwrap_or(address)
     }
 
-    /// Connects to `reached_at` in place of `address`.
+    /// Makes connections to `address` go to `reached_at` instead.
     pub fn replace(&self, address: SocketAddr, reached_at: SocketAddr) {
         self.streams.write().insert(address, reached_at);
     }
 
-    /// Sends datagrams to `reached_at` in place of `address`.
+    /// Makes datagrams to `address` go to `reached_at` instead.
     pub fn replace_datagrams(&self, address: SocketAddr, reached_at: SocketAddr) {
         self.datagrams.write().insert(address, reached_at);
     }
--- a/crates/transport/src/lease.rs
+++ b/crates/transport/src/lease.rs
@@ -8,36 +8,36 @@
 };
 use tokio::sync::mpsc;
 
-/// Commands a lease buffers towards its connection.
+/// Capacity of a lease's command channel towards its connection.
 pub const LEASE_COMMAND_BUFFER: usize = 32;
-/// Replies a lease buffers towards its session. A full buffer stops the reading of the
-/// connection, which is how back-pressure reaches the database.
+/// Capacity of a lease's reply channel towards its session. A full channel stops reading
+/// from the connection, which propagates back-pressure to the database.
 pub const LEASE_REPLY_BUFFER: usize = 16;
 
-/// What is asked for.
+/// A request for a lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AcquireRequest {
-    /// Group of the database; names the user and database of the connection.
+    /// Group of the database; determines user and database name of the connection.
     pub group: GroupName,
-    /// Database to reach.
+    /// Database to connect to.
     pub database: DatabaseName,
-    /// Session that asks, for fairness and the explain record.
+    /// Requesting session, for fairness and the explain record.
     pub session: SessionId,
     /// Tenant of the session.
     pub tenant: TenantName,
     /// Zone of the proxy that serves the session.
     pub zone: ZoneName,
-    /// Longest wait.
+    /// Longest wait for a connection.
     pub wait: std::time::Duration,
 }
 
-/// A connection held by one session. A lease of another node's connection may be
-/// handed out before that node has granted it: what is sent on it waits there, and
-/// [`BackendReply::Refused`] says that none of it ran. Dropping it without
+/// A connection held by one session. A lease of another node's connection may be handed
+/// out before that node has granted it: commands sent on it wait there, and
+/// [`BackendReply::Refused`] means that none of them ran. Dropping the lease without
 /// [`BackendCommand::Release`] closes the connection.
 #[derive(Debug)]
 pub struct BackendLease {
-    /// Database it leads to.
+    /// Database that the connection leads to.
     pub database: DatabaseName,
     /// Commands to the connection.
     pub commands: mpsc::Sender<BackendCommand>,
@@ -45,7 +45,7 @@
     pub replies: mpsc::Receiver<BackendReply>,
 }
 
-/// Grants leases. A refusal means that nothing was sent to the database.
+/// Source of leases. A refusal means that nothing was sent to the database.
 #[async_trait]
 pub trait LeaseSource: Send + Sync {
     /// Waits for a connection for at most `request.wait`.
@@ -55,15 +55,15 @@
     async fn acquire(&self, request: AcquireRequest) -> Result<BackendLease, Refusal>;
 }
 
-/// Asks groups for their terms.
+/// Verifies the terms of groups.
 #[async_trait]
 pub trait TermVerifier: Send + Sync {
-    /// Asks a majority of `group` for its term, starting after the call. Returns the
-    /// position of the verified primary, or none if no majority confirmed one.
+    /// Queries a majority of `group` for its term, starting after the call. Returns the
+    /// position of the verified primary; `None` if no majority confirmed one.
     async fn verify(&self, group: &GroupName) -> Option<Position>;
 
-    /// The status of one database of `group`, asked for on a connection that all who
-    /// ask share; none when it does not answer within `wait`.
+    /// Returns the status of one database of `group`, queried on a connection that
+    /// concurrent callers share; `None` if it does not answer within `wait`.
     async fn status(
         &self,
         group: &GroupName,
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,5 +1,5 @@
-//! Transport of hookpoint: actors and tasks that carry out what the coordination layer
-//! decides. Nothing here decides.
+//! Transport of hookpoint: actors and tasks that carry out the decisions of the
+//! coordination layer. This crate makes no decisions itself.
 #![forbid(unsafe_code)]
 
 pub mod address;
--- a/crates/transport/src/retries.rs
+++ b/crates/transport/src/retries.rs
@@ -4,7 +4,7 @@
 use hookpoint_state::{Refusal, TenantName, Timestamp};
 use parking_lot::Mutex;
 
-/// SQLSTATE `connection_failure`, told when all attempts of a request lost their
+/// SQLSTATE `connection_failure`, reported when all attempts of a request lost their
 /// connection.
 const CONNECTION_FAILURE: &str = "08006";
 
@@ -13,8 +13,8 @@
     budgets: RetryBudgets,
 }
 
-/// Decides about retries for all sessions of a node. Its lock is never held together
-/// with another one.
+/// Retry decisions for all sessions of a node. Its lock is never held together with
+/// another one.
 pub struct Retries {
     state: Mutex<State>,
 }
@@ -26,7 +26,7 @@
 }
 
 impl Retries {
-    /// Full budgets; jitter is drawn from `seed`.
+    /// Creates full budgets; jitter is drawn from `seed`.
     pub fn new(seed: u64) -> Self {
         Self {
             state: Mutex::new(State {
@@ -41,11 +41,11 @@
         self.state.lock().budgets.of(tenant).requested(percent);
     }
 
-    /// When a request that has had `attempts` attempts, none of which ran, may be tried
-    /// again.
+    /// Returns when a request may be retried after `attempts` attempts, none of which
+    /// ran.
     ///
     /// # Errors
-    /// The refusal to tell; the request did not run.
+    /// The refusal to report to the client; the request did not run.
     pub fn next_attempt(
         &self,
         now: Timestamp,
--- a/crates/transport/src/shared.rs
+++ b/crates/transport/src/shared.rs
@@ -1,6 +1,6 @@
 //! Tables shared by the workers of one process.
 //!
-//! Lock order: `bundle`, then `terms`, then `explain`. A thread holding a later lock
+//! Lock order: `bundle`, then `terms`, then `explain`. A thread that holds a later lock
 //! never takes an earlier one, and no lock is held across an await point.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,14 +22,14 @@
 use crate::admin::DecisionCounts;
 use crate::retries::Retries;
 
-/// Entries the explain record keeps.
+/// Maximum number of entries in the explain record.
 const EXPLAIN_CAPACITY: usize = 8_192;
 
 /// State shared by all workers of a proxy.
 pub struct Shared {
     /// Zone of this node.
     pub zone: ZoneName,
-    /// Addresses that this node reaches by another address.
+    /// Replacements of addresses that this node reaches at another address.
     pub addresses: AddressTable,
     /// Retry policy and budgets of this node.
     pub retries: Retries,
@@ -42,20 +42,21 @@
     bundle_changes: watch::Sender<u64>,
 }
 
-/// The bundle and what the list of machines adds to it.
+/// The approved bundle and the changes to it derived from the list of machines.
 #[derive(Default)]
 struct Configuration {
-    /// The bundle as it was approved.
+    /// The bundle as approved.
     approved: Option<Arc<Bundle>>,
     /// Addresses of machines that are leaving.
     leaving: BTreeSet<SocketAddr>,
-    /// The bundle with the databases on those machines among those to drain.
+    /// The approved bundle, with the databases on leaving machines added to those to
+    /// drain.
     effective: Option<Arc<Bundle>>,
 }
 
 impl Configuration {
-    /// The list of machines is a hint that may be wrong: it never drains all of a
-    /// group's databases.
+    /// Computes the effective bundle. The list of machines is a hint that may be wrong,
+    /// so it never drains all databases of a group.
     fn effective_bundle(&self) -> Option<Arc<Bundle>> {
         let approved = self.approved.as_ref()?;
         if self.leaving.is_empty() {
@@ -80,7 +81,7 @@
 }
 
 impl Shared {
-    /// Empty tables of a node in `zone`.
+    /// Creates empty tables for a node in `zone`.
     pub fn new(zone: ZoneName) -> Self {
         Self {
             zone,
@@ -96,18 +97,18 @@
         }
     }
 
-    /// The node's monotonic time.
+    /// Returns the node's monotonic time, in microseconds since its start.
     pub fn now(&self) -> Timestamp {
         Timestamp(self.origin.elapsed().as_micros() as u64)
     }
 
-    /// The bundle in force. Its list of databases to drain holds those on leaving
-    /// machines as well.
+    /// Returns the bundle in force. Its list of databases to drain includes those on
+    /// leaving machines.
     pub fn bundle(&self) -> Option<Arc<Bundle>> {
         self.bundle.read().effective.clone()
     }
 
-    /// Puts `bundle` in force unless one of the same or a newer version is. Returns
+    /// Puts `bundle` in force unless the same or a newer version is in force. Returns
     /// whether it did.
     pub fn install_bundle(&self, bundle: Bundle) -> bool {
         let version = bundle.version;
@@ -118,15 +119,15 @@
             return false;
         }
         configuration.approved = Some(Arc::new(bundle));
-        self.apply(&mut configuration);
+        self.update_effective(&mut configuration);
         drop(configuration);
         self.record(None, Decision::BundleInForce { version });
-        self.wake_after_configuration();
+        self.notify_configuration_change();
         true
     }
 
-    /// Drains the databases at these addresses too, since their machines are leaving.
-    /// Returns whether that changed anything.
+    /// Additionally drains the databases at these addresses, because their machines are
+    /// leaving. Returns whether the effective bundle changed.
     pub fn set_leaving_machines(&self, addresses: BTreeSet<SocketAddr>) -> bool {
         let mut configuration = self.bundle.write();
         if configuration.leaving == addresses {
@@ -134,23 +135,23 @@
         }
         configuration.leaving = addresses;
         let before = configuration.effective.clone();
-        self.apply(&mut configuration);
+        self.update_effective(&mut configuration);
         let changed = configuration.effective != before;
         drop(configuration);
         if changed {
-            self.wake_after_configuration();
+            self.notify_configuration_change();
         }
         changed
     }
 
-    fn apply(&self, configuration: &mut Configuration) {
+    fn update_effective(&self, configuration: &mut Configuration) {
         configuration.effective = configuration.effective_bundle();
         if let Some(bundle) = &configuration.effective {
             self.configure_terms(bundle);
         }
     }
 
-    fn wake_after_configuration(&self) {
+    fn notify_configuration_change(&self) {
         self.bundle_changes.send_modify(|count| *count += 1);
         self.view_changes.send_modify(|count| *count += 1);
     }
@@ -166,12 +167,12 @@
             members.entry(&database.group).or_default().push(member);
         }
         let mut terms = self.terms.write();
-        let gone: Vec<GroupName> = terms
+        let removed: Vec<GroupName> = terms
             .groups()
             .filter(|group| !bundle.groups.contains_key(*group))
             .cloned()
             .collect();
-        for group in gone {
+        for group in removed {
             terms.remove(&group);
         }
         for (group, description) in &bundle.groups {
@@ -191,7 +192,7 @@
     }
 
     /// Runs `decide` on the view of `group` under the lock of the terms, without a copy;
-    /// on an empty view where the group is not known. `decide` takes no lock.
+    /// on an empty view if the group is not known. `decide` must not take a lock.
     pub fn with_view<R>(&self, group: &GroupName, decide: impl FnOnce(&GroupView) -> R) -> R {
         let terms = self.terms.read();
         match terms.view(group) {
@@ -200,12 +201,12 @@
         }
     }
 
-    /// A copy of the view of `group`.
+    /// Returns a copy of the view of `group`.
     pub fn view(&self, group: &GroupName) -> Option<GroupView> {
         self.terms.read().view(group).cloned()
     }
 
-    /// Who leads each group, as far as this node knows.
+    /// Returns the leadership of each group, as known to this node.
     pub fn leaderships(&self) -> Vec<LeadershipNews> {
         let terms = self.terms.read();
         let views = terms
@@ -224,14 +225,15 @@
             .collect()
     }
 
-    /// Takes a status answer and wakes waiting requests when leadership changed.
+    /// Applies the status that a database reported, and wakes waiting requests if
+    /// leadership changed.
     pub fn observe(&self, group: &GroupName, database: &DatabaseName, status: &BackendStatus) {
         let now = self.now();
         let change = self.terms.write().observe(now, group, database, status);
         if let Some(change) = change {
             let primary = change.primary.as_ref().map(DatabaseName::as_str);
             log::info!(
-                "terms: group {} is on term {}, primary: {}.",
+                "terms: group {} is in term {}, primary: {}.",
                 change.group,
                 change.term,
                 primary.unwrap_or("none")
@@ -246,33 +248,35 @@
         }
     }
 
-    /// Learns from an authentic source, such as a session's token, that `group` has
-    /// reached `term`; its older primaries are not trusted any more.
+    /// Records that `group` has reached `term`, as reported by an authentic source such
+    /// as a session token; primaries of older terms are no longer trusted.
     pub fn learn_term(&self, group: &GroupName, term: Term) {
         if self.terms.write().learn_term(group, term) {
             self.view_changes.send_modify(|count| *count += 1);
         }
     }
 
-    /// Keeps further writes off a primary whose commit at `position` waits for its
-    /// majority.
+    /// Keeps further writes off a primary whose commit at `position` has not been
+    /// confirmed by a majority.
     pub fn doubt(&self, group: &GroupName, database: &DatabaseName, position: Position) {
-        log::info!("terms: database {database} has not confirmed {position} for long.");
+        log::info!(
+            "terms: database {database} has not confirmed the commit at {position} in time."
+        );
         self.terms.write().doubt(group, database, position);
     }
 
-    /// Marks a database as not answering and wakes waiting requests.
+    /// Marks a database as unreachable and wakes waiting requests.
     pub fn unreachable(&self, group: &GroupName, database: &DatabaseName) {
         self.terms.write().unreachable(group, database);
         self.view_changes.send_modify(|count| *count += 1);
     }
 
-    /// A receiver that wakes when any group's view changes.
+    /// Returns a watch that changes whenever the view of any group changes.
     pub fn view_changes(&self) -> watch::Receiver<u64> {
         self.view_changes.subscribe()
     }
 
-    /// A receiver that wakes when a bundle comes into force.
+    /// Returns a watch that changes whenever a bundle comes into force.
     pub fn bundle_changes(&self) -> watch::Receiver<u64> {
         self.bundle_changes.subscribe()
     }
@@ -284,12 +288,13 @@
         self.explain.lock().record(now, session, decision);
     }
 
-    /// Counts of the decisions made since the start.
+    /// Returns the counters of decisions since the start.
     pub fn decisions(&self) -> &DecisionCounts {
         &self.decisions
     }
 
-    /// Entries of the explain record, oldest first.
+    /// Returns the entries of the explain record, oldest first; with `session`, only
+    /// those of that session.
     pub fn explain(
         &self,
         session: Option<SessionId>,
