--- a/crates/transport/tests/backend_leases.rs
+++ b/crates/transport/tests/backend_leases.rs
@@ -1,4 +1,4 @@
-//! Leases of connections: relay, reuse, loss and the limits of the slots.
+//! Tests of leases: relay, reuse, loss and the limits of the slots.
 
 mod fake;
 
@@ -6,20 +6,20 @@
 use std::time::Duration;
 
 use fake::session::{answer, query, release, tags};
-use fake::{FakeDatabase, PATIENCE, Script, Seen, bundle, eventually, pools, request};
+use fake::{FakeDatabase, LogEntry, Script, TIMEOUT, bundle, eventually, pools, request};
 use hookpoint_protocol::backend_command::{BackendCommand, BackendReply};
 use hookpoint_protocol::frame::Frame;
 use hookpoint_state::Refusal;
 use hookpoint_transport::lease::LeaseSource;
 
 #[actix_rt::test]
-async fn a_connection_is_relayed_and_used_again() {
+async fn connection_is_relayed_and_reused() {
     let database = FakeDatabase::start(Script::default()).await;
     let (_, pools) = pools(bundle(1, 1, &[database.address]), |_| {});
     let mut bodies = BTreeSet::new();
     for session in 1..=3 {
         let mut lease = pools
-            .acquire(request("books-0", session, PATIENCE))
+            .acquire(request("books-0", session, TIMEOUT))
             .await
             .unwrap();
         lease.commands.send(query("WHO")).await.unwrap();
@@ -30,7 +30,7 @@
     }
     assert_eq!(bodies.len(), 1);
     assert_eq!(database.started(), 1);
-    let Some(Seen::Started(_, parameters)) = database.log().first().cloned() else {
+    let Some(LogEntry::Started(_, parameters)) = database.log().first().cloned() else {
         panic!("the first entry is the start");
     };
     assert_eq!(parameters["user"], "proxy");
@@ -41,7 +41,7 @@
 }
 
 #[actix_rt::test]
-async fn slots_bound_the_connections_and_the_rest_waits() {
+async fn slots_limit_connections_and_further_requests_wait() {
     let database = FakeDatabase::start(Script::default()).await;
     let (_, pools) = pools(bundle(1, 3, &[database.address]), |_| {});
     let mut sessions = Vec::new();
@@ -49,7 +49,7 @@
         let pools = pools.clone();
         sessions.push(actix_rt::spawn(async move {
             let mut lease = pools
-                .acquire(request("books-0", session, PATIENCE))
+                .acquire(request("books-0", session, TIMEOUT))
                 .await
                 .unwrap();
             lease.commands.send(query("BEGIN")).await.unwrap();
@@ -63,13 +63,13 @@
         session.await.unwrap();
     }
     assert_eq!(database.most_open(), 3);
-    // No transaction was interleaved with another one of its connection.
+    // No transaction was interleaved with another one on its connection.
     for connection in 1..=3 {
         let queries: Vec<String> = database
             .log()
             .into_iter()
             .filter_map(|seen| match seen {
-                Seen::Message(number, b'Q', text) if number == connection => Some(text),
+                LogEntry::Message(number, b'Q', text) if number == connection => Some(text),
                 _ => None,
             })
             .collect();
@@ -80,48 +80,36 @@
 }
 
 #[actix_rt::test]
-async fn a_wait_ends_at_its_deadline() {
+async fn wait_ends_at_its_deadline() {
     let database = FakeDatabase::start(Script::default()).await;
     let (_, pools) = pools(bundle(1, 1, &[database.address]), |_| {});
-    let held = pools
-        .acquire(request("books-0", 1, PATIENCE))
-        .await
-        .unwrap();
+    let held = pools.acquire(request("books-0", 1, TIMEOUT)).await.unwrap();
     let wait = Duration::from_millis(30);
     let refused = pools.acquire(request("books-0", 2, wait)).await;
     assert_eq!(refused.unwrap_err(), Refusal::WaitDeadline);
     held.commands.send(release(true)).await.unwrap();
-    pools
-        .acquire(request("books-0", 3, PATIENCE))
-        .await
-        .unwrap();
+    pools.acquire(request("books-0", 3, TIMEOUT)).await.unwrap();
     assert_eq!(database.started(), 1);
 }
 
 #[actix_rt::test]
-async fn a_lost_connection_is_told_after_what_came_before() {
+async fn lost_connection_is_reported_after_earlier_replies() {
     let database = FakeDatabase::start(Script::default()).await;
     let (_, pools) = pools(bundle(1, 1, &[database.address]), |_| {});
-    let mut lease = pools
-        .acquire(request("books-0", 1, PATIENCE))
-        .await
-        .unwrap();
+    let mut lease = pools.acquire(request("books-0", 1, TIMEOUT)).await.unwrap();
     lease.commands.send(query("WHO")).await.unwrap();
     answer(&mut lease).await.unwrap();
     lease.commands.send(query("DIE")).await.unwrap();
     assert_eq!(answer(&mut lease).await, None);
-    let mut next = pools
-        .acquire(request("books-0", 2, PATIENCE))
-        .await
-        .unwrap();
+    let mut next = pools.acquire(request("books-0", 2, TIMEOUT)).await.unwrap();
     next.commands.send(query("WHO")).await.unwrap();
     assert!(answer(&mut next).await.is_some());
     assert_eq!(database.started(), 2);
 }
 
-/// Ends of a lease and whether the next session gets the same connection.
+/// Lists the ways a lease can end and whether the next session gets the same connection.
 #[actix_rt::test]
-async fn only_a_clean_connection_is_used_again() {
+async fn only_a_clean_connection_is_reused() {
     let cases: [(&str, &[&str], Option<BackendCommand>, bool); 7] = [
         ("untouched and dropped", &[], None, true),
         ("idle", &["WHO"], Some(release(true)), true),
@@ -144,10 +132,7 @@
     for (name, queries, end, reused) in cases {
         let database = FakeDatabase::start(Script::default()).await;
         let (_, pools) = pools(bundle(1, 1, &[database.address]), |_| {});
-        let lease = pools
-            .acquire(request("books-0", 1, PATIENCE))
-            .await
-            .unwrap();
+        let lease = pools.acquire(request("books-0", 1, TIMEOUT)).await.unwrap();
         for text in queries {
             lease.commands.send(query(text)).await.unwrap();
         }
@@ -157,10 +142,7 @@
             eventually(|| database.queries().len() == queries.len()).await;
         }
         drop(lease);
-        let mut next = pools
-            .acquire(request("books-0", 2, PATIENCE))
-            .await
-            .unwrap();
+        let mut next = pools.acquire(request("books-0", 2, TIMEOUT)).await.unwrap();
         next.commands.send(query("WHO")).await.unwrap();
         assert_eq!(tags(&answer(&mut next).await.unwrap()), "TDCZ", "{name}");
         assert_eq!(database.started() == 1, reused, "{name}");
@@ -169,18 +151,15 @@
 }
 
 #[actix_rt::test]
-async fn a_slow_session_stops_the_reading_of_its_connection() {
+async fn slow_session_stops_reading_from_its_connection() {
     let database = FakeDatabase::start(Script::default()).await;
     let (_, pools) = pools(bundle(1, 1, &[database.address]), |_| {});
-    let mut lease = pools
-        .acquire(request("books-0", 1, PATIENCE))
-        .await
-        .unwrap();
+    let mut lease = pools.acquire(request("books-0", 1, TIMEOUT)).await.unwrap();
     lease.commands.send(query("ROWS 50000")).await.unwrap();
     let mut rows = 0;
     let mut largest = 0;
     loop {
-        let reply = tokio::time::timeout(PATIENCE, lease.replies.recv()).await;
+        let reply = tokio::time::timeout(TIMEOUT, lease.replies.recv()).await;
         let Some(BackendReply::Frames(frames)) = reply.unwrap() else {
             panic!("the connection was lost");
         };
--- a/crates/transport/tests/backend_observer.rs
+++ b/crates/transport/tests/backend_observer.rs
@@ -1,4 +1,4 @@
-//! Probes and verification against scripted databases.
+//! Tests of probes and term verification against scripted databases.
 
 mod fake;
 
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use fake::session::{answer, ask, query};
-use fake::{FakeDatabase, PATIENCE, Script, Seen, bundle, eventually, pools, request};
+use fake::{FakeDatabase, LogEntry, Script, TIMEOUT, bundle, eventually, pools, request};
 use hookpoint_state::{GroupName, Lsn, Position, Refusal, Term};
 use hookpoint_transport::backend::LocalPools;
 use hookpoint_transport::lease::{LeaseSource, TermVerifier};
@@ -21,7 +21,7 @@
 }
 
 impl Scene {
-    /// A primary on term 1 and two replicas.
+    /// Starts a primary in term 1 and two replicas.
     async fn new(slots: u32) -> Self {
         let mut databases = Vec::new();
         for index in 0..3 {
@@ -58,7 +58,7 @@
         primary.reachable.then_some((name, view.highest_term.0))
     }
 
-    /// The second database takes over on `term`.
+    /// Makes the second database the primary of `term`.
     fn fail_over(&self, term: u32) {
         self.databases[1].script(|script| {
             script.recovery = false;
@@ -70,7 +70,7 @@
     async fn verify(&self) -> Option<Position> {
         let group = GroupName::from("books");
         let verified = self.verifier.verify(&group);
-        let verified = tokio::time::timeout(PATIENCE, verified).await;
+        let verified = tokio::time::timeout(TIMEOUT, verified).await;
         verified.expect("a verification always ends")
     }
 }
@@ -83,14 +83,14 @@
 }
 
 #[actix_rt::test]
-async fn the_observer_finds_the_primary_and_its_successor() {
+async fn observer_finds_the_primary_and_its_successor() {
     let scene = Scene::new(2).await;
     scene.observe();
     eventually(|| scene.primary() == Some(("books-0".to_owned(), 1))).await;
     scene.databases[0].script(|script| script.silent = true);
     scene.fail_over(2);
     eventually(|| scene.primary() == Some(("books-1".to_owned(), 2))).await;
-    // An older term changes nothing any more.
+    // A status with an older term no longer has an effect.
     scene.databases[0].script(|script| script.silent = false);
     let answered = || {
         let view = scene.shared.view(&"books".into()).unwrap();
@@ -100,30 +100,30 @@
     assert_eq!(scene.primary(), Some(("books-1".to_owned(), 2)));
 }
 
-/// A node that is home for the primary alone finds the successor through the others'
-/// homes, and a database that it once failed to reach.
+/// A node that is the home of the primary only finds the new primary through the homes of
+/// the other databases, and also probes a database that it once failed to reach.
 #[actix_rt::test]
-async fn other_homes_databases_are_probed_only_when_it_matters() {
+async fn databases_of_other_homes_are_probed_only_when_needed() {
     let scene = Scene::new(2).await;
     scene
         .pools
         .set_home(Arc::new(|name| name.as_str() == "books-0"));
     scene.observe();
     eventually(|| scene.primary() == Some(("books-0".to_owned(), 1))).await;
-    let heard = |index: usize| {
+    let received_messages = |index: usize| {
         let database: &FakeDatabase = &scene.databases[index];
-        database.count(|seen| matches!(seen, Seen::Message(..)))
+        database.count(|seen| matches!(seen, LogEntry::Message(..)))
     };
     let reachable = |index: usize| {
         let view = scene.shared.view(&"books".into()).unwrap();
         view.databases[index].reachable
     };
-    // What was under way when the primary was found comes to its end.
-    let found = heard(0);
-    eventually(|| heard(0) >= found + 3).await;
-    let before = [0, 1, 2].map(heard);
-    eventually(|| heard(0) >= before[0] + 3).await;
-    assert_eq!([heard(1), heard(2)], before[1..]);
+    // Wait until probes started before the primary was found have ended.
+    let found = received_messages(0);
+    eventually(|| received_messages(0) >= found + 3).await;
+    let before = [0, 1, 2].map(received_messages);
+    eventually(|| received_messages(0) >= before[0] + 3).await;
+    assert_eq!([received_messages(1), received_messages(2)], before[1..]);
     scene.shared.unreachable(&"books".into(), &"books-2".into());
     eventually(|| reachable(2)).await;
     scene.databases[0].script(|script| script.silent = true);
@@ -132,7 +132,7 @@
 }
 
 #[actix_rt::test]
-async fn a_draining_database_is_not_probed() {
+async fn draining_database_is_not_probed() {
     let scene = Scene::new(2).await;
     let addresses: Vec<_> = scene.databases.iter().map(|d| d.address).collect();
     let mut draining = bundle(2, 2, &addresses);
@@ -142,25 +142,25 @@
     eventually(|| scene.primary().is_some()).await;
     let probes = |index: usize| {
         let database: &FakeDatabase = &scene.databases[index];
-        database.count(|seen| matches!(seen, Seen::Message(..)))
+        database.count(|seen| matches!(seen, LogEntry::Message(..)))
     };
     eventually(|| probes(0) >= 3 && probes(1) >= 2).await;
     assert_eq!(probes(2), 0);
 }
 
 #[actix_rt::test]
-async fn work_that_waits_for_a_replaced_primary_is_told_to_look_elsewhere() {
+async fn requests_waiting_for_a_replaced_primary_are_rerouted() {
     let scene = Scene::new(1).await;
     scene.observe();
     eventually(|| scene.primary().is_some()).await;
     let mut held = scene
         .pools
-        .acquire(request("books-0", 1, PATIENCE))
+        .acquire(request("books-0", 1, TIMEOUT))
         .await
         .unwrap();
     assert_eq!(ask(&mut held, query("WHO")).await, "TDCZ");
     held.commands.send(query("SLEEP")).await.unwrap();
-    let waiting = scene.pools.acquire(request("books-0", 2, PATIENCE));
+    let waiting = scene.pools.acquire(request("books-0", 2, TIMEOUT));
     let changed = async {
         let waits = || scene.pools.counts()[&"books-0".into()].waiting > 0;
         eventually(waits).await;
@@ -168,12 +168,12 @@
     };
     let (refused, ()) = tokio::join!(waiting, changed);
     assert_eq!(refused.unwrap_err(), Refusal::NoDatabase);
-    // What runs there without a word is given up too.
+    // The request running there is aborted too, because the database sends nothing.
     assert_eq!(answer(&mut held).await, None);
 }
 
 #[actix_rt::test]
-async fn a_term_is_verified_by_a_majority_with_its_primary() {
+async fn term_is_verified_by_a_majority_with_its_primary() {
     let scene = Scene::new(1).await;
     assert_eq!(scene.verify().await, place(1));
     scene.databases[2].script(|script| script.silent = true);
@@ -208,18 +208,18 @@
 }
 
 #[actix_rt::test]
-async fn a_status_query_goes_ahead_of_waiting_work_and_takes_no_slot() {
+async fn status_query_precedes_waiting_requests_and_takes_no_slot() {
     let scene = Scene::new(1).await;
     let lease = scene
         .pools
-        .acquire(request("books-0", 1, PATIENCE))
+        .acquire(request("books-0", 1, TIMEOUT))
         .await
         .unwrap();
     let others: Vec<_> = (2..10)
         .map(|session| {
             let pools = scene.pools.clone();
             actix_rt::spawn(async move {
-                let lease = pools.acquire(request("books-0", session, PATIENCE)).await;
+                let lease = pools.acquire(request("books-0", session, TIMEOUT)).await;
                 tokio::time::sleep(Duration::from_millis(200)).await;
                 lease.is_ok()
             })
@@ -228,7 +228,7 @@
     eventually(|| scene.pools.counts()[&"books-0".into()].waiting == 8).await;
     let group = GroupName::from("books");
     let database = "books-0".into();
-    let asked = scene.pools.query_status(&group, &database, PATIENCE);
+    let asked = scene.pools.query_status(&group, &database, TIMEOUT);
     let freed = async {
         eventually(|| scene.pools.counts()[&"books-0".into()].waiting == 9).await;
         drop(lease);
--- a/crates/transport/tests/backend_statements.rs
+++ b/crates/transport/tests/backend_statements.rs
@@ -1,10 +1,10 @@
-//! What a connection carries from lease to lease: prepared statements and run-time
-//! parameters.
+//! Tests of the state that a connection keeps across leases: prepared statements and
+//! run-time parameters.
 
 mod fake;
 
 use fake::session::{answer, ask, execute, prepare, query, release, settings, tags};
-use fake::{FakeDatabase, PATIENCE, Script, Seen, bundle, pools, request};
+use fake::{FakeDatabase, LogEntry, Script, TIMEOUT, bundle, pools, request};
 use hookpoint_protocol::backend_command::BackendCommand;
 use hookpoint_transport::backend::BackendSettings;
 use hookpoint_transport::lease::{BackendLease, LeaseSource};
@@ -12,7 +12,7 @@
 /// Run-time parameters of a session.
 type Parameters = &'static [(&'static str, &'static str)];
 
-/// A server and a pool of one connection.
+/// A fake database and a pool with one connection.
 struct Scene {
     database: FakeDatabase,
     pools: std::sync::Arc<hookpoint_transport::backend::LocalPools>,
@@ -32,27 +32,27 @@
 
     async fn lease(&mut self) -> BackendLease {
         self.session += 1;
-        let request = request("books-0", self.session, PATIENCE);
+        let request = request("books-0", self.session, TIMEOUT);
         self.pools.acquire(request).await.unwrap()
     }
 
-    /// Names of the statements of all messages of `tag`.
+    /// Returns the statement names of all messages with the given tag.
     fn names(&self, tag: u8) -> Vec<String> {
         let log = self.database.log().into_iter();
         log.filter_map(|seen| match seen {
-            Seen::Message(_, seen, name) if seen == tag => Some(name),
+            LogEntry::Message(_, seen, name) if seen == tag => Some(name),
             _ => None,
         })
         .collect()
     }
 }
 
-async fn give_back(lease: BackendLease) {
+async fn release_lease(lease: BackendLease) {
     lease.commands.send(release(true)).await.unwrap();
 }
 
 #[actix_rt::test]
-async fn a_statement_is_prepared_once_and_its_answer_is_not_relayed() {
+async fn statement_is_prepared_once_and_its_answer_is_not_relayed() {
     let mut scene = Scene::new(|_| {}).await;
     for _ in 0..3 {
         let mut lease = scene.lease().await;
@@ -68,14 +68,14 @@
             .await
             .unwrap();
         assert_eq!(ask(&mut lease, execute("s1")).await, "2CZ");
-        give_back(lease).await;
+        release_lease(lease).await;
     }
     assert_eq!(scene.names(b'P'), ["s1"]);
     assert_eq!(scene.names(b'B').len(), 6);
 }
 
 #[actix_rt::test]
-async fn the_least_recently_used_statement_makes_room() {
+async fn least_recently_used_statement_is_evicted() {
     let mut scene = Scene::new(|settings| settings.prepared_statements = 2).await;
     let mut lease = scene.lease().await;
     for name in ["a", "b", "a", "c", "a", "b"] {
@@ -91,14 +91,14 @@
 }
 
 #[actix_rt::test]
-async fn a_refused_statement_is_told_and_prepared_anew() {
+async fn failed_prepare_is_reported_and_retried() {
     let mut scene = Scene::new(|_| {}).await;
     let mut lease = scene.lease().await;
     for _ in 0..2 {
         lease.commands.send(prepare("bad", "FAIL")).await.unwrap();
         assert_eq!(ask(&mut lease, execute("bad")).await, "EZ");
     }
-    // The second statement is skipped after the first one's error, so it is not there.
+    // The second statement is skipped after the first one's error, so it is not prepared.
     lease.commands.send(prepare("bad", "FAIL")).await.unwrap();
     lease
         .commands
@@ -116,7 +116,7 @@
 }
 
 #[actix_rt::test]
-async fn a_statement_sent_in_an_earlier_part_of_a_pipeline_is_renewed() {
+async fn statement_sent_earlier_in_a_pipeline_is_prepared_again() {
     let mut scene = Scene::new(|_| {}).await;
     let mut lease = scene.lease().await;
     for text in ["FAIL", "SELECT 1"] {
@@ -128,7 +128,7 @@
 }
 
 #[actix_rt::test]
-async fn parameters_follow_the_session_and_leave_with_it() {
+async fn parameters_are_set_for_the_session_and_reset_after_it() {
     let mut scene = Scene::new(|_| {}).await;
     let steps: [(Parameters, &[&str]); 6] = [
         (&[("timezone", "UTC")], &["SET timezone TO 'UTC';"]),
@@ -149,7 +149,7 @@
         let mut lease = scene.lease().await;
         lease.commands.send(settings(wanted)).await.unwrap();
         assert_eq!(ask(&mut lease, query("WHO")).await, "TDCZ");
-        give_back(lease).await;
+        release_lease(lease).await;
         let mut queries = scene.database.queries().split_off(before);
         assert_eq!(queries.pop().as_deref(), Some("WHO"));
         assert_eq!(queries, expected);
@@ -158,7 +158,7 @@
 }
 
 #[actix_rt::test]
-async fn a_parameter_that_cannot_be_set_breaks_the_lease() {
+async fn invalid_parameter_name_breaks_the_lease() {
     let mut scene = Scene::new(|_| {}).await;
     let mut lease = scene.lease().await;
     let injected = settings(&[("x;DROP TABLE books", "1")]);
@@ -169,9 +169,9 @@
     assert_eq!(ask(&mut next, query("WHO")).await, "TDCZ");
 }
 
-/// Whether `DISCARD ALL` runs between two sessions.
+/// Checks whether `DISCARD ALL` runs between two sessions.
 #[actix_rt::test]
-async fn state_that_a_session_left_is_discarded() {
+async fn session_state_is_discarded_between_sessions() {
     let cases = [
         ("WHO", false, false),
         ("WHO", true, true),
@@ -203,7 +203,7 @@
         let queries = scene.database.queries();
         let count = |text: &str| queries.iter().filter(|query| *query == text).count();
         assert_eq!(count("DISCARD ALL"), usize::from(discarded), "{text}");
-        // What was discarded has to be set and prepared again.
+        // Discarded state has to be set and prepared again.
         let times = 1 + usize::from(discarded);
         assert_eq!(count("SET timezone TO 'UTC';"), times, "{text}");
         assert_eq!(scene.names(b'P').len(), times, "{text}");
--- a/crates/transport/tests/caller_cancel.rs
+++ b/crates/transport/tests/caller_cancel.rs
@@ -1,4 +1,4 @@
-//! Requests to cancel that arrive at another node than their session's.
+//! Tests of cancel requests that arrive at another node than the session's.
 
 mod caller_support;
 
@@ -11,7 +11,7 @@
 const CANCEL_CODE: u32 = 80_877_102;
 
 #[actix_rt::test]
-async fn a_cancel_request_finds_its_session_from_another_node() {
+async fn cancel_request_is_routed_from_another_node() {
     let group = FakeGroup::new();
     let home = start(&group).await;
     let other = start(&group).await;
@@ -32,9 +32,9 @@
     group
         .until("it sleeps", |group| !group.ran_on("SLEEPS").is_empty())
         .await;
-    let mut stranger = RawClient::open(&other).await;
-    stranger.send_raw(&packet(&body)).await;
-    assert!(stranger.next().await.is_none(), "it is not answered");
+    let mut other_client = RawClient::open(&other).await;
+    other_client.send_raw(&packet(&body)).await;
+    assert!(other_client.next().await.is_none(), "it is not answered");
     let error = first_error(&client.until_ready().await);
     assert_eq!(error.as_deref(), Some("57014"));
     home.stop().await;
--- a/crates/transport/tests/caller_ends.rs
+++ b/crates/transport/tests/caller_ends.rs
@@ -1,5 +1,5 @@
-//! How sessions end: a graceful stop, an abort, idle transactions, callers that go away
-//! or read nothing.
+//! Tests of how sessions end: graceful stop, abort, idle transactions, and clients that
+//! disconnect or stop reading.
 
 mod caller_support;
 
@@ -16,7 +16,7 @@
 use hookpoint_transport::caller::CallerSettings;
 
 #[actix_rt::test]
-async fn a_graceful_stop_cuts_off_nothing() {
+async fn graceful_stop_interrupts_no_request() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut idle, _) = RawClient::begin(&handle, &[]).await;
@@ -35,13 +35,13 @@
     assert!(waiting.is_silent(Duration::from_millis(50)).await);
     let stopping = handle.clone();
     let stopped = actix_rt::spawn(async move { stopping.stop().await });
-    let farewell = idle.until_ready().await;
-    assert_eq!(first_error(&farewell).as_deref(), Some("57P01"));
+    let final_message = idle.until_ready().await;
+    assert_eq!(first_error(&final_message).as_deref(), Some("57P01"));
     assert!(idle.next().await.is_none());
     assert!(starting.next().await.is_none());
     assert!(fresh.next().await.is_none());
     let refused = tokio::net::TcpStream::connect(handle.address()).await;
-    assert!(refused.is_err(), "no caller is accepted any more");
+    assert!(refused.is_err(), "no client is accepted any more");
     assert!(!stopped.is_finished());
     group.hold_leases.send_replace(false);
     assert_eq!(command_tags(&waiting.until_ready().await), ["INSERT 0 1"]);
@@ -64,18 +64,22 @@
 }
 
 #[actix_rt::test]
-async fn a_request_that_meets_the_stop_is_told_as_not_run() {
+async fn request_sent_during_the_stop_is_reported_as_not_run() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
     let stopping = handle.clone();
     let stopped = actix_rt::spawn(async move { stopping.stop().await });
     let mut first = [0; 1];
-    client.socket.peek(&mut first).await.expect("a farewell");
+    client
+        .socket
+        .peek(&mut first)
+        .await
+        .expect("a final message");
     client.send(&[query("INSERT INTO t VALUES (1)")]).await;
-    let farewell = client.until_ready().await;
-    assert_eq!(first_error(&farewell).as_deref(), Some("57P01"));
-    let error = farewell.last().expect("an error");
+    let final_message = client.until_ready().await;
+    assert_eq!(first_error(&final_message).as_deref(), Some("57P01"));
+    let error = final_message.last().expect("an error");
     let text = String::from_utf8_lossy(&error.body).into_owned();
     assert!(text.contains("hookpoint.outcome=not_run"), "{text}");
     drop(client);
@@ -84,7 +88,7 @@
 }
 
 #[actix_rt::test]
-async fn a_stopped_session_goes_on_elsewhere_with_its_token() {
+async fn stopped_session_continues_on_another_proxy_with_its_token() {
     let group = FakeGroup::new();
     group.server.lock().replicas_follow = false;
     let (first, second) = (start(&group).await, start(&group).await);
@@ -107,7 +111,7 @@
 }
 
 #[actix_rt::test]
-async fn an_abort_ends_everything_at_once() {
+async fn abort_ends_all_sessions_at_once() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut block, _) = RawClient::begin(&handle, &[]).await;
@@ -125,7 +129,7 @@
 }
 
 #[actix_rt::test]
-async fn an_idle_transaction_is_ended_and_undone() {
+async fn idle_transaction_is_ended_and_rolled_back() {
     let group = FakeGroup::new();
     let mut bundle = caller_support::bundle();
     bundle.version.0 = 2;
@@ -135,8 +139,8 @@
     let (mut idle, _) = RawClient::begin(&handle, &[]).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
     client.query("BEGIN").await;
-    let farewell = client.until_ready().await;
-    assert_eq!(first_error(&farewell).as_deref(), Some("25P03"));
+    let final_message = client.until_ready().await;
+    assert_eq!(first_error(&final_message).as_deref(), Some("25P03"));
     assert!(client.next().await.is_none());
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
     let flush = Frame::new(frontend::FLUSH, Vec::new());
@@ -144,8 +148,8 @@
     client
         .send(&[write, bind("", ""), execute(""), flush])
         .await;
-    let farewell = client.until_ready().await;
-    assert_eq!(first_error(&farewell).as_deref(), Some("25P03"));
+    let final_message = client.until_ready().await;
+    assert_eq!(first_error(&final_message).as_deref(), Some("25P03"));
     assert_eq!(
         group.server.lock().nodes["db-a"].place,
         Position::new(1, 100)
@@ -158,7 +162,7 @@
 }
 
 #[actix_rt::test]
-async fn a_caller_that_goes_away_gives_its_connection_back() {
+async fn client_disconnect_releases_its_connection() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     for text in ["BEGIN", "SELECT SLEEPS", "SELECT ROWS 100000"] {
@@ -188,7 +192,7 @@
 }
 
 #[actix_rt::test]
-async fn a_caller_that_reads_nothing_holds_no_connection_for_ever() {
+async fn stalled_client_loses_its_connection_after_the_write_timeout() {
     let group = FakeGroup::new();
     let settings = CallerSettings {
         write_timeout: Duration::from_millis(200),
--- a/crates/transport/tests/caller_faults.rs
+++ b/crates/transport/tests/caller_faults.rs
@@ -1,5 +1,5 @@
-//! What callers are told when connections break, leases are refused and primaries
-//! change.
+//! Tests of the answers that clients get when connections break, leases are refused and
+//! primaries change.
 
 mod caller_support;
 
@@ -11,14 +11,14 @@
 use hookpoint_protocol::frame::Frame;
 use hookpoint_state::{Position, Refusal};
 
-/// State told by the last `ReadyForQuery`.
+/// Returns the transaction status in the last `ReadyForQuery`.
 fn state(answer: &[Frame]) -> char {
     let ready = answer.last().expect("an answer");
     assert_eq!(ready.tag, b'Z');
     char::from(ready.body[0])
 }
 
-/// Text of the first error's `DETAIL`.
+/// Returns the first word of the first error's `DETAIL`.
 fn outcome(answer: &[Frame]) -> String {
     let error = answer
         .iter()
@@ -34,10 +34,10 @@
         .to_owned()
 }
 
-/// One statement, its error if it has one, and the state of the session afterwards.
+/// A statement, the expected SQLSTATE if it fails, and the transaction status afterwards.
 type Step = (&'static str, Option<&'static str>, char);
 
-async fn walk(client: &mut RawClient, case: &str, steps: &[Step]) {
+async fn run_steps(client: &mut RawClient, case: &str, steps: &[Step]) {
     for (text, error, expected) in steps {
         let answer = client.query(text).await;
         assert_eq!(first_error(&answer).as_deref(), *error, "{case}: {text}");
@@ -46,7 +46,7 @@
 }
 
 #[actix_rt::test]
-async fn a_broken_connection_is_told_as_what_it_proves() {
+async fn broken_connection_is_reported_with_the_proved_outcome() {
     let cases: &[(&str, &str, usize, &[Step])] = &[
         (
             "a lone read is read again",
@@ -93,13 +93,13 @@
         let handle = start(&group).await;
         group.server.lock().break_before = Some(((*needle).to_owned(), *count));
         let (mut client, _) = RawClient::begin(&handle, &[]).await;
-        walk(&mut client, case, steps).await;
+        run_steps(&mut client, case, steps).await;
         handle.stop().await;
     }
 }
 
 #[actix_rt::test]
-async fn a_failed_block_ends_only_with_its_end() {
+async fn failed_block_ends_only_with_rollback_or_commit() {
     let steps: &[Step] = &[
         ("BEGIN", None, 'T'),
         ("INSERT INTO t VALUES (FAILS)", Some("23514"), 'E'),
@@ -120,12 +120,12 @@
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
-    walk(&mut client, "blocks", steps).await;
+    run_steps(&mut client, "blocks", steps).await;
     handle.stop().await;
 }
 
 #[actix_rt::test]
-async fn blocks_stay_what_they_began_as() {
+async fn transaction_mode_of_a_block_cannot_change() {
     let steps: &[Step] = &[
         ("BEGIN READ ONLY", None, 'T'),
         ("SET TRANSACTION READ WRITE", Some("0A000"), 'E'),
@@ -151,18 +151,18 @@
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
-    walk(&mut client, "modes", steps).await;
+    run_steps(&mut client, "modes", steps).await;
     assert!(group.ran_on("INSERT").is_empty());
     let refused = group.shared.explain(None);
     let refused = refused.iter().filter(
         |entry| matches!(&entry.decision, Decision::Failed { sqlstate, .. } if sqlstate == "0A000"),
     );
-    assert_eq!(refused.count(), 5, "each refusal is on record");
+    assert_eq!(refused.count(), 5, "each refusal is recorded");
     handle.stop().await;
 }
 
 #[actix_rt::test]
-async fn refused_leases_are_told_as_not_run() {
+async fn refused_leases_are_reported_as_not_run() {
     let cases = [
         (Refusal::QueueFull, "HN001"),
         (Refusal::TenantLimit, "HN002"),
@@ -195,7 +195,7 @@
 }
 
 #[actix_rt::test]
-async fn a_write_refused_by_a_demoted_primary_moves_on() {
+async fn write_refused_by_a_demoted_primary_runs_on_the_new_one() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
@@ -225,7 +225,7 @@
 }
 
 #[actix_rt::test]
-async fn a_replica_that_is_behind_is_not_believed() {
+async fn answer_of_a_lagging_replica_is_discarded() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
@@ -250,7 +250,7 @@
 }
 
 #[actix_rt::test]
-async fn a_block_whose_connection_broke_between_units_did_not_run() {
+async fn block_whose_connection_broke_between_units_did_not_run() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     for (end, error, state) in [
@@ -261,13 +261,13 @@
         client.query("BEGIN").await;
         client.query("INSERT INTO t VALUES (1)").await;
         group.kill_connections().await;
-        walk(&mut client, "lost while idle", &[(end, error, state)]).await;
+        run_steps(&mut client, "lost while idle", &[(end, error, state)]).await;
     }
     handle.stop().await;
 }
 
 #[actix_rt::test]
-async fn what_follows_a_commit_is_held_in_bounded_memory() {
+async fn messages_after_a_commit_are_held_in_bounded_memory() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
@@ -283,13 +283,13 @@
     assert_eq!(
         command_tags(&answer),
         ["BEGIN", "INSERT 0 1"],
-        "no COMMIT was told"
+        "no COMMIT was reported"
     );
     handle.stop().await;
 }
 
 #[actix_rt::test]
-async fn a_read_does_not_wait_for_a_replica_that_is_cut_off() {
+async fn read_does_not_wait_for_a_partitioned_replica() {
     let group = FakeGroup::new();
     let mut bundle = caller_support::bundle();
     bundle.version.0 = 2;
@@ -310,7 +310,7 @@
 }
 
 #[actix_rt::test]
-async fn a_cancelled_status_query_is_asked_again() {
+async fn cancelled_status_query_is_retried() {
     for (failing, expected) in [(1, None), (3, None), (4, Some("08007"))] {
         let group = FakeGroup::new();
         let handle = start(&group).await;
--- a/crates/transport/tests/caller_path.rs
+++ b/crates/transport/tests/caller_path.rs
@@ -1,12 +1,12 @@
-//! The caller side with ordinary clients: routing, transactions, prepared statements,
-//! session parameters and tokens.
+//! Tests of the client side with ordinary clients: routing, transactions, prepared
+//! statements, session parameters and tokens.
 
 mod caller_support;
 
 use caller_support::raw::{RawClient, command_tags, first_error};
 use caller_support::{FakeGroup, config, connect, connect_with, detail, sqlstate, start};
 
-/// Rows of a simple query's answer.
+/// Returns the first column of the rows of a simple query.
 async fn simple_values(client: &tokio_postgres::Client, text: &str) -> Vec<String> {
     let messages = client.simple_query(text).await.expect("an answer");
     let rows = messages.iter().filter_map(|message| match message {
@@ -39,7 +39,7 @@
 }
 
 #[actix_rt::test]
-async fn a_read_behind_the_sessions_write_runs_on_the_primary() {
+async fn read_after_the_sessions_write_runs_on_the_primary() {
     let group = FakeGroup::new();
     group.server.lock().replicas_follow = false;
     let handle = start(&group).await;
@@ -54,7 +54,7 @@
 }
 
 #[actix_rt::test]
-async fn a_write_without_a_majority_is_not_acknowledged() {
+async fn write_without_a_majority_is_not_acknowledged() {
     let group = FakeGroup::new();
     group.server.lock().replicas_confirm = false;
     let handle = start(&group).await;
@@ -67,7 +67,7 @@
 }
 
 #[actix_rt::test]
-async fn a_transaction_stays_on_one_connection() {
+async fn transaction_stays_on_one_connection() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let mut client = connect(&handle).await;
@@ -189,7 +189,7 @@
 }
 
 #[actix_rt::test]
-async fn a_token_carries_a_session_to_another_proxy() {
+async fn token_continues_a_session_on_another_proxy() {
     let group = FakeGroup::new();
     group.server.lock().replicas_follow = false;
     let (first, second) = (start(&group).await, start(&group).await);
@@ -208,12 +208,12 @@
         .expect("a row");
     assert_eq!(row.get::<_, String>(0), token);
     let verified = *group.verifications.lock();
-    let roamed = connect(&second).await;
-    roamed
+    let reconnected = connect(&second).await;
+    reconnected
         .simple_query(&format!("SET hookpoint.token = '{token}'"))
         .await
         .expect("a token");
-    assert_eq!(simple_values(&roamed, "SELECT 'mine'").await, ["mine"]);
+    assert_eq!(simple_values(&reconnected, "SELECT 'mine'").await, ["mine"]);
     assert_eq!(
         *group.verifications.lock(),
         verified,
@@ -224,10 +224,13 @@
         "db-a"
     );
     for forged in ["", "forged", &token[1..]] {
-        let stranger = connect(&second).await;
+        let other_client = connect(&second).await;
         let set = format!("SET hookpoint.token = '{forged}'");
-        stranger.simple_query(&set).await.expect("a doubtful token");
-        simple_values(&stranger, "SELECT 'doubt'").await;
+        other_client
+            .simple_query(&set)
+            .await
+            .expect("a doubtful token");
+        simple_values(&other_client, "SELECT 'doubt'").await;
         assert_eq!(
             group.ran_on("SELECT 'doubt'").last().expect("it ran"),
             "db-a"
--- a/crates/transport/tests/caller_protocol.rs
+++ b/crates/transport/tests/caller_protocol.rs
@@ -1,5 +1,5 @@
-//! The caller side with raw messages: the extended protocol in its corners, COPY,
-//! features that pooling cannot carry, cancel requests.
+//! Tests of the client side with raw messages: the extended query protocol, COPY,
+//! features that pooling does not support, and cancel requests.
 
 mod caller_support;
 
@@ -20,7 +20,7 @@
 };
 
 #[actix_rt::test]
-async fn extended_messages_are_answered_in_their_order() {
+async fn extended_messages_are_answered_in_order() {
     let cases: Vec<(&str, Vec<Frame>, &str)> = vec![
         ("only sync", vec![sync()], "Z"),
         (
@@ -155,7 +155,7 @@
 }
 
 #[actix_rt::test]
-async fn a_flush_is_answered_before_the_sync() {
+async fn flush_is_answered_before_the_sync() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
@@ -232,7 +232,7 @@
 }
 
 #[actix_rt::test]
-async fn a_simple_query_ends_extended_messages() {
+async fn simple_query_ends_extended_messages() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
@@ -264,7 +264,7 @@
 }
 
 #[actix_rt::test]
-async fn what_pooling_cannot_carry_is_refused_and_not_sent() {
+async fn features_incompatible_with_pooling_are_refused_and_not_sent() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
@@ -291,7 +291,7 @@
 }
 
 #[actix_rt::test]
-async fn copy_is_relayed_whole() {
+async fn copy_is_relayed_completely() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
@@ -343,7 +343,7 @@
 }
 
 #[actix_rt::test]
-async fn a_cancel_request_reaches_only_its_own_session() {
+async fn cancel_request_reaches_only_its_own_session() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, greeting) = RawClient::begin(&handle, &[]).await;
@@ -400,7 +400,7 @@
 }
 
 #[actix_rt::test]
-async fn statements_end_with_deallocate_and_discard() {
+async fn deallocate_and_discard_remove_statements() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
@@ -423,7 +423,7 @@
 }
 
 #[actix_rt::test]
-async fn a_large_answer_flows_with_bounded_memory() {
+async fn large_answer_is_relayed_with_bounded_memory() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
--- a/crates/transport/tests/caller_requests.rs
+++ b/crates/transport/tests/caller_requests.rs
@@ -1,4 +1,4 @@
-//! Requests that are not repeatable.
+//! Tests of requests that are not repeatable.
 
 mod caller_support;
 
@@ -17,7 +17,7 @@
 }
 
 #[actix_rt::test]
-async fn a_marked_request_runs_at_most_once_on_all_proxies() {
+async fn request_with_identifier_runs_at_most_once_on_all_proxies() {
     let group = FakeGroup::new();
     let (first, second) = (start(&group).await, start(&group).await);
     let (mut client, _) = RawClient::begin(&first, &[]).await;
@@ -44,7 +44,7 @@
 }
 
 #[actix_rt::test]
-async fn a_lost_answer_is_resolved_by_asking_again_anywhere() {
+async fn lost_answer_is_resolved_by_retrying_on_any_proxy() {
     struct Case {
         name: &'static str,
         before: Option<&'static str>,
@@ -105,7 +105,7 @@
 }
 
 #[actix_rt::test]
-async fn a_failing_marked_request_leaves_no_trace() {
+async fn failed_request_with_identifier_leaves_no_ledger_row() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
@@ -122,13 +122,16 @@
 }
 
 #[actix_rt::test]
-async fn a_setting_marks_the_next_write_and_is_spent_by_it() {
+async fn request_id_setting_applies_to_the_next_write_only() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
     client.query("SET hookpoint.request_id = 's1'").await;
     client.query("SELECT 1").await;
-    assert!(ledger(&group).is_empty(), "a read spends no mark");
+    assert!(
+        ledger(&group).is_empty(),
+        "a read does not use up the identifier"
+    );
     assert_eq!(
         command_tags(&client.query("INSERT INTO t VALUES (1)").await),
         ["INSERT 0 1"]
@@ -154,7 +157,7 @@
 }
 
 #[actix_rt::test]
-async fn a_marked_request_inside_a_block_shares_the_blocks_fate() {
+async fn request_identifier_commits_or_rolls_back_with_its_block() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
@@ -178,7 +181,7 @@
 }
 
 #[actix_rt::test]
-async fn marks_that_cannot_be_kept_are_refused() {
+async fn request_identifiers_that_cannot_be_guaranteed_are_refused() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
@@ -206,7 +209,7 @@
     client.query("ROLLBACK").await;
     let flush = Frame::new(frontend::FLUSH, Vec::new());
     let opening = [parse("", "SELECT 1"), bind("", ""), execute(""), flush];
-    for marked in [
+    for later_messages in [
         vec![parse("", NOTICE), bind("", ""), execute(""), sync()],
         vec![
             parse("", "SET hookpoint.request_id = 'x'"),
@@ -216,7 +219,7 @@
         ],
     ] {
         client.send(&opening).await;
-        client.send(&marked).await;
+        client.send(&later_messages).await;
         let answer = client.until_ready().await;
         assert_eq!(first_error(&answer).as_deref(), Some("0A000"));
     }
--- a/crates/transport/tests/caller_retries.rs
+++ b/crates/transport/tests/caller_retries.rs
@@ -1,5 +1,5 @@
-//! Retries of requests whose connections break: few, paid for by the tenant, and
-//! "not run" at their end.
+//! Tests of retries of requests whose connections break: they are limited per request and
+//! by the tenant's budget, and end with "not run".
 
 mod caller_support;
 
@@ -13,7 +13,7 @@
 use hookpoint_transport::lease::{AcquireRequest, BackendLease, LeaseSource};
 use tokio::sync::mpsc;
 
-/// Grants connections of which the next few are broken from the start.
+/// Grants leases, of which the next `broken` ones are broken from the start.
 struct BreakingLeases {
     group: Arc<FakeGroup>,
     broken: AtomicUsize,
@@ -24,10 +24,10 @@
 impl LeaseSource for BreakingLeases {
     async fn acquire(&self, request: AcquireRequest) -> Result<BackendLease, Refusal> {
         self.granted.fetch_add(1, Ordering::SeqCst);
-        let spend = |left: usize| left.checked_sub(1);
+        let take_one = |left: usize| left.checked_sub(1);
         let broken = self
             .broken
-            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, spend);
+            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, take_one);
         if broken.is_err() {
             return self.group.acquire(request).await;
         }
@@ -48,23 +48,23 @@
     });
     let shared = Arc::clone(&group.shared);
     let handle = CallerListener::start(settings(), shared, Arc::clone(&leases) as _, group).await;
-    let handle = handle.expect("the caller side starts");
+    let handle = handle.expect("the listener starts");
     let client = connect(&handle).await;
     (leases, client)
 }
 
 #[actix_rt::test]
-async fn a_read_outlives_a_few_broken_connections() {
+async fn read_survives_a_few_broken_connections() {
     let (leases, client) = start(5).await;
     let answer = client.simple_query("SELECT 1").await;
     assert!(answer.is_ok(), "{answer:?}");
     assert_eq!(leases.granted.load(Ordering::SeqCst), 6);
 }
 
-/// A request has eight attempts; a tenant that has sent little has ten retries, and each
-/// request earns a fifth of one.
+/// A request has at most eight attempts; a tenant that has sent few requests has ten
+/// retries, and each request earns a fifth of a retry.
 #[actix_rt::test]
-async fn attempts_and_the_tenants_budget_end_the_retries() {
+async fn attempt_limit_and_tenant_budget_end_the_retries() {
     let (leases, client) = start(usize::MAX).await;
     let expected = [("HN009", 8), ("HN002", 4), ("HN002", 1)];
     for (state, attempts) in expected {
--- a/crates/transport/tests/caller_security.rs
+++ b/crates/transport/tests/caller_security.rs
@@ -1,4 +1,4 @@
-//! Who is let in: credentials, TLS, and input that is no PostgreSQL session.
+//! Tests of access control: credentials, TLS, and input that is not a PostgreSQL session.
 
 mod caller_support;
 
@@ -81,7 +81,7 @@
     assert!(matches!(error, CallerError::TrustBeyondLoopback { address } if address == listen));
 }
 
-/// A directory of this test alone, with a certificate and key for `localhost`.
+/// A directory of this test with a certificate and key for `localhost`.
 struct Files {
     directory: PathBuf,
 }
@@ -94,7 +94,7 @@
         Self { directory }
     }
 
-    /// Writes a new pair; returns the certificate.
+    /// Writes a new certificate and key; returns the certificate.
     fn write(&self) -> rustls_pki_types::CertificateDer<'static> {
         let names = vec!["localhost".to_owned()];
         let pair = rcgen::generate_simple_self_signed(names).expect("a certificate");
@@ -130,7 +130,7 @@
     }
 }
 
-/// Begins a session over TLS that trusts only `certificate`.
+/// Starts a session over TLS that trusts only `certificate`.
 async fn tls_greeting(
     address: SocketAddr,
     certificate: rustls_pki_types::CertificateDer<'static>,
@@ -195,7 +195,7 @@
 }
 
 #[actix_rt::test]
-async fn missing_tls_files_are_named() {
+async fn error_names_the_missing_tls_file() {
     let files = Files::new("missing");
     let group = FakeGroup::new();
     let shared = Arc::clone(&group.shared);
@@ -208,7 +208,7 @@
 }
 
 #[actix_rt::test]
-async fn bad_input_ends_only_its_own_connection() {
+async fn malformed_input_ends_only_its_own_connection() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut bystander, _) = RawClient::begin(&handle, &[]).await;
@@ -277,7 +277,7 @@
 }
 
 #[actix_rt::test]
-async fn malformed_messages_are_errors_and_the_session_goes_on() {
+async fn malformed_messages_are_errors_and_the_session_continues() {
     let group = FakeGroup::new();
     let handle = start(&group).await;
     let (mut client, _) = RawClient::begin(&handle, &[]).await;
@@ -321,7 +321,7 @@
 }
 
 #[actix_rt::test]
-async fn half_open_connections_and_too_many_sessions_are_turned_away() {
+async fn half_open_connections_and_excess_sessions_are_refused() {
     let group = FakeGroup::new();
     let mut bundle = caller_support::bundle();
     bundle.version.0 = 2;
--- a/crates/transport/tests/caller_support/database.rs
+++ b/crates/transport/tests/caller_support/database.rs
@@ -1,5 +1,5 @@
-//! A fake database: enough of the PostgreSQL protocol and of SQL to see what a proxy
-//! does with it.
+//! A fake database that implements enough of the PostgreSQL protocol and of SQL to
+//! observe what a proxy sends to it.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use super::server::Server;
 use super::{Commands, Replies};
 
-/// What a statement gave.
+/// Result of a statement.
 enum Outcome {
     Rows(&'static str, Vec<String>, String),
     Done(String),
@@ -28,7 +28,7 @@
     Sleeping,
 }
 
-/// One connection.
+/// One connection to a fake database.
 pub struct Connection {
     name: String,
     server: Arc<Mutex<Server>>,
@@ -87,7 +87,7 @@
                 }
                 BackendCommand::Cancel => {
                     self.server.lock().cancels += 1;
-                    self.wake_sleeper();
+                    self.cancel_sleep();
                 }
                 BackendCommand::Release { .. } => return,
             }
@@ -187,7 +187,7 @@
         }
     }
 
-    fn missing(&mut self, what: &str) {
+    fn report_missing(&mut self, what: &str) {
         self.skipping = true;
         self.error("26000", &format!("{what} does not exist"));
     }
@@ -195,7 +195,7 @@
     fn bind(&mut self, frame: &Frame) {
         let bind = Bind::read(frame).expect("a bind");
         let Some(statement) = self.statements.get(&bind.statement) else {
-            return self.missing(&bind.statement);
+            return self.report_missing(&bind.statement);
         };
         let portal = (statement.query.clone(), parameters(&bind.rest));
         self.portals.insert(bind.portal, portal);
@@ -209,7 +209,7 @@
             Target::Statement => self.statements.get(&named.name).map(|s| s.query.clone()),
         };
         let Some(query) = query else {
-            return self.missing(&named.name);
+            return self.report_missing(&named.name);
         };
         if named.target == Target::Statement {
             let count = query.matches('$').count() as u16;
@@ -229,7 +229,7 @@
     fn execute(&mut self, frame: &Frame) {
         let portal = extended::execute_portal(frame).expect("an execute");
         let Some((query, parameters)) = self.portals.get(&portal).cloned() else {
-            return self.missing(&portal);
+            return self.report_missing(&portal);
         };
         self.answer(&query, &parameters, true);
     }
@@ -293,7 +293,8 @@
         self.ready();
     }
 
-    /// Runs one statement and answers it. Returns whether the next one may run.
+    /// Runs one statement and sends its answer. Returns whether the next statement may
+    /// run.
     fn answer(&mut self, text: &str, parameters: &[String], extended: bool) -> bool {
         match self.run_statement(text, parameters) {
             Outcome::Rows(column, rows, tag) => {
@@ -329,7 +330,7 @@
                 self.error(sqlstate, &message);
                 self.skipping = extended;
                 if !self.status.is_open() {
-                    self.undo();
+                    self.roll_back();
                 }
                 false
             }
@@ -476,7 +477,7 @@
         let failed = self.status == TransactionStatus::Failed;
         self.status = TransactionStatus::Idle;
         if failed || word == "ROLLBACK" {
-            self.undo();
+            self.roll_back();
             return Outcome::Done("ROLLBACK".to_owned());
         }
         self.commit();
@@ -491,7 +492,7 @@
         }
     }
 
-    fn undo(&mut self) {
+    fn roll_back(&mut self) {
         self.pending_ledger.clear();
         self.wrote = false;
     }
@@ -508,7 +509,7 @@
                 self.copying = false;
                 self.error("57014", "COPY from stdin failed");
                 self.skipping = self.copy_extended;
-                self.undo();
+                self.roll_back();
                 self.end_copy();
             }
             _ => {}
@@ -524,8 +525,8 @@
         }
     }
 
-    /// Ends a sleeping statement.
-    fn wake_sleeper(&mut self) {
+    /// Ends a sleeping statement with a cancellation error.
+    fn cancel_sleep(&mut self) {
         if std::mem::take(&mut self.skipping) {
             self.error("57014", "canceling statement due to user request");
             self.ready();
@@ -552,7 +553,7 @@
     rest.strip_suffix("')")
 }
 
-/// Text values of a `Bind`.
+/// Returns the text values of a `Bind`.
 fn parameters(rest: &[u8]) -> Vec<String> {
     let number = |at: usize| usize::from(u16::from_be_bytes([rest[at], rest[at + 1]]));
     let mut at = 2 + number(0) * 2;
--- a/crates/transport/tests/caller_support/mod.rs
+++ b/crates/transport/tests/caller_support/mod.rs
@@ -1,5 +1,5 @@
-//! Support of the caller side's tests: a group of fake databases behind a fake source
-//! of leases, and clients.
+//! Support for the tests of the client side: a group of fake databases behind a fake
+//! lease source, and clients.
 #![allow(dead_code, reason = "each test file uses another part")]
 
 pub mod database;
@@ -30,17 +30,17 @@
 use self::database::Connection;
 use self::server::Server;
 
-/// Name of the group in every test.
+/// Name of the database group in every test.
 pub const GROUP: &str = "orders";
-/// Key that seals tokens in every test.
+/// Key that seals session tokens in every test.
 pub const TOKEN_KEY: &[u8] = b"key of the tests";
-/// Longest time anything in a test may take.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Longest time that any wait of a test may take.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Names of the databases; the first one leads at the start.
+/// Names of the databases; the first one is the primary at the start.
 pub const DATABASES: [&str; 3] = ["db-a", "db-b", "db-c"];
 
-/// What every connection of the group shares.
+/// A group of fake databases that is also the lease source and term verifier.
 pub struct FakeGroup {
     pub server: Arc<Mutex<Server>>,
     pub shared: Arc<Shared>,
@@ -71,7 +71,7 @@
         group
     }
 
-    /// Lets the proxy know where each database stands.
+    /// Reports the current status of each database to the proxy.
     pub fn observe_all(&self) {
         for name in DATABASES {
             let status = self.server.lock().status(name);
@@ -81,20 +81,20 @@
         }
     }
 
-    /// Statements that ran on any database, in order, without status queries.
+    /// Returns the statements that ran on any database, in order, without status queries.
     pub fn log(&self) -> Vec<String> {
         let server = self.server.lock();
         server.log.iter().map(|entry| entry.1.clone()).collect()
     }
 
-    /// Databases on which `text` ran.
+    /// Returns the databases on which statements containing `text` ran.
     pub fn ran_on(&self, text: &str) -> Vec<String> {
         let server = self.server.lock();
         let found = server.log.iter().filter(|entry| entry.1.contains(text));
         found.map(|entry| entry.0.clone()).collect()
     }
 
-    /// Breaks every connection, and waits until the sessions can have seen it.
+    /// Breaks every connection, and waits until the sessions can have detected it.
     pub async fn kill_connections(&self) {
         self.kills.send_modify(|count| *count += 1);
         while self.kills.receiver_count() > 0 {
@@ -103,7 +103,7 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 
-    /// Connections that are open.
+    /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
         self.kills.receiver_count()
     }
@@ -112,13 +112,16 @@
     pub async fn until(&self, what: &str, condition: impl Fn(&Self) -> bool) {
         let started = tokio::time::Instant::now();
         while !condition(self) {
-            assert!(started.elapsed() < PATIENCE, "waited in vain until {what}");
+            assert!(
+                started.elapsed() < TIMEOUT,
+                "timed out waiting until {what}"
+            );
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     }
 }
 
-/// A bundle of one group.
+/// Returns a bundle of one group.
 pub fn bundle() -> Bundle {
     let mut bundle = Bundle {
         version: BundleVersion(1),
@@ -212,7 +215,7 @@
     }
 }
 
-/// Settings of a listener on loopback that trusts everyone.
+/// Returns settings of a loopback listener that trusts every client.
 pub fn settings() -> CallerSettings {
     CallerSettings {
         token_keys: vec![TOKEN_KEY.to_vec()],
@@ -222,22 +225,22 @@
     }
 }
 
-/// A caller side over `group`.
+/// Starts a client listener over `group`.
 pub async fn start(group: &Arc<FakeGroup>) -> CallerHandle {
     start_with(group, settings()).await
 }
 
-/// A caller side with other settings.
+/// Starts a client listener over `group` with the given settings.
 pub async fn start_with(group: &Arc<FakeGroup>, settings: CallerSettings) -> CallerHandle {
     let leases: Arc<dyn LeaseSource> = Arc::clone(group) as _;
     let verifier: Arc<dyn TermVerifier> = Arc::clone(group) as _;
     let shared = Arc::clone(&group.shared);
     CallerListener::start(settings, shared, leases, verifier)
         .await
-        .expect("the caller side starts")
+        .expect("the listener starts")
 }
 
-/// Connection parameters of an ordinary client.
+/// Returns the connection parameters of an ordinary client.
 pub fn config(handle: &CallerHandle) -> Config {
     let mut config = Config::new();
     config
@@ -248,12 +251,12 @@
     config
 }
 
-/// An ordinary client.
+/// Connects an ordinary client.
 pub async fn connect(handle: &CallerHandle) -> Client {
     connect_with(&config(handle)).await
 }
 
-/// A client with these parameters.
+/// Connects a client with the given parameters.
 pub async fn connect_with(config: &Config) -> Client {
     let (client, connection) = config.connect(NoTls).await.expect("a session begins");
     actix_rt::spawn(async move {
@@ -262,13 +265,13 @@
     client
 }
 
-/// SQLSTATE of an error.
+/// Returns the SQLSTATE of an error.
 pub fn sqlstate(error: &tokio_postgres::Error) -> String {
     let code = error.code().expect("the error has a SQLSTATE");
     code.code().to_owned()
 }
 
-/// `DETAIL` of an error.
+/// Returns the `DETAIL` of an error.
 pub fn detail(error: &tokio_postgres::Error) -> String {
     let error = error.as_db_error().expect("the error came from the server");
     error.detail().unwrap_or_default().to_owned()
--- a/crates/transport/tests/caller_support/raw.rs
+++ b/crates/transport/tests/caller_support/raw.rs
@@ -1,4 +1,4 @@
-//! A client that speaks raw messages.
+//! A client that sends and receives raw messages.
 
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
 use tokio::net::TcpStream;
 use tokio_util::codec::Decoder;
 
-use super::{GROUP, PATIENCE};
+use super::{GROUP, TIMEOUT};
 
-/// A raw connection.
+/// A raw client connection.
 pub struct RawClient {
     pub socket: TcpStream,
     input: BytesMut,
@@ -32,7 +32,8 @@
         }
     }
 
-    /// A connection whose session has begun.
+    /// Opens a connection and starts a session; returns the server's start-up messages
+    /// too.
     pub async fn begin(handle: &CallerHandle, parameters: &[(&str, &str)]) -> (Self, Vec<Frame>) {
         let mut client = Self::open(handle).await;
         client.send_raw(&startup(196_608, parameters)).await;
@@ -52,7 +53,7 @@
         self.send_raw(&output).await;
     }
 
-    /// The next message; none when the proxy has closed the connection.
+    /// Returns the next message; `None` if the proxy has closed the connection.
     pub async fn next(&mut self) -> Option<Frame> {
         let mut codec = FrameCodec::new(usize::MAX);
         loop {
@@ -60,7 +61,7 @@
                 return Some(frame);
             }
             let read = self.socket.read_buf(&mut self.input);
-            let read = tokio::time::timeout(PATIENCE, read).await;
+            let read = tokio::time::timeout(TIMEOUT, read).await;
             match read.expect("a message in time") {
                 Ok(0) | Err(_) => return None,
                 Ok(_) => {}
@@ -68,7 +69,8 @@
         }
     }
 
-    /// Messages up to and including `ReadyForQuery`, or to the end.
+    /// Returns the messages up to and including `ReadyForQuery`, or up to the end of the
+    /// connection.
     pub async fn until_ready(&mut self) -> Vec<Frame> {
         let mut frames = Vec::new();
         while let Some(frame) = self.next().await {
@@ -81,13 +83,13 @@
         frames
     }
 
-    /// Answer to a simple query.
+    /// Returns the answer to a simple query.
     pub async fn query(&mut self, text: &str) -> Vec<Frame> {
         self.send(&[extended::query(text)]).await;
         self.until_ready().await
     }
 
-    /// Whether the proxy says nothing for a while.
+    /// Returns whether the proxy sends nothing for the given time.
     pub async fn is_silent(&mut self, time: Duration) -> bool {
         tokio::time::timeout(time, self.socket.read_buf(&mut self.input))
             .await
@@ -95,7 +97,7 @@
     }
 }
 
-/// A start-up packet; user and database are added.
+/// Returns a start-up packet; user and database are added unless given.
 pub fn startup(version: u32, parameters: &[(&str, &str)]) -> Vec<u8> {
     let mut body = version.to_be_bytes().to_vec();
     let own = [("user", "clinic"), ("database", GROUP)];
@@ -112,25 +114,25 @@
     packet(&body)
 }
 
-/// A packet without a tag.
+/// Returns a packet without a tag.
 pub fn packet(body: &[u8]) -> Vec<u8> {
     let mut packet = (body.len() as u32 + 4).to_be_bytes().to_vec();
     packet.extend(body);
     packet
 }
 
-/// Tags of messages as text.
+/// Returns the message tags as text.
 pub fn tags(frames: &[Frame]) -> String {
     frames.iter().map(|frame| char::from(frame.tag)).collect()
 }
 
-/// SQLSTATE of the first error among `frames`.
+/// Returns the SQLSTATE of the first error among `frames`.
 pub fn first_error(frames: &[Frame]) -> Option<String> {
     let error = frames.iter().find_map(BackendError::from_frame)?;
     Some(error.sqlstate)
 }
 
-/// Command tags among `frames`.
+/// Returns the command tags among `frames`.
 pub fn command_tags(frames: &[Frame]) -> Vec<String> {
     let complete = frames
         .iter()
@@ -140,7 +142,7 @@
         .collect()
 }
 
-/// Value of a reported parameter among `frames`.
+/// Returns the last reported value of a parameter among `frames`.
 pub fn reported(frames: &[Frame], name: &str) -> Option<String> {
     frames.iter().rev().find_map(|frame| {
         if frame.tag != backend::PARAMETER_STATUS {
@@ -153,7 +155,7 @@
     })
 }
 
-/// `Parse`.
+/// Returns a `Parse` message.
 pub fn parse(name: &str, query: &str) -> Frame {
     Frame::new(
         frontend::PARSE,
@@ -161,24 +163,24 @@
     )
 }
 
-/// `Bind` without parameters.
+/// Returns a `Bind` message without parameters.
 pub fn bind(portal: &str, statement: &str) -> Frame {
     let mut body = format!("{portal}\0{statement}\0").into_bytes();
     body.extend([0; 6]);
     Frame::new(frontend::BIND, body)
 }
 
-/// `Describe`.
+/// Returns a `Describe` message.
 pub fn describe(kind: char, name: &str) -> Frame {
     Frame::new(frontend::DESCRIBE, format!("{kind}{name}\0").into_bytes())
 }
 
-/// `Close`.
+/// Returns a `Close` message.
 pub fn close(kind: char, name: &str) -> Frame {
     Frame::new(frontend::CLOSE, format!("{kind}{name}\0").into_bytes())
 }
 
-/// `Execute` of all rows.
+/// Returns an `Execute` message for all rows.
 pub fn execute(portal: &str) -> Frame {
     let mut body = format!("{portal}\0").into_bytes();
     body.extend([0; 4]);
--- a/crates/transport/tests/caller_support/server.rs
+++ b/crates/transport/tests/caller_support/server.rs
@@ -1,4 +1,4 @@
-//! What the fake databases of one group share: their roles and logs, and faults.
+//! State shared by the fake databases of one group: roles, logs and injected faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,34 +12,37 @@
     pub place: Position,
 }
 
-/// What all fake databases of a group share.
+/// State shared by all fake databases of a group.
 pub struct Server {
     pub nodes: BTreeMap<String, Node>,
-    /// Whether replicas confirm what the primary writes.
+    /// Whether replicas confirm the primary's writes.
     pub replicas_confirm: bool,
-    /// Whether replicas follow the primary at once.
+    /// Whether replicas apply the primary's writes at once.
     pub replicas_follow: bool,
-    /// Statements that ran: database, text.
+    /// Statements that ran, as pairs of database and text.
     pub log: Vec<(String, String)>,
     /// Identifiers in the request ledger.
     pub ledger: BTreeSet<String>,
-    /// Whether the ledger's table exists.
+    /// Whether the ledger table exists.
     pub has_ledger: bool,
-    /// A connection breaks when a statement holding this text arrives, that often.
+    /// Breaks the connection when a statement containing this text arrives, this many
+    /// times.
     pub break_before: Option<(String, usize)>,
-    /// A connection breaks after a statement holding this text ran, before its answer.
+    /// Breaks the connection after a statement containing this text ran, before its
+    /// answer.
     pub break_after: Option<String>,
     /// COPY data received.
     pub copied: Vec<u8>,
-    /// Settings put on connections before their first statement.
+    /// Run-time parameters set on connections before their first statement.
     pub settings: Vec<BTreeMap<String, String>>,
-    /// Statements a `Parse` was put on a connection for.
+    /// Statements that were prepared on a connection.
     pub prepared: Vec<String>,
-    /// Status queries behind a statement that fail, as if a late cancel had hit them.
+    /// Number of status queries behind a statement that fail, as if a late cancel request
+    /// had hit them.
     pub failing_probes: usize,
-    /// Databases that say nothing at all, as if cut off.
+    /// Databases that send nothing, as if partitioned.
     pub silent: BTreeSet<String>,
-    /// Cancel commands that reached a connection.
+    /// Number of cancel commands that reached a connection.
     pub cancels: usize,
 }
 
@@ -97,7 +100,7 @@
         }
     }
 
-    /// Another database leads from now on.
+    /// Makes another database the primary of a new term.
     pub fn promote(&mut self, name: &str) {
         let term = self.nodes.values().map(|node| node.place.term.0).max();
         let term = Term(term.unwrap_or_default() + 1);
--- a/crates/transport/tests/fake/connection.rs
+++ b/crates/transport/tests/fake/connection.rs
@@ -16,7 +16,7 @@
 use tokio_util::codec::FramedRead;
 
 use super::reply;
-use super::{Authentication, Core, Script, Seen};
+use super::{Authentication, Core, LogEntry, Script};
 
 const CANCEL_CODE: u32 = 80_877_102;
 
@@ -26,7 +26,7 @@
     };
     if code == CANCEL_CODE {
         let process = u32::from_be_bytes(body[..4].try_into().unwrap());
-        core.log.lock().push(Seen::Cancelled(process));
+        core.log.lock().push(LogEntry::Cancelled(process));
         if let Some(sender) = core.cancels.lock().get(&process) {
             sender.send_modify(|count| *count += 1);
         }
@@ -37,7 +37,7 @@
     let idle = parameters
         .get("idle_session_timeout")
         .and_then(|text| text.parse().ok());
-    core.log.lock().push(Seen::Started(number, parameters));
+    core.log.lock().push(LogEntry::Started(number, parameters));
     let open = core.open.fetch_add(1, Ordering::SeqCst) + 1;
     core.most_open.fetch_max(open, Ordering::SeqCst);
     let (sender, cancels) = watch::channel(0);
@@ -56,7 +56,7 @@
     let _ended = connection.serve(open).await;
     core.cancels.lock().remove(&number);
     core.open.fetch_sub(1, Ordering::SeqCst);
-    core.log.lock().push(Seen::Ended(number));
+    core.log.lock().push(LogEntry::Ended(number));
 }
 
 async fn first_packet(stream: &mut TcpStream) -> Option<(u32, Vec<u8>)> {
@@ -115,7 +115,7 @@
             if frame.tag == b'X' {
                 return Some(());
             }
-            self.note(&frame);
+            self.record(&frame);
             match frame.tag {
                 b'Q' => self.query(&text_at(&frame, 0)).await?,
                 b'S' => {
@@ -148,14 +148,14 @@
         self.core.script.lock().clone()
     }
 
-    fn note(&self, frame: &Frame) {
+    fn record(&self, frame: &Frame) {
         let text = match frame.tag {
             b'C' => text_at(&Frame::new(b'C', frame.body.slice(1..)), 0),
             b'Q' | b'P' => text_at(frame, 0),
             b'B' => text_at(frame, 1),
             _ => String::new(),
         };
-        let seen = Seen::Message(self.number, frame.tag, text);
+        let seen = LogEntry::Message(self.number, frame.tag, text);
         self.core.log.lock().push(seen);
     }
 
@@ -171,7 +171,8 @@
                 reply::authentication(&mut self.output, 3, &[]);
                 self.flush().await?;
                 let answer = self.reader.next().await?.ok()?;
-                self.judge(text_at(&answer, 0) == *password).await
+                self.finish_authentication(text_at(&answer, 0) == *password)
+                    .await
             }
             Authentication::Scram(verifier) => self.scram(verifier).await,
         }
@@ -192,10 +193,10 @@
         if let Ok(answer) = &result {
             reply::authentication(&mut self.output, 12, answer.as_bytes());
         }
-        self.judge(result.is_ok()).await
+        self.finish_authentication(result.is_ok()).await
     }
 
-    async fn judge(&mut self, accepted: bool) -> Option<()> {
+    async fn finish_authentication(&mut self, accepted: bool) -> Option<()> {
         if accepted {
             return Some(());
         }
@@ -248,7 +249,7 @@
         self.flush().await
     }
 
-    /// Many rows of a kilobyte, written as fast as they are taken.
+    /// Writes many rows of one kilobyte each, with back-pressure.
     async fn rows(&mut self, count: usize) -> Option<()> {
         let value = "x".repeat(1_000);
         for _ in 0..count {
@@ -260,7 +261,7 @@
         Some(())
     }
 
-    /// Runs until it is cancelled.
+    /// Waits until the statement is cancelled.
     async fn sleep(&mut self) -> Option<()> {
         self.cancels.mark_unchanged();
         tokio::select! {
@@ -280,7 +281,7 @@
     }
 }
 
-/// The text that starts after `skip` texts.
+/// Returns the zero-terminated text after the first `skip` texts of the body.
 fn text_at(frame: &Frame, skip: usize) -> String {
     let text = frame.body.split(|byte| *byte == 0).nth(skip);
     String::from_utf8_lossy(text.unwrap_or_default()).into_owned()
--- a/crates/transport/tests/fake/mod.rs
+++ b/crates/transport/tests/fake/mod.rs
@@ -1,5 +1,5 @@
 //! A small scripted PostgreSQL server: enough of the protocol for the pools, with a log
-//! of what each connection was told.
+//! of the messages received on each connection.
 #![allow(dead_code)]
 
 mod connection;
@@ -24,7 +24,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// How a connection has to prove itself.
+/// How a client has to authenticate.
 #[derive(Clone)]
 pub enum Authentication {
     Trust,
@@ -33,17 +33,17 @@
     Method(u32),
 }
 
-/// What the server does; changed at any time through [`FakeDatabase::script`].
+/// Behaviour of the server; can be changed at any time through [`FakeDatabase::script`].
 #[derive(Clone)]
 pub struct Script {
     pub authentication: Authentication,
     pub slots: usize,
-    /// Start-up is refused with this SQLSTATE.
+    /// SQLSTATE with which start-up is refused.
     pub refusal: Option<&'static str>,
     pub recovery: bool,
     pub term: u32,
     pub position: &'static str,
-    /// Status queries are not answered.
+    /// Whether status queries stay unanswered.
     pub silent: bool,
 }
 
@@ -61,12 +61,12 @@
     }
 }
 
-/// One entry of the log.
+/// One entry of the server's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Seen {
-    /// Start-up parameters of a connection.
+pub enum LogEntry {
+    /// A connection started with these start-up parameters.
     Started(u32, BTreeMap<String, String>),
-    /// A message and its text: the query, the statement's name or nothing.
+    /// A message and its text: the query, the statement name or nothing.
     Message(u32, u8, String),
     /// A cancel request for a connection.
     Cancelled(u32),
@@ -74,10 +74,10 @@
     Ended(u32),
 }
 
-/// What the parts of a server share.
+/// State shared by the listener and the connections of a server.
 pub struct Core {
     pub script: Mutex<Script>,
-    pub log: Mutex<Vec<Seen>>,
+    pub log: Mutex<Vec<LogEntry>>,
     pub open: AtomicUsize,
     pub most_open: AtomicUsize,
     pub next: AtomicU32,
@@ -115,26 +115,26 @@
         change(&mut self.core.script.lock());
     }
 
-    pub fn log(&self) -> Vec<Seen> {
+    pub fn log(&self) -> Vec<LogEntry> {
         self.core.log.lock().clone()
     }
 
-    /// Texts of all simple queries but the status query, in order.
+    /// Returns the texts of all simple queries except the status query, in order.
     pub fn queries(&self) -> Vec<String> {
         let log = self.log();
         let texts = log.into_iter().filter_map(|seen| match seen {
-            Seen::Message(_, b'Q', text) if !text.contains("pg_is_in_recovery") => Some(text),
+            LogEntry::Message(_, b'Q', text) if !text.contains("pg_is_in_recovery") => Some(text),
             _ => None,
         });
         texts.collect()
     }
 
-    pub fn count(&self, wanted: impl Fn(&Seen) -> bool) -> usize {
+    pub fn count(&self, wanted: impl Fn(&LogEntry) -> bool) -> usize {
         self.log().iter().filter(|seen| wanted(seen)).count()
     }
 
     pub fn started(&self) -> usize {
-        self.count(|seen| matches!(seen, Seen::Started(..)))
+        self.count(|seen| matches!(seen, LogEntry::Started(..)))
     }
 
     pub fn most_open(&self) -> usize {
@@ -142,7 +142,7 @@
     }
 }
 
-/// A bundle of one group `books` with databases `books-0`, `books-1`, ...
+/// Returns a bundle of one group `books` with databases `books-0`, `books-1`, ...
 pub fn bundle(version: u64, slots: u32, addresses: &[SocketAddr]) -> Bundle {
     let group = GroupName::from("books");
     let zone = ZoneName::from("here");
@@ -185,7 +185,7 @@
     }
 }
 
-/// Pools under `bundle`, with settings changed by `change`.
+/// Creates pools that use `bundle`, with settings modified by `change`.
 pub fn pools(
     bundle: Bundle,
     change: impl FnOnce(&mut BackendSettings),
@@ -198,17 +198,17 @@
     (shared, pools)
 }
 
-/// Longest wait of a test for something that has to come.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest time that a test waits for an expected event.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until `condition` holds.
+/// Waits until `condition` holds; fails after [`TIMEOUT`].
 pub async fn eventually(condition: impl Fn() -> bool) {
     let wait = async {
         while !condition() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    tokio::time::timeout(PATIENCE, wait)
+    tokio::time::timeout(TIMEOUT, wait)
         .await
-        .expect("it never came about");
+        .expect("the condition did not hold within the timeout");
 }
--- a/crates/transport/tests/fake/reply.rs
+++ b/crates/transport/tests/fake/reply.rs
@@ -1,4 +1,4 @@
-//! Messages the fake server writes.
+//! Messages that the fake server sends.
 
 use bytes::{BufMut, BytesMut};
 
--- a/crates/transport/tests/fake/session.rs
+++ b/crates/transport/tests/fake/session.rs
@@ -1,10 +1,10 @@
-//! What a session does with its lease.
+//! Commands and replies of a session on its lease.
 
 use hookpoint_protocol::backend_command::{BackendCommand, BackendReply};
 use hookpoint_protocol::frame::Frame;
 use hookpoint_transport::lease::BackendLease;
 
-use super::PATIENCE;
+use super::TIMEOUT;
 
 pub fn query(text: &str) -> BackendCommand {
     BackendCommand::Frames(vec![Frame::new(b'Q', format!("{text}\0").into_bytes())])
@@ -17,12 +17,13 @@
     }
 }
 
-/// Tags up to and including the next `ReadyForQuery`, or none if the connection is lost.
+/// Reads messages up to and including the next `ReadyForQuery`; `None` if the connection
+/// is lost.
 pub async fn answer(lease: &mut BackendLease) -> Option<Vec<Frame>> {
     let mut answer = Vec::new();
     loop {
-        let reply = tokio::time::timeout(PATIENCE, lease.replies.recv()).await;
-        let BackendReply::Frames(frames) = reply.expect("no reply came")? else {
+        let reply = tokio::time::timeout(TIMEOUT, lease.replies.recv()).await;
+        let BackendReply::Frames(frames) = reply.expect("no reply in time")? else {
             return None;
         };
         answer.extend(frames);
@@ -36,7 +37,7 @@
     answer.iter().map(|frame| char::from(frame.tag)).collect()
 }
 
-/// `Bind`, `Execute` and `Sync` of a named statement.
+/// Returns `Bind`, `Execute` and `Sync` of a named statement.
 pub fn execute(name: &str) -> BackendCommand {
     let bind = [b"\0", name.as_bytes(), &[0; 7]].concat();
     BackendCommand::Frames(vec![
@@ -46,7 +47,7 @@
     ])
 }
 
-/// The statement has to be on the connection.
+/// Returns the command that ensures that a statement is prepared on the connection.
 pub fn prepare(name: &str, text: &str) -> BackendCommand {
     BackendCommand::EnsurePrepared {
         name: name.to_owned(),
@@ -55,7 +56,7 @@
     }
 }
 
-/// The session's run-time parameters.
+/// Returns the command that sets the session's run-time parameters.
 pub fn settings(list: &[(&str, &str)]) -> BackendCommand {
     let pairs = list
         .iter()
@@ -63,7 +64,7 @@
     BackendCommand::EnsureSettings(pairs.collect())
 }
 
-/// Sends a command and reads to the next `ReadyForQuery`; the tags of the answer.
+/// Sends a command and returns the tags of the messages up to the next `ReadyForQuery`.
 pub async fn ask(lease: &mut BackendLease, command: BackendCommand) -> String {
     lease.commands.send(command).await.unwrap();
     match answer(lease).await {
--- a/crates/transport/tests/peer.rs
+++ b/crates/transport/tests/peer.rs
@@ -1,4 +1,4 @@
-//! A fleet of real sockets in one process: membership and forwarded leases.
+//! Tests of a fleet with real sockets in one process: membership and forwarded leases.
 
 mod peer_support;
 
@@ -10,8 +10,8 @@
 use hookpoint_state::{DatabaseName, Refusal};
 use hookpoint_transport::lease::BackendLease;
 use peer_support::{
-    DATABASES, Ending, Node, alive, database, home_of, key, request, soon, start_fleet, start_with,
-    until,
+    DATABASES, Ending, Node, alive, database, home_of, in_time, key, request, start_fleet,
+    start_with, until,
 };
 
 const RELEASE: BackendCommand = BackendCommand::Release {
@@ -24,22 +24,22 @@
 }
 
 async fn lease(node: &Node, database: &DatabaseName) -> BackendLease {
-    soon(node.leases.acquire(request(database.clone())))
+    in_time(node.leases.acquire(request(database.clone())))
         .await
         .expect("the lease is granted")
 }
 
 async fn echo(lease: &mut BackendLease, size: usize) {
     let command = BackendCommand::Frames(frames(size));
-    soon(lease.commands.send(command))
+    in_time(lease.commands.send(command))
         .await
         .expect("it is taken");
-    let reply = soon(lease.replies.recv()).await;
+    let reply = in_time(lease.replies.recv()).await;
     assert_eq!(reply, Some(BackendReply::Frames(frames(size))));
 }
 
 #[actix_rt::test]
-async fn three_nodes_share_the_databases_and_forward_leases() {
+async fn three_nodes_divide_the_databases_and_forward_leases() {
     let nodes = start_fleet(3).await;
     for index in 0..DATABASES {
         let homes = nodes
@@ -53,7 +53,7 @@
     for size in [0, 1, 20_000, 3_000_000] {
         echo(&mut forwarded, size).await;
     }
-    soon(forwarded.commands.send(RELEASE))
+    in_time(forwarded.commands.send(RELEASE))
         .await
         .expect("it is taken");
     let endings = nodes[1].echo.endings.clone();
@@ -68,7 +68,7 @@
 }
 
 #[actix_rt::test]
-async fn a_lease_dropped_by_the_session_is_dropped_by_the_home() {
+async fn lease_dropped_by_the_session_is_dropped_by_the_home() {
     let nodes = start_fleet(2).await;
     let mut forwarded = lease(&nodes[0], &home_of(&nodes[1])).await;
     echo(&mut forwarded, 10).await;
@@ -78,7 +78,7 @@
 }
 
 #[actix_rt::test]
-async fn a_lease_that_was_never_used_goes_back_whole() {
+async fn unused_lease_is_released_as_reusable() {
     let nodes = start_fleet(2).await;
     let forwarded = lease(&nodes[0], &home_of(&nodes[1])).await;
     until(|| nodes[1].echo.granted.load(Ordering::SeqCst) == 1).await;
@@ -88,15 +88,17 @@
 }
 
 #[actix_rt::test]
-async fn a_refusal_and_the_time_left_pass_through() {
+async fn refusal_and_remaining_wait_are_forwarded() {
     let nodes = start_fleet(2).await;
     *nodes[1].echo.refusal.lock() = Some(Refusal::QueueFull);
     let mut refused = lease(&nodes[0], &home_of(&nodes[1])).await;
     let early = BackendCommand::Frames(frames(10));
-    soon(refused.commands.send(early)).await.expect("it waits");
-    let reply = soon(refused.replies.recv()).await;
+    in_time(refused.commands.send(early))
+        .await
+        .expect("it waits");
+    let reply = in_time(refused.replies.recv()).await;
     assert_eq!(reply, Some(BackendReply::Refused(Refusal::QueueFull)));
-    assert_eq!(soon(refused.replies.recv()).await, None);
+    assert_eq!(in_time(refused.replies.recv()).await, None);
     let wait = nodes[1].echo.waits.lock()[0];
     assert!(
         wait <= Duration::from_secs(10) && wait > Duration::from_secs(1),
@@ -105,17 +107,19 @@
 }
 
 #[actix_rt::test]
-async fn a_home_that_does_not_grant_in_time_is_left() {
+async fn lease_not_granted_in_time_is_refused() {
     let nodes = start_fleet(2).await;
     nodes[1].echo.stalled.store(true, Ordering::SeqCst);
     let mut short = request(home_of(&nodes[1]));
     short.wait = Duration::from_millis(50);
-    let acquired = soon(nodes[0].leases.acquire(short)).await;
+    let acquired = in_time(nodes[0].leases.acquire(short)).await;
     let mut stalled = acquired.expect("it is not waited for");
     let early = BackendCommand::Frames(frames(10));
-    soon(stalled.commands.send(early)).await.expect("it waits");
+    in_time(stalled.commands.send(early))
+        .await
+        .expect("it waits");
     assert_eq!(
-        soon(stalled.replies.recv()).await,
+        in_time(stalled.replies.recv()).await,
         Some(BackendReply::Refused(Refusal::WaitDeadline))
     );
     until(|| nodes[1].fleet.status().streams == 0).await;
@@ -127,26 +131,28 @@
     let mut forwarded = lease(&nodes[0], &home_of(&nodes[1])).await;
     for size in 0..20 {
         let command = BackendCommand::Frames(frames(size * 1_000));
-        soon(forwarded.commands.send(command)).await.expect("taken");
+        in_time(forwarded.commands.send(command))
+            .await
+            .expect("taken");
     }
     for size in 0..20 {
-        let reply = soon(forwarded.replies.recv()).await;
+        let reply = in_time(forwarded.replies.recv()).await;
         assert_eq!(reply, Some(BackendReply::Frames(frames(size * 1_000))));
     }
 }
 
 #[actix_rt::test]
-async fn a_dead_home_loses_its_leases_and_others_take_over() {
+async fn leases_of_a_failed_home_are_lost_and_other_nodes_take_over() {
     let nodes = start_fleet(3).await;
     let lost = home_of(&nodes[1]);
     let mut forwarded = lease(&nodes[0], &lost).await;
     echo(&mut forwarded, 10).await;
     nodes[1].fleet.shutdown();
     assert_eq!(
-        soon(forwarded.replies.recv()).await,
+        in_time(forwarded.replies.recv()).await,
         Some(BackendReply::Lost)
     );
-    // Nobody has noticed the death yet, but the request finds another node.
+    // No node has detected the failure yet, but the request is routed to another node.
     let mut again = lease(&nodes[0], &lost).await;
     echo(&mut again, 10).await;
     until(|| alive(&nodes[0]) == 1 && alive(&nodes[2]) == 1).await;
@@ -158,12 +164,12 @@
 }
 
 #[actix_rt::test]
-async fn a_leaving_home_hands_over_and_finishes_what_it_has() {
+async fn leaving_home_hands_over_and_finishes_its_leases() {
     let nodes = start_fleet(3).await;
     let moved = home_of(&nodes[1]);
     let mut held = lease(&nodes[0], &moved).await;
     echo(&mut held, 10).await;
-    soon(nodes[1].fleet.leave()).await;
+    in_time(nodes[1].fleet.leave()).await;
     assert!(nodes[1].fleet.homes().is_empty());
     until(|| alive(&nodes[0]) == 1 && alive(&nodes[2]) == 1).await;
     let before = nodes[1].echo.granted.load(Ordering::SeqCst);
@@ -171,24 +177,27 @@
     echo(&mut fresh, 10).await;
     assert_eq!(nodes[1].echo.granted.load(Ordering::SeqCst), before);
     echo(&mut held, 10).await;
-    // It still forwards for sessions of its own.
+    // The leaving node still forwards requests of its own sessions.
     let mut own = lease(&nodes[1], &moved).await;
     echo(&mut own, 10).await;
     for lease in [held, fresh, own] {
-        soon(lease.commands.send(RELEASE))
+        in_time(lease.commands.send(RELEASE))
             .await
             .expect("it is taken");
     }
-    assert_eq!(soon(nodes[1].fleet.drain(Duration::from_secs(10))).await, 0);
+    assert_eq!(
+        in_time(nodes[1].fleet.drain(Duration::from_secs(10))).await,
+        0
+    );
 }
 
 #[actix_rt::test]
-async fn a_slow_session_holds_up_its_own_stream_only() {
+async fn slow_session_blocks_only_its_own_stream() {
     let nodes = start_fleet(2).await;
     let remote = home_of(&nodes[1]);
     let slow = lease(&nodes[0], &remote).await;
     let mut sent = 0;
-    // Echoes pile up unread until the whole way back is full.
+    // Replies accumulate unread until all buffers on the way back are full.
     while sent < 200 {
         let command = BackendCommand::Frames(frames(100_000));
         let limit = Duration::from_millis(200);
@@ -197,26 +206,26 @@
         }
         sent += 1;
     }
-    assert!(sent < 200, "nothing held the sender up");
+    assert!(sent < 200, "no back-pressure reached the sender");
     let mut other = lease(&nodes[0], &remote).await;
     for _ in 0..20 {
         echo(&mut other, 50_000).await;
     }
     let mut slow = slow;
     for _ in 0..sent {
-        let reply = soon(slow.replies.recv()).await;
+        let reply = in_time(slow.replies.recv()).await;
         assert_eq!(reply, Some(BackendReply::Frames(frames(100_000))));
     }
 }
 
 #[actix_rt::test]
-async fn a_node_with_another_key_stays_outside() {
+async fn node_with_another_key_cannot_join() {
     let inside = start_with("zone", Vec::new(), vec![key(1)]);
     let seeds = vec![inside.fleet.address()];
     let outside = start_with("zone", seeds, vec![key(2)]);
     until(|| inside.fleet.status().counters.datagrams_dropped >= 3).await;
     assert_eq!((alive(&inside), alive(&outside)), (0, 0));
-    // During a rotation both keys are accepted.
+    // During a key rotation both keys are accepted.
     inside
         .fleet
         .set_keys(vec![key(1), key(2)])
@@ -229,9 +238,9 @@
 }
 
 #[actix_rt::test]
-async fn a_request_to_cancel_finds_the_session() {
+async fn cancel_request_is_routed_to_the_sessions_node() {
     let nodes = start_fleet(3).await;
-    let (sender, mut heard) = tokio::sync::mpsc::unbounded_channel();
+    let (sender, mut received_messages) = tokio::sync::mpsc::unbounded_channel();
     let handler = move |process, secret| {
         let _ = sender.send((process, secret));
     };
@@ -239,6 +248,6 @@
         .fleet
         .set_cancel_handler(std::sync::Arc::new(handler));
     let process = u32::from(nodes[2].fleet.tag()) << 16 | 17;
-    soon(nodes[0].fleet.cancel_session(process, 42)).await;
-    assert_eq!(soon(heard.recv()).await, Some((process, 42)));
+    in_time(nodes[0].fleet.cancel_session(process, 42)).await;
+    assert_eq!(in_time(received_messages.recv()).await, Some((process, 42)));
 }
--- a/crates/transport/tests/peer_faults.rs
+++ b/crates/transport/tests/peer_faults.rs
@@ -1,4 +1,4 @@
-//! Links that fall silent, forwarders that die, and strangers at the sockets.
+//! Tests of silent links, failed forwarders, and unauthenticated peers.
 
 mod peer_support;
 
@@ -13,12 +13,12 @@
 use hookpoint_protocol::peer::{DatagramSealer, HANDSHAKE_BYTES};
 use hookpoint_state::{BundleVersion, NodeId, RegionName, ZoneName};
 use hookpoint_transport::lease::BackendLease;
-use peer_support::{Ending, alive, home_of, key, request, soon, start_fleet, start_with, until};
+use peer_support::{Ending, alive, home_of, in_time, key, request, start_fleet, start_with, until};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
 
-/// Passes bytes between a port of its own and `target` until it is frozen; then it keeps
-/// its connections open and passes nothing.
+/// Relays bytes between a port of its own and `target` until it is frozen; then it keeps
+/// its connections open but relays nothing.
 async fn relay(target: SocketAddr) -> (SocketAddr, Arc<AtomicBool>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -60,39 +60,43 @@
 async fn echo(lease: &mut BackendLease) {
     let frames = vec![Frame::new(b'Q', "select 1")];
     let command = BackendCommand::Frames(frames.clone());
-    soon(lease.commands.send(command))
+    in_time(lease.commands.send(command))
         .await
         .expect("it is taken");
-    let reply = soon(lease.replies.recv()).await;
+    let reply = in_time(lease.replies.recv()).await;
     assert_eq!(reply, Some(BackendReply::Frames(frames)));
 }
 
 #[actix_rt::test]
-async fn a_link_that_falls_silent_loses_its_leases_at_both_ends() {
+async fn silent_link_loses_its_leases_at_both_ends() {
     let nodes = start_fleet(2).await;
-    let (by_relay, frozen) = relay(nodes[1].fleet.address()).await;
+    let (relay_address, frozen) = relay(nodes[1].fleet.address()).await;
     let direct = nodes[1].fleet.address();
-    nodes[0].shared.addresses.replace(direct, by_relay);
+    nodes[0].shared.addresses.replace(direct, relay_address);
     let remote = home_of(&nodes[1]);
     let leasing = nodes[0].leases.acquire(request(remote.clone()));
-    let mut lease = soon(leasing).await.expect("it is granted");
+    let mut lease = in_time(leasing).await.expect("it is granted");
     echo(&mut lease).await;
     frozen.store(true, Ordering::SeqCst);
-    assert_eq!(soon(lease.replies.recv()).await, Some(BackendReply::Lost));
+    assert_eq!(
+        in_time(lease.replies.recv()).await,
+        Some(BackendReply::Lost)
+    );
     let endings = nodes[1].echo.endings.clone();
     until(|| *endings.lock() == [Ending::Dropped]).await;
-    // Datagrams still pass, so the home seems alive; the request is served here instead.
+    // Datagrams still pass, so the home appears alive; the request is served locally
+    // instead.
     let leasing = nodes[0].leases.acquire(request(remote));
-    let mut lease = soon(leasing).await.expect("it is granted");
+    let mut lease = in_time(leasing).await.expect("it is granted");
     echo(&mut lease).await;
     assert_eq!(nodes[0].echo.granted.load(Ordering::SeqCst), 1);
 }
 
 #[actix_rt::test]
-async fn a_home_drops_the_leases_of_a_dead_forwarder() {
+async fn home_drops_the_leases_of_a_failed_forwarder() {
     let nodes = start_fleet(2).await;
     let leasing = nodes[0].leases.acquire(request(home_of(&nodes[1])));
-    let mut lease = soon(leasing).await.expect("it is granted");
+    let mut lease = in_time(leasing).await.expect("it is granted");
     echo(&mut lease).await;
     nodes[0].fleet.shutdown();
     let endings = nodes[1].echo.endings.clone();
@@ -101,7 +105,7 @@
 }
 
 #[actix_rt::test]
-async fn strangers_at_the_port_of_links_are_turned_away() {
+async fn unauthenticated_link_connections_are_rejected() {
     let nodes = start_fleet(2).await;
     let address = nodes[1].fleet.address();
     let greetings: [&[u8]; 3] = [
@@ -110,36 +114,36 @@
         b"short",
     ];
     for greeting in greetings {
-        let mut stranger = soon(TcpStream::connect(address))
+        let mut other_client = in_time(TcpStream::connect(address))
             .await
             .expect("a connection");
-        soon(stranger.write_all(greeting))
+        in_time(other_client.write_all(greeting))
             .await
             .expect("it is sent");
         let mut answer = Vec::new();
-        let _ = soon(stranger.read_to_end(&mut answer)).await;
+        let _ = in_time(other_client.read_to_end(&mut answer)).await;
         assert!(answer.is_empty(), "{answer:?}");
     }
     until(|| nodes[1].fleet.status().counters.links_refused == 3).await;
     let leasing = nodes[0].leases.acquire(request(home_of(&nodes[1])));
-    let mut lease = soon(leasing).await.expect("it is granted");
+    let mut lease = in_time(leasing).await.expect("it is granted");
     echo(&mut lease).await;
 }
 
 #[actix_rt::test]
-async fn leases_outlive_a_false_death() {
+async fn leases_survive_a_false_failure_detection() {
     let nodes = start_fleet(2).await;
     let leasing = nodes[0].leases.acquire(request(home_of(&nodes[1])));
-    let mut lease = soon(leasing).await.expect("it is granted");
-    // Nobody reads this socket.
-    let nowhere = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
-    let nowhere = nowhere.local_addr().expect("an address");
+    let mut lease = in_time(leasing).await.expect("it is granted");
+    // No process reads from this socket.
+    let unread = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
+    let unread = unread.local_addr().expect("an address");
     for (node, other) in [(0, 1), (1, 0)] {
         let address = nodes[other].fleet.address();
         nodes[node]
             .shared
             .addresses
-            .replace_datagrams(address, nowhere);
+            .replace_datagrams(address, unread);
     }
     let dead = |node: usize| {
         let members = nodes[node].fleet.members();
@@ -173,25 +177,25 @@
 }
 
 #[actix_rt::test]
-async fn datagrams_that_are_not_meant_for_a_node_change_nothing() {
+async fn datagrams_not_addressed_to_the_node_are_ignored() {
     let node = start_with("zone", Vec::new(), vec![key(1)]);
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let own = socket.local_addr().expect("an address");
-    let meant_for = node.fleet.node();
+    let receiver_node = node.fleet.node();
     let mut sealer = DatagramSealer::default();
     let mut seal =
         |number, datagram: &Datagram| sealer.seal(&key(number), datagram).expect("it fits");
-    let good = seal(1, &datagram(NodeId(1), Some(meant_for), own));
+    let good = seal(1, &datagram(NodeId(1), Some(receiver_node), own));
     let mut garbled = good.clone();
     garbled[40] ^= 1;
-    // (what it is, the datagram, how many are dropped as not authentic so far)
+    // Description, datagram, and number of datagrams dropped so far.
     let cases = [
         ("nonsense", vec![7; 200], 1),
         ("too large", vec![1; 1_401], 2),
         ("garbled", garbled, 3),
         (
             "of another key",
-            seal(2, &datagram(NodeId(2), Some(meant_for), own)),
+            seal(2, &datagram(NodeId(2), Some(receiver_node), own)),
             4,
         ),
         (
@@ -220,7 +224,7 @@
         );
         assert!(node.fleet.members().is_empty(), "{name}");
     }
-    // The good one counts, but only once.
+    // The valid datagram is accepted, but only once.
     for dropped in [4, 5] {
         socket
             .send_to(&good, node.fleet.address())
--- a/crates/transport/tests/peer_rollout.rs
+++ b/crates/transport/tests/peer_rollout.rs
@@ -1,4 +1,4 @@
-//! Bundles that travel from node to node over links.
+//! Tests of bundle distribution from node to node over links.
 
 mod peer_support;
 
@@ -11,7 +11,7 @@
 use peer_support::{Node, bundle, key, start_with, until};
 use tokio::sync::mpsc;
 
-/// A node's end of the platform.
+/// The platform side of a node's rollout driver.
 struct Platform {
     events: mpsc::Sender<PlatformEvent>,
     _commands: mpsc::Receiver<PlatformCommand>,
@@ -34,7 +34,7 @@
     }
 }
 
-/// A bundle that takes many pieces on a link.
+/// Returns a signed bundle that is sent in many fragments on a link.
 fn signed(version: u64) -> SignedBundle {
     let mut bundle = bundle();
     bundle.version = BundleVersion(version);
@@ -54,7 +54,7 @@
 }
 
 #[actix_rt::test]
-async fn a_bundle_that_one_node_reads_reaches_all_and_newcomers() {
+async fn bundle_read_by_one_node_reaches_all_nodes_and_later_ones() {
     let first = start_with("zone", Vec::new(), vec![key(1)]);
     let seeds = vec![first.fleet.address()];
     let mut nodes = vec![first];
@@ -64,14 +64,14 @@
     let mut platforms: Vec<Platform> = nodes.iter().map(roll_out).collect();
     for version in [1, 2] {
         let change = Change::Full(signed(version)).encode();
-        let told = platforms[1]
+        let sent = platforms[1]
             .events
             .send(PlatformEvent::Change(change))
             .await;
-        told.expect("the driver runs");
+        sent.expect("the driver runs");
         until(|| nodes.iter().all(|node| version_of(node) == version)).await;
     }
-    // It starts while the platform answers nobody.
+    // The node starts while the platform is unavailable.
     nodes.push(start_with("zone", seeds, vec![key(1)]));
     platforms.push(roll_out(&nodes[3]));
     until(|| version_of(&nodes[3]) == 2).await;
--- a/crates/transport/tests/peer_support/mod.rs
+++ b/crates/transport/tests/peer_support/mod.rs
@@ -1,6 +1,6 @@
-//! Nodes of a fleet in one process, with connections that only echo.
+//! Nodes of a fleet in one process, whose connections echo what they receive.
 
-// Each test file uses a part of it.
+// Each test file uses only a part of this module.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -23,10 +23,10 @@
 use parking_lot::Mutex;
 use tokio::sync::mpsc;
 
-/// Longest time anything in these tests may take.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// Longest time that any wait of these tests may take.
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// How a lease of the echo ended.
+/// How a lease of the echo source ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Released { reusable: bool },
@@ -40,7 +40,7 @@
     pub refusal: Mutex<Option<Refusal>>,
     pub endings: Arc<Mutex<Vec<Ending>>>,
     pub waits: Mutex<Vec<Duration>>,
-    /// When set, nothing is granted before the request's wait is over.
+    /// While set, a request is refused when its wait ends instead of being granted.
     pub stalled: std::sync::atomic::AtomicBool,
 }
 
@@ -88,7 +88,7 @@
     endings.lock().push(Ending::Dropped);
 }
 
-/// One node.
+/// One node of the fleet.
 pub struct Node {
     pub fleet: FleetHandle,
     pub echo: Arc<Echo>,
@@ -101,7 +101,7 @@
     FleetKey::new(number, &secret).expect("the secret is long enough")
 }
 
-/// Starts a node in `zone` with these keys.
+/// Starts a node in `zone` with the given keys.
 pub fn start_with(zone: &str, seeds: Vec<SocketAddr>, keys: Vec<FleetKey>) -> Node {
     let zone = ZoneName::new(zone);
     let shared = Arc::new(Shared::new(zone.clone()));
@@ -119,7 +119,8 @@
     }
 }
 
-/// Starts `count` nodes of one zone that know the first and have a bundle in force.
+/// Starts `count` nodes of one zone that use the first one as seed and have a bundle in
+/// force.
 pub async fn start_fleet(count: usize) -> Vec<Node> {
     let first = start_with("zone", Vec::new(), vec![key(1)]);
     let seeds = vec![first.fleet.address()];
@@ -131,7 +132,7 @@
         node.shared.install_bundle(bundle());
     }
     until(|| nodes.iter().all(|node| alive(node) == count - 1)).await;
-    // Homes follow the bundle a moment after it is in force.
+    // Home assignments follow shortly after the bundle is in force.
     until(|| {
         nodes
             .iter()
@@ -143,7 +144,7 @@
     nodes
 }
 
-/// Members that a node takes for alive.
+/// Returns the number of members that a node considers alive.
 pub fn alive(node: &Node) -> usize {
     let members = node.fleet.members();
     let alive = members
@@ -162,7 +163,7 @@
     GroupName::new("group")
 }
 
-/// A bundle of one group.
+/// Returns a bundle of one group.
 pub fn bundle() -> Bundle {
     let zone = ZoneName::new("zone");
     let databases: BTreeMap<DatabaseName, Database> = (0..DATABASES)
@@ -202,24 +203,27 @@
     }
 }
 
-/// A database that `node` is home of.
+/// Returns a database that `node` is the home of.
 pub fn home_of(node: &Node) -> DatabaseName {
     let homes = node.fleet.homes();
     homes.first().cloned().expect("every node is home of some")
 }
 
-/// Waits until `condition` holds.
+/// Waits until `condition` holds; fails after [`TIMEOUT`].
 pub async fn until(mut condition: impl FnMut() -> bool) {
-    let deadline = tokio::time::Instant::now() + PATIENCE;
+    let deadline = tokio::time::Instant::now() + TIMEOUT;
     while !condition() {
-        assert!(tokio::time::Instant::now() < deadline, "it took too long");
+        assert!(
+            tokio::time::Instant::now() < deadline,
+            "the condition did not hold within the timeout"
+        );
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-/// Waits for a future, not for ever.
-pub async fn soon<T>(future: impl Future<Output = T>) -> T {
-    tokio::time::timeout(PATIENCE, future)
+/// Waits for a future; fails after [`TIMEOUT`].
+pub async fn in_time<T>(future: impl Future<Output = T>) -> T {
+    tokio::time::timeout(TIMEOUT, future)
         .await
-        .expect("it took too long")
+        .expect("the future did not complete within the timeout")
 }
--- a/crates/transport/tests/platform_follower.rs
+++ b/crates/transport/tests/platform_follower.rs
@@ -1,4 +1,4 @@
-//! The follower of the platform where there is nothing to follow.
+//! Test of the platform follower without any platform URL.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 };
 
 #[actix_rt::test]
-async fn without_urls_nothing_is_watched_and_each_fetch_fails_at_once() {
+async fn without_urls_nothing_is_watched_and_fetches_fail_at_once() {
     let client = PlatformClient::new(Vec::new(), Duration::from_secs(60));
     let (commands, mut events) = PlatformFollower::start(client);
     for command in [
@@ -20,6 +20,6 @@
     assert_eq!(events.recv().await, Some(PlatformEvent::Failed));
     assert_eq!(events.recv().await, Some(PlatformEvent::Failed));
     drop(commands);
-    // A watch would hold the channel open.
+    // A running watch would keep the channel open.
     assert_eq!(events.recv().await, None);
 }
