--- a/crates/transport/src/admin/status.rs
+++ b/crates/transport/src/admin/status.rs
@@ -80,8 +80,8 @@
 /// Source of the status of the fleet's nodes.
 #[async_trait]
 pub trait FleetSource: Send + Sync {
-    /// Returns the nodes, after requesting the versions of those that appear to be behind
-    /// again.
+    /// Returns the nodes, after requesting again the bundle versions of those that appear
+    /// to be behind.
     async fn nodes(&self) -> Vec<NodeStatus>;
 }
 
--- a/crates/transport/src/backend/connection.rs
+++ b/crates/transport/src/backend/connection.rs
@@ -212,8 +212,8 @@
 
     /// Returns whether the database has closed the connection, or will have done so by
     /// its idle timeout.
-    pub fn is_expired(&mut self, lapse: Duration) -> bool {
-        if self.last_used.elapsed() >= lapse {
+    pub fn is_expired(&mut self, limit: Duration) -> bool {
+        if self.last_used.elapsed() >= limit {
             return true;
         }
         while let Some(message) = self.reader.next().now_or_never() {
--- a/crates/transport/src/backend/ledger.rs
+++ b/crates/transport/src/backend/ledger.rs
@@ -38,8 +38,7 @@
 pub(super) enum MessageAction {
     /// Relay the message to the session.
     Relay,
-    /// Discard the message, because it answers a message of the proxy itself or is
-    /// unexpected.
+    /// Discard the message: it answers a message of the proxy itself, or no message sent.
     Discard,
     /// A query of the proxy itself has ended.
     OwnQueryEnded {
--- a/crates/transport/src/backend/message.rs
+++ b/crates/transport/src/backend/message.rs
@@ -25,7 +25,7 @@
     pub database: String,
     /// Idle time in an open transaction after which the database closes the connection.
     /// The proxy ends such a transaction earlier; this limit covers transactions whose
-    /// proxy has died.
+    /// proxy has crashed.
     pub idle_transaction_timeout: Duration,
 }
 
--- a/crates/transport/src/backend/pools.rs
+++ b/crates/transport/src/backend/pools.rs
@@ -22,7 +22,7 @@
 use crate::observe::{OWN_SESSION, SharedStatuses, shared_statuses};
 use crate::shared::Shared;
 
-/// Returns whether this node is the home of a database.
+/// Predicate that determines whether this node is the home of a database.
 pub type HomeFilter = Arc<dyn Fn(&DatabaseName) -> bool + Send + Sync>;
 
 /// How much longer than the proxy's own limit a database waits before it ends an idle
--- a/crates/transport/src/backend/serve.rs
+++ b/crates/transport/src/backend/serve.rs
@@ -60,7 +60,7 @@
     Delivered,
     AbortIfSilent,
     AbortDue,
-    SessionGone,
+    SessionDropped,
 }
 
 struct Lease<'a> {
@@ -133,11 +133,11 @@
                         permit.send(BackendReply::Frames(std::mem::take(&mut self.batch)));
                         Step::Delivered
                     }
-                    Err(_) => Step::SessionGone,
+                    Err(_) => Step::SessionDropped,
                 },
                 Some(_) = self.orders.recv() => Step::AbortIfSilent,
                 () = sleep_until(self.abort_at) => Step::AbortDue,
-                () = self.replies.closed() => Step::SessionGone,
+                () = self.replies.closed() => Step::SessionDropped,
             };
             if let Some(end) = self.on_step(step) {
                 return end;
@@ -167,22 +167,22 @@
                 );
                 return Some(ServeEnd::Lost);
             }
-            Step::SessionGone => return Some(self.session_gone()),
+            Step::SessionDropped => return Some(self.on_session_dropped()),
         }
         None
     }
 
     /// Handles the session dropping its end; it may have released the connection before.
-    fn session_gone(&mut self) -> ServeEnd {
+    fn on_session_dropped(&mut self) -> ServeEnd {
         while let Ok(command) = self.commands.try_recv() {
             if let Some(end) = self.run_command(command) {
                 return end;
             }
         }
-        self.abandoned()
+        self.end_without_release()
     }
 
-    fn abandoned(&self) -> ServeEnd {
+    fn end_without_release(&self) -> ServeEnd {
         if self.used {
             ServeEnd::Abandoned
         } else {
@@ -192,7 +192,7 @@
 
     fn run_commands(&mut self, first: Option<BackendCommand>) -> Option<ServeEnd> {
         let Some(first) = first else {
-            return Some(self.abandoned());
+            return Some(self.end_without_release());
         };
         let mut next = Some(first);
         while let Some(command) = next {
--- a/crates/transport/src/backend/settings.rs
+++ b/crates/transport/src/backend/settings.rs
@@ -14,7 +14,7 @@
     /// Longest time from the first packet to a usable connection.
     pub connect_timeout: Duration,
     /// Time without a query after which the database closes a connection, so that the
-    /// slots of a dead holder are freed.
+    /// slots of a crashed holder are freed.
     pub idle_session_timeout: Duration,
     /// Longest wait for an answer to the proxy's own queries, and for the end of a
     /// connection that is being closed.
@@ -53,7 +53,7 @@
     /// Returns the time without a query after which a connection counts as closed by the
     /// database, even if the holder has not noticed. A holder that was paused can exceed
     /// it.
-    pub fn lapse(&self) -> Duration {
+    pub fn assumed_closed_after(&self) -> Duration {
         self.idle_session_timeout * 4 / 5
     }
 }
--- a/crates/transport/src/backend/task.rs
+++ b/crates/transport/src/backend/task.rs
@@ -118,7 +118,7 @@
         grant: Box<Grant>,
     ) -> Option<ConnectionEnd> {
         let settings = self.context.settings.clone();
-        if connection.is_expired(settings.lapse()) {
+        if connection.is_expired(settings.assumed_closed_after()) {
             return Some(ConnectionEnd::Stale(grant));
         }
         let end = serve::serve(connection, &self.context, *grant, &mut self.orders).await;
@@ -147,7 +147,7 @@
     /// Queries the database to restart its idle timer, and publishes the status from the
     /// answer.
     async fn heartbeat(&self, connection: &mut Connection) -> bool {
-        if connection.is_expired(self.context.settings.lapse()) {
+        if connection.is_expired(self.context.settings.assumed_closed_after()) {
             return false;
         }
         let mut collector = StatusCollector::new();
--- a/crates/transport/src/caller/active.rs
+++ b/crates/transport/src/caller/active.rs
@@ -28,8 +28,7 @@
 
 /// Maximum number of times a read is restarted after its connection broke.
 const RESTART_LIMIT: u32 = 4;
-/// Maximum number of failed status queries behind a unit before the connection is given
-/// up.
+/// Maximum number of times a failed status query behind a unit is sent again.
 const PROBE_FAILURE_LIMIT: u32 = 3;
 /// SQLSTATE `unique_violation`.
 const UNIQUE_VIOLATION: &str = "23505";
@@ -173,7 +172,7 @@
     /// Stores a granted connection and returns the event for the result of the
     /// acquisition.
     pub fn on_lease_result(&mut self, result: Result<BackendLease, Refusal>) -> RequestEvent {
-        let asked = self.requested_database.take().unwrap_or_default();
+        let requested = self.requested_database.take().unwrap_or_default();
         match result {
             Ok(lease) => {
                 let database = lease.database.clone();
@@ -181,7 +180,7 @@
                 RequestEvent::LeaseGranted { database }
             }
             Err(refusal) => RequestEvent::LeaseRefused {
-                database: asked,
+                database: requested,
                 refusal,
             },
         }
--- a/crates/transport/src/caller/flight.rs
+++ b/crates/transport/src/caller/flight.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Queues a status query alone.
+    /// Queues a status query without a unit.
     pub fn push_probe(&mut self) {
         self.push(Section::Probe, status_query());
     }
--- a/crates/transport/src/caller/marks.rs
+++ b/crates/transport/src/caller/marks.rs
@@ -62,7 +62,7 @@
 
     /// Returns whether `request` would be written to the ledger behind a savepoint.
     /// Rolling back to the savepoint would remove the ledger row while the transaction
-    /// goes on.
+    /// continues.
     fn is_behind_savepoint(&self, plan: &UnitPlan, request: &RequestId) -> bool {
         let active = self.transaction.as_ref();
         let entered = active.is_some_and(|active| active.recorded_ids.contains(request));
--- a/crates/transport/src/caller/traits.rs
+++ b/crates/transport/src/caller/traits.rs
@@ -6,7 +6,7 @@
 };
 use hookpoint_state::RequestId;
 
-/// Run-time parameter that says whether the transaction is read-only.
+/// Run-time parameter that determines whether the transaction is read-only.
 const READ_ONLY_SETTING: &str = "transaction_read_only";
 
 /// What a unit may do, over all its statements.
--- a/crates/transport/src/observe/prober.rs
+++ b/crates/transport/src/observe/prober.rs
@@ -32,7 +32,7 @@
     seed: u64,
     arbiter: &ArbiterHandle,
 ) {
-    let Some(broken_connections) = pools.take_broken_connections() else {
+    let Some(broken) = pools.take_broken_connections() else {
         return;
     };
     let (results, finished) = mpsc::channel(RESULT_BUFFER);
@@ -43,7 +43,7 @@
         schedule: ProbeSchedule::new(ProbePace::default(), seed),
         results,
     };
-    arbiter.spawn(prober.run(broken_connections, finished));
+    arbiter.spawn(prober.run(broken, finished));
 }
 
 struct Prober {
@@ -57,7 +57,7 @@
 impl Prober {
     async fn run(
         mut self,
-        mut broken_connections: mpsc::Receiver<DatabaseName>,
+        mut broken: mpsc::Receiver<DatabaseName>,
         mut finished: mpsc::Receiver<DatabaseName>,
     ) {
         let mut bundles = self.shared.bundle_changes();
@@ -66,7 +66,7 @@
         let mut due = None;
         loop {
             let event = tokio::select! {
-                Some(database) = broken_connections.recv() => ObserverEvent::ConnectionLost(database),
+                Some(database) = broken.recv() => ObserverEvent::ConnectionLost(database),
                 Some(database) = finished.recv() => ObserverEvent::Probed(database),
                 changed = bundles.changed() => match changed {
                     Ok(()) => self.configuration(),
--- a/crates/transport/src/peer/core.rs
+++ b/crates/transport/src/peer/core.rs
@@ -93,7 +93,7 @@
     pub fn notify_rollout(&self, event: RolloutEvent) {
         let rollout = self.rollout.read();
         if let Some(rollout) = &*rollout {
-            rollout.tell(event);
+            rollout.notify(event);
         }
     }
 
--- a/crates/transport/src/peer/handle.rs
+++ b/crates/transport/src/peer/handle.rs
@@ -165,7 +165,7 @@
 
     /// Passes the platform's list of machines to the membership. The list may be
     /// outdated.
-    pub fn platform_machines(&self, machines: Vec<PlatformMachine>) {
+    pub fn update_platform_machines(&self, machines: Vec<PlatformMachine>) {
         self.core
             .handle_event(NodeEvent::PlatformMachines(machines));
     }
@@ -187,7 +187,7 @@
             address: record.peer_address,
             leaving: record.state == MachineState::Leaving,
         });
-        self.platform_machines(machines.collect());
+        self.update_platform_machines(machines.collect());
     }
 
     /// Connects the rollout driver to the fleet: it receives versions, messages and the
--- a/crates/transport/src/platform/mod.rs
+++ b/crates/transport/src/platform/mod.rs
@@ -1,7 +1,7 @@
 //! Client of the platform's key-value service (etcd v3 by JSON over HTTP).
 //!
 //! A client is bound to the thread that created it. Every error states whether the
-//! request may have run, so that the caller knows when a plain retry is safe.
+//! request may have run, which determines whether a plain retry is safe.
 
 mod client;
 mod error;
--- a/crates/transport/src/platform/registration.rs
+++ b/crates/transport/src/platform/registration.rs
@@ -62,7 +62,7 @@
     pub async fn remove(&self) {
         let (removed, removal) = oneshot::channel();
         if self.requests.send(Request::Remove(removed)).await.is_ok() {
-            let _lapses_later = tokio::time::timeout(REMOVAL_LIMIT, removal).await;
+            let _expires_later = tokio::time::timeout(REMOVAL_LIMIT, removal).await;
         }
     }
 }
--- a/crates/transport/src/platform/rollout.rs
+++ b/crates/transport/src/platform/rollout.rs
@@ -45,7 +45,7 @@
 impl RolloutHandle {
     /// Passes an event to the rollout machine. If the driver is far behind, the event is
     /// dropped: versions are sent again, and pulls have a deadline.
-    pub fn tell(&self, event: RolloutEvent) {
+    pub fn notify(&self, event: RolloutEvent) {
         if self.events.try_send(event).is_err() {
             log::debug!("rollout: an event was dropped.");
         }
