--- a/crates/transport/src/backend/ledger.rs
+++ b/crates/transport/src/backend/ledger.rs
@@ -24,7 +24,7 @@
     /// `CloseComplete`; with a name, of a statement that the proxy closed itself.
     Close(Option<String>),
     Sync,
-    /// Everything up to `ReadyForQuery`.
+    /// Everything up to `ReadyForQuery` of a query of the session.
     Query,
     FunctionCall,
     /// Everything up to `ReadyForQuery` of a query of the proxy itself.
--- a/crates/transport/src/backend/prepared.rs
+++ b/crates/transport/src/backend/prepared.rs
@@ -22,7 +22,7 @@
 /// What has to be sent before a statement can be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Preparation {
-    /// Nothing.
+    /// Nothing; the statement is usable.
     None,
     /// A `Parse`.
     Parse,
--- a/crates/transport/src/caller/registry.rs
+++ b/crates/transport/src/caller/registry.rs
@@ -20,7 +20,7 @@
     Running,
     /// Sessions finish the request in flight, then end.
     Graceful,
-    /// End at once.
+    /// Sessions end at once.
     Abort,
 }
 
--- a/crates/transport/src/caller/traits.rs
+++ b/crates/transport/src/caller/traits.rs
@@ -1,4 +1,4 @@
-//! What a unit may do, over all its statements.
+//! Properties of a unit, combined over all its statements.
 
 use hookpoint_coordination::request::Access;
 use hookpoint_protocol::classify::{
@@ -9,7 +9,7 @@
 /// Run-time parameter that determines whether the transaction is read-only.
 const READ_ONLY_SETTING: &str = "transaction_read_only";
 
-/// What a unit may do, over all its statements.
+/// Properties of a unit, combined over all its statements.
 #[derive(Clone, Debug, Default)]
 pub struct UnitTraits {
     /// Whether every statement is proved to be a read.
--- a/crates/transport/src/caller/unit.rs
+++ b/crates/transport/src/caller/unit.rs
@@ -26,7 +26,7 @@
     Simple(Frame),
     /// Messages of the extended query protocol, without the `Sync`.
     Extended {
-        /// The messages.
+        /// The messages, in the order received.
         frames: Vec<Frame>,
         /// What ended the series of messages.
         end: UnitEnd,
--- a/crates/transport/src/platform/client.rs
+++ b/crates/transport/src/platform/client.rs
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Reads one key.
+    /// Reads one key; `None` if it does not exist.
     ///
     /// # Errors
     /// A [`PlatformError`].
@@ -76,7 +76,7 @@
         self.range(&request).await
     }
 
-    /// Reads keys.
+    /// Reads the keys in the range of `request`.
     ///
     /// # Errors
     /// A [`PlatformError`].
--- a/crates/transport/src/platform/registration.rs
+++ b/crates/transport/src/platform/registration.rs
@@ -52,7 +52,7 @@
 }
 
 impl Registration {
-    /// Marks the entry as leaving.
+    /// Marks the entry as leaving, without waiting until it is written.
     pub fn leave(&self) {
         let _queue_full_or_ended = self.requests.try_send(Request::Leave);
     }
--- a/crates/transport/src/platform/watch.rs
+++ b/crates/transport/src/platform/watch.rs
@@ -1,4 +1,4 @@
-//! The streaming watch.
+//! The streaming watch: changes of keys as lines of JSON.
 
 use std::pin::Pin;
 use std::time::Duration;
