--- a/crates/serving/src/connection.rs
+++ b/crates/serving/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a database and what is known of its state.
+//! One connection to a database, with the session state that this node has set on it.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -21,24 +21,24 @@
 use crate::relay::RelayedChannel;
 use crate::socket;
 
-/// Bytes of one answer at the most.
+/// Maximum number of bytes buffered for an incomplete message.
 const MAX_ANSWER_BYTES: usize = 2 << 20;
-/// Bytes read at once.
+/// Buffer space reserved for one read, in bytes.
 const READ_CHUNK: usize = 8 << 10;
 
-/// Why a connection can no longer be used.
+/// Why a connection could not be opened or can no longer be used.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
     /// The host refused the connection or reset it.
     #[error("the database refused or reset the connection: {0}")]
     Refused(io::Error),
-    /// It ended or broke.
+    /// The connection ended or failed, or a message was invalid.
     #[error("the connection broke: {0}")]
     Broken(io::Error),
-    /// No answer in time.
+    /// The database did not answer in time.
     #[error("the database did not answer in time")]
     TimedOut,
-    /// Nothing was sent: the database leaves and its time for new work is over, or its zone is
+    /// Nothing was sent: the database is draining and gets no more new work, or its zone is
     /// evacuated.
     #[error("the database gets no more work")]
     NotSent,
@@ -61,25 +61,25 @@
 /// The answer to one command.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Answer {
-    /// Rows, as sent.
+    /// Rows, as the database sent them.
     pub rows: Vec<Bytes>,
-    /// Signature, or why it failed.
+    /// The database's signature, or the failure.
     pub result: Result<Bytes, Failure>,
-    /// Where the connection stands after it.
+    /// State of the connection's transaction after the command.
     pub phase: Phase,
-    /// Position told with it.
+    /// Position of the database's log, if the answer contains one.
     pub position: Option<Position>,
 }
 
-/// The way to the database.
+/// How commands reach the database.
 enum Channel {
-    /// A connection of this node's own.
+    /// Over a connection of this node.
     Direct(DirectChannel),
-    /// One that another node holds.
+    /// Through a peer node that holds the connection.
     Relayed(RelayedChannel),
 }
 
-/// A connection of this node's own, without what is known of its state.
+/// A connection of this node to the database, without its session state.
 struct DirectChannel {
     stream: TcpStream,
     protocol: Rc<dyn WireProtocol>,
@@ -89,22 +89,22 @@
 /// One connection to a database.
 pub struct Connection {
     channel: Channel,
-    /// The database.
+    /// Name of the database.
     pub database: DatabaseName,
-    /// On whose behalf it was opened, which holds for its life.
+    /// The principal on whose behalf it was opened, which never changes.
     pub principal: Principal,
     /// Whether a transaction is open on it.
     pub in_transaction: bool,
     /// Session values set on it.
     pub values: SessionValues,
-    /// Whether its values may differ from `values`: it has to be reset.
+    /// Whether the connection's values may differ from `values`, so that it has to be reset.
     pub values_unknown: bool,
     /// Shapes prepared on it.
     pub prepared: BTreeSet<PreparedShape>,
     /// Whether it must not be used any more.
     pub broken: bool,
-    /// When something was last heard on it.
-    pub heard_at: Timestamp,
+    /// When an answer was last received on it.
+    pub last_received_at: Timestamp,
 }
 
 impl Connection {
@@ -139,7 +139,7 @@
             .unwrap_or(Err(ConnectionError::TimedOut))
     }
 
-    /// A connection that another node holds and lends.
+    /// Creates a connection that commands reach through the peer node that lends it.
     pub fn relayed(
         channel: RelayedChannel,
         database: &DatabaseName,
@@ -158,16 +158,16 @@
             values_unknown: false,
             prepared: BTreeSet::new(),
             broken: false,
-            heard_at: Timestamp::default(),
+            last_received_at: Timestamp::default(),
         }
     }
 
-    /// Whether another node holds it.
+    /// Returns whether a peer node holds the connection.
     pub fn is_relayed(&self) -> bool {
         matches!(self.channel, Channel::Relayed(_))
     }
 
-    /// The link to the node that holds it.
+    /// Returns the channel to the peer node that holds the connection; `None` if this node does.
     pub fn into_relayed(self) -> Option<RelayedChannel> {
         match self.channel {
             Channel::Relayed(channel) => Some(channel),
@@ -175,17 +175,18 @@
         }
     }
 
-    /// Whether the connection is still open and silent, as one at rest has to be.
+    /// Returns whether an idle connection can be used: it is not broken and, if this node holds it,
+    /// still open without unread input.
     pub fn is_usable(&mut self) -> bool {
         match &mut self.channel {
-            Channel::Direct(channel) => !self.broken && channel.is_silent(),
+            Channel::Direct(channel) => !self.broken && channel.has_no_unread_input(),
             Channel::Relayed(_) => !self.broken,
         }
     }
 
     /// Sends commands in one write and waits for all their answers.
     ///
-    /// After an error the connection is broken: an answer may still be on its way.
+    /// After an error the connection is marked as broken, because an answer may still arrive.
     pub async fn exchange(
         &mut self,
         commands: &[Command],
@@ -200,20 +201,20 @@
         };
         self.broken = false;
         if let Some(last) = answers.last() {
-            self.note_phase(last.phase);
+            self.update_transaction_state(last.phase);
         }
         Ok(answers)
     }
 
-    /// Takes over what the database says of the transaction. A refused commit, for one,
-    /// may leave it open.
-    fn note_phase(&mut self, phase: Phase) {
+    /// Updates the transaction state from the database's answer. A refused commit, for example, may
+    /// leave the transaction open.
+    fn update_transaction_state(&mut self, phase: Phase) {
         self.in_transaction = phase != Phase::Idle;
     }
 }
 
 impl DirectChannel {
-    fn is_silent(&self) -> bool {
+    fn has_no_unread_input(&self) -> bool {
         let mut probe = [0_u8; 1];
         self.incoming.is_empty()
             && matches!(
--- a/crates/serving/src/lease.rs
+++ b/crates/serving/src/lease.rs
@@ -1,4 +1,4 @@
-//! A connection on loan, and what brings it back to rest.
+//! A connection checked out of its pool, and the commands that return it to a clean state.
 
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -11,14 +11,14 @@
 use crate::node::Node;
 use crate::pool::{CONTROL_LIMIT, Pool};
 
-/// A connection on loan; it goes back to its pool when dropped.
+/// A connection checked out of its pool; dropping the lease releases it.
 pub struct Lease {
     connection: Option<Connection>,
     pool: Rc<Pool>,
-    taken_at: Instant,
-    /// Requests for which there is a token, if the database is cold.
-    admitted: u32,
-    /// Whether a caller's statement was sent on this loan.
+    acquired_at: Instant,
+    /// Number of requests to a cold database for which tokens were taken and not yet used.
+    admitted_requests: u32,
+    /// Whether a caller's statement was sent under this lease.
     statement_sent: bool,
 }
 
@@ -27,8 +27,8 @@
         Self {
             connection: Some(connection),
             pool,
-            taken_at: Instant::now(),
-            admitted: 0,
+            acquired_at: Instant::now(),
+            admitted_requests: 0,
             statement_sent: false,
         }
     }
@@ -37,30 +37,31 @@
         self.connection.take()
     }
 
-    /// Notes that there is a token for `requests` to a cold database.
+    /// Records that tokens were taken for `requests` requests to a cold database.
     pub(crate) fn admit(&mut self, requests: u32) {
-        self.admitted = requests;
+        self.admitted_requests = requests;
     }
 
-    /// The pool it belongs to.
+    /// Returns the pool that the connection belongs to.
     pub fn pool(&self) -> &Rc<Pool> {
         &self.pool
     }
 
-    /// The connection.
+    /// Returns the connection.
     pub fn connection(&mut self) -> &mut Connection {
         self.connection
             .as_mut()
             .expect("a lease holds its connection until it is dropped")
     }
 
-    /// Sends commands and waits for their answers; failures are noted with the pool. Nothing is
-    /// sent to a database that is shut, and no new work to one whose time for that is over.
+    /// Sends commands and waits for their answers; failures are recorded in the pool. Nothing is
+    /// sent to an evacuated database, and no new work to a draining one whose time for new work is
+    /// over.
     ///
-    /// That is asked here, where all ways to a database pass, at the moment of sending: a
-    /// statement may have waited long for the connection since its database was chosen, and a
-    /// peer that lends one sends for others. Later statements of a transaction and questions
-    /// still pass.
+    /// Both are checked here at the moment of sending, because every command to a database passes
+    /// this function: a statement may have waited long for its connection after its database was
+    /// chosen, and a node that lends connections sends statements of its peers. Later statements of
+    /// a transaction and control commands are still sent to a draining database.
     pub async fn exchange(
         &mut self,
         node: &Rc<Node>,
@@ -73,7 +74,8 @@
         }
         let begins_work = !self.statement_sent && commands.iter().any(Command::is_statement);
         if begins_work && !node.gets_new_work(self.pool.database()) {
-            // What is known of its values and prepared names counts these commands as sent.
+            // The connection's recorded values and prepared statements already include the
+            // commands that are not sent.
             self.connection().broken = true;
             return Err(ConnectionError::NotSent);
         }
@@ -81,7 +83,8 @@
         let asked_at = node.now();
         let relayed = self.connection().is_relayed();
         if !relayed {
-            self.admitted = node.charge_cold(self.pool.database(), commands, self.admitted);
+            self.admitted_requests =
+                node.charge_cold(self.pool.database(), commands, self.admitted_requests);
         }
         let outcome = self.connection().exchange(commands, limit).await;
         let stage = if relayed { "peer" } else { "database" };
@@ -91,7 +94,7 @@
         }
         match &outcome {
             Ok(_) => {
-                self.connection().heard_at = node.now();
+                self.connection().last_received_at = node.now();
                 node.note_contact(self.pool.database());
             }
             Err(ConnectionError::NotSent) => {}
@@ -117,13 +120,13 @@
     fn drop(&mut self) {
         if let Some(connection) = self.connection.take() {
             let pool = Rc::clone(&self.pool);
-            pool.release(connection, self.taken_at.elapsed());
+            pool.release(connection, self.acquired_at.elapsed());
         }
     }
 }
 
-/// Ends what a connection's transaction held. A connection on which that fails is broken and
-/// is not used again; its database rolls back as it closes.
+/// Rolls back a connection's transaction. If that fails, the connection is marked as broken and
+/// closed, and its database rolls back at the close.
 pub async fn roll_back(node: &Rc<Node>, mut lease: Lease) {
     let commands = [Command::Rollback];
     if lease
@@ -135,7 +138,8 @@
     }
 }
 
-/// Opens a plain transaction: its answer tells whether the database leads, and where.
+/// Begins a plain transaction, which only a primary accepts, and records whether the database is
+/// the primary and its position.
 pub async fn prove_leadership(node: &Rc<Node>, lease: &mut Lease) -> Result<(), ConnectionError> {
     let mut commands = Vec::with_capacity(2);
     if lease.connection().in_transaction {
@@ -153,7 +157,7 @@
     Ok(())
 }
 
-/// Takes the answer to a plain `Begin`: it tells whether the database leads.
+/// Records from the answer to a plain `Begin` whether the database is the primary.
 pub fn note_begin(node: &Rc<Node>, lease: &Lease, asked_at: Timestamp, answer: &Answer) {
     let database = lease.pool.database().clone();
     match &answer.result {
--- a/crates/serving/src/message.rs
+++ b/crates/serving/src/message.rs
@@ -1,4 +1,4 @@
-//! Typed messages between callers, this node and databases, without their spelling.
+//! Typed messages between callers, this node and databases, independent of the wire protocol.
 
 use bytes::Bytes;
 use hookpoint_coordination::serving::session::{Access, Phase, PreparedShape};
@@ -6,43 +6,43 @@
 use hookpoint_state::{Position, Term};
 use serde::{Deserialize, Serialize};
 
-/// Why a statement did not succeed.
+/// Failure codes of statements and sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum FailureCode {
-    /// No capacity in time; nothing ran or nothing is kept.
+    /// No capacity was available in time; the statement did not run or was rolled back.
     Overloaded,
-    /// The transaction is rolled back; nothing is kept.
+    /// The transaction was rolled back.
     RolledBack,
-    /// The database lacks a position that was asked for; it did not run.
+    /// The database has not reached the required position; the statement did not run.
     Lagging,
-    /// The database is not the primary; it did not run.
+    /// The database is not the primary; the statement did not run.
     NotPrimary,
-    /// The connection reached another database than was meant; nothing ran.
+    /// The connection reached a different database than the one requested; nothing ran.
     WrongDatabase,
-    /// The database takes no more connections; nothing ran.
+    /// The database's connection limit is reached; nothing ran.
     TooManyConnections,
-    /// It ran and failed.
+    /// The statement ran and failed.
     Failed,
-    /// It ran out of time; whether it ran is not known.
+    /// The statement timed out; whether it ran is not known.
     TimedOut,
-    /// The prepared name is not known; it did not run.
+    /// The prepared statement does not exist; the statement did not run.
     UnknownPrepared,
     /// No route has this name.
     NoSuchDatabase,
-    /// The caller's key is not known, or no longer; nothing ran.
+    /// The caller's key is unknown or was revoked; nothing ran.
     Denied,
-    /// The message cannot be understood or does not fit the session's state.
+    /// The message cannot be parsed or is not allowed in the session's state.
     Malformed,
     /// The message is too large.
     TooLarge,
     /// A write was sent and its outcome is not known.
     OutcomeUnknown,
-    /// Any other code of a database.
+    /// A code of a database that this node does not know.
     Other,
 }
 
 impl FailureCode {
-    /// Short name for logs and metrics.
+    /// Returns a short name for logs and metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             FailureCode::Overloaded => "overloaded",
@@ -64,17 +64,17 @@
     }
 }
 
-/// A failure as told to a caller or by a database.
+/// A failure that a database reports or this node reports to a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Failure {
-    /// The kind.
+    /// The failure code.
     pub code: FailureCode,
-    /// Further text.
+    /// Further details, without the code; the whole text of the error if the code is not known.
     pub text: Bytes,
 }
 
 impl Failure {
-    /// A failure with a text of this node's own.
+    /// Creates a failure that this node reports.
     pub fn new(code: FailureCode, text: impl Into<String>) -> Self {
         Self {
             code,
@@ -88,198 +88,198 @@
 pub enum Statement {
     /// Opens a transaction.
     Begin {
-        /// Whether it only reads.
+        /// Whether the transaction is read-only.
         read_only: bool,
     },
-    /// Commits; the text goes to the database unchanged.
+    /// Commits the transaction.
     Commit,
-    /// Rolls back.
+    /// Rolls the transaction back.
     Rollback,
-    /// Reads or writes; the text goes to the database unchanged.
+    /// Reads or writes; the text is sent to the database unchanged.
     Run {
-        /// Whether it reads or writes.
+        /// Whether the statement reads or writes.
         access: Access,
-        /// The text.
+        /// Text of the statement.
         text: Bytes,
     },
     /// Sets a session value.
     Set {
-        /// Its name.
+        /// Name of the session value.
         name: String,
-        /// Its value.
+        /// New value.
         value: String,
     },
-    /// Prepares a shape under a name.
+    /// Prepares a shape under a name that is local to the session.
     Prepare {
-        /// The caller's name for it.
+        /// The caller's name for the prepared statement.
         name: String,
-        /// The shape.
+        /// The shape to prepare.
         shape: PreparedShape,
     },
     /// Runs a prepared shape.
     Execute {
-        /// The caller's name for it.
+        /// The caller's name for the prepared statement.
         name: String,
-        /// The arguments, as text.
+        /// Arguments, as text.
         arguments: Bytes,
     },
-    /// Forgets a prepared name.
+    /// Removes a prepared statement from the session.
     Deallocate {
-        /// The caller's name for it.
+        /// The caller's name for the prepared statement.
         name: String,
     },
-    /// Anything else.
+    /// Any statement that was not recognized.
     Unknown,
 }
 
-/// What a caller sends.
+/// A message from a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerInput {
     /// Opens the session.
     Start {
-        /// The database it names: the host of a route.
+        /// Name of the requested database, which is the host of a route.
         database: String,
-        /// What the caller says it is, as the digest of a tenant's key.
+        /// Digest of the tenant's key that the caller sent.
         key: KeyDigest,
     },
-    /// One statement.
+    /// Runs one statement.
     Query {
-        /// The caller's id of the request.
+        /// The caller's request id.
         id: Bytes,
         /// The statement.
         statement: Statement,
     },
     /// Ends the session.
     End,
-    /// A message that cannot be read; the session goes on.
+    /// A message that cannot be parsed; the session continues.
     Malformed,
     /// A message over the size limit; the session ends.
     TooLarge,
 }
 
-/// What this node answers a caller.
+/// A message from this node to a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerOutput {
     /// One row, as the database sent it.
     Row(Bytes),
-    /// Success with the database's signature; empty for this node's own answers.
+    /// Success with the database's signature, which is empty if this node answered by itself.
     Done(Bytes),
-    /// A failure.
+    /// The statement or the session failed.
     Failure(Failure),
-    /// The session awaits the next statement.
+    /// The session is ready for the next statement.
     Ready(Phase),
 }
 
-/// What this node sends to a database.
+/// A command from this node to a database.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
     /// Opens the connection.
     Start {
-        /// The group that is meant.
+        /// Group of the database that the connection is for.
         group: String,
-        /// The database that is meant.
+        /// Database that the connection is for.
         database: String,
-        /// On whose behalf statements will run on it.
+        /// Principal on whose behalf statements will run on the connection.
         principal: Principal,
     },
     /// Opens a transaction.
     Begin {
-        /// Whether it only reads.
+        /// Whether the transaction is read-only.
         read_only: bool,
-        /// Position that the database has to hold.
+        /// Position that the database must have reached, if any.
         after: Option<Position>,
     },
-    /// Commits on behalf of a caller.
+    /// Commits the transaction on behalf of a caller.
     Commit {
-        /// The caller's id.
+        /// The caller's request id.
         id: Bytes,
     },
-    /// Rolls back.
+    /// Rolls the transaction back.
     Rollback,
-    /// Runs a caller's text.
+    /// Runs the text of a caller's statement.
     Run {
-        /// The caller's id.
+        /// The caller's request id.
         id: Bytes,
-        /// Position that the database has to hold.
+        /// Position that the database must have reached, if any.
         after: Option<Position>,
-        /// The text.
+        /// Text of the statement.
         text: Bytes,
     },
     /// Runs a prepared shape.
     Execute {
-        /// The caller's id.
+        /// The caller's request id.
         id: Bytes,
-        /// Position that the database has to hold.
+        /// Position that the database must have reached, if any.
         after: Option<Position>,
         /// This node's name for the shape.
         name: String,
-        /// The arguments, as text.
+        /// Arguments, as text.
         arguments: Bytes,
     },
     /// Prepares a shape under this node's name.
     Prepare {
         /// This node's name for the shape.
         name: String,
-        /// The shape.
+        /// The shape to prepare.
         shape: PreparedShape,
     },
     /// Sets a session value.
     Set {
-        /// Its name.
+        /// Name of the session value.
         name: String,
-        /// Its value.
+        /// New value.
         value: String,
     },
-    /// Drops session values and prepared names.
+    /// Removes the session values and prepared statements of the connection.
     Reset,
-    /// Asks for role and positions.
+    /// Asks for the database's role, term and position.
     Status,
-    /// Keeps a replica from receiving, under a term above the newest.
+    /// Stops a replica from receiving log entries, under a term above the newest known one.
     PauseReplication {
-        /// The term.
+        /// Term above the newest known one.
         term: Term,
     },
-    /// Lets a replica receive again.
+    /// Lets a replica receive log entries again.
     ResumeReplication,
     /// Turns a primary of a lower term into a replica.
     StepDown {
-        /// The term.
+        /// Term above that of the primary.
         term: Term,
     },
 }
 
 impl Command {
-    /// Whether it is a caller's statement: work for the database.
+    /// Returns whether the command runs a caller's statement.
     pub fn is_statement(&self) -> bool {
         matches!(self, Command::Run { .. } | Command::Execute { .. })
     }
 }
 
-/// One message of a database.
+/// A message from a database.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DatabaseMessage {
-    /// A row.
+    /// One row of a result.
     Row(Bytes),
-    /// Success with a signature.
+    /// Success, with the database's signature.
     Done(Bytes),
-    /// A failure.
+    /// The command failed.
     Failure(Failure),
-    /// The answer is complete.
+    /// The answer to a command is complete.
     Ready {
-        /// Where the connection stands.
+        /// State of the connection's transaction.
         phase: Phase,
-        /// Position of the database's log.
+        /// Position of the database's log, if the message contains one.
         position: Option<Position>,
     },
 }
 
-/// A database's answer about itself.
+/// A database's answer to [`Command::Status`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DatabaseStatus {
-    /// Whether it leads.
+    /// Whether the database is a primary.
     pub primary: bool,
-    /// Newest term that it has seen.
+    /// Newest term that the database has seen.
     pub term: Term,
-    /// Newest position that it has received.
+    /// Newest log position that the database has received.
     pub received: Position,
 }
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -1,4 +1,5 @@
-//! What the configuration in force says about where statements may run and pass through.
+//! Region restrictions of the current configuration: where statements may run and through which
+//! nodes they may pass.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -12,8 +13,8 @@
 use crate::node::Node;
 
 impl Node {
-    /// The placement, by the configuration in force, of a statement that was admitted to the
-    /// route called `name`.
+    /// Returns the placement, by the current configuration, of a statement that was admitted to the
+    /// route called `name`. `admitted`: the route as it was then.
     pub(crate) fn placement(
         &self,
         name: &str,
@@ -25,19 +26,19 @@
         Rc::new(placement)
     }
 
-    /// Takes over what a configuration says of the regions of primaries.
+    /// Stores the regions in which a configuration wants the primaries.
     pub(crate) fn place_primaries(&self, configuration: &Configuration) {
         *self.primary_regions.borrow_mut() = primary_regions(configuration);
     }
 
-    /// The regions that the routes of a group want its primary in; none if they do not care
-    /// or do not agree.
+    /// Returns the regions in which the routes of a group want its primary; `None` if they do not
+    /// restrict it or do not agree.
     pub fn primary_regions(&self, group: &GroupName) -> Option<BTreeSet<RegionName>> {
         self.primary_regions.borrow().get(group).cloned()
     }
 
-    /// Whether a peer may be given the text of a statement placed so. One that is not known
-    /// any more may not, unless any may.
+    /// Returns whether a peer may receive the text of a statement with this placement. A peer that
+    /// is no longer a known member may receive it only if the placement is not restricted.
     pub(crate) fn may_carry(&self, peer: &Peer, placement: &Placement) -> bool {
         if !placement.is_restricted() {
             return true;
@@ -47,7 +48,7 @@
         zone.is_some_and(|zone| placement.may_carry(zone, &self.changeable().regions))
     }
 
-    /// Whether this node may carry the text of other nodes' statements placed so.
+    /// Returns whether this node may carry the text of other nodes' statements with this placement.
     pub(crate) fn is_carrier(&self, placement: &Placement) -> bool {
         placement.may_carry(&self.settings.zone, &self.changeable().regions)
     }
--- a/crates/serving/src/pool/acquire.rs
+++ b/crates/serving/src/pool/acquire.rs
@@ -1,4 +1,4 @@
-//! Getting a connection: one at rest, a new one, the next that becomes free, or one that another
+//! Acquires a connection: an idle one, a new one, the next that becomes free, or one that a peer
 //! node holds.
 
 use std::rc::Rc;
@@ -7,8 +7,8 @@
 use hookpoint_coordination::serving::tenancy::Principal;
 use hookpoint_state::Timestamp;
 
-use super::place::Place;
-use super::waiters::{Ticket, Turn, Waiters};
+use super::place::OpenPermit;
+use super::waiters::{Grant, Ticket, Waiters};
 use super::{AcquireError, ConnectionRequest, Pool};
 use crate::connection::{Connection, ConnectionError};
 use crate::lease::Lease;
@@ -16,16 +16,18 @@
 use crate::node::Node;
 use crate::relay::{self, NoLease};
 
-/// Limit for connecting and opening a session.
+/// Time limit for connecting to a database and opening a session.
 const CONNECT_LIMIT: Duration = Duration::from_millis(500);
-/// How long no connection is opened after the database refused one for their number.
-const LIMIT_PAUSE: Duration = Duration::from_millis(400);
-/// Connections of a node that is not home of a database while no home node answers: all nodes
-/// of a fleet parted from the homes may need one, and a database takes a bounded number.
-const SUBSTITUTE_CONNECTIONS: usize = 1;
+/// How long no connection is opened after the database refused one for its connection limit.
+const CONNECTION_LIMIT_PAUSE: Duration = Duration::from_millis(400);
+/// Maximum number of connections that a node that is not a home of a database opens while no home
+/// node answers. Every node of a fleet that is partitioned from the homes may need one, and a
+/// database accepts a limited number.
+const MAX_SUBSTITUTE_CONNECTIONS: usize = 1;
 
 impl Pool {
-    /// Takes a connection of this node's own, or leases one from a node that holds them.
+    /// Acquires a connection of this node, or leases one from a peer node that holds connections to
+    /// the database.
     pub async fn acquire(
         self: &Rc<Self>,
         request: ConnectionRequest<'_>,
@@ -65,8 +67,8 @@
         }
     }
 
-    /// Takes a connection of this node's own though it is not home: none of the nodes that
-    /// are, and may carry the statement, answers.
+    /// Acquires a connection of this node although it is not a home of the database, because no home
+    /// node that may carry the statement answers.
     async fn acquire_as_substitute(
         self: &Rc<Self>,
         node: &Rc<Node>,
@@ -79,17 +81,17 @@
             return Err(refusal);
         }
         node.counters.count("connections", "substitute");
-        self.acquire_within(node, SUBSTITUTE_CONNECTIONS, request)
+        self.acquire_within(node, MAX_SUBSTITUTE_CONNECTIONS, request)
             .await
     }
 
-    /// Lends a connection that another node holds.
+    /// Checks out a connection that a peer node holds.
     pub fn lend_relayed(self: &Rc<Self>, connection: Connection) -> Lease {
         self.lend(connection)
     }
 
-    /// Takes a connection of this node's own: one at rest, a new one, or the next that
-    /// becomes free.
+    /// Acquires a connection of this node: an idle one, a new one, or the next that becomes free.
+    /// If the database is cold, first waits for a token of its request budget.
     pub async fn acquire_direct(
         self: &Rc<Self>,
         node: &Rc<Node>,
@@ -117,7 +119,7 @@
         Ok(lease)
     }
 
-    /// The same with at most `cap` connections open.
+    /// Acquires a connection of this node with at most `cap` connections open.
     async fn acquire_within(
         self: &Rc<Self>,
         node: &Rc<Node>,
@@ -131,7 +133,7 @@
         if let Some(lease) = self.try_acquire(request.principal, request.values) {
             return Ok(lease);
         }
-        if self.may_open_within(cap, node.now()) || self.make_room(cap, node.now()) {
+        if self.may_open_within(cap, node.now()) || self.evict_idle(cap, node.now()) {
             match self.open(node, request.principal).await {
                 Err(AcquireError::Crowded) => {}
                 other => return other,
@@ -149,18 +151,19 @@
         self.wait(node, request).await
     }
 
-    /// Notes that one more connection is wanted.
+    /// Records that the principal needs one more connection than it uses and waits for.
     fn note_demand(&self, now: Timestamp, principal: Option<&Principal>) {
         let principal = principal.unwrap_or(&Principal::Anonymous);
         let in_use = self.in_use.borrow().get(principal).copied();
-        let waiting = self.waiters.borrow().len_of(principal);
+        let waiting = self.waiters.borrow().len_for(principal);
         let wanted = in_use.unwrap_or_default() + waiting + 1;
         self.demand.borrow_mut().note(now, principal, wanted);
     }
 
-    /// Closes a connection at rest, which is another principal's, for one that is wanted now.
-    fn make_room(&self, cap: usize, now: Timestamp) -> bool {
-        if now < self.no_opening_until.get() || self.open.get() > cap {
+    /// Closes the connection that has been idle longest to make room for a new one. Called when no
+    /// idle connection of the requested principal is left. Returns whether one was closed.
+    fn evict_idle(&self, cap: usize, now: Timestamp) -> bool {
+        if now < self.opening_paused_until.get() || self.open.get() > cap {
             return false;
         }
         let closed = self.idle.borrow_mut().take_oldest().is_some();
@@ -170,28 +173,28 @@
         closed
     }
 
-    /// Whether another connection may be opened now.
+    /// Returns whether another connection may be opened now.
     pub fn may_open(&self, node: &Rc<Node>) -> bool {
         self.may_open_within(node.connection_cap(&self.database), node.now())
     }
 
     fn may_open_within(&self, cap: usize, now: Timestamp) -> bool {
-        let refused_lately = now < self.no_opening_until.get();
-        !refused_lately && self.open.get() < cap
+        let recently_refused = now < self.opening_paused_until.get();
+        !recently_refused && self.open.get() < cap
     }
 
-    /// Opens a connection whatever the cap says; in nobody's name if no principal is told.
+    /// Opens a connection regardless of the cap; as the anonymous principal if none is given.
     pub async fn open(
         self: &Rc<Self>,
         node: &Rc<Node>,
         principal: Option<&Principal>,
     ) -> Result<Lease, AcquireError> {
-        self.open_in(Place::new(self), node, principal).await
+        self.open_with(OpenPermit::new(self), node, principal).await
     }
 
-    async fn open_in(
+    async fn open_with(
         self: &Rc<Self>,
-        place: Place,
+        permit: OpenPermit,
         node: &Rc<Node>,
         principal: Option<&Principal>,
     ) -> Result<Lease, AcquireError> {
@@ -221,8 +224,8 @@
         }
         match opened {
             Ok(mut connection) => {
-                place.fill();
-                connection.heard_at = node.now();
+                permit.mark_opened();
+                connection.last_received_at = node.now();
                 if !self.reachable.replace(true) {
                     node.doubt_warmth(&self.database);
                 }
@@ -234,7 +237,8 @@
             Err(ConnectionError::Rejected(failure))
                 if failure.code == FailureCode::TooManyConnections =>
             {
-                self.no_opening_until.set(node.now() + LIMIT_PAUSE);
+                self.opening_paused_until
+                    .set(node.now() + CONNECTION_LIMIT_PAUSE);
                 Err(AcquireError::Crowded)
             }
             Err(error) => {
@@ -260,8 +264,10 @@
         let (ticket, receiver) = joining(&mut self.waiters.borrow_mut());
         let _guard = WaiterGuard { pool: self, ticket };
         match tokio::time::timeout(request.limits.limit, receiver).await {
-            Ok(Ok(Turn::Connection(lease))) => Ok(*lease),
-            Ok(Ok(Turn::Place(place))) => self.open_in(place, node, request.principal).await,
+            Ok(Ok(Grant::Connection(lease))) => Ok(*lease),
+            Ok(Ok(Grant::OpenPermit(permit))) => {
+                self.open_with(permit, node, request.principal).await
+            }
             Ok(Err(_)) if self.is_retired() => Err(AcquireError::Unlisted),
             _ => Err(AcquireError::TimedOut),
         }
--- a/crates/serving/src/pool/idle.rs
+++ b/crates/serving/src/pool/idle.rs
@@ -1,4 +1,4 @@
-//! The connections of one database that are open and at rest.
+//! The idle connections to one database.
 
 use hookpoint_coordination::serving::session::SessionValues;
 use hookpoint_coordination::serving::tenancy::Principal;
@@ -6,7 +6,7 @@
 
 use crate::connection::Connection;
 
-/// Connections at rest, the longest at rest first.
+/// Idle connections, the one that has been idle longest first.
 #[derive(Default)]
 pub(super) struct IdleConnections(Vec<Connection>);
 
@@ -15,8 +15,8 @@
         self.0.push(connection);
     }
 
-    /// Takes the last used one of a principal, or of any if none is told; one that has the
-    /// session values `preferred` goes first.
+    /// Takes the most recently used connection of `principal`, or of any principal if `None`.
+    /// Connections that have the session values `preferred` are taken first.
     pub(super) fn take(
         &mut self,
         principal: Option<&Principal>,
@@ -29,28 +29,29 @@
             .0
             .iter()
             .rposition(|connection| own(connection) && connection.values == *preferred);
-        let place = matching.or_else(|| self.0.iter().rposition(own))?;
-        Some(self.0.remove(place))
+        let index = matching.or_else(|| self.0.iter().rposition(own))?;
+        Some(self.0.remove(index))
     }
 
-    /// Whether one of them is still open.
+    /// Returns whether at least one of them is still usable.
     pub(super) fn any_usable(&mut self) -> bool {
         self.0.iter_mut().any(Connection::is_usable)
     }
 
-    /// Takes the one that has rested for the longest time.
+    /// Takes the connection that has been idle longest.
     pub(super) fn take_oldest(&mut self) -> Option<Connection> {
         (!self.0.is_empty()).then(|| self.0.remove(0))
     }
 
-    /// Closes those on which nothing was heard since `since`; returns how many.
-    pub(super) fn close_unheard_since(&mut self, since: Timestamp) -> usize {
+    /// Closes the connections on which nothing was received since `since`; returns their number.
+    pub(super) fn close_inactive_since(&mut self, since: Timestamp) -> usize {
         let before = self.0.len();
-        self.0.retain(|connection| connection.heard_at >= since);
+        self.0
+            .retain(|connection| connection.last_received_at >= since);
         before - self.0.len()
     }
 
-    /// Closes all; returns how many.
+    /// Closes all connections; returns their number.
     pub(super) fn close_all(&mut self) -> usize {
         self.0.drain(..).count()
     }
--- a/crates/serving/src/pool/mod.rs
+++ b/crates/serving/src/pool/mod.rs
@@ -1,6 +1,6 @@
-//! The connections of one database: open ones at rest, and who waits for one.
+//! The connection pool of one database: its idle connections and the requests that wait for one.
 //!
-//! A connection is opened on behalf of one principal and serves no other.
+//! A connection is opened on behalf of one principal and runs statements of no other principal.
 
 mod acquire;
 mod idle;
@@ -31,30 +31,30 @@
 use crate::node::Node;
 use crate::second_way;
 
-/// Limit for answers that need no slot.
+/// Time limit for answers to commands that need no execution slot at the database.
 pub const CONTROL_LIMIT: Duration = Duration::from_millis(450);
-/// How long a database that failed to answer is avoided.
+/// How long a database is avoided after it failed to answer.
 const SUSPECT_TIME: Duration = Duration::from_millis(800);
-/// How long a database that lacked a position is avoided.
+/// How long a database is avoided after it lacked a required position.
 const LAGGING_TIME: Duration = Duration::from_millis(150);
-/// How long a pool without connections is kept for what it learnt of its database.
-const POOL_MEMORY: Duration = Duration::from_secs(30);
-/// Service time assumed before any is measured.
+/// How long an unused pool without connections is kept for its statistics about the database.
+const POOL_RETENTION: Duration = Duration::from_secs(30);
+/// Service time assumed before the first statement has been served.
 const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(20);
 
-/// How long a connection is waited for.
+/// How long a request waits for a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitLimits {
-    /// A queue in which it is expected to take longer is not joined.
+    /// The request does not join a queue whose expected wait is longer than this.
     pub patience: Duration,
-    /// What the connection is wanted for.
+    /// What the connection will be used for.
     pub wanted: ConnectionUse,
-    /// After this time the queue is left.
+    /// The request leaves the queue after this time.
     pub limit: Duration,
 }
 
 impl WaitLimits {
-    /// What is left of them once a request has waited for `waited`.
+    /// Returns the limits that remain after a request has waited for `waited`.
     pub(crate) fn after(self, waited: Duration) -> Self {
         Self {
             patience: self.patience.saturating_sub(waited),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Any queue is joined, and left after `limit`.
+    /// Returns limits of a request that joins any queue and leaves it after `limit`.
     pub fn patient(limit: Duration) -> Self {
         Self {
             patience: Duration::MAX,
@@ -73,55 +73,55 @@
     }
 }
 
-/// What a connection is asked for.
+/// A request for a connection.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionRequest<'a> {
-    /// On whose behalf statements will run on it; none for a question of this node's own,
-    /// which is nobody's statement: any connection serves.
+    /// The principal on whose behalf statements will run on it; `None` for a query of this node
+    /// itself, which any connection can serve.
     pub principal: Option<&'a Principal>,
-    /// 0 is served first.
+    /// Priority in the wait queue; 0 is served first.
     pub priority: u8,
-    /// Session values that it should have already.
+    /// Session values that the connection should preferably have already.
     pub values: &'a SessionValues,
-    /// Which other nodes the statements may pass through.
+    /// Restricts which peer nodes the statements may pass through.
     pub placement: &'a Placement,
-    /// How long it is waited for.
+    /// How long the request waits.
     pub limits: WaitLimits,
 }
 
-/// Why no connection was had.
+/// Why no connection was acquired.
 #[derive(Debug, Error)]
 pub enum AcquireError {
-    /// None became free in time.
+    /// No connection became free in time.
     #[error("no connection became free in time")]
     TimedOut,
-    /// One could not be opened.
+    /// A new connection could not be opened.
     #[error(transparent)]
     Connection(#[from] ConnectionError),
     /// This node holds no connections to the database, or cannot reach it.
     #[error("this node cannot reach the database by itself")]
     NotHeld,
-    /// The queue for its connections is too long.
+    /// The wait queue for the database's connections is too long.
     #[error("the queue for the database's connections is too long")]
     Overloaded,
-    /// The database takes no more connections at the moment, and this node has none.
+    /// The database's connection limit is reached, and this node has no connection to it.
     #[error("the database takes no more connections")]
     Crowded,
-    /// The database is not listed any more.
+    /// The database is no longer listed in the directory, or the pool is retired.
     #[error("the database is not listed")]
     Unlisted,
-    /// Its zone is evacuated.
+    /// The database's zone is evacuated.
     #[error("the database's zone is evacuated")]
     ZoneEvacuated,
-    /// It has just started, and this node's part of what it may get is used up.
+    /// The database has just started, and this node's share of its request budget is used up.
     #[error("the database has just started and gets no more at the moment")]
     Cold {
-        /// When there is a part again.
+        /// Time until this node may send a request again.
         retry_after: Duration,
     },
 }
 
-/// The pool of one database.
+/// The connection pool of one database.
 pub struct Pool {
     node: Weak<Node>,
     database: DatabaseName,
@@ -131,7 +131,7 @@
     waiters: RefCell<Waiters>,
     suspect_until: Cell<Timestamp>,
     lagging_until: Cell<Timestamp>,
-    no_opening_until: Cell<Timestamp>,
+    opening_paused_until: Cell<Timestamp>,
     reachable: Cell<bool>,
     verifying: Cell<bool>,
     refused: Cell<bool>,
@@ -141,14 +141,14 @@
     in_use: RefCell<BTreeMap<Principal, usize>>,
     demand: RefCell<Demand>,
     reliability: Cell<Reliability>,
-    /// Whether the life of the database is over that it was for.
+    /// Whether the database has restarted since the pool was created.
     retired: Cell<bool>,
-    /// When the database was last a candidate for a statement, or was asked.
+    /// When the database was last considered as a candidate for a statement, or was queried.
     considered_at: Cell<Timestamp>,
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     pub fn new(node: Weak<Node>, database: DatabaseName) -> Self {
         Self {
             node,
@@ -159,7 +159,7 @@
             waiters: RefCell::default(),
             suspect_until: Cell::default(),
             lagging_until: Cell::default(),
-            no_opening_until: Cell::default(),
+            opening_paused_until: Cell::default(),
             reachable: Cell::new(true),
             verifying: Cell::new(false),
             refused: Cell::new(false),
@@ -174,67 +174,67 @@
         }
     }
 
-    /// Whether the pool holds nothing that is worth more than what a new one begins with: no
-    /// connection, nobody who waits, and no experience that still counts.
+    /// Returns whether the pool can be dropped without losing more than a new pool would have: it
+    /// has no connections, no waiting requests and no recent statistics.
     pub(crate) fn is_forgettable(&self, now: Timestamp) -> bool {
         self.open.get() == 0
             && self.in_flight() == 0
             && self.is_reachable()
             && !self.is_suspect(now)
-            && now.since(self.considered_at.get()) >= POOL_MEMORY
+            && now.since(self.considered_at.get()) >= POOL_RETENTION
     }
 
-    /// Notes that a statement may go to the database.
+    /// Records that the database was a candidate for a statement.
     pub(crate) fn note_considered(&self, now: Timestamp) {
         self.considered_at.set(now);
     }
 
-    /// Name of the database.
+    /// Returns the name of the database.
     pub fn database(&self) -> &DatabaseName {
         &self.database
     }
 
-    /// Connections in use and requests that wait for one.
+    /// Returns the number of connections in use plus the number of waiting requests.
     pub fn in_flight(&self) -> usize {
         self.leased.get() + self.waiters.borrow().len()
     }
 
-    /// Connections in use, those that another node holds among them.
+    /// Returns the number of connections in use, including those that peer nodes hold.
     pub(crate) fn in_use(&self) -> usize {
         self.leased.get()
     }
 
-    /// Connections that are open or being opened.
+    /// Returns the number of connections that are open or being opened.
     pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
-    /// Whether the database failed to answer lately.
+    /// Returns whether the database recently failed to answer.
     pub fn is_suspect(&self, now: Timestamp) -> bool {
         now < self.suspect_until.get()
     }
 
-    /// Whether it lately lacked a position.
+    /// Returns whether the database recently lacked a required position.
     pub fn is_lagging(&self, now: Timestamp) -> bool {
         now < self.lagging_until.get()
     }
 
-    /// Mean time of a statement.
+    /// Returns the mean time that a statement takes.
     pub fn service_time(&self, now: Timestamp) -> Duration {
         self.service_time.get().expected(now)
     }
 
-    /// Mean time for which a connection is waited for.
+    /// Returns the mean time that a request waits for a connection.
     pub fn expected_wait(&self, now: Timestamp) -> Duration {
         self.wait.get().expected(now)
     }
 
-    /// Notes how long a connection was waited for, in vain or not.
+    /// Records how long a request waited for a connection, whether or not it got one.
     pub fn note_wait(&self, now: Timestamp, waited: Duration) {
         note_time(&self.wait, now, waited);
     }
 
-    /// The queue that a request of `priority` would join.
+    /// Returns the queue that a request of `priority` would join.
     fn queue(&self, now: Timestamp, priority: u8) -> ConnectionQueue {
         ConnectionQueue {
             ahead: self.waiters.borrow().ahead_of(priority),
@@ -243,58 +243,57 @@
         }
     }
 
-    /// Share of the statements that failed lately, of [`reliability::WHOLE`].
+    /// Returns the share of recent statements that failed, in units of 1/[`reliability::WHOLE`].
     ///
     /// [`reliability::WHOLE`]: hookpoint_coordination::serving::reliability::WHOLE
     pub fn failing(&self, now: Timestamp) -> u32 {
         self.reliability.get().failing(now)
     }
 
-    /// Notes whether a statement failed.
+    /// Records whether a statement failed.
     pub fn note_outcome(&self, now: Timestamp, failed: bool) {
         let mut reliability = self.reliability.get();
         reliability.note(now, failed);
         self.reliability.set(reliability);
     }
 
-    /// Notes that the database did not answer.
+    /// Records that the database did not answer.
     pub fn note_failure(&self, now: Timestamp) {
         self.note_outcome(now, true);
         self.suspect_until.set(now + SUSPECT_TIME);
     }
 
-    /// Whether this node can reach the database by itself, as far as it knows.
+    /// Returns whether this node can connect to the database directly, as far as it knows.
     pub fn is_reachable(&self) -> bool {
         self.reachable.get()
     }
 
-    /// Whether its host refused the last connection that could not be opened.
+    /// Returns whether the last connection that could not be opened was refused by the host.
     pub fn was_refused(&self) -> bool {
         self.refused.get()
     }
 
-    /// Notes that the way to the database is lost: connections at rest are of no use.
+    /// Marks the database as unreachable from this node and closes the idle connections.
     pub fn note_unreachable(&self) {
         self.reachable.set(false);
         self.close_idle();
     }
 
-    /// Notes that it lacked a position.
+    /// Records that the database lacked a required position.
     pub fn note_lagging(&self, now: Timestamp) {
         self.lagging_until.set(now + LAGGING_TIME);
     }
 
-    /// Notes a served statement.
+    /// Records a served statement and how long it took.
     pub fn note_served(&self, now: Timestamp, elapsed: Duration) {
         self.note_outcome(now, false);
         note_time(&self.service_time, now, elapsed);
         self.suspect_until.set(Timestamp::default());
     }
 
-    /// Takes a connection at rest of a principal, or of any if none is told, if there is a
-    /// usable one.
+    /// Takes a usable idle connection of `principal`, or of any principal if `None`.
     ///
-    /// One that already has the session values `preferred` goes first.
+    /// Connections that already have the session values `preferred` are taken first.
     pub fn try_acquire(
         self: &Rc<Self>,
         principal: Option<&Principal>,
@@ -310,8 +309,8 @@
         }
     }
 
-    /// Notes that the database ended a connection. If none at rest is left either, it may have
-    /// restarted.
+    /// Notes that the database closed a connection. If no usable idle connection is left either,
+    /// the database may have restarted.
     pub(crate) fn note_closed(&self) {
         if !self.idle.borrow_mut().any_usable()
             && let Some(node) = self.node.upgrade()
@@ -320,7 +319,7 @@
         }
     }
 
-    /// Counts a connection as in use.
+    /// Counts a connection as in use and wraps it in a lease.
     fn lend(self: &Rc<Self>, connection: Connection) -> Lease {
         self.leased.set(self.leased.get() + 1);
         let mut in_use = self.in_use.borrow_mut();
@@ -330,7 +329,7 @@
     }
 
     /// Counts a connection of `principal` as no longer in use.
-    fn take_back(&self, principal: &Principal) {
+    fn count_returned(&self, principal: &Principal) {
         self.leased.set(self.leased.get() - 1);
         let mut in_use = self.in_use.borrow_mut();
         if let Some(count) = in_use.get_mut(principal) {
@@ -341,7 +340,7 @@
         }
     }
 
-    /// Closes a connection at rest if more are open than were lately needed.
+    /// Closes one idle connection if more are open than were recently needed.
     pub fn trim(&self, is_home: bool, now: Timestamp) {
         let mut demand = self.demand.borrow_mut();
         let kept = if is_home {
@@ -357,8 +356,9 @@
         }
     }
 
-    /// After a time-out: asks something that needs no slot on a connection at rest. If
-    /// that is not answered either, the way to the database is lost.
+    /// Checks after a timeout whether the database is reachable: sends a command that needs no
+    /// execution slot on an idle connection. Without an answer the database is marked as
+    /// unreachable.
     pub(crate) fn verify(self: &Rc<Self>, node: &Rc<Node>) {
         if node.is_shut(&self.database) || self.verifying.replace(true) {
             return;
@@ -366,7 +366,7 @@
         let pool = Rc::clone(self);
         let node = Rc::clone(node);
         tokio::task::spawn_local(async move {
-            if !pool.answers(&node).await {
+            if !pool.is_responsive(&node).await {
                 pool.note_unreachable();
                 node.log(
                     "dependency_lost",
@@ -377,9 +377,9 @@
         });
     }
 
-    /// Whether the database answers what needs no slot. Without a connection at rest that is
-    /// not found out.
-    async fn answers(self: &Rc<Self>, node: &Rc<Node>) -> bool {
+    /// Returns whether the database answers a command that needs no execution slot. Without an idle
+    /// connection nothing is sent and the result is `true`.
+    async fn is_responsive(self: &Rc<Self>, node: &Rc<Node>) -> bool {
         let Some(lease) = self.try_acquire(None, &SessionValues::new()) else {
             return true;
         };
@@ -391,34 +391,35 @@
         second_way::ask(node, self, lease, question).await.is_ok()
     }
 
-    /// Closes the connections at rest on which nothing was heard since `since`.
-    pub(crate) fn close_unheard_since(&self, since: Timestamp) {
-        let closed = self.idle.borrow_mut().close_unheard_since(since);
+    /// Closes the idle connections on which nothing was received since `since`.
+    pub(crate) fn close_inactive_since(&self, since: Timestamp) {
+        let closed = self.idle.borrow_mut().close_inactive_since(since);
         self.open.set(self.open.get() - closed);
     }
 
-    /// Whether the life of the database is over that the pool was for: nothing rests in it any
-    /// more, and what it notes concerns nobody.
+    /// Returns whether the database has restarted since the pool was created. Such a pool keeps no
+    /// idle connections, and its statistics are no longer used.
     pub(crate) fn is_retired(&self) -> bool {
         self.retired.get()
     }
 
-    /// The life of the database is over. Connections at rest are closed, those in use when
-    /// they come back, and whoever waits turns to the pool of the new life.
+    /// Retires the pool because the database has restarted. Idle connections are closed now, those
+    /// in use when they are released. Waiting requests fail, and their next attempts use the new
+    /// pool.
     pub(crate) fn retire(&self) {
         self.retired.set(true);
         self.close_idle();
         self.dismiss_waiters();
     }
 
-    /// Closes the connections at rest; returns how many.
+    /// Closes the idle connections; returns their number.
     pub fn close_idle(&self) -> usize {
         let closed = self.idle.borrow_mut().close_all();
         self.open.set(self.open.get() - closed);
         closed
     }
 
-    /// Sends away all who wait for a connection.
+    /// Makes all requests that wait for a connection fail.
     pub(crate) fn dismiss_waiters(&self) {
         self.waiters.borrow_mut().dismiss_all();
     }
--- a/crates/serving/src/pool/place.rs
+++ b/crates/serving/src/pool/place.rs
@@ -1,39 +1,40 @@
-//! A place among a pool's open connections.
+//! Permits that count against a pool's number of open connections.
 
 use std::rc::Rc;
 
 use super::Pool;
 
-/// A place among the open connections; free again when dropped before it is filled.
-pub(super) struct Place {
+/// A permit to open one connection, which counts as open. Dropping it before a connection was
+/// opened lowers the count again.
+pub(super) struct OpenPermit {
     pool: Rc<Pool>,
-    filled: bool,
+    opened: bool,
 }
 
-impl Place {
-    /// Takes one more.
+impl OpenPermit {
+    /// Counts one more connection as open.
     pub(super) fn new(pool: &Rc<Pool>) -> Self {
         pool.open.set(pool.open.get() + 1);
-        Self::of_closed(pool)
+        Self::from_closed(pool)
     }
 
-    /// The place of a connection that was closed and is still counted as open.
-    pub(super) fn of_closed(pool: &Rc<Pool>) -> Self {
+    /// Takes over the count of a connection that was closed and is still counted as open.
+    pub(super) fn from_closed(pool: &Rc<Pool>) -> Self {
         Self {
             pool: Rc::clone(pool),
-            filled: false,
+            opened: false,
         }
     }
 
-    /// A connection stands in it from now on.
-    pub(super) fn fill(mut self) {
-        self.filled = true;
+    /// Notes that the connection was opened; it remains counted after the permit is dropped.
+    pub(super) fn mark_opened(mut self) {
+        self.opened = true;
     }
 }
 
-impl Drop for Place {
+impl Drop for OpenPermit {
     fn drop(&mut self) {
-        if !self.filled {
+        if !self.opened {
             self.pool.open.set(self.pool.open.get() - 1);
         }
     }
--- a/crates/serving/src/pool/release.rs
+++ b/crates/serving/src/pool/release.rs
@@ -1,12 +1,12 @@
-//! Giving a connection back: to who is next, or to rest.
+//! Releases a connection: to the next waiting request or to the idle connections.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use hookpoint_coordination::serving::tenancy::Principal;
 
-use super::place::Place;
-use super::waiters::{Turn, Waiter};
+use super::place::OpenPermit;
+use super::waiters::{Grant, Waiter};
 use super::{Pool, note_time};
 use crate::connection::Connection;
 use crate::lease::roll_back;
@@ -14,9 +14,10 @@
 use crate::relay;
 
 impl Pool {
-    /// Gives a connection back that was in use for `held`: to who waits, or to rest.
+    /// Releases a connection that was in use for `held`: to the next waiting request, or to the idle
+    /// connections. Closes it if it is broken, its pool is retired or its database is evacuated.
     pub(crate) fn release(self: &Rc<Self>, connection: Connection, held: Duration) {
-        self.take_back(&connection.principal);
+        self.count_returned(&connection.principal);
         if connection.is_relayed() {
             self.release_relayed(connection);
             return;
@@ -32,7 +33,7 @@
             return;
         };
         if node.is_shut(&self.database) {
-            // Closing it ends what it holds.
+            // Closing the connection makes the database roll back its transaction.
             self.open.set(self.open.get() - 1);
             return;
         }
@@ -46,9 +47,9 @@
         }
     }
 
-    /// Ends a connection's transaction in a task of its own. Until that has begun the
-    /// connection counts as broken: a task that never runs, as the node ends, must not give
-    /// it back for that again.
+    /// Rolls back a connection's transaction in a separate task. The connection is marked as broken
+    /// until the task runs: if the node stops before that, dropping the lease must not spawn the
+    /// rollback again.
     fn spawn_roll_back(self: &Rc<Self>, node: &Rc<Node>, mut connection: Connection) {
         connection.broken = true;
         let mut lease = self.lend(connection);
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Gives a connection to who is next. Returns it if nobody waits.
+    /// Hands a connection to the next waiting request. Returns it if no request is waiting.
     fn hand_over(
         self: &Rc<Self>,
         node: &Rc<Node>,
@@ -80,33 +81,33 @@
             let Some(waiter) = next else {
                 return Some(connection);
             };
-            if waiter.needs_another_than(&principal) {
+            if waiter.needs_other_principal(&principal) {
                 drop(connection);
-                self.pass_place_on(node, Place::of_closed(self), waiter);
+                self.pass_permit_on(node, OpenPermit::from_closed(self), waiter);
                 return None;
             }
             let lease = Box::new(self.lend(connection));
-            match waiter.sender.send(Turn::Connection(lease)) {
+            match waiter.sender.send(Grant::Connection(lease)) {
                 Ok(()) => return None,
-                Err(Turn::Connection(mut lease)) => {
-                    self.take_back(&principal);
+                Err(Grant::Connection(mut lease)) => {
+                    self.count_returned(&principal);
                     connection = lease.take()?;
                 }
-                Err(Turn::Place(_)) => return None,
+                Err(Grant::OpenPermit(_)) => return None,
             }
         }
     }
 
-    /// Gives the place of a closed connection to `waiter`, or to who comes after it if that
-    /// one has gone. A place that nobody wants is free.
-    fn pass_place_on(self: &Rc<Self>, node: &Rc<Node>, place: Place, waiter: Waiter) {
-        let mut unwanted = waiter.sender.send(Turn::Place(place)).err();
-        while let Some(Turn::Place(place)) = unwanted {
+    /// Gives the permit of a closed connection to `waiter`, or to the next waiting request if that
+    /// one has stopped waiting. The permit is dropped if no request takes it.
+    fn pass_permit_on(self: &Rc<Self>, node: &Rc<Node>, permit: OpenPermit, waiter: Waiter) {
+        let mut unwanted = waiter.sender.send(Grant::OpenPermit(permit)).err();
+        while let Some(Grant::OpenPermit(permit)) = unwanted {
             let next = self
                 .waiters
                 .borrow_mut()
                 .take_next(&Principal::Anonymous, node.now());
-            unwanted = next.and_then(|waiter| waiter.sender.send(Turn::Place(place)).err());
+            unwanted = next.and_then(|waiter| waiter.sender.send(Grant::OpenPermit(permit)).err());
         }
     }
 }
--- a/crates/serving/src/pool/waiters.rs
+++ b/crates/serving/src/pool/waiters.rs
@@ -1,4 +1,4 @@
-//! Who waits for a connection of one database.
+//! The queue of requests that wait for a connection to one database.
 
 use std::collections::BTreeMap;
 
@@ -7,38 +7,38 @@
 use hookpoint_state::Timestamp;
 use tokio::sync::oneshot;
 
-use super::place::Place;
+use super::place::OpenPermit;
 use crate::lease::Lease;
 
-/// Priority, then order of arrival.
+/// Key in the queue: priority, then order of arrival.
 pub(super) type Ticket = (u8, u64);
 
-/// What a waiting request gets.
-pub(super) enum Turn {
-    /// A connection of its principal.
+/// What a waiting request receives.
+pub(super) enum Grant {
+    /// A connection that the request may use.
     Connection(Box<Lease>),
-    /// Leave to open one, as one of another principal was closed.
-    Place(Place),
+    /// A permit to open a connection, because one of another principal was closed.
+    OpenPermit(OpenPermit),
 }
 
-/// A request that waits.
+/// A waiting request.
 pub(super) struct Waiter {
-    /// None for a question of the node's own, which any connection serves.
+    /// `None` for a query of this node itself, which any connection can serve.
     pub(super) principal: Option<Principal>,
     since: Timestamp,
-    pub(super) sender: oneshot::Sender<Turn>,
+    pub(super) sender: oneshot::Sender<Grant>,
 }
 
 impl Waiter {
-    /// Whether a connection of `principal` is of no use to it.
-    pub(super) fn needs_another_than(&self, principal: &Principal) -> bool {
+    /// Returns whether the request cannot use a connection of `principal`.
+    pub(super) fn needs_other_principal(&self, principal: &Principal) -> bool {
         self.principal
             .as_ref()
             .is_some_and(|wanted| wanted != principal)
     }
 }
 
-/// The queue.
+/// The wait queue, ordered by priority and arrival.
 #[derive(Default)]
 pub(super) struct Waiters {
     queue: BTreeMap<Ticket, Waiter>,
@@ -50,13 +50,13 @@
         self.queue.len()
     }
 
-    /// How many wait for a connection of `principal`.
-    pub(super) fn len_of(&self, principal: &Principal) -> usize {
+    /// Returns how many requests wait for a connection of `principal`.
+    pub(super) fn len_for(&self, principal: &Principal) -> usize {
         let own = |waiter: &&Waiter| waiter.principal.as_ref() == Some(principal);
         self.queue.values().filter(own).count()
     }
 
-    /// How many go before one of `priority` that comes now.
+    /// Returns how many requests are ahead of a request of `priority` that joins now.
     pub(super) fn ahead_of(&self, priority: u8) -> usize {
         self.queue.range(..=(priority, u64::MAX)).count()
     }
@@ -66,7 +66,7 @@
         priority: u8,
         principal: Option<&Principal>,
         now: Timestamp,
-    ) -> (Ticket, oneshot::Receiver<Turn>) {
+    ) -> (Ticket, oneshot::Receiver<Grant>) {
         let ticket = (priority, self.next);
         self.next += 1;
         let (sender, receiver) = oneshot::channel();
@@ -79,7 +79,7 @@
         (ticket, receiver)
     }
 
-    /// Drops all: they get nothing.
+    /// Removes all requests without giving them a connection.
     pub(super) fn dismiss_all(&mut self) {
         self.queue.clear();
     }
@@ -88,15 +88,15 @@
         self.queue.remove(&ticket);
     }
 
-    /// Takes the one that is next when a connection of `principal` becomes free.
+    /// Removes and returns the request that is next when a connection of `principal` becomes free.
     pub(super) fn take_next(&mut self, principal: &Principal, now: Timestamp) -> Option<Waiter> {
         let waiting = self.queue.iter().map(|((priority, _), waiter)| Waiting {
             priority: *priority,
             principal: waiter.principal.as_ref(),
             waited: now.since(waiter.since),
         });
-        let place = next_turn(waiting, principal)?;
-        let ticket = *self.queue.keys().nth(place)?;
+        let index = next_turn(waiting, principal)?;
+        let ticket = *self.queue.keys().nth(index)?;
         self.queue.remove(&ticket)
     }
 }
--- a/crates/serving/src/second_way.rs
+++ b/crates/serving/src/second_way.rs
@@ -1,9 +1,9 @@
-//! Tells a connection that fell silent from a database that did.
+//! Distinguishes a dead connection from an unresponsive database.
 //!
-//! Open connections may go silent for good, without a reset, while new ones work. A question
-//! that is not answered on an open connection is therefore asked on a new one as well, and
-//! both answers are awaited until the same moment, so the loss of a database is noticed no
-//! later than without.
+//! Open connections may stop responding permanently, without a reset, while new ones work. A
+//! control command that is not answered on an open connection is therefore also sent on a new one.
+//! Both answers are awaited until the same deadline, so the loss of a database is detected no later
+//! than without the new connection.
 
 use std::pin::pin;
 use std::rc::Rc;
@@ -16,56 +16,57 @@
 use crate::node::Node;
 use crate::pool::{AcquireError, CONTROL_LIMIT, Pool};
 
-/// A question without an answer after this time is asked on a new connection as well: three
-/// round trips between the regions of the known deployments (20 ms one way) and what a
-/// loaded database takes.
-const SECOND_WAY_AFTER: Duration = Duration::from_millis(150);
+/// A command without an answer after this time is also sent on a new connection. It allows for
+/// three round trips between the regions of the known deployments (20 ms one way) and the response
+/// time of a loaded database.
+const SECOND_CONNECTION_DELAY: Duration = Duration::from_millis(150);
 
-/// Asks a question that a database answers at once, on the connection of `lease`, and on a
-/// new one when no answer comes. If only the new one answers, the open ones that said
-/// nothing meanwhile are closed.
+/// Sends a command that a database answers immediately on the connection of `lease`, and on a new
+/// connection if no answer arrives. If only the new connection is answered, the idle connections
+/// on which nothing was received in the meantime are closed.
 pub(crate) async fn ask(
     node: &Rc<Node>,
     pool: &Rc<Pool>,
     mut lease: Lease,
-    question: impl AsyncFn(&mut Lease) -> Result<(), ConnectionError>,
+    send_command: impl AsyncFn(&mut Lease) -> Result<(), ConnectionError>,
 ) -> Result<(), ConnectionError> {
     let asked_at = node.now();
     let relayed = lease.connection().is_relayed();
-    let mut open = pin!(question(&mut lease));
-    if let Ok(outcome) = timeout(SECOND_WAY_AFTER, &mut open).await {
+    let mut first = pin!(send_command(&mut lease));
+    if let Ok(outcome) = timeout(SECOND_CONNECTION_DELAY, &mut first).await {
         return outcome;
     }
     if relayed {
-        return open.await;
+        return first.await;
     }
-    let mut new = pin!(ask_on_new(node, pool, &question));
+    let mut second = pin!(ask_on_new_connection(node, pool, &send_command));
     tokio::select! {
-        outcome = &mut open => match outcome {
+        outcome = &mut first => match outcome {
             Ok(()) => Ok(()),
-            Err(error) => new.await.ok_or(error),
+            Err(error) => second.await.ok_or(error),
         },
-        answered = &mut new => match answered {
+        answered = &mut second => match answered {
             Some(()) => {
                 node.counters.count("connections", "silent");
-                pool.close_unheard_since(asked_at);
+                pool.close_inactive_since(asked_at);
                 Ok(())
             }
-            None => open.await,
+            None => first.await,
         },
     }
 }
 
-/// Asks on a new connection; nothing if no answer came in the time that the first is given.
-async fn ask_on_new(
+/// Sends the command on a new connection; returns `None` if no answer arrived before the deadline
+/// of the first connection.
+async fn ask_on_new_connection(
     node: &Rc<Node>,
     pool: &Rc<Pool>,
-    question: impl AsyncFn(&mut Lease) -> Result<(), ConnectionError>,
+    send_command: impl AsyncFn(&mut Lease) -> Result<(), ConnectionError>,
 ) -> Option<()> {
     let asking = async {
         match pool.open(node, None).await {
-            Ok(mut lease) => question(&mut lease).await.ok(),
-            // The refusal is the database's own word.
+            Ok(mut lease) => send_command(&mut lease).await.ok(),
+            // The refusal was sent by the database, so the database is responsive.
             Err(AcquireError::Crowded) => {
                 node.note_contact(pool.database());
                 Some(())
@@ -73,7 +74,7 @@
             Err(_) => None,
         }
     };
-    timeout(CONTROL_LIMIT - SECOND_WAY_AFTER, asking)
+    timeout(CONTROL_LIMIT - SECOND_CONNECTION_DELAY, asking)
         .await
         .ok()?
 }
--- a/crates/serving/src/session/admission.rs
+++ b/crates/serving/src/session/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a session's caller may use its route, as of now.
+//! Checks whether a session's caller may use its route under the current configuration.
 
 use std::rc::Rc;
 
@@ -10,7 +10,8 @@
 use crate::statement::rolled_back;
 
 impl Session {
-    /// The session's route and on whose behalf it is used, by the configuration in force.
+    /// Returns the session's route and the principal that its key identifies, by the current
+    /// configuration, or the failure to answer with.
     pub(super) fn admission(&self) -> Result<(Rc<Route>, Principal), Failure> {
         let configuration = self.node.configuration().ok_or_else(not_configured)?;
         let route = configuration.routes.get(&self.database);
@@ -40,10 +41,10 @@
         Failure::new(FailureCode::Denied, "the key is not valid here")
     }
 
-    /// Whether the caller may no longer go on with its transaction: its key was withdrawn or
-    /// has become another tenant's since, or its database is shut.
-    pub(super) fn denial_of(&self, transaction: &Transaction) -> Option<Failure> {
-        if transaction.ended {
+    /// Returns the failure that ends the caller's transaction, if it may not continue: its key was
+    /// revoked or now belongs to another tenant, or its database was evacuated.
+    pub(super) fn transaction_failure(&self, transaction: &Transaction) -> Option<Failure> {
+        if transaction.evacuated {
             return Some(rolled_back());
         }
         let configuration = self.node.configuration()?;
--- a/crates/serving/src/session/mod.rs
+++ b/crates/serving/src/session/mod.rs
@@ -1,4 +1,4 @@
-//! One caller's session: its messages in, its answers out, in order.
+//! One caller's session: reads its messages and answers them in order.
 
 mod admission;
 
@@ -26,39 +26,41 @@
 
 /// How long a new session waits for the first configuration.
 const CONFIGURATION_WAIT: Duration = Duration::from_millis(1_500);
-/// How long one answer may take to be written to a slow caller.
+/// Time limit for writing one answer to a slow caller.
 const WRITE_LIMIT: Duration = Duration::from_secs(10);
-/// How long a new connection may stay silent before its first message.
-const START_LIMIT: Duration = Duration::from_secs(20);
-/// Bytes read at once.
+/// Time limit for the first message on a new connection.
+const FIRST_MESSAGE_LIMIT: Duration = Duration::from_secs(20);
+/// Buffer space reserved for one read, in bytes.
 const READ_CHUNK: usize = 4 << 10;
-/// Prepared names and values that one session may hold.
+/// Maximum number of prepared statements, and of session values, in one session.
 const MAX_SESSION_ENTRIES: usize = 256;
 
-/// An open transaction of the caller's.
+/// The caller's open transaction.
 struct Transaction {
     route: Rc<Route>,
     principal: Principal,
     began_at: Timestamp,
+    /// Whether the caller asked for a read-only transaction.
     read_only: bool,
-    /// Whether its connection is one for reading, asked for or not.
-    reads_only: bool,
+    /// Whether the transaction is read-only at the database, even if the caller did not ask for it.
+    opened_read_only: bool,
     wrote: bool,
+    /// The connection on which it is open; `None` before its first statement.
     lease: Option<Lease>,
-    /// Whether it was ended because its database is shut; its caller learns that with the next
-    /// statement.
-    ended: bool,
+    /// Whether it was ended because its database was evacuated; the next statement is answered
+    /// with that failure.
+    evacuated: bool,
 }
 
 impl Transaction {
-    /// Whether it was opened to write and cannot, as the primary stands outside the regions
-    /// that it is confined to.
-    fn lacks_primary(&self, access: Access) -> bool {
-        access == Access::Write && self.reads_only && !self.read_only
+    /// Returns whether this is a write that the transaction cannot run: it was begun as read-write
+    /// but opened read-only, because the primary is outside the allowed regions.
+    fn is_write_without_primary(&self, access: Access) -> bool {
+        access == Access::Write && self.opened_read_only && !self.read_only
     }
 }
 
-/// Serves one accepted connection until it ends.
+/// Serves one accepted caller connection until the session ends.
 pub async fn serve(node: Rc<Node>, stream: TcpStream) {
     node.sessions.set(node.sessions.get() + 1);
     node.counters.count("sessions", "accepted");
@@ -82,11 +84,11 @@
     node.sessions.set(node.sessions.get() - 1);
 }
 
-/// What the session loop does next.
-enum Next {
+/// What the session loop handles next.
+enum SessionEvent {
     Input(CallerInput),
     Close,
-    TransactionRested,
+    TransactionIdle,
 }
 
 struct Session {
@@ -96,7 +98,7 @@
     incoming: BytesMut,
     outgoing: BytesMut,
     database: String,
-    /// Which key the caller named.
+    /// Digest of the key that the caller sent.
     key: KeyDigest,
     state: SessionState,
     own_position: Option<ReignPosition>,
@@ -109,22 +111,22 @@
             return Ok(());
         }
         loop {
-            match self.next().await? {
-                Next::Close => break,
-                Next::TransactionRested => self.fail_transaction(),
-                Next::Input(CallerInput::End) => break,
-                Next::Input(CallerInput::Query { id, statement }) => {
+            match self.next_event().await? {
+                SessionEvent::Close => break,
+                SessionEvent::TransactionIdle => self.end_idle_transaction(),
+                SessionEvent::Input(CallerInput::End) => break,
+                SessionEvent::Input(CallerInput::Query { id, statement }) => {
                     self.answer(id, statement).await;
                     self.flush().await?;
                 }
-                Next::Input(CallerInput::TooLarge) => {
-                    self.fail(Failure::new(FailureCode::TooLarge, "message too large"));
+                SessionEvent::Input(CallerInput::TooLarge) => {
+                    self.queue_failure(Failure::new(FailureCode::TooLarge, "message too large"));
                     self.flush().await?;
                     break;
                 }
-                Next::Input(CallerInput::Malformed | CallerInput::Start { .. }) => {
-                    self.fail(malformed());
-                    self.ready();
+                SessionEvent::Input(CallerInput::Malformed | CallerInput::Start { .. }) => {
+                    self.queue_failure(malformed());
+                    self.queue_ready();
                     self.flush().await?;
                 }
             }
@@ -133,12 +135,12 @@
     }
 
     async fn start(&mut self) -> io::Result<bool> {
-        let input = timeout(START_LIMIT, self.read_input()).await;
+        let input = timeout(FIRST_MESSAGE_LIMIT, self.read_input()).await;
         let (database, key) = match input {
             Ok(Ok(Some(CallerInput::Start { database, key }))) => (database, key),
             Ok(Ok(Some(CallerInput::End) | None)) | Err(_) => return Ok(false),
             Ok(Ok(Some(_))) => {
-                self.fail(malformed());
+                self.queue_failure(malformed());
                 self.flush().await?;
                 return Ok(false);
             }
@@ -151,12 +153,12 @@
             self.refuse_session(failure).await?;
             return Ok(false);
         }
-        self.ready();
+        self.queue_ready();
         self.flush().await?;
         Ok(true)
     }
 
-    /// Answers the first message with a failure and closes.
+    /// Answers the first message with a failure and closes the connection.
     async fn refuse_session(&mut self, failure: Failure) -> io::Result<()> {
         self.node.counters.count("sessions", failure.code.as_str());
         let version = self.node.configuration_version();
@@ -168,7 +170,7 @@
                 ("code", failure.code.as_str().into()),
             ],
         );
-        self.fail(failure);
+        self.queue_failure(failure);
         self.flush().await?;
         self.stream.shutdown().await
     }
@@ -181,25 +183,26 @@
         let _ = timeout(CONFIGURATION_WAIT, changed).await;
     }
 
-    /// Waits for a message, the end of a rest, or a stop that concerns this session.
-    async fn next(&mut self) -> io::Result<Next> {
+    /// Waits for the next message, the transaction's idle timeout, or a reason to close the
+    /// session.
+    async fn next_event(&mut self) -> io::Result<SessionEvent> {
         loop {
             if let Some(input) = self.node.protocol.decode_caller(&mut self.incoming)? {
-                return Ok(Next::Input(input));
+                return Ok(SessionEvent::Input(input));
             }
             self.end_evacuated_transaction();
             let stage = self.node.stop_stage();
             match self.state.phase {
-                Phase::Idle if stage >= StopStage::CloseIdle => return Ok(Next::Close),
-                Phase::Idle if self.moves() => return Ok(Next::Close),
-                _ if stage >= StopStage::EndTransactions => return Ok(Next::Close),
+                Phase::Idle if stage >= StopStage::CloseIdle => return Ok(SessionEvent::Close),
+                Phase::Idle if self.must_move() => return Ok(SessionEvent::Close),
+                _ if stage >= StopStage::EndTransactions => return Ok(SessionEvent::Close),
                 _ => {}
             }
-            let holds = self
+            let holds_connection = self
                 .transaction
                 .as_ref()
                 .is_some_and(|transaction| transaction.lease.is_some());
-            let rest_limit = if holds {
+            let idle_limit = if holds_connection {
                 self.node.transaction_idle()
             } else {
                 Duration::from_secs(3_600)
@@ -209,18 +212,18 @@
             tokio::select! {
                 read = self.stream.read_buf(&mut self.incoming) => {
                     if read? == 0 {
-                        return Ok(Next::Close);
+                        return Ok(SessionEvent::Close);
                     }
                 }
                 () = node.stop_advanced.notified() => {}
-                () = sleep(rest_limit) => return Ok(Next::TransactionRested),
+                () = sleep(idle_limit) => return Ok(SessionEvent::TransactionIdle),
             }
         }
     }
 
-    /// Whether the session should go on at another node: this one has been cut off since
-    /// the session began.
-    fn moves(&self) -> bool {
+    /// Returns whether the session should be closed so that its caller reconnects to another node:
+    /// this node has been cut off since the session began.
+    fn must_move(&self) -> bool {
         let since = self.node.sessions_move_since();
         since.is_some_and(|since| self.began_at < since)
     }
@@ -236,7 +239,7 @@
         }
     }
 
-    fn fail_transaction(&mut self) {
+    fn end_idle_transaction(&mut self) {
         self.node.counters.count("transactions_ended", "rested");
         self.node.log(
             "transaction_ended",
@@ -249,8 +252,8 @@
         self.state.phase = Phase::Failed;
     }
 
-    /// Ends a transaction that is open at a database which is shut: its connection closes, and
-    /// the database rolls back.
+    /// Ends a transaction that is open at an evacuated database: its connection is closed, and the
+    /// database rolls back.
     fn end_evacuated_transaction(&mut self) {
         let Some(transaction) = &mut self.transaction else {
             return;
@@ -266,7 +269,7 @@
             return;
         };
         transaction.lease = None;
-        transaction.ended = true;
+        transaction.evacuated = true;
         self.node.note_transaction_evacuated(&database);
         self.node.log(
             "transaction_ended",
@@ -291,15 +294,15 @@
             Statement::Set { name, value } => self.set(name, value),
             Statement::Prepare { name, shape } => {
                 if self.state.prepared.len() >= MAX_SESSION_ENTRIES {
-                    self.refuse_locally(malformed());
+                    self.refuse_statement(malformed());
                 } else {
                     self.state.prepared.insert(name, shape);
-                    self.done_locally();
+                    self.answer_done();
                 }
             }
             Statement::Deallocate { name } => {
                 self.state.prepared.remove(&name);
-                self.done_locally();
+                self.answer_done();
             }
             Statement::Run { access, text } => {
                 let body = WorkBody::Text(text);
@@ -308,14 +311,14 @@
             Statement::Execute { name, arguments } => {
                 let Some(shape) = self.state.prepared.get(&name).cloned() else {
                     let text = "prepared name is not known";
-                    self.refuse_locally(Failure::new(FailureCode::UnknownPrepared, text));
+                    self.refuse_statement(Failure::new(FailureCode::UnknownPrepared, text));
                     return;
                 };
                 let access = shape.access;
                 let body = WorkBody::Prepared { shape, arguments };
                 self.run_work(Work { id, access, body }, arrived).await;
             }
-            Statement::Unknown => self.refuse_locally(malformed()),
+            Statement::Unknown => self.refuse_statement(malformed()),
         }
         let elapsed = self.node.now().since(arrived);
         self.node.counters.observe("statement", elapsed);
@@ -325,57 +328,57 @@
         match statement {
             Statement::Rollback => {
                 self.state.phase = Phase::Idle;
-                self.done_locally();
+                self.answer_done();
             }
             Statement::Commit => {
                 self.state.phase = Phase::Idle;
-                self.fail(rolled_back());
-                self.ready();
+                self.queue_failure(rolled_back());
+                self.queue_ready();
             }
             _ => {
-                self.fail(malformed());
-                self.ready();
+                self.queue_failure(malformed());
+                self.queue_ready();
             }
         }
     }
 
     fn begin(&mut self, read_only: bool, arrived: Timestamp) {
         if self.state.phase == Phase::InTransaction {
-            self.refuse_locally(malformed());
+            self.refuse_statement(malformed());
             return;
         }
         let (route, principal) = match self.admission() {
             Ok(admitted) => admitted,
-            Err(failure) => return self.refuse_locally(failure),
+            Err(failure) => return self.refuse_statement(failure),
         };
         self.transaction = Some(Transaction {
             route,
             principal,
             began_at: arrived,
             read_only,
-            reads_only: read_only,
+            opened_read_only: read_only,
             wrote: false,
             lease: None,
-            ended: false,
+            evacuated: false,
         });
         self.state.phase = Phase::InTransaction;
-        self.done_locally();
+        self.answer_done();
     }
 
     fn rollback(&mut self) {
         self.transaction = None;
         self.state.phase = Phase::Idle;
-        self.done_locally();
+        self.answer_done();
     }
 
     fn set(&mut self, name: String, value: String) {
         let known = self.state.values.contains_key(&name);
         if !known && self.state.values.len() >= MAX_SESSION_ENTRIES {
-            self.refuse_locally(malformed());
+            self.refuse_statement(malformed());
             return;
         }
         self.state.values.insert(name, value);
-        self.done_locally();
+        self.answer_done();
     }
 
     async fn run_work(&mut self, work: Work, arrived: Timestamp) {
@@ -385,13 +388,13 @@
         }
     }
 
-    /// A request of this session that arrived at `arrived`; what it reads is to be as fresh as
-    /// asked for at `fresh_from`.
+    /// Returns the routing context of a statement that arrived at `arrived`. The staleness bound of
+    /// its reads counts back from `freshness_base`.
     fn request<'a>(
         &'a self,
         route: &'a Route,
         principal: &'a Principal,
-        fresh_from: Timestamp,
+        freshness_base: Timestamp,
         arrived: Timestamp,
     ) -> Request<'a> {
         Request {
@@ -400,17 +403,17 @@
             name: &self.database,
             route,
             principal,
-            fresh_from,
+            freshness_base,
             arrived,
             own_position: self.own_position,
-            reads_timed_out: Cell::default(),
+            read_timeouts: Cell::default(),
         }
     }
 
     async fn run_single(&mut self, work: Work, arrived: Timestamp) {
         let (route, principal) = match self.admission() {
             Ok(admitted) => admitted,
-            Err(failure) => return self.refuse_locally(failure),
+            Err(failure) => return self.refuse_statement(failure),
         };
         let request = self.request(&route, &principal, arrived, arrived);
         let outcome = request.run_single(&work).await;
@@ -420,11 +423,11 @@
                     let written = request.written_position(&database, &answer);
                     self.own_position = written.or(self.own_position);
                 }
-                self.pass_on(answer);
+                self.forward_answer(answer);
             }
-            Err(failure) => self.fail(failure),
+            Err(failure) => self.queue_failure(failure),
         }
-        self.ready();
+        self.queue_ready();
     }
 
     async fn run_in_transaction(
@@ -433,25 +436,27 @@
         arrived: Timestamp,
         mut transaction: Transaction,
     ) {
-        if let Some(failure) = self.denial_of(&transaction) {
+        if let Some(failure) = self.transaction_failure(&transaction) {
             self.state.phase = Phase::Failed;
-            self.fail(failure);
-            self.ready();
+            self.queue_failure(failure);
+            self.queue_ready();
             return;
         }
         let route = Rc::clone(&transaction.route);
         let principal = transaction.principal.clone();
         let request = self.request(&route, &principal, transaction.began_at, arrived);
-        let lacks_primary = transaction.lacks_primary(work.access);
+        let is_write_without_primary = transaction.is_write_without_primary(work.access);
         let outcome = match &mut transaction.lease {
-            Some(_) if lacks_primary => Err(request.refuse_write_inside(&work)),
-            Some(lease) => request.run_in(&work, lease).await,
+            Some(_) if is_write_without_primary => Err(request.refuse_write_outside_regions(&work)),
+            Some(lease) => request.run_next_in_transaction(&work, lease).await,
             None => {
-                let first = request.run_first(&work, transaction.read_only).await;
-                first.map(|ran| {
-                    transaction.lease = Some(ran.lease);
-                    transaction.reads_only |= ran.reads_only;
-                    ran.answer
+                let first = request
+                    .run_first_in_transaction(&work, transaction.read_only)
+                    .await;
+                first.map(|executed| {
+                    transaction.lease = Some(executed.lease);
+                    transaction.opened_read_only |= executed.opened_read_only;
+                    executed.answer
                 })
             }
         };
@@ -459,39 +464,39 @@
             Ok(answer) if answer.result.is_ok() && answer.phase == Phase::InTransaction => {
                 transaction.wrote |= work.access == Access::Write;
                 self.transaction = Some(transaction);
-                self.pass_on(answer);
+                self.forward_answer(answer);
             }
             Ok(answer) => {
                 self.state.phase = Phase::Failed;
-                self.pass_on(answer);
+                self.forward_answer(answer);
             }
             Err(failure) => {
                 self.state.phase = Phase::Failed;
-                self.fail(failure);
+                self.queue_failure(failure);
             }
         }
-        self.ready();
+        self.queue_ready();
     }
 
     async fn commit(&mut self, id: Bytes, arrived: Timestamp) {
         let Some(mut transaction) = self.transaction.take() else {
-            self.done_locally();
+            self.answer_done();
             return;
         };
         self.state.phase = Phase::Idle;
-        if transaction.ended {
-            self.fail(rolled_back());
-            self.ready();
+        if transaction.evacuated {
+            self.queue_failure(rolled_back());
+            self.queue_ready();
             return;
         }
         let Some(mut lease) = transaction.lease.take() else {
-            self.done_locally();
+            self.answer_done();
             return;
         };
-        if let Some(failure) = self.denial_of(&transaction) {
+        if let Some(failure) = self.transaction_failure(&transaction) {
             drop(lease);
-            self.fail(failure);
-            self.ready();
+            self.queue_failure(failure);
+            self.queue_ready();
             return;
         }
         let route = Rc::clone(&transaction.route);
@@ -503,53 +508,54 @@
                     let written = request.written_position(lease.pool().database(), &answer);
                     self.own_position = written.or(self.own_position);
                 }
-                self.pass_on(answer);
+                self.forward_answer(answer);
             }
-            Err(failure) => self.fail(failure),
+            Err(failure) => self.queue_failure(failure),
         }
-        self.ready();
+        self.queue_ready();
     }
 
-    fn pass_on(&mut self, answer: Answer) {
+    fn forward_answer(&mut self, answer: Answer) {
         for row in answer.rows {
-            self.put(&CallerOutput::Row(row));
+            self.queue_output(&CallerOutput::Row(row));
         }
         match answer.result {
             Ok(signature) => {
                 self.node.counters.count("statements", "served");
-                self.put(&CallerOutput::Done(signature));
+                self.queue_output(&CallerOutput::Done(signature));
             }
-            Err(failure) => self.fail(failure),
+            Err(failure) => self.queue_failure(failure),
         }
     }
 
-    fn done_locally(&mut self) {
-        self.put(&CallerOutput::Done(Bytes::new()));
-        self.ready();
+    fn answer_done(&mut self) {
+        self.queue_output(&CallerOutput::Done(Bytes::new()));
+        self.queue_ready();
     }
 
-    /// Refuses a statement that this node judges itself; an open transaction fails.
-    fn refuse_locally(&mut self, failure: Failure) {
+    /// Refuses a statement without sending it to a database; an open transaction fails.
+    fn refuse_statement(&mut self, failure: Failure) {
         if self.state.phase == Phase::InTransaction {
             self.transaction = None;
             self.state.phase = Phase::Failed;
         }
-        self.fail(failure);
-        self.ready();
+        self.queue_failure(failure);
+        self.queue_ready();
     }
 
-    fn fail(&mut self, failure: Failure) {
+    /// Counts a failure and queues it as the answer to the statement.
+    fn queue_failure(&mut self, failure: Failure) {
         self.node
             .counters
             .count("statements_failed", failure.code.as_str());
-        self.put(&CallerOutput::Failure(failure));
+        self.queue_output(&CallerOutput::Failure(failure));
     }
 
-    fn ready(&mut self) {
-        self.put(&CallerOutput::Ready(self.state.phase));
+    fn queue_ready(&mut self) {
+        self.queue_output(&CallerOutput::Ready(self.state.phase));
     }
 
-    fn put(&mut self, output: &CallerOutput) {
+    fn queue_output(&mut self, output: &CallerOutput) {
         self.node.protocol.encode_caller(output, &mut self.outgoing);
     }
 
@@ -565,7 +571,7 @@
     Failure::new(FailureCode::Malformed, "not accepted here")
 }
 
-/// The answer of a node that does not know yet which routes there are.
+/// Returns the failure of a node that has not received its first configuration.
 fn not_configured() -> Failure {
     let text = "no configuration yet; retry after 500 ms";
     Failure::new(FailureCode::Overloaded, text)
--- a/crates/serving/src/statement/attempt.rs
+++ b/crates/serving/src/statement/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt to have a database run a statement.
+//! One attempt to run a statement on a chosen database.
 
 use std::time::Duration;
 
@@ -9,42 +9,43 @@
 use hookpoint_coordination::serving::session::Access;
 use hookpoint_state::{DatabaseName, Position, Timestamp};
 
-use super::stance::Stance;
+use super::stance::TransactionMode;
 use super::target::Target;
-use super::{Request, Work, least_time, prepared_name};
+use super::{Request, Work, min_attempt_time, prepared_name};
 use crate::connection::{Answer, ConnectionError};
 use crate::lease::Lease;
 use crate::message::{Command, FailureCode};
 use crate::pool::{AcquireError, ConnectionRequest, WaitLimits};
 use crate::primary_lease::WriteInFlight;
 
-/// What became of one attempt.
+/// The result of one attempt.
 pub(super) enum Attempt {
+    /// The database answered. The connection may hold an open transaction.
     Answered(Box<(Lease, Answer)>),
-    /// It did not run; another attempt may be made.
+    /// The statement did not run, or was a read whose result is discarded; it may be retried.
     NotRun(AttemptFailure),
-    /// It was sent and nothing is known.
+    /// A write was sent and its outcome is not known, so it must not be retried.
     Unknown,
 }
 
-/// Why an attempt did not run, or does not count.
+/// Why the statement did not run, or why the result of a read is discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptFailure {
     Busy,
     Lagging,
     NotPrimary,
     NoConnection,
-    /// The database gets no more work.
+    /// Nothing was sent: the database is draining or its zone is evacuated.
     NotSent,
     Broken,
     Failed,
-    /// This node may not use primaries at the moment.
+    /// This node does not hold the lease that it needs to use primaries.
     NoLease,
-    /// The queue for connections is too long.
+    /// The pool's wait queue is too long.
     Overloaded,
-    /// The configuration has changed, and no longer allows all that it did.
+    /// The configuration changed after the database was chosen and allows less than before.
     PlacementChanged,
-    /// The database has just started and gets no more for so long.
+    /// The database has just started and its request budget is used up for `retry_after`.
     Cold {
         retry_after: Duration,
     },
@@ -110,22 +111,24 @@
             }
             Err(_) => return Attempt::NotRun(AttemptFailure::NoConnection),
         };
-        let stance = match target {
-            Target::Leader(_) if in_transaction => Stance::LeaderTransaction,
-            Target::Leader(_) if work.access == Access::Read => Stance::LeaderTransaction,
-            Target::Leader(_) => Stance::Alone(None),
-            Target::Holding(_, after) if in_transaction => Stance::ReadTransaction(*after),
-            Target::Holding(_, after) => Stance::Alone(Some(*after)),
+        let mode = match target {
+            Target::Leader(_) if in_transaction => TransactionMode::LeaderTransaction,
+            Target::Leader(_) if work.access == Access::Read => TransactionMode::LeaderTransaction,
+            Target::Leader(_) => TransactionMode::Autocommit(None),
+            Target::AtPosition(_, after) if in_transaction => {
+                TransactionMode::ReadTransaction(*after)
+            }
+            Target::AtPosition(_, after) => TransactionMode::Autocommit(Some(*after)),
         };
-        self.run_on(work, lease, stance, target.placement(), asked_at)
+        self.run_on_connection(work, lease, mode, target.placement(), asked_at)
             .await
     }
 
-    async fn run_on(
+    async fn run_on_connection(
         &self,
         work: &Work,
         mut lease: Lease,
-        stance: Stance,
+        mode: TransactionMode,
         placement: &Placement,
         began: Timestamp,
     ) -> Attempt {
@@ -135,7 +138,7 @@
         if !self.node.gets_new_work(lease.pool().database()) {
             return Attempt::NotRun(AttemptFailure::NotSent);
         }
-        let mut commands = match self.take_stance(&mut lease, stance).await {
+        let mut commands = match self.prepare_connection(&mut lease, mode).await {
             Ok(prefix) => prefix,
             Err(failure) => return Attempt::NotRun(failure),
         };
@@ -143,50 +146,53 @@
             return Attempt::NotRun(AttemptFailure::PlacementChanged);
         }
         let at_primary =
-            matches!(stance, Stance::LeaderTransaction) || work.access == Access::Write;
+            matches!(mode, TransactionMode::LeaderTransaction) || work.access == Access::Write;
         if at_primary && !self.node.may_write(lease.pool().database()) {
             return Attempt::NotRun(AttemptFailure::NoLease);
         }
-        let single_write = work.access == Access::Write && matches!(stance, Stance::Alone(_));
+        let single_write =
+            work.access == Access::Write && matches!(mode, TransactionMode::Autocommit(_));
         let _in_flight = single_write.then(|| WriteInFlight::new(self.node, &self.route.group));
-        let after = match stance {
-            Stance::Alone(after) => after,
-            Stance::ReadTransaction(after) => Some(after),
-            Stance::LeaderTransaction => None,
+        let after = match mode {
+            TransactionMode::Autocommit(after) => after,
+            TransactionMode::ReadTransaction(after) => Some(after),
+            TransactionMode::LeaderTransaction => None,
         };
-        self.push_preparation(&mut lease, work, &mut commands);
+        self.push_prepare(&mut lease, work, &mut commands);
         commands.push(work.command(after));
         let limit = self.attempt_limit(work, &lease);
         let asked_at = self.node.now();
         let waited = asked_at.since(began);
-        self.log_sent_to_leaving(work, lease.pool().database(), waited);
-        if !matches!(stance, Stance::Alone(_)) {
+        self.log_sent_to_draining(work, lease.pool().database(), waited);
+        if !matches!(mode, TransactionMode::Autocommit(_)) {
             lease.connection().in_transaction = true;
         }
         let answers = match lease.exchange(self.node, &commands, limit).await {
             Ok(answers) => answers,
             Err(error) => {
                 if matches!(error, ConnectionError::TimedOut) {
-                    self.reads_timed_out.set(self.reads_timed_out.get() + 1);
+                    self.read_timeouts.set(self.read_timeouts.get() + 1);
                 }
                 return match work.access {
                     _ if matches!(error, ConnectionError::NotSent) => {
                         Attempt::NotRun(AttemptFailure::NotSent)
                     }
                     Access::Read => Attempt::NotRun(AttemptFailure::Broken),
-                    Access::Write if matches!(stance, Stance::Alone(_)) => Attempt::Unknown,
+                    Access::Write if matches!(mode, TransactionMode::Autocommit(_)) => {
+                        Attempt::Unknown
+                    }
                     Access::Write => Attempt::NotRun(AttemptFailure::Broken),
                 };
             }
         };
-        self.judge(work, lease, stance, answers, asked_at)
+        self.classify_answer(work, lease, mode, answers, asked_at)
     }
 
-    pub(super) fn judge(
+    pub(super) fn classify_answer(
         &self,
         work: &Work,
         mut lease: Lease,
-        stance: Stance,
+        mode: TransactionMode,
         mut answers: Vec<Answer>,
         asked_at: Timestamp,
     ) -> Attempt {
@@ -204,7 +210,7 @@
         let code = match &answer.result {
             Ok(_) => {
                 lease.pool().note_served(now, now.since(asked_at));
-                if work.access == Access::Write && matches!(stance, Stance::Alone(_)) {
+                if work.access == Access::Write && matches!(mode, TransactionMode::Autocommit(_)) {
                     let database = lease.pool().database();
                     if !self.node.may_acknowledge(&self.route.group, database) {
                         return Attempt::Unknown;
@@ -240,9 +246,9 @@
         self.node.confirm_leader(lease.pool().database(), proof);
     }
 
-    /// How long a connection is waited for. A write has to have time left to be answered,
-    /// or its outcome would not be known. One of a database that leaves is of no use once its
-    /// time is over.
+    /// Returns how long the request may wait for a connection. A write keeps enough time for its
+    /// answer, because its outcome would otherwise be unknown. The wait for a draining database
+    /// ends when that database stops getting new work.
     fn wait_limits(
         &self,
         work: &Work,
@@ -260,7 +266,7 @@
             patience: patience(self.route.target_latency, elapsed),
             limit: self
                 .time_left()
-                .saturating_sub(least_time(work))
+                .saturating_sub(min_attempt_time(work))
                 .min(self.node.work_time_left(database)),
         }
     }
@@ -274,19 +280,14 @@
                 let limit = read_attempt_limit(
                     service_time,
                     self.route.target_latency,
-                    self.reads_timed_out.get(),
+                    self.read_timeouts.get(),
                 );
                 left.min(limit)
             }
         }
     }
 
-    pub(super) fn push_preparation(
-        &self,
-        lease: &mut Lease,
-        work: &Work,
-        commands: &mut Vec<Command>,
-    ) {
+    pub(super) fn push_prepare(&self, lease: &mut Lease, work: &Work, commands: &mut Vec<Command>) {
         let Some(shape) = work.shape() else {
             return;
         };
--- a/crates/serving/src/statement/evacuated.rs
+++ b/crates/serving/src/statement/evacuated.rs
@@ -1,30 +1,30 @@
-//! Statements whose only database is in a zone that is evacuated.
+//! Statements that only a database in an evacuated zone could run.
 
 use hookpoint_state::Timestamp;
 
-use super::outcome::Tried;
-use super::{REPLACEMENT_TIME, Request, Work};
+use super::outcome::AttemptSummary;
+use super::{EXPECTED_FAILOVER_TIME, Request, Work};
 use crate::message::{Failure, FailureCode};
 
-/// Told with a refusal that lasts as long as the evacuation does.
-const REFUSAL: &str =
+/// Error text of a refusal that lasts until the evacuation ends.
+const EVACUATION_REFUSAL: &str =
     "nothing was kept; the only database that can run this is in a zone under evacuation";
 
-/// What an evacuation leaves a statement that found no database.
+/// Whether a statement that found no database because of an evacuation should wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Evacuated {
-    /// Another primary is on its way, and should be there by then.
-    HandedOverBy(Timestamp),
-    /// Nothing is known to change: waiting would be in vain.
-    Stays,
+pub(super) enum EvacuationWait {
+    /// A promotion of another database was ordered and should be complete by this time.
+    FailoverExpectedBy(Timestamp),
+    /// No failover is under way, so waiting would not help.
+    NoFailover,
 }
 
 impl Request<'_> {
-    /// Whether an evacuation is why no database can run a statement, which only the primary may
-    /// if `only_leader`.
-    pub(super) fn evacuated(&self, only_leader: bool) -> Option<Evacuated> {
+    /// Returns whether to wait if an evacuation is why no database can run a statement, or `None`
+    /// if it is not. `only_leader`: whether only the primary may run the statement.
+    pub(super) fn evacuated(&self, only_leader: bool) -> Option<EvacuationWait> {
         let leader = self.node.shut_leader(&self.route.group)?;
-        if !only_leader && self.some_database_serves() {
+        if !only_leader && self.any_database_serves() {
             return None;
         }
         let now = self.node.now();
@@ -32,26 +32,26 @@
             let (candidate, since) = state.promoting.as_ref()?;
             (*candidate != leader).then_some(*since)
         });
-        let expected = ordered_at.map(|ordered_at| ordered_at + REPLACEMENT_TIME);
+        let expected = ordered_at.map(|ordered_at| ordered_at + EXPECTED_FAILOVER_TIME);
         Some(match expected.filter(|expected| *expected > now) {
-            Some(expected) => Evacuated::HandedOverBy(expected),
-            None => Evacuated::Stays,
+            Some(expected) => EvacuationWait::FailoverExpectedBy(expected),
+            None => EvacuationWait::NoFailover,
         })
     }
 
-    /// Whether some database of the group gets statements at all.
-    fn some_database_serves(&self) -> bool {
+    /// Returns whether statements may be sent to at least one database of the group.
+    fn any_database_serves(&self) -> bool {
         let directory = self.node.directory.borrow();
         let mut databases = directory.of_group(&self.route.group);
         databases.any(|listed| self.node.may_serve(&listed.database.name))
     }
 
-    /// The answer to a statement that no database runs until the evacuation ends, and when that
-    /// will be is not known; logged and counted.
-    pub(super) fn refuse_evacuated(&self, work: &Work, mut tried: Tried) -> Failure {
-        tried.refused_for = Some("zone_evacuated");
-        self.log_outcome(work, &tried, "refused");
+    /// Logs and counts the refusal of a statement that no database can run until the evacuation
+    /// ends. The answer has no retry hint, because the end of the evacuation is not known.
+    pub(super) fn refuse_evacuated(&self, work: &Work, mut summary: AttemptSummary) -> Failure {
+        summary.refusal_reason = Some("zone_evacuated");
+        self.log_outcome(work, &summary, "refused");
         self.node.counters.count("refused", "evacuated");
-        Failure::new(FailureCode::Overloaded, REFUSAL)
+        Failure::new(FailureCode::Overloaded, EVACUATION_REFUSAL)
     }
 }
--- a/crates/serving/src/statement/mod.rs
+++ b/crates/serving/src/statement/mod.rs
@@ -1,4 +1,4 @@
-//! Carrying one statement to a database that may serve it, and back.
+//! Routes one statement to a database that may serve it and returns the answer.
 
 mod attempt;
 mod evacuated;
@@ -25,9 +25,9 @@
 use tokio::time::{sleep, timeout};
 
 use self::attempt::{Attempt, AttemptFailure};
-use self::evacuated::Evacuated;
+use self::evacuated::EvacuationWait;
 pub(crate) use self::outcome::rolled_back;
-use self::outcome::{Tried, access_name};
+use self::outcome::{AttemptSummary, access_name};
 use self::target::Target;
 use crate::connection::Answer;
 use crate::lease::Lease;
@@ -35,28 +35,28 @@
 use crate::node::Node;
 use crate::primary_lease::LAPSE_PASSES;
 
-/// Least time left in which another attempt is worth making.
-const LEAST_ATTEMPT: Duration = Duration::from_millis(10);
-/// The same for a write: one that is sent and not answered in time is in doubt, while one
-/// that was not sent can be tried again by the caller.
-const LEAST_WRITE_ATTEMPT: Duration = Duration::from_millis(200);
-/// Pause before another attempt at a loaded database.
-const BUSY_PAUSE: Duration = Duration::from_millis(15);
-/// Longest pause before looking again for a database.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
-/// Time in which a lost primary should have been replaced.
-const REPLACEMENT_TIME: Duration = Duration::from_secs(3);
+/// Minimum time left for another attempt at a read; also the pause after some failed attempts.
+const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(10);
+/// Minimum time left to send a write. A write that is sent but not answered in time has an
+/// unknown outcome, while the caller can retry one that was not sent.
+const MIN_WRITE_ATTEMPT_TIME: Duration = Duration::from_millis(200);
+/// Pause before the next attempt after a database refused for load.
+const BUSY_RETRY_DELAY: Duration = Duration::from_millis(15);
+/// Maximum time between two searches for a usable database.
+const TARGET_RECHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time within which a lost primary should have been replaced.
+const EXPECTED_FAILOVER_TIME: Duration = Duration::from_secs(3);
 
-/// Why waiting for a database is in vain.
+/// Why a request stops waiting for a database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum InVain {
-    /// None will be usable in time.
+enum NoTarget {
+    /// No database is expected to become usable in time.
     NoDatabase,
-    /// The only one that could run the statement is in a zone that is evacuated.
-    Evacuated,
+    /// The only database that could run the statement is in an evacuated zone.
+    ZoneEvacuated,
 }
 
-/// What a caller asks to run.
+/// A caller's read or write.
 #[derive(Clone, Debug)]
 pub(crate) struct Work {
     pub id: Bytes,
@@ -64,7 +64,7 @@
     pub body: WorkBody,
 }
 
-/// Text or prepared shape.
+/// A statement's text, or a prepared shape with its arguments.
 #[derive(Clone, Debug)]
 pub(crate) enum WorkBody {
     Text(Bytes),
@@ -99,14 +99,14 @@
     }
 }
 
-/// This node's name for a shape, alike on every connection.
+/// Returns this node's name for a prepared shape, which is the same on every connection.
 fn prepared_name(shape: &PreparedShape) -> String {
     let mut hasher = DefaultHasher::new();
     shape.hash(&mut hasher);
     format!("p{:016x}", hasher.finish())
 }
 
-/// One request: the session it comes from and its limits.
+/// One statement's routing context: the session it comes from and its time limits.
 pub(crate) struct Request<'a> {
     pub node: &'a Rc<Node>,
     pub state: &'a SessionState,
@@ -114,24 +114,25 @@
     pub name: &'a str,
     /// The route as it was when the request was admitted.
     pub route: &'a Route,
-    /// On whose behalf it runs.
+    /// The principal on whose behalf it runs.
     pub principal: &'a Principal,
-    /// When its first byte, or that of its transaction, was seen.
-    pub fresh_from: Timestamp,
+    /// When the statement, or its transaction, arrived: bounded staleness is measured back from
+    /// this time.
+    pub freshness_base: Timestamp,
     /// When this statement arrived.
     pub arrived: Timestamp,
-    /// Newest position that the session was shown.
+    /// Position of the session's own last write; `None` before the first.
     pub own_position: Option<ReignPosition>,
-    /// Attempts at a read that ran out of time.
-    pub reads_timed_out: Cell<u32>,
+    /// Number of attempts at a read that timed out.
+    pub read_timeouts: Cell<u32>,
 }
 
-/// A statement that was answered, and the connection it ran on.
-pub(crate) struct Ran {
+/// The answer to a statement and the connection on which it ran.
+pub(crate) struct ExecutedStatement {
     pub answer: Answer,
     pub lease: Lease,
-    /// Whether a transaction that it opened may not write.
-    pub reads_only: bool,
+    /// Whether a transaction that the statement opened is read-only.
+    pub opened_read_only: bool,
 }
 
 impl Request<'_> {
@@ -143,11 +144,12 @@
         self.deadline().since(self.node.now())
     }
 
-    /// Until when the request waits for a database that may serve it.
+    /// Returns until when the request waits for a database that may serve it.
     ///
-    /// While a primary that was lost a moment ago is being replaced, within its own time.
-    /// Once that has taken longer than it should, a request is refused at once.
-    fn wait_limit(&self) -> Timestamp {
+    /// A request waits up to its deadline while a lost primary is being replaced. It is refused
+    /// at once when the replacement has taken longer than `EXPECTED_FAILOVER_TIME`, when this
+    /// node's primary lease lapsed `LAPSE_PASSES` ago or earlier, and when this node is isolated.
+    fn wait_deadline(&self) -> Timestamp {
         let now = self.node.now();
         let lapsed = self.node.lease_lapsed_since();
         if lapsed.is_some_and(|since| now.since(since) >= LAPSE_PASSES) {
@@ -159,16 +161,17 @@
         let lost_since = self.node.with_group(&self.route.group, |state| {
             state.contact.lost_since.or(state.leaderless_since)
         });
-        let replaced_since = lost_since.or_else(|| self.leaving_leader_replaced_since());
+        let replaced_since = lost_since.or_else(|| self.draining_leader_replaced_since());
         match replaced_since {
-            Some(since) if now.since(since) >= REPLACEMENT_TIME => now,
+            Some(since) if now.since(since) >= EXPECTED_FAILOVER_TIME => now,
             _ => self.deadline(),
         }
     }
 
-    /// Since when a primary whose time for new work is over should have been on its way to be
-    /// replaced: since this node heard that it leaves, or a promotion was ordered.
-    fn leaving_leader_replaced_since(&self) -> Option<Timestamp> {
+    /// Returns since when a draining primary that gets no more new work should be in replacement:
+    /// since this node learned that it is draining or since a promotion of another database was
+    /// ordered, whichever is later.
+    fn draining_leader_replaced_since(&self) -> Option<Timestamp> {
         let leader = self.node.leader(&self.route.group)?;
         if self.node.gets_new_work(&leader) {
             return None;
@@ -181,35 +184,41 @@
         Some(ordered_at.map_or(heard_at, |ordered_at| ordered_at.max(heard_at)))
     }
 
-    /// Waits until a database may have become usable; fails if that would be in vain.
-    async fn await_target(&self, only_leader: bool) -> Result<(), InVain> {
+    /// Waits until a database may have become usable; fails at once if none is expected to.
+    async fn await_target(&self, only_leader: bool) -> Result<(), NoTarget> {
         let limit = match self.evacuated(only_leader) {
-            Some(Evacuated::HandedOverBy(limit)) => limit.min(self.wait_limit()),
-            Some(Evacuated::Stays) => return Err(InVain::Evacuated),
-            None => self.wait_limit(),
+            Some(EvacuationWait::FailoverExpectedBy(limit)) => limit.min(self.wait_deadline()),
+            Some(EvacuationWait::NoFailover) => return Err(NoTarget::ZoneEvacuated),
+            None => self.wait_deadline(),
         };
         let left = limit.since(self.node.now());
-        if left < LEAST_ATTEMPT {
-            return Err(InVain::NoDatabase);
+        if left < MIN_ATTEMPT_TIME {
+            return Err(NoTarget::NoDatabase);
         }
         self.node.note_awaited(&self.route.group);
         let changed = self.node.leader_changed.notified();
-        let _ = timeout(left.min(LOOK_AGAIN), changed).await;
+        let _ = timeout(left.min(TARGET_RECHECK_INTERVAL), changed).await;
         Ok(())
     }
 
-    /// Runs a single statement outside any transaction of the caller's.
+    /// Runs a single statement outside any transaction of the caller. Also returns the database
+    /// that answered.
     pub(crate) async fn run_single(&self, work: &Work) -> Result<(Answer, DatabaseName), Failure> {
-        self.refuse_unless_placed(work, false)?;
+        self.check_placement(work, false)?;
         self.take_token(work).await?;
         let ran = self.run_until_answered(work, false).await?;
         let database = ran.lease.pool().database().clone();
         Ok((ran.answer, database))
     }
 
-    /// Runs the first statement of a caller's transaction and keeps its connection.
-    pub(crate) async fn run_first(&self, work: &Work, read_only: bool) -> Result<Ran, Failure> {
-        self.refuse_unless_placed(work, !read_only)?;
+    /// Runs the first statement of a caller's transaction and returns the connection on which the
+    /// transaction is open.
+    pub(crate) async fn run_first_in_transaction(
+        &self,
+        work: &Work,
+        read_only: bool,
+    ) -> Result<ExecutedStatement, Failure> {
+        self.check_placement(work, !read_only)?;
         self.take_token(work).await?;
         self.run_until_answered(work, !read_only).await
     }
@@ -217,122 +226,128 @@
     async fn run_until_answered(
         &self,
         work: &Work,
-        plain_transaction: bool,
-    ) -> Result<Ran, Failure> {
+        read_write_transaction: bool,
+    ) -> Result<ExecutedStatement, Failure> {
         let in_transaction = self.state.phase == Phase::InTransaction;
         self.node.note_use(&self.route.group);
-        let mut avoided = BTreeSet::new();
-        let mut tried = Tried::default();
+        let mut excluded = BTreeSet::new();
+        let mut summary = AttemptSummary::default();
         loop {
-            if self.time_left() < least_time(work) {
-                return Err(self.refuse(work, tried, "out_of_time"));
+            if self.time_left() < min_attempt_time(work) {
+                return Err(self.refuse(work, summary, "out_of_time"));
             }
-            let (target, need) = match self.next_target(work, plain_transaction, &avoided) {
+            let (target, need) = match self.next_target(work, read_write_transaction, &excluded) {
                 Ok((Some(target), need)) => (target, need),
-                Ok((None, _)) if tried.is_refused() => {
-                    return Err(self.refuse_for_load(work, tried));
+                Ok((None, _)) if summary.should_refuse() => {
+                    return Err(self.refuse_for_load(work, summary));
                 }
                 Ok((None, need)) => {
-                    avoided.clear();
-                    if let Err(in_vain) = self.await_target(self.only_leader_serves(need)).await {
-                        return Err(self.refuse_in_vain(work, tried, in_vain));
+                    excluded.clear();
+                    if let Err(no_target) = self.await_target(self.only_leader_serves(need)).await {
+                        return Err(self.refuse_without_target(work, summary, no_target));
                     }
                     continue;
                 }
-                Err(obstacle) => return Err(self.refuse_misplaced(work, tried, obstacle)),
+                Err(obstacle) => return Err(self.refuse_for_region(work, summary, obstacle)),
             };
-            tried.attempts += 1;
-            tried.database = Some(target.database().clone());
+            summary.attempts += 1;
+            summary.database = Some(target.database().clone());
             let began = self.node.now();
             let attempt = self.attempt(work, &target, in_transaction).await;
             match attempt {
                 Attempt::Answered(answered) => {
                     let (lease, answer) = *answered;
-                    self.log_answered(work, &tried, target.database());
-                    return Ok(Ran {
+                    self.log_answered(work, &summary, target.database());
+                    return Ok(ExecutedStatement {
                         answer,
                         lease,
-                        reads_only: need == Need::AnyDatabase,
+                        opened_read_only: need == Need::AnyDatabase,
                     });
                 }
                 Attempt::Unknown => {
-                    self.log_outcome(work, &tried, "outcome_unknown");
+                    self.log_outcome(work, &summary, "outcome_unknown");
                     let text = "the write was sent and not answered";
                     return Err(Failure::new(FailureCode::OutcomeUnknown, text));
                 }
                 Attempt::NotRun(failure) => {
-                    tried.note(failure);
-                    if self.only_leader_serves(need) && tried.is_refused() {
-                        return Err(self.refuse_for_load(work, tried));
+                    summary.note(failure);
+                    if self.only_leader_serves(need) && summary.should_refuse() {
+                        return Err(self.refuse_for_load(work, summary));
                     }
                     self.node
                         .counters
-                        .count("attempts_failed", tried.last_failure);
-                    self.after_failure(failure, &target, began, &mut avoided)
+                        .count("attempts_failed", summary.last_failure);
+                    self.pause_after_failure(failure, &target, began, &mut excluded)
                         .await;
                 }
             }
         }
     }
 
-    /// Whether no other database than the primary will do at the moment.
+    /// Returns whether only the primary can serve the statement at the moment: it needs the primary,
+    /// or the position that a replica must hold for its reads is not known.
     fn only_leader_serves(&self, need: Need) -> bool {
         need == Need::Primary || self.required_position().is_none()
     }
 
-    fn refuse_in_vain(&self, work: &Work, tried: Tried, in_vain: InVain) -> Failure {
-        match in_vain {
-            InVain::NoDatabase => self.refuse(work, tried, "no_database"),
-            InVain::Evacuated => self.refuse_evacuated(work, tried),
+    fn refuse_without_target(
+        &self,
+        work: &Work,
+        summary: AttemptSummary,
+        no_target: NoTarget,
+    ) -> Failure {
+        match no_target {
+            NoTarget::NoDatabase => self.refuse(work, summary, "no_database"),
+            NoTarget::ZoneEvacuated => self.refuse_evacuated(work, summary),
         }
     }
 
-    fn log_answered(&self, work: &Work, tried: &Tried, database: &DatabaseName) {
-        if tried.attempts > 1 {
-            self.log_outcome(work, tried, "served_after_retry");
+    fn log_answered(&self, work: &Work, summary: &AttemptSummary, database: &DatabaseName) {
+        if summary.attempts > 1 {
+            self.log_outcome(work, summary, "served_after_retry");
         } else {
             self.log_served(&work.id, access_name(work.access), database);
         }
     }
 
-    async fn after_failure(
+    async fn pause_after_failure(
         &self,
         failure: AttemptFailure,
         target: &Target,
         began: Timestamp,
-        avoided: &mut BTreeSet<DatabaseName>,
+        excluded: &mut BTreeSet<DatabaseName>,
     ) {
         let database = target.database();
         match failure {
-            AttemptFailure::NoLease => sleep(LEAST_ATTEMPT.min(self.time_left())).await,
+            AttemptFailure::NoLease => sleep(MIN_ATTEMPT_TIME.min(self.time_left())).await,
             AttemptFailure::Busy => {
-                avoided.insert(database.clone());
-                sleep(BUSY_PAUSE.min(self.time_left())).await;
+                excluded.insert(database.clone());
+                sleep(BUSY_RETRY_DELAY.min(self.time_left())).await;
             }
             AttemptFailure::Lagging => {
                 self.node.pool(database).note_lagging(self.node.now());
-                avoided.insert(database.clone());
+                excluded.insert(database.clone());
             }
             AttemptFailure::NotPrimary => self.node.refute_leader(database, began),
             AttemptFailure::PlacementChanged => {}
             AttemptFailure::NoConnection | AttemptFailure::NotSent => {
-                avoided.insert(database.clone());
-                sleep(LEAST_ATTEMPT.min(self.time_left())).await;
+                excluded.insert(database.clone());
+                sleep(MIN_ATTEMPT_TIME.min(self.time_left())).await;
             }
             AttemptFailure::Broken
             | AttemptFailure::Failed
             | AttemptFailure::Overloaded
             | AttemptFailure::Cold { .. } => {
-                avoided.insert(database.clone());
+                excluded.insert(database.clone());
             }
         }
     }
 }
 
-/// Least time left in which a statement is still sent to a database.
-fn least_time(work: &Work) -> Duration {
+/// Returns the minimum time left for a statement to be sent to a database.
+fn min_attempt_time(work: &Work) -> Duration {
     match work.access {
-        Access::Read => LEAST_ATTEMPT,
-        Access::Write => LEAST_WRITE_ATTEMPT,
+        Access::Read => MIN_ATTEMPT_TIME,
+        Access::Write => MIN_WRITE_ATTEMPT_TIME,
     }
 }
--- a/crates/serving/src/statement/outcome.rs
+++ b/crates/serving/src/statement/outcome.rs
@@ -1,4 +1,4 @@
-//! What is told and logged of a statement that was not served plainly.
+//! Failure answers and log records of statements.
 
 use std::time::Duration;
 
@@ -13,120 +13,129 @@
 use crate::message::{Failure, FailureCode};
 use crate::units::millis;
 
-/// Hint told with a refusal.
+/// Error text of a refusal, with a retry hint.
 const RETRY_HINT: &str = "nothing was kept; retry after 250 ms";
 
-/// Told with a refusal where it is not known when a retry may succeed.
-const OUT_OF_PLACE: &str = "nothing was kept; no database in the allowed regions can run this";
-/// Longest time to return that is told to a caller: by then another database may serve it.
-const LONGEST_HINT: Duration = Duration::from_secs(2);
+/// Error text of a refusal for which it is not known when a retry may succeed.
+const NO_ALLOWED_DATABASE: &str =
+    "nothing was kept; no database in the allowed regions can run this";
+/// Maximum retry hint for a cold database: after this time another database may serve the caller.
+const MAX_RETRY_HINT: Duration = Duration::from_secs(2);
 
-/// What was tried for a statement.
+/// The attempts made for one statement.
 #[derive(Debug)]
-pub(super) struct Tried {
+pub(super) struct AttemptSummary {
     pub(super) attempts: u32,
     pub(super) database: Option<DatabaseName>,
     pub(super) last_failure: &'static str,
-    /// Whether the queue of some database was too long.
+    /// Whether the wait queue of at least one database was too long.
     pub(super) overloaded: bool,
-    /// Why it was refused, if it was.
-    pub(super) refused_for: Option<&'static str>,
-    /// When a cold database takes a request again, if one was asked.
-    pub(super) cold_for: Option<Duration>,
+    /// Why the statement was refused; `None` if it was not.
+    pub(super) refusal_reason: Option<&'static str>,
+    /// Shortest time until a cold database that was summary takes a request again; `None` if none
+    /// was summary.
+    pub(super) cold_retry_after: Option<Duration>,
 }
 
-impl Default for Tried {
+impl Default for AttemptSummary {
     fn default() -> Self {
         Self {
             attempts: 0,
             database: None,
             last_failure: "none",
             overloaded: false,
-            refused_for: None,
-            cold_for: None,
+            refusal_reason: None,
+            cold_retry_after: None,
         }
     }
 }
 
-impl Tried {
-    /// Takes in why an attempt did not run.
+impl AttemptSummary {
+    /// Records why an attempt did not run.
     pub(super) fn note(&mut self, failure: AttemptFailure) {
         self.last_failure = failure.as_str();
         self.overloaded |= failure == AttemptFailure::Overloaded;
         if let AttemptFailure::Cold { retry_after } = failure {
             let sooner = |known: Duration| known.min(retry_after);
-            self.cold_for = Some(self.cold_for.map_or(retry_after, sooner));
+            self.cold_retry_after = Some(self.cold_retry_after.map_or(retry_after, sooner));
         }
     }
 
-    /// Whether waiting for another database serves nobody: one that would do is too loaded.
-    pub(super) fn is_refused(&self) -> bool {
-        self.overloaded || self.cold_for.is_some()
+    /// Returns whether a database that could serve the statement is overloaded or cold, so that
+    /// waiting for another one is of no use.
+    pub(super) fn should_refuse(&self) -> bool {
+        self.overloaded || self.cold_retry_after.is_some()
     }
 }
 
 impl Request<'_> {
-    /// The answer to a request whose databases are too loaded, or cold; logged and counted.
-    pub(super) fn refuse_for_load(&self, work: &Work, mut tried: Tried) -> Failure {
-        let cold_for = tried.cold_for.filter(|_| !tried.overloaded);
-        let Some(retry_after) = cold_for else {
-            return self.refuse(work, tried, "overloaded");
+    /// Logs and counts the refusal of a request whose databases are overloaded or cold.
+    pub(super) fn refuse_for_load(&self, work: &Work, mut summary: AttemptSummary) -> Failure {
+        let cold_retry_after = summary.cold_retry_after.filter(|_| !summary.overloaded);
+        let Some(retry_after) = cold_retry_after else {
+            return self.refuse(work, summary, "overloaded");
         };
-        tried.refused_for = Some("cold");
-        self.log_outcome(work, &tried, "refused");
+        summary.refusal_reason = Some("cold");
+        self.log_outcome(work, &summary, "refused");
         self.node.counters.count("refused", "cold");
-        let hint = millis(retry_after.min(LONGEST_HINT)).max(1);
+        let hint = millis(retry_after.min(MAX_RETRY_HINT)).max(1);
         let text =
             format!("the database has just started, nothing was kept; retry after {hint} ms");
         Failure::new(FailureCode::Overloaded, text)
     }
 
-    /// The final answer to a request that is given up; logged and counted.
-    pub(super) fn refuse(&self, work: &Work, mut tried: Tried, reason: &'static str) -> Failure {
-        tried.refused_for = Some(reason);
-        self.log_outcome(work, &tried, "refused");
+    /// Logs and counts the refusal of a request for `reason`.
+    pub(super) fn refuse(
+        &self,
+        work: &Work,
+        mut summary: AttemptSummary,
+        reason: &'static str,
+    ) -> Failure {
+        summary.refusal_reason = Some(reason);
+        self.log_outcome(work, &summary, "refused");
         self.node.counters.count("refused", reason);
         Failure::new(FailureCode::Overloaded, RETRY_HINT)
     }
 
-    /// The same for one that no permitted database can run.
-    pub(super) fn refuse_misplaced(
+    /// Logs and counts the refusal of a request that no database in the allowed regions can run.
+    pub(super) fn refuse_for_region(
         &self,
         work: &Work,
-        mut tried: Tried,
+        mut summary: AttemptSummary,
         obstacle: Obstacle,
     ) -> Failure {
-        tried.refused_for = Some(obstacle.as_str());
-        self.log_outcome(work, &tried, "refused");
+        summary.refusal_reason = Some(obstacle.as_str());
+        self.log_outcome(work, &summary, "refused");
         self.node.counters.count("refused", "region");
-        Failure::new(FailureCode::Overloaded, OUT_OF_PLACE)
+        Failure::new(FailureCode::Overloaded, NO_ALLOWED_DATABASE)
     }
 
-    /// Logs a statement that was not served plainly.
-    pub(super) fn log_outcome(&self, work: &Work, tried: &Tried, outcome: &'static str) {
-        let fields = self.outcome_fields(&work.id, access_name(work.access), tried, outcome);
+    /// Logs a statement that was not served at its first attempt.
+    pub(super) fn log_outcome(&self, work: &Work, summary: &AttemptSummary, outcome: &'static str) {
+        let fields = self.outcome_fields(&work.id, access_name(work.access), summary, outcome);
         self.node.log("statement_decided", &fields);
     }
 
     /// Logs a statement or a commit that was served at the first attempt.
     pub(super) fn log_served(&self, id: &[u8], kind: &'static str, database: &DatabaseName) {
         let node = self.node;
-        let tried = || Tried {
+        let summary = || AttemptSummary {
             attempts: 1,
             database: Some(database.clone()),
-            ..Tried::default()
+            ..AttemptSummary::default()
         };
-        let fields = || self.outcome_fields(id, kind, &tried(), "served");
+        let fields = || self.outcome_fields(id, kind, &summary(), "served");
         node.events
             .write_ordinary(node.now(), "statement_served", fields);
     }
 
-    /// What decided a statement, with the age of each input.
+    /// Returns the log fields of a statement: the state that its routing was based on, with the age
+    /// of each input, and the outcome.
     fn outcome_fields(
         &self,
         id: &[u8],
         kind: &'static str,
-        tried: &Tried,
+        summary: &AttemptSummary,
         outcome: &'static str,
     ) -> Vec<(&'static str, Value)> {
         let now = self.node.now();
@@ -158,26 +167,27 @@
             ("confirmed_ms_ago", millis(now.since(confirmed_at)).into()),
             ("sample_ms_ago", sample_age.into()),
             ("held_ms", millis(now.since(self.arrived)).into()),
-            ("attempts", tried.attempts.into()),
-            ("database", name(&tried.database)),
-            ("leaving_ms", self.leaving_ms(tried.database.as_ref())),
-            ("last_failure", tried.last_failure.into()),
+            ("attempts", summary.attempts.into()),
+            ("database", name(&summary.database)),
+            ("leaving_ms", self.leaving_ms(summary.database.as_ref())),
+            ("last_failure", summary.last_failure.into()),
             ("outcome", outcome.into()),
-            ("reason", tried.refused_for.into()),
+            ("reason", summary.refusal_reason.into()),
             ("allowed_regions", allowed.into()),
         ]
     }
 }
 
 impl Request<'_> {
-    /// How much of the time of a database that leaves is over by now; null if it does not.
+    /// Returns for how many milliseconds a database has been draining; null if it is not draining.
     fn leaving_ms(&self, database: Option<&DatabaseName>) -> Value {
         let age = database.and_then(|database| self.node.leaving_for(database));
         age.map(millis).into()
     }
 
-    /// Logs that a statement is sent to a database that leaves, after it waited for a connection.
-    pub(super) fn log_sent_to_leaving(
+    /// Logs that a statement is sent to a draining database, and how long it waited for a
+    /// connection.
+    pub(super) fn log_sent_to_draining(
         &self,
         work: &Work,
         database: &DatabaseName,
@@ -200,7 +210,7 @@
     }
 }
 
-/// The answer to a transaction whose connection was lost before its commit was sent.
+/// Returns the failure for a transaction that ended before its commit was sent.
 pub(crate) fn rolled_back() -> Failure {
     Failure::new(FailureCode::RolledBack, RETRY_HINT)
 }
--- a/crates/serving/src/statement/placing.rs
+++ b/crates/serving/src/statement/placing.rs
@@ -1,4 +1,4 @@
-//! Placing a statement by the regions that its route and its tenant are confined to.
+//! Restricts statements to the regions that their route and their tenant allow.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -8,82 +8,86 @@
 use hookpoint_coordination::serving::topology::Consistency;
 use hookpoint_state::DatabaseName;
 
-use super::outcome::Tried;
+use super::outcome::AttemptSummary;
 use super::target::Target;
-use super::{REPLACEMENT_TIME, Request, Work};
+use super::{EXPECTED_FAILOVER_TIME, Request, Work};
 use crate::message::Failure;
 
 impl Request<'_> {
-    /// Where it may run and pass through, by the configuration in force: a statement that
-    /// waits is placed anew before each attempt.
+    /// Returns where the statement may run and through which nodes it may pass, by the current
+    /// configuration. It is computed again before each attempt, because the configuration may
+    /// change while the statement waits.
     pub(super) fn placement(&self) -> Rc<Placement> {
         self.node.placement(self.name, self.route, self.principal)
     }
 
-    /// Whether the configuration in force allows all that `placement`, by which a database
-    /// was chosen, did.
+    /// Returns whether the current configuration allows everything that `placement`, by which a
+    /// database was chosen, allows.
     pub(super) fn still_allows(&self, placement: &Placement) -> bool {
         self.placement().covers(placement)
     }
 
-    /// Refuses a statement that no permitted database can run, before it costs its tenant
-    /// anything.
-    pub(super) fn refuse_unless_placed(
+    /// Refuses a statement that no allowed database can run, before a token of its tenant is
+    /// taken. `read_write_transaction`: whether it begins a transaction that may write.
+    pub(super) fn check_placement(
         &self,
         work: &Work,
-        plain_transaction: bool,
+        read_write_transaction: bool,
     ) -> Result<(), Failure> {
         let placement = self.placement();
-        let need = self.need(work, plain_transaction, &placement);
+        let need = self.need(work, read_write_transaction, &placement);
         match self.obstacle(&placement, need) {
-            Some(obstacle) => Err(self.refuse_misplaced(work, Tried::default(), obstacle)),
+            Some(obstacle) => {
+                Err(self.refuse_for_region(work, AttemptSummary::default(), obstacle))
+            }
             None => Ok(()),
         }
     }
 
-    /// Refuses a write in a transaction that was opened for reading, as the primary stands
-    /// outside.
-    pub(crate) fn refuse_write_inside(&self, work: &Work) -> Failure {
-        self.refuse_misplaced(work, Tried::default(), Obstacle::PrimaryOutside)
+    /// Refuses a write in a transaction that was opened read-only because the primary is outside
+    /// the allowed regions.
+    pub(crate) fn refuse_write_outside_regions(&self, work: &Work) -> Failure {
+        self.refuse_for_region(work, AttemptSummary::default(), Obstacle::PrimaryOutside)
     }
 
-    /// The database for the next attempt, if one can be used at the moment, and which one it
-    /// had to be.
+    /// Returns the database for the next attempt, or `None` if none is usable at the moment, and
+    /// whether it has to be the primary.
     pub(super) fn next_target(
         &self,
         work: &Work,
-        plain_transaction: bool,
-        avoided: &BTreeSet<DatabaseName>,
+        read_write_transaction: bool,
+        excluded: &BTreeSet<DatabaseName>,
     ) -> Result<(Option<Target>, Need), Obstacle> {
         let placement = self.placement();
-        let need = self.need(work, plain_transaction, &placement);
+        let need = self.need(work, read_write_transaction, &placement);
         if let Some(obstacle) = self.obstacle(&placement, need) {
             return Err(obstacle);
         }
         let target = match need {
             Need::Primary => self.leader_target(&placement),
-            Need::AnyDatabase => self.read_target(&placement, avoided),
+            Need::AnyDatabase => self.read_target(&placement, excluded),
         };
         Ok((target, need))
     }
 
-    /// Which database the statement needs. A transaction that may write and begins with a
-    /// read gets the primary, but reads inside while that stands outside: it may well
-    /// be all that its caller wants.
-    fn need(&self, work: &Work, plain_transaction: bool, placement: &Placement) -> Need {
+    /// Returns which database the statement needs. A transaction that may write and begins with a
+    /// read gets the primary. If the primary is outside the allowed regions, the transaction runs
+    /// read-only on another database, because the caller may only want to read.
+    fn need(&self, work: &Work, read_write_transaction: bool, placement: &Placement) -> Need {
         let reads_primary = self.route.consistency == Consistency::Primary;
         if reads_primary || work.access == Access::Write {
             return Need::Primary;
         }
         let outside = || self.obstacle(placement, Need::Primary) == Some(Obstacle::PrimaryOutside);
-        if plain_transaction && !outside() {
+        if read_write_transaction && !outside() {
             Need::Primary
         } else {
             Need::AnyDatabase
         }
     }
 
-    /// Why waiting for a permitted database is in vain, if it is.
+    /// Returns why no allowed database can run the statement however long it waits, or `None` if
+    /// one may become usable.
     fn obstacle(&self, placement: &Placement, need: Need) -> Option<Obstacle> {
         if !placement.is_restricted() {
             return None;
@@ -103,13 +107,14 @@
         placement.obstacle(need, group, &self.node.changeable().regions)
     }
 
-    /// The primary, unless it does not answer and may be replaced, and the database that a
-    /// promotion ordered a moment ago is for.
+    /// Returns the primary, unless it does not answer and may be replaced, and the database whose
+    /// promotion was ordered less than `EXPECTED_FAILOVER_TIME` ago.
     fn leader_and_successor(&self) -> (Option<DatabaseName>, Option<DatabaseName>) {
         let now = self.node.now();
         self.node.with_group(&self.route.group, |state| {
             let promoting = state.promoting.as_ref();
-            let under_way = promoting.filter(|(_, since)| now.since(*since) < REPLACEMENT_TIME);
+            let under_way =
+                promoting.filter(|(_, since)| now.since(*since) < EXPECTED_FAILOVER_TIME);
             let successor = under_way.map(|(candidate, _)| candidate.clone());
             let answers = state.contact.lost_since.is_none();
             let leader = state.leadership.leader().filter(|_| answers);
--- a/crates/serving/src/statement/quota.rs
+++ b/crates/serving/src/statement/quota.rs
@@ -1,5 +1,5 @@
-//! Whether the tenant may run another operation: a single statement, or a transaction, which
-//! counts with its first statement.
+//! Rate limiting per tenant. An operation is a single statement or a whole transaction, which
+//! is counted at its first statement.
 
 use hookpoint_coordination::serving::quota::token_patience;
 
@@ -9,8 +9,8 @@
 use crate::units::millis;
 
 impl Request<'_> {
-    /// Takes a token for the operation that begins with `work`, or refuses it; then nothing has
-    /// run.
+    /// Takes a token for the operation that begins with `work`, or refuses the operation before
+    /// any of it has run. Callers without a tenant are not limited.
     pub(super) async fn take_token(&self, work: &Work) -> Result<(), Failure> {
         let Some(tenant) = self.principal.tenant() else {
             return Ok(());
--- a/crates/serving/src/statement/stance.rs
+++ b/crates/serving/src/statement/stance.rs
@@ -1,4 +1,5 @@
-//! Bringing a connection to where a statement may run on it.
+//! Prepares a connection for a statement: rolls back an earlier transaction, sets session values
+//! and begins the transaction that the statement needs.
 
 use hookpoint_coordination::serving::session::SessionState;
 use hookpoint_state::{Position, Timestamp};
@@ -10,25 +11,26 @@
 use crate::message::{Command, FailureCode};
 use crate::pool::CONTROL_LIMIT;
 
-/// How the connection's transaction has to stand before the statement.
+/// The transaction that has to be open on the connection before the statement.
 #[derive(Clone, Copy, Debug)]
-pub(super) enum Stance {
-    /// None is open: the statement runs alone.
-    Alone(Option<Position>),
-    /// In a plain transaction, opened for the statement.
+pub(super) enum TransactionMode {
+    /// No transaction: the statement runs in autocommit mode, on a database that holds the position
+    /// if one is given.
+    Autocommit(Option<Position>),
+    /// A plain transaction, opened for the statement. Only a primary accepts it.
     LeaderTransaction,
-    /// In a reading transaction on a database that holds a position.
+    /// A read-only transaction on a database that holds the position.
     ReadTransaction(Position),
 }
 
 impl Request<'_> {
-    /// Brings the connection into the stance. What it returns goes ahead of the statement
-    /// in the same write; everything whose refusal would change what the statement does
-    /// has been answered before.
-    pub(super) async fn take_stance(
+    /// Prepares the connection for a statement in `mode`. The returned commands are sent before
+    /// the statement in the same write. Every command whose refusal would change what the
+    /// statement does is sent and answered here first.
+    pub(super) async fn prepare_connection(
         &self,
         lease: &mut Lease,
-        stance: Stance,
+        mode: TransactionMode,
     ) -> Result<Vec<Command>, AttemptFailure> {
         let connection = lease.connection();
         let differs = connection.values_unknown || connection.values != self.state.values;
@@ -37,16 +39,16 @@
             commands.push(Command::Rollback);
         }
         if differs {
-            push_values(self.state, &mut commands);
+            push_session_values(self.state, &mut commands);
         }
-        match stance {
-            Stance::Alone(_) if !differs => return Ok(commands),
-            Stance::Alone(_) => {}
-            Stance::LeaderTransaction => commands.push(Command::Begin {
+        match mode {
+            TransactionMode::Autocommit(_) if !differs => return Ok(commands),
+            TransactionMode::Autocommit(_) => {}
+            TransactionMode::LeaderTransaction => commands.push(Command::Begin {
                 read_only: false,
                 after: None,
             }),
-            Stance::ReadTransaction(after) => commands.push(Command::Begin {
+            TransactionMode::ReadTransaction(after) => commands.push(Command::Begin {
                 read_only: true,
                 after: Some(after),
             }),
@@ -63,12 +65,12 @@
             }
         };
         if differs {
-            self.note_values(lease, &answers)?;
+            self.record_session_values(lease, &answers)?;
         }
-        self.note_opened(lease, stance, asked_at, &answers)
+        self.check_last_answer(lease, mode, asked_at, &answers)
     }
 
-    pub(super) fn note_values(
+    pub(super) fn record_session_values(
         &self,
         lease: &mut Lease,
         answers: &[Answer],
@@ -87,10 +89,10 @@
         Ok(())
     }
 
-    pub(super) fn note_opened(
+    pub(super) fn check_last_answer(
         &self,
         lease: &mut Lease,
-        stance: Stance,
+        mode: TransactionMode,
         asked_at: Timestamp,
         answers: &[Answer],
     ) -> Result<Vec<Command>, AttemptFailure> {
@@ -98,13 +100,13 @@
             return Err(AttemptFailure::Broken);
         };
         let code = answer.result.as_ref().err().map(|failure| failure.code);
-        match (stance, code) {
-            (Stance::Alone(_), None) => Ok(Vec::new()),
-            (Stance::Alone(_), Some(_)) => {
+        match (mode, code) {
+            (TransactionMode::Autocommit(_), None) => Ok(Vec::new()),
+            (TransactionMode::Autocommit(_), Some(_)) => {
                 lease.connection().broken = true;
                 Err(AttemptFailure::Broken)
             }
-            (Stance::LeaderTransaction, _) => {
+            (TransactionMode::LeaderTransaction, _) => {
                 note_begin(self.node, lease, asked_at, answer);
                 match code {
                     None => Ok(Vec::new()),
@@ -112,16 +114,16 @@
                     Some(_) => Err(AttemptFailure::Busy),
                 }
             }
-            (Stance::ReadTransaction(_), None) => Ok(Vec::new()),
-            (Stance::ReadTransaction(_), Some(FailureCode::Lagging)) => {
+            (TransactionMode::ReadTransaction(_), None) => Ok(Vec::new()),
+            (TransactionMode::ReadTransaction(_), Some(FailureCode::Lagging)) => {
                 Err(AttemptFailure::Lagging)
             }
-            (Stance::ReadTransaction(_), Some(_)) => Err(AttemptFailure::Busy),
+            (TransactionMode::ReadTransaction(_), Some(_)) => Err(AttemptFailure::Busy),
         }
     }
 }
 
-fn push_values(state: &SessionState, commands: &mut Vec<Command>) {
+fn push_session_values(state: &SessionState, commands: &mut Vec<Command>) {
     commands.push(Command::Reset);
     for (name, value) in &state.values {
         commands.push(Command::Set {
--- a/crates/serving/src/statement/target.rs
+++ b/crates/serving/src/statement/target.rs
@@ -1,4 +1,4 @@
-//! Which database a statement is sent to.
+//! Selects the database to which a statement is sent.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -12,22 +12,22 @@
 
 use super::Request;
 
-/// Loss of contact after which a primary gets no new work.
-const LEADER_LOST: Duration = Duration::from_millis(250);
+/// Time without contact after which a primary gets no new work.
+const LEADER_LOST_AFTER: Duration = Duration::from_millis(250);
 
-/// Where a statement may run.
+/// The database chosen for an attempt.
 #[derive(Clone, Debug)]
 pub(super) enum Target {
-    /// The primary, confirmed as such by a plain transaction.
+    /// The presumed primary. It proves its role by accepting a plain transaction or the write.
     Leader(PermittedDatabase),
-    /// Any database that holds a position.
-    Holding(PermittedDatabase, Position),
+    /// Any database that holds the position.
+    AtPosition(PermittedDatabase, Position),
 }
 
 impl Target {
     fn permitted(&self) -> &PermittedDatabase {
         match self {
-            Target::Leader(permitted) | Target::Holding(permitted, _) => permitted,
+            Target::Leader(permitted) | Target::AtPosition(permitted, _) => permitted,
         }
     }
 
@@ -35,13 +35,15 @@
         self.permitted().name()
     }
 
-    /// The placement that it was chosen by.
+    /// Returns the placement under which it was chosen.
     pub(super) fn placement(&self) -> &Placement {
         self.permitted().placement()
     }
 }
 
 impl Request<'_> {
+    /// Returns the presumed primary, unless this node may not use primaries, contact with the
+    /// primary was refused or lost for `LEADER_LOST_AFTER`, or it may not be sent statements.
     pub(super) fn leader_in_contact(&self) -> Option<DatabaseName> {
         if !self.node.may_use_primaries() {
             return None;
@@ -51,13 +53,13 @@
             state
                 .contact
                 .lost_since
-                .is_some_and(|since| state.contact.refused || now.since(since) >= LEADER_LOST)
+                .is_some_and(|since| state.contact.refused || now.since(since) >= LEADER_LOST_AFTER)
         });
         let presumed = self.node.presumed_leader(&self.route.group);
         presumed.filter(|leader| !lost && self.node.may_serve(leader))
     }
 
-    /// The database, if the placement permits it.
+    /// Returns the database if it is listed and the placement permits it.
     fn permit(&self, placement: &Rc<Placement>, name: &DatabaseName) -> Option<PermittedDatabase> {
         let database = self.node.database(name)?;
         placement.permit(&database, &self.node.changeable().regions)
@@ -68,7 +70,8 @@
         self.permit(placement, &leader).map(Target::Leader)
     }
 
-    /// Position that a database has to hold to serve this request's reads.
+    /// Returns the position that a replica has to hold to serve this request's reads; `None` if
+    /// only the primary may serve them or the position is not known.
     pub(super) fn required_position(&self) -> Option<Position> {
         let (staleness, own) = match self.route.consistency {
             Consistency::Primary => return None,
@@ -76,7 +79,7 @@
             Consistency::ReadYourWrites(bound) => (bound, self.own_position),
         };
         self.node.with_group(&self.route.group, |state| {
-            let floor = state.leadership.floor(self.fresh_from - staleness)?;
+            let floor = state.leadership.floor(self.freshness_base - staleness)?;
             match own {
                 Some(own) => Some(floor.max(state.leadership.translate(own)?)),
                 None => Some(floor),
@@ -87,26 +90,26 @@
     pub(super) fn read_target(
         &self,
         placement: &Rc<Placement>,
-        avoided: &BTreeSet<DatabaseName>,
+        excluded: &BTreeSet<DatabaseName>,
     ) -> Option<Target> {
         let Some(required) = self.required_position() else {
             return self.leader_target(placement);
         };
         let leader = self.leader_in_contact();
-        let ranked = rank(self.candidates(placement, leader.as_ref(), avoided));
+        let ranked = rank(self.candidates(placement, leader.as_ref(), excluded));
         let chosen = ranked.into_iter().next()?;
         let permitted = self.permit(placement, &chosen)?;
         if leader.as_ref() == Some(&chosen) {
             return Some(Target::Leader(permitted));
         }
-        Some(Target::Holding(permitted, required))
+        Some(Target::AtPosition(permitted, required))
     }
 
     fn candidates(
         &self,
         placement: &Placement,
         leader: Option<&DatabaseName>,
-        avoided: &BTreeSet<DatabaseName>,
+        excluded: &BTreeSet<DatabaseName>,
     ) -> Vec<Candidate> {
         let now = self.node.now();
         let changeable = self.node.changeable();
@@ -116,7 +119,7 @@
             .filter(|listed| {
                 let name = &listed.database.name;
                 placement.may_run(&listed.database.zone, &changeable.regions)
-                    && !avoided.contains(name)
+                    && !excluded.contains(name)
                     && self.node.may_serve(name)
             })
             .map(|listed| {
--- a/crates/serving/src/statement/transaction.rs
+++ b/crates/serving/src/statement/transaction.rs
@@ -1,4 +1,4 @@
-//! Later statements of a transaction, and its commit.
+//! The later statements of an open transaction and its commit.
 
 use bytes::Bytes;
 use hookpoint_coordination::serving::leadership::ReignPosition;
@@ -7,8 +7,8 @@
 use tokio::time::sleep;
 
 use super::attempt::AttemptFailure;
-use super::outcome::{Tried, access_name, rolled_back};
-use super::{BUSY_PAUSE, LEAST_ATTEMPT, Request, Work};
+use super::outcome::{AttemptSummary, access_name, rolled_back};
+use super::{BUSY_RETRY_DELAY, MIN_ATTEMPT_TIME, Request, Work};
 use crate::connection::{Answer, ConnectionError};
 use crate::lease::Lease;
 use crate::message::{Command, Failure, FailureCode};
@@ -16,8 +16,13 @@
 use crate::units::millis;
 
 impl Request<'_> {
-    /// Runs a later statement on the connection of an open transaction.
-    pub(crate) async fn run_in(&self, work: &Work, lease: &mut Lease) -> Result<Answer, Failure> {
+    /// Runs a statement on the connection of an open transaction, after the commands that bring
+    /// its session values and prepared statements up to date.
+    pub(crate) async fn run_next_in_transaction(
+        &self,
+        work: &Work,
+        lease: &mut Lease,
+    ) -> Result<Answer, Failure> {
         let mut commands = Vec::new();
         let connection = lease.connection();
         if connection.values != self.state.values {
@@ -32,7 +37,7 @@
             connection.values = self.state.values.clone();
             connection.values_unknown = true;
         }
-        self.push_preparation(lease, work, &mut commands);
+        self.push_prepare(lease, work, &mut commands);
         commands.push(work.command(None));
         let asked_at = self.node.now();
         let outcome = lease.exchange(self.node, &commands, self.time_left()).await;
@@ -45,21 +50,21 @@
                 Ok(answer)
             }
             _ => {
-                let tried = Tried {
+                let summary = AttemptSummary {
                     attempts: 1,
                     database: Some(lease.pool().database().clone()),
                     last_failure: AttemptFailure::Broken.as_str(),
-                    ..Tried::default()
+                    ..AttemptSummary::default()
                 };
-                self.log_outcome(work, &tried, "transaction_lost");
+                self.log_outcome(work, &summary, "transaction_lost");
                 Err(rolled_back())
             }
         }
     }
 
-    /// Sends the commit, again as long as the database refuses it for load and keeps the
-    /// transaction open.
-    async fn commit_until_taken(
+    /// Sends the commit and repeats it while the database refuses it as overloaded, keeps the
+    /// transaction open and time is left.
+    async fn commit_with_retries(
         &self,
         id: &Bytes,
         lease: &mut Lease,
@@ -74,21 +79,22 @@
                 let code = answer.result.as_ref().err().map(|failure| failure.code);
                 code == Some(FailureCode::Overloaded) && answer.phase == Phase::InTransaction
             });
-            if !refused || self.time_left() < BUSY_PAUSE + LEAST_ATTEMPT {
+            if !refused || self.time_left() < BUSY_RETRY_DELAY + MIN_ATTEMPT_TIME {
                 return Ok(answer);
             }
-            sleep(BUSY_PAUSE).await;
+            sleep(BUSY_RETRY_DELAY).await;
         }
     }
 
-    /// Whether the answer to a commit may be passed on. Success at a primary that this
-    /// node may no longer use may not last.
-    fn may_pass_on(&self, lease: &Lease, answer: &Answer) -> bool {
+    /// Returns whether the answer to a commit may be sent to the caller. A successful commit at a
+    /// primary that this node may no longer use may be lost in a failover.
+    fn may_acknowledge_commit(&self, lease: &Lease, answer: &Answer) -> bool {
         let database = lease.pool().database();
         answer.result.is_err() || self.node.may_acknowledge(&self.route.group, database)
     }
 
-    /// Commits the transaction open on `lease`.
+    /// Commits the transaction that is open on `lease`. `wrote`: whether the transaction has
+    /// written, so that a lost answer leaves its outcome unknown.
     pub(crate) async fn commit(
         &self,
         id: &Bytes,
@@ -100,16 +106,15 @@
         }
         let _in_flight = wrote.then(|| WriteInFlight::new(self.node, &self.route.group));
         let asked_at = self.node.now();
-        match self.commit_until_taken(id, lease).await {
-            Ok(Some(answer)) if !wrote || self.may_pass_on(lease, &answer) => {
+        match self.commit_with_retries(id, lease).await {
+            Ok(Some(answer)) if !wrote || self.may_acknowledge_commit(lease, &answer) => {
                 if wrote && answer.result.is_ok() {
                     self.confirm(lease, asked_at, answer.position);
                 }
                 self.log_served(id, "commit", lease.pool().database());
                 Ok(answer)
             }
-            // The commit did not reach the database, which ends the transaction with its
-            // connection.
+            // The commit was not sent; the database rolls back when the connection closes.
             Err(ConnectionError::NotSent) => Err(rolled_back()),
             _ if wrote => {
                 self.node.log(
@@ -127,8 +132,8 @@
         }
     }
 
-    /// The session's position after `answer` of `database` to a write or its commit; nothing
-    /// if it failed or told none.
+    /// Returns the session's position after `database` answered a write or its commit; `None` if
+    /// that failed or the answer holds no position.
     pub(crate) fn written_position(
         &self,
         database: &DatabaseName,
