--- a/crates/serving/src/lease.rs
+++ b/crates/serving/src/lease.rs
@@ -38,7 +38,7 @@
     }
 
     /// Records that tokens were taken for `requests` requests to a cold database.
-    pub(crate) fn admit(&mut self, requests: u32) {
+    pub(crate) fn set_admitted_requests(&mut self, requests: u32) {
         self.admitted_requests = requests;
     }
 
@@ -58,10 +58,11 @@
     /// sent to an evacuated database, and no new work to a draining one whose time for new work is
     /// over.
     ///
-    /// Both are checked here at the moment of sending, because every command to a database passes
-    /// this function: a statement may have waited long for its connection after its database was
-    /// chosen, and a node that lends connections sends statements of its peers. Later statements of
-    /// a transaction and control commands are still sent to a draining database.
+    /// Both are checked here at the moment of sending, because statements on every path to a
+    /// database pass through this function: a statement may have waited long for its connection
+    /// after its database was chosen, and a node that lends connections sends statements of its
+    /// peers. Later statements of a transaction and control commands are still sent to a draining
+    /// database.
     pub async fn exchange(
         &mut self,
         node: &Rc<Node>,
@@ -108,7 +109,7 @@
                     self.pool.note_closed();
                 } else {
                     node.counters.count("database_timeouts", "exchange");
-                    self.pool.verify(node);
+                    self.pool.verify_reachable(node);
                 }
             }
         }
--- a/crates/serving/src/pool/acquire.rs
+++ b/crates/serving/src/pool/acquire.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Acquires a connection of this node although it is not a home of the database, because no home
-    /// node that may carry the statement answers.
+    /// Acquires a connection of this node although it is not a home of the database, because no
+    /// home node that may carry the statement answers.
     async fn acquire_as_substitute(
         self: &Rc<Self>,
         node: &Rc<Node>,
@@ -115,7 +115,7 @@
         };
         let cap = node.connection_cap(&self.database);
         let mut lease = self.acquire_within(node, cap, request).await?;
-        lease.admit(admitted);
+        lease.set_admitted_requests(admitted);
         Ok(lease)
     }
 
@@ -244,7 +244,7 @@
             Err(error) => {
                 if !matches!(error, ConnectionError::Rejected(_)) {
                     let refused = matches!(error, ConnectionError::Refused(_));
-                    self.refused.set(refused);
+                    self.connection_refused.set(refused);
                     node.doubt_warmth(&self.database);
                     self.note_failure(node.now());
                     self.note_unreachable();
--- a/crates/serving/src/pool/mod.rs
+++ b/crates/serving/src/pool/mod.rs
@@ -126,18 +126,25 @@
     node: Weak<Node>,
     database: DatabaseName,
     idle: RefCell<IdleConnections>,
+    /// Number of connections that are open or being opened.
     open: Cell<usize>,
+    /// Number of connections in use, including those that peer nodes hold.
     leased: Cell<usize>,
     waiters: RefCell<Waiters>,
     suspect_until: Cell<Timestamp>,
     lagging_until: Cell<Timestamp>,
     opening_paused_until: Cell<Timestamp>,
+    /// Whether this node can connect to the database directly, as far as it knows.
     reachable: Cell<bool>,
     verifying: Cell<bool>,
-    refused: Cell<bool>,
+    /// Whether the host refused the last connection that could not be opened.
+    connection_refused: Cell<bool>,
+    /// How long statements take.
     service_time: Cell<ResponseTime>,
-    wait: Cell<ResponseTime>,
-    held: Cell<ResponseTime>,
+    /// How long requests wait for a connection.
+    wait_time: Cell<ResponseTime>,
+    /// How long connections are in use before they are released.
+    usage_time: Cell<ResponseTime>,
     in_use: RefCell<BTreeMap<Principal, usize>>,
     demand: RefCell<Demand>,
     reliability: Cell<Reliability>,
@@ -162,10 +169,10 @@
             opening_paused_until: Cell::default(),
             reachable: Cell::new(true),
             verifying: Cell::new(false),
-            refused: Cell::new(false),
+            connection_refused: Cell::new(false),
             service_time: Cell::new(ResponseTime::new(INITIAL_SERVICE_TIME)),
-            wait: Cell::new(ResponseTime::new(Duration::ZERO)),
-            held: Cell::new(ResponseTime::new(INITIAL_SERVICE_TIME)),
+            wait_time: Cell::new(ResponseTime::new(Duration::ZERO)),
+            usage_time: Cell::new(ResponseTime::new(INITIAL_SERVICE_TIME)),
             in_use: RefCell::default(),
             demand: RefCell::default(),
             reliability: Cell::default(),
@@ -226,12 +233,12 @@
 
     /// Returns the mean time that a request waits for a connection.
     pub fn expected_wait(&self, now: Timestamp) -> Duration {
-        self.wait.get().expected(now)
+        self.wait_time.get().expected(now)
     }
 
     /// Records how long a request waited for a connection, whether or not it got one.
     pub fn note_wait(&self, now: Timestamp, waited: Duration) {
-        note_time(&self.wait, now, waited);
+        note_time(&self.wait_time, now, waited);
     }
 
     /// Returns the queue that a request of `priority` would join.
@@ -239,7 +246,7 @@
         ConnectionQueue {
             ahead: self.waiters.borrow().ahead_of(priority),
             connections: self.open.get(),
-            held: self.held.get().expected(now),
+            held: self.usage_time.get().expected(now),
         }
     }
 
@@ -270,7 +277,7 @@
 
     /// Returns whether the last connection that could not be opened was refused by the host.
     pub fn was_refused(&self) -> bool {
-        self.refused.get()
+        self.connection_refused.get()
     }
 
     /// Marks the database as unreachable from this node and closes the idle connections.
@@ -359,7 +366,7 @@
     /// Checks after a timeout whether the database is reachable: sends a command that needs no
     /// execution slot on an idle connection. Without an answer the database is marked as
     /// unreachable.
-    pub(crate) fn verify(self: &Rc<Self>, node: &Rc<Node>) {
+    pub(crate) fn verify_reachable(self: &Rc<Self>, node: &Rc<Node>) {
         if node.is_shut(&self.database) || self.verifying.replace(true) {
             return;
         }
@@ -383,12 +390,14 @@
         let Some(lease) = self.try_acquire(None, &SessionValues::new()) else {
             return true;
         };
-        let question = async |lease: &mut Lease| {
+        let send_rollback = async |lease: &mut Lease| {
             let commands = [Command::Rollback];
             let answers = lease.connection().exchange(&commands, CONTROL_LIMIT).await;
             answers.map(drop)
         };
-        second_way::ask(node, self, lease, question).await.is_ok()
+        second_way::ask(node, self, lease, send_rollback)
+            .await
+            .is_ok()
     }
 
     /// Closes the idle connections on which nothing was received since `since`.
--- a/crates/serving/src/pool/release.rs
+++ b/crates/serving/src/pool/release.rs
@@ -14,8 +14,9 @@
 use crate::relay;
 
 impl Pool {
-    /// Releases a connection that was in use for `held`: to the next waiting request, or to the idle
-    /// connections. Closes it if it is broken, its pool is retired or its database is evacuated.
+    /// Releases a connection that was in use for `held`: to the next waiting request, or to the
+    /// idle connections. Closes it if it is broken, its pool is retired or its database is
+    /// evacuated.
     pub(crate) fn release(self: &Rc<Self>, connection: Connection, held: Duration) {
         self.count_returned(&connection.principal);
         if connection.is_relayed() {
@@ -23,7 +24,7 @@
             return;
         }
         if let Some(node) = self.node.upgrade() {
-            note_time(&self.held, node.now(), held);
+            note_time(&self.usage_time, node.now(), held);
         }
         if connection.broken || self.is_retired() {
             self.open.set(self.open.get() - 1);
--- a/crates/serving/src/session/mod.rs
+++ b/crates/serving/src/session/mod.rs
@@ -45,7 +45,8 @@
     /// Whether the transaction is read-only at the database, even if the caller did not ask for it.
     opened_read_only: bool,
     wrote: bool,
-    /// The connection on which it is open; `None` before its first statement.
+    /// The connection on which it is open; `None` before its first statement and after an
+    /// evacuation.
     lease: Option<Lease>,
     /// Whether it was ended because its database was evacuated; the next statement is answered
     /// with that failure.
@@ -194,7 +195,7 @@
             let stage = self.node.stop_stage();
             match self.state.phase {
                 Phase::Idle if stage >= StopStage::CloseIdle => return Ok(SessionEvent::Close),
-                Phase::Idle if self.must_move() => return Ok(SessionEvent::Close),
+                Phase::Idle if self.caller_must_reconnect() => return Ok(SessionEvent::Close),
                 _ if stage >= StopStage::EndTransactions => return Ok(SessionEvent::Close),
                 _ => {}
             }
@@ -223,7 +224,7 @@
 
     /// Returns whether the session should be closed so that its caller reconnects to another node:
     /// this node has been cut off since the session began.
-    fn must_move(&self) -> bool {
+    fn caller_must_reconnect(&self) -> bool {
         let since = self.node.sessions_move_since();
         since.is_some_and(|since| self.began_at < since)
     }
--- a/crates/serving/src/statement/attempt.rs
+++ b/crates/serving/src/statement/attempt.rs
@@ -22,24 +22,25 @@
 pub(super) enum Attempt {
     /// The database answered. The connection may hold an open transaction.
     Answered(Box<(Lease, Answer)>),
-    /// The statement did not run, or was a read whose result is discarded; it may be retried.
+    /// The statement did not run or has no lasting effect; it may be retried.
     NotRun(AttemptFailure),
     /// A write was sent and its outcome is not known, so it must not be retried.
     Unknown,
 }
 
-/// Why the statement did not run, or why the result of a read is discarded.
+/// Why a statement did not run, or why its result is discarded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptFailure {
     Busy,
     Lagging,
     NotPrimary,
     NoConnection,
-    /// Nothing was sent: the database is draining or its zone is evacuated.
+    /// Nothing was sent: the database is draining and gets no more new work, or its zone is
+    /// evacuated.
     NotSent,
     Broken,
     Failed,
-    /// This node does not hold the lease that it needs to use primaries.
+    /// This node may not use the database as a primary at the moment.
     NoLease,
     /// The pool's wait queue is too long.
     Overloaded,
--- a/crates/serving/src/statement/mod.rs
+++ b/crates/serving/src/statement/mod.rs
@@ -144,7 +144,7 @@
         self.deadline().since(self.node.now())
     }
 
-    /// Returns until when the request waits for a database that may serve it.
+    /// Returns the time until which the request waits for a database that may serve it.
     ///
     /// A request waits up to its deadline while a lost primary is being replaced. It is refused
     /// at once when the replacement has taken longer than `EXPECTED_FAILOVER_TIME`, when this
@@ -161,27 +161,27 @@
         let lost_since = self.node.with_group(&self.route.group, |state| {
             state.contact.lost_since.or(state.leaderless_since)
         });
-        let replaced_since = lost_since.or_else(|| self.draining_leader_replaced_since());
-        match replaced_since {
+        let failover_since = lost_since.or_else(|| self.draining_leader_failover_since());
+        match failover_since {
             Some(since) if now.since(since) >= EXPECTED_FAILOVER_TIME => now,
             _ => self.deadline(),
         }
     }
 
-    /// Returns since when a draining primary that gets no more new work should be in replacement:
+    /// Returns since when a draining primary that gets no more new work should be in failover:
     /// since this node learned that it is draining or since a promotion of another database was
     /// ordered, whichever is later.
-    fn draining_leader_replaced_since(&self) -> Option<Timestamp> {
+    fn draining_leader_failover_since(&self) -> Option<Timestamp> {
         let leader = self.node.leader(&self.route.group)?;
         if self.node.gets_new_work(&leader) {
             return None;
         }
-        let heard_at = self.node.departure_heard_at(&leader)?;
+        let draining_since = self.node.departure_heard_at(&leader)?;
         let ordered_at = self.node.with_group(&self.route.group, |state| {
             let (candidate, ordered_at) = state.promoting.as_ref()?;
             (*candidate != leader).then_some(*ordered_at)
         });
-        Some(ordered_at.map_or(heard_at, |ordered_at| ordered_at.max(heard_at)))
+        Some(ordered_at.map_or(draining_since, |ordered_at| ordered_at.max(draining_since)))
     }
 
     /// Waits until a database may have become usable; fails at once if none is expected to.
@@ -206,9 +206,9 @@
     pub(crate) async fn run_single(&self, work: &Work) -> Result<(Answer, DatabaseName), Failure> {
         self.check_placement(work, false)?;
         self.take_token(work).await?;
-        let ran = self.run_until_answered(work, false).await?;
-        let database = ran.lease.pool().database().clone();
-        Ok((ran.answer, database))
+        let executed = self.run_until_answered(work, false).await?;
+        let database = executed.lease.pool().database().clone();
+        Ok((executed.answer, database))
     }
 
     /// Runs the first statement of a caller's transaction and returns the connection on which the
@@ -277,15 +277,15 @@
                     self.node
                         .counters
                         .count("attempts_failed", summary.last_failure);
-                    self.pause_after_failure(failure, &target, began, &mut excluded)
+                    self.handle_attempt_failure(failure, &target, began, &mut excluded)
                         .await;
                 }
             }
         }
     }
 
-    /// Returns whether only the primary can serve the statement at the moment: it needs the primary,
-    /// or the position that a replica must hold for its reads is not known.
+    /// Returns whether only the primary can serve the statement at the moment: it needs the
+    /// primary, or the position that a replica must hold for its reads is not known.
     fn only_leader_serves(&self, need: Need) -> bool {
         need == Need::Primary || self.required_position().is_none()
     }
@@ -310,7 +310,8 @@
         }
     }
 
-    async fn pause_after_failure(
+    /// Updates what the next attempt depends on, and pauses before it where the failure requires.
+    async fn handle_attempt_failure(
         &self,
         failure: AttemptFailure,
         target: &Target,
--- a/crates/serving/src/statement/outcome.rs
+++ b/crates/serving/src/statement/outcome.rs
@@ -32,8 +32,8 @@
     pub(super) overloaded: bool,
     /// Why the statement was refused; `None` if it was not.
     pub(super) refusal_reason: Option<&'static str>,
-    /// Shortest time until a cold database that was summary takes a request again; `None` if none
-    /// was summary.
+    /// Shortest time until a cold database that was tried takes a request again; `None` if none
+    /// was tried.
     pub(super) cold_retry_after: Option<Duration>,
 }
 
