--- a/crates/coordination/benches/decisions.rs
+++ b/crates/coordination/benches/decisions.rs
@@ -63,7 +63,7 @@
         for member in 0..3 {
             let role = [Role::Primary, Role::Replica, Role::Replica][member];
             let now = Timestamp::from_millis(1);
-            table.observe(
+            table.apply_status(
                 now,
                 &group(index),
                 &database(index, member),
@@ -141,7 +141,7 @@
         bencher.iter(|| {
             position += 1;
             let now = Timestamp::from_millis(position);
-            table.observe(now, &group, &database, &status(Role::Replica, position))
+            table.apply_status(now, &group, &database, &status(Role::Replica, position))
         });
     });
 }
--- a/crates/coordination/src/explain.rs
+++ b/crates/coordination/src/explain.rs
@@ -27,7 +27,8 @@
         /// Database whose position was too old.
         database: DatabaseName,
         /// Term and position that the database reported.
-        place: Position,
+        #[serde(rename = "place")]
+        position: Position,
     },
     /// A request was held.
     Held {
--- a/crates/coordination/src/node/event.rs
+++ b/crates/coordination/src/node/event.rs
@@ -5,7 +5,7 @@
 
 use hookpoint_state::{Bundle, BundleVersion, GroupName, NodeId};
 
-use super::message::{LeadershipNews, PeerMessage};
+use super::message::{LeadershipUpdate, PeerMessage};
 use crate::home::HomeChange;
 use crate::membership::{Datagram, MemberInfo, MemberState};
 use crate::rollout::RolloutMessage;
@@ -42,7 +42,7 @@
     /// A bundle came into force on this node.
     BundleInstalled(Arc<Bundle>),
     /// This node observed a change in the leadership of a group.
-    LeadershipObserved(LeadershipNews),
+    LeadershipObserved(LeadershipUpdate),
     /// A session of this node used a group.
     GroupUsed(GroupName),
     /// An operator asks which nodes do not have this version in force.
@@ -74,7 +74,7 @@
     /// This node became, or ceased to be, the home of a database.
     HomeChanged(HomeChange),
     /// Another node reported newer leadership of a group than this node knew.
-    LeadershipLearned(LeadershipNews),
+    LeadershipLearned(LeadershipUpdate),
     /// A member was added or its state changed.
     MemberChanged {
         /// Member concerned.
--- a/crates/coordination/src/node/machine.rs
+++ b/crates/coordination/src/node/machine.rs
@@ -8,8 +8,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::event::{NodeAction, NodeEvent, PlatformMachine};
-use super::message::{LeadershipNews, PeerMessage};
-use super::spread::LeadershipSubscriptions;
+use super::message::{LeadershipUpdate, PeerMessage};
+use super::subscriptions::LeadershipSubscriptions;
 use crate::home::HomeTable;
 use crate::membership::{
     MemberInfo, MemberState, Membership, MembershipAction, MembershipEvent, MembershipSettings,
@@ -132,7 +132,7 @@
     }
 
     /// Returns the databases that this node is the home of.
-    pub fn held(&self) -> impl Iterator<Item = &DatabaseName> {
+    pub fn own_databases(&self) -> impl Iterator<Item = &DatabaseName> {
         self.homes.own_databases()
     }
 
@@ -364,7 +364,7 @@
         &mut self,
         now: Timestamp,
         from: NodeId,
-        update: &LeadershipNews,
+        update: &LeadershipUpdate,
         actions: &mut Vec<NodeAction>,
     ) {
         if !self.groups.contains_key(&update.group) {
@@ -383,7 +383,7 @@
         &mut self,
         now: Timestamp,
         from: NodeId,
-        update: &LeadershipNews,
+        update: &LeadershipUpdate,
         actions: &mut Vec<NodeAction>,
     ) {
         let known = self.subscriptions.known(&update.group);
@@ -400,7 +400,7 @@
         &mut self,
         now: Timestamp,
         from: Option<NodeId>,
-        update: &LeadershipNews,
+        update: &LeadershipUpdate,
         actions: &mut Vec<NodeAction>,
     ) {
         if !self.groups.contains_key(&update.group) || !self.subscriptions.record(update) {
--- a/crates/coordination/src/node/message.rs
+++ b/crates/coordination/src/node/message.rs
@@ -7,7 +7,7 @@
 
 /// Leadership of a group as known to the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LeadershipNews {
+pub struct LeadershipUpdate {
     /// Group concerned.
     pub group: GroupName,
     /// Highest known term of the group.
@@ -15,23 +15,24 @@
     /// Primary of that term; `None` until it has been observed.
     pub primary: Option<DatabaseName>,
     /// Term and position at which the primary was observed.
-    pub place: Position,
+    #[serde(rename = "place")]
+    pub position: Position,
 }
 
-impl LeadershipNews {
+impl LeadershipUpdate {
     /// Returns a value that stands for unknown leadership of `group`.
     pub fn none(group: GroupName) -> Self {
         Self {
             group,
             term: Term::default(),
             primary: None,
-            place: Position::default(),
+            position: Position::default(),
         }
     }
 
     /// Returns whether this is newer than `other`: it has a later term, or it names the
     /// primary of the same term while `other` names none.
-    pub fn is_newer_than(&self, other: &LeadershipNews) -> bool {
+    pub fn is_newer_than(&self, other: &LeadershipUpdate) -> bool {
         let names_primary = self.primary.is_some() && other.primary.is_none();
         self.term > other.term || (self.term == other.term && names_primary)
     }
@@ -41,11 +42,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PeerMessage {
     /// A group's leadership changed.
-    LeadershipChange(LeadershipNews),
+    LeadershipChange(LeadershipUpdate),
     /// Subscribes the sender to leadership changes of these groups for a limited time.
     /// Each entry holds what the sender knows, so that the receiver can update itself or
     /// reply with newer leadership.
-    Subscribe(Vec<LeadershipNews>),
+    Subscribe(Vec<LeadershipUpdate>),
     /// A message between the rollout machines of two nodes.
     Rollout(RolloutMessage),
 }
--- a/crates/coordination/src/node/mod.rs
+++ b/crates/coordination/src/node/mod.rs
@@ -8,8 +8,8 @@
 mod event;
 mod machine;
 mod message;
-mod spread;
+mod subscriptions;
 
 pub use event::{NodeAction, NodeEvent, PlatformMachine};
 pub use machine::{NodeMachine, Route};
-pub use message::{LeadershipNews, PeerMessage};
+pub use message::{LeadershipUpdate, PeerMessage};
--- a/crates/coordination/src/node/spread.rs
+++ b/crates/coordination/src/node/subscriptions.rs
@@ -7,7 +7,7 @@
 
 use hookpoint_state::{GroupName, NodeId, Timestamp};
 
-use super::message::LeadershipNews;
+use super::message::LeadershipUpdate;
 
 /// How long after its last use a group still counts as used.
 const USE_RETENTION: Duration = Duration::from_secs(180);
@@ -20,7 +20,7 @@
 
 #[derive(Clone, Debug)]
 struct GroupSubscriptions {
-    known: LeadershipNews,
+    known: LeadershipUpdate,
     used_until: Timestamp,
     renew_at: Option<Timestamp>,
     subscribed_to: BTreeSet<NodeId>,
@@ -39,7 +39,7 @@
         self.groups
             .entry(group.clone())
             .or_insert_with(|| GroupSubscriptions {
-                known: LeadershipNews::none(group.clone()),
+                known: LeadershipUpdate::none(group.clone()),
                 used_until: Timestamp::default(),
                 renew_at: None,
                 subscribed_to: BTreeSet::new(),
@@ -54,7 +54,7 @@
     }
 
     /// Records a group's leadership. Returns whether it is newer than what was known.
-    pub fn record(&mut self, update: &LeadershipNews) -> bool {
+    pub fn record(&mut self, update: &LeadershipUpdate) -> bool {
         let entry = self.entry(&update.group);
         let newer = update.is_newer_than(&entry.known);
         if newer {
@@ -64,7 +64,7 @@
     }
 
     /// Returns the known leadership of a group.
-    pub fn known(&mut self, group: &GroupName) -> LeadershipNews {
+    pub fn known(&mut self, group: &GroupName) -> LeadershipUpdate {
         self.entry(group).known.clone()
     }
 
@@ -84,7 +84,7 @@
         now: Timestamp,
         group: &GroupName,
         homes: BTreeSet<NodeId>,
-    ) -> LeadershipNews {
+    ) -> LeadershipUpdate {
         let entry = self.entry(group);
         let before = entry.renew_at.replace(now + RENEWAL_PERIOD);
         entry.subscribed_to = homes;
--- a/crates/coordination/src/observer/rounds.rs
+++ b/crates/coordination/src/observer/rounds.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoundPolicy {
     /// The next round may start once the latest one has been running for this long.
-    pub patience: Duration,
+    pub overlap_delay: Duration,
     /// Maximum number of concurrent rounds.
     pub maximum: usize,
 }
@@ -26,7 +26,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoundEvent {
     /// A caller requests the result of a round that starts at or after this time.
-    Called(WaiterNumber),
+    Requested(WaiterNumber),
     /// A round has finished.
     Finished(RoundNumber),
     /// The time returned by [`Rounds::next_timer`] has been reached.
@@ -72,7 +72,7 @@
     /// Processes an event and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Timestamp, event: RoundEvent, actions: &mut Vec<RoundAction>) {
         match event {
-            RoundEvent::Called(waiter) => self.pending.push(waiter),
+            RoundEvent::Requested(waiter) => self.pending.push(waiter),
             RoundEvent::Finished(number) => {
                 if let Some(round) = self.rounds.remove(&number) {
                     actions.push(RoundAction::Answer(round.waiters));
@@ -90,7 +90,7 @@
         if self.pending.is_empty() || self.rounds.len() >= self.policy.maximum {
             return None;
         }
-        Some(self.latest_start()? + self.policy.patience)
+        Some(self.latest_start()? + self.policy.overlap_delay)
     }
 
     /// Returns whether no round is running and no caller waits.
@@ -105,7 +105,7 @@
     fn may_start(&self, now: Timestamp) -> bool {
         let latest_is_recent = self
             .latest_start()
-            .is_some_and(|start| now < start + self.policy.patience);
+            .is_some_and(|start| now < start + self.policy.overlap_delay);
         !latest_is_recent && self.rounds.len() < self.policy.maximum
     }
 
--- a/crates/coordination/src/observer/tests.rs
+++ b/crates/coordination/src/observer/tests.rs
@@ -82,9 +82,10 @@
         let name = DatabaseName::from(name);
         match answer {
             Some(status) => {
-                self.terms.observe(self.now, &self.group, &name, &status);
+                self.terms
+                    .apply_status(self.now, &self.group, &name, &status);
             }
-            None => self.terms.unreachable(&self.group, &name),
+            None => self.terms.mark_unreachable(&self.group, &name),
         }
         self.event(ObserverEvent::Probed(name));
     }
@@ -191,7 +192,7 @@
     let normal = fixture.run(Duration::from_secs(5), healthy);
     assert_eq!(normal.keys().collect::<Vec<_>>(), ["books-0"]);
     let unreachable = DatabaseName::from("books-2");
-    fixture.terms.unreachable(&fixture.group, &unreachable);
+    fixture.terms.mark_unreachable(&fixture.group, &unreachable);
     let probes = fixture.run(Duration::from_secs(5), healthy);
     assert_eq!(probes.get("books-2"), Some(&1), "it answered");
     assert_eq!(probes.get("books-1"), None);
@@ -232,7 +233,7 @@
             let status = healthy(name).unwrap();
             fixture
                 .terms
-                .observe(fixture.now, &fixture.group, &name.into(), &status);
+                .apply_status(fixture.now, &fixture.group, &name.into(), &status);
         }
         probes += fixture.tick().0.len();
         fixture.now = fixture.now + Duration::from_millis(100);
@@ -321,9 +322,9 @@
 #[test]
 fn callers_share_the_next_round() {
     let policies = [(60, 4), (u64::MAX / 2_000, 1)];
-    for (seed, (patience, maximum)) in (0..400).flat_map(|seed| policies.map(|p| (seed, p))) {
+    for (seed, (overlap_delay, maximum)) in (0..400).flat_map(|seed| policies.map(|p| (seed, p))) {
         let policy = RoundPolicy {
-            patience: Duration::from_millis(patience),
+            overlap_delay: Duration::from_millis(overlap_delay),
             maximum,
         };
         let mut random = Gen::from_size_and_seed(50, seed);
@@ -338,7 +339,7 @@
             let event = match u8::arbitrary(&mut random) % 3 {
                 0 => {
                     called.insert(WaiterNumber(step), now);
-                    RoundEvent::Called(WaiterNumber(step))
+                    RoundEvent::Requested(WaiterNumber(step))
                 }
                 1 if !running.is_empty() => {
                     let index = usize::arbitrary(&mut random) % running.len();
--- a/crates/coordination/src/observer/verification.rs
+++ b/crates/coordination/src/observer/verification.rs
@@ -61,7 +61,7 @@
         let statuses = self.answers.values().flatten();
         statuses
             .filter(|status| status.term == term && status.role == Role::Primary)
-            .map(BackendStatus::place)
+            .map(BackendStatus::position)
             .next()
     }
 }
--- a/crates/coordination/src/request/action.rs
+++ b/crates/coordination/src/request/action.rs
@@ -39,7 +39,7 @@
     },
     /// Query the status of `database` after a pause, on any connection of the fleet. The
     /// answer is a probe event.
-    AskStatus {
+    QueryStatus {
         /// Database concerned.
         database: DatabaseName,
         /// Pause before the query is sent.
@@ -47,7 +47,7 @@
     },
     /// A commit at `position` of `database` has waited too long for its majority: route
     /// no more writes there until a majority has flushed it.
-    Doubt {
+    MarkUnconfirmed {
         /// Database concerned.
         database: DatabaseName,
         /// Position of the commit.
--- a/crates/coordination/src/request/checks.rs
+++ b/crates/coordination/src/request/checks.rs
@@ -9,18 +9,18 @@
     /// requires.
     pub position: bool,
     /// Whether a commit needs evidence that a majority has flushed it on its term.
-    pub evidence: bool,
+    pub majority: bool,
     /// Whether a request that is not repeatable is entered into its group's ledger. The
     /// session uses this switch; the machine does not.
-    pub guard: bool,
+    pub ledger: bool,
 }
 
 impl Default for SafetyChecks {
     fn default() -> Self {
         Self {
             position: true,
-            evidence: true,
-            guard: true,
+            majority: true,
+            ledger: true,
         }
     }
 }
--- a/crates/coordination/src/request/event.rs
+++ b/crates/coordination/src/request/event.rs
@@ -67,7 +67,7 @@
         /// Reported status.
         status: BackendStatus,
     },
-    /// [`super::RequestAction::AskStatus`] got no answer.
+    /// [`super::RequestAction::QueryStatus`] got no answer.
     ProbeFailed,
     /// The connection was lost.
     ConnectionLost,
@@ -76,5 +76,5 @@
     /// The time of an earlier [`super::RequestAction::Wait`] has been reached.
     TimerFired,
     /// The caller has disconnected.
-    CallerGone,
+    CallerDisconnected,
 }
--- a/crates/coordination/src/request/machine.rs
+++ b/crates/coordination/src/request/machine.rs
@@ -125,7 +125,7 @@
         use RequestEvent as Event;
         match (&self.stage, event) {
             (Stage::Finished, _) => {}
-            (_, Event::CallerGone) => self.caller_gone(actions),
+            (_, Event::CallerDisconnected) => self.caller_gone(actions),
             (_, Event::Begin) => self.begin(now, view, actions),
             (Stage::Verifying, Event::TermVerified { position }) => {
                 self.term_verified(now, view, position, actions);
@@ -316,7 +316,7 @@
         }
         actions.push(RequestAction::Record(Decision::CheckFailed {
             database: self.database.clone().unwrap_or_default(),
-            place: status.place(),
+            position: status.position(),
         }));
         if self.needs_evidence() {
             return self.give_up(UnknownCause::TermChanged, actions);
@@ -330,7 +330,7 @@
             return true;
         }
         self.required
-            .is_none_or(|required| status.place().covers(required))
+            .is_none_or(|required| status.position().includes(required))
     }
 
     /// Drops the connection and its answer and tries another database. Only called while
@@ -415,11 +415,11 @@
         let Some(evidence) = self.evidence.as_mut() else {
             return;
         };
-        let verdict = if self.checks.evidence {
+        let verdict = if self.checks.majority {
             evidence.evaluate(now, view, status)
         } else {
             Verdict::Held {
-                position: status.place(),
+                position: status.position(),
                 holders: 0,
             }
         };
@@ -458,9 +458,9 @@
                 .and_then(|evidence| evidence.take_overdue(now));
             if let Some(position) = overdue {
                 let database = database.clone();
-                actions.push(RequestAction::Doubt { database, position });
+                actions.push(RequestAction::MarkUnconfirmed { database, position });
             }
-            actions.push(RequestAction::AskStatus { database, after });
+            actions.push(RequestAction::QueryStatus { database, after });
         }
     }
 
--- a/crates/coordination/src/request/route.rs
+++ b/crates/coordination/src/request/route.rs
@@ -66,7 +66,7 @@
     let primary = view.primary()?;
     let known_term = query
         .required
-        .is_none_or(|required| primary.place.term >= required.term);
+        .is_none_or(|required| primary.position.term >= required.term);
     let confirmed = query.access == Access::Read || primary.unconfirmed.is_none();
     (is_usable(primary, query) && known_term && confirmed).then(|| Route {
         database: primary.name.clone(),
--- a/crates/coordination/src/request/tests/mod.rs
+++ b/crates/coordination/src/request/tests/mod.rs
@@ -1,6 +1,6 @@
 //! Tests of the request machine with fixed sequences of events.
 
-mod random_lives;
+mod random_events;
 
 use std::time::Duration;
 
@@ -75,7 +75,7 @@
         ("b", status(Role::Replica, 1, 100, &[])),
         ("c", status(Role::Replica, 1, 40, &[])),
     ] {
-        table.observe(now, &group(), &DatabaseName::new(name), &answer);
+        table.apply_status(now, &group(), &DatabaseName::new(name), &answer);
     }
     table
 }
@@ -309,7 +309,7 @@
                     actions[..],
                     [
                         RequestAction::Release { reusable: true },
-                        RequestAction::AskStatus { .. }
+                        RequestAction::QueryStatus { .. }
                     ]
                 ),
                 "{case}"
@@ -322,7 +322,7 @@
 fn a_commit_is_not_acknowledged_once_a_higher_term_is_known() {
     let mut harness = Harness::new(WRITE, at(1, 10));
     harness.commit();
-    harness.table.learn_term(&group(), Term(2));
+    harness.table.raise_term(&group(), Term(2));
     let actions = finished(harness.probe(status(Role::Primary, 1, 130, &[("b", 130), ("c", 130)])));
     assert_eq!(
         actions,
@@ -409,27 +409,27 @@
     let alone = || status(Role::Primary, 1, 130, &[("b", 129)]);
     assert!(matches!(
         harness.probe(alone())[..],
-        [RequestAction::AskStatus { .. }]
+        [RequestAction::QueryStatus { .. }]
     ));
     harness.now = harness.now + Duration::from_millis(1);
     let primary = DatabaseName::new("a");
     let position = Position::new(1, 130);
-    let doubt = RequestAction::Doubt {
+    let doubt = RequestAction::MarkUnconfirmed {
         database: primary.clone(),
         position,
     };
     assert_eq!(harness.probe(alone())[0], doubt);
     assert!(!harness.probe(alone()).contains(&doubt), "reported once");
     let mut next = Harness::new(WRITE, at(1, 10));
-    next.table.doubt(&group(), &primary, position);
+    next.table.mark_unconfirmed(&group(), &primary, position);
     let held = next.feed(RequestEvent::Begin);
     assert!(matches!(held[..], [RequestAction::Wait { .. }]));
     let now = next.now;
-    next.table.observe(now, &group(), &primary, &alone());
+    next.table.apply_status(now, &group(), &primary, &alone());
     let held = next.feed(RequestEvent::TimerFired);
     assert!(matches!(held[..], [RequestAction::Wait { .. }]));
     let confirmed = status(Role::Primary, 1, 140, &[("c", 130)]);
-    next.table.observe(now, &group(), &primary, &confirmed);
+    next.table.apply_status(now, &group(), &primary, &confirmed);
     assert_eq!(next.acquire(RequestEvent::TimerFired), "a");
 }
 
@@ -519,7 +519,7 @@
     let now = harness.now;
     harness
         .table
-        .observe(now, &group(), &DatabaseName::new("b"), &answer);
+        .apply_status(now, &group(), &DatabaseName::new("b"), &answer);
     assert_eq!(harness.acquire(RequestEvent::ViewChanged), "b");
 }
 
--- a/crates/coordination/src/retry/budget.rs
+++ b/crates/coordination/src/retry/budget.rs
@@ -32,13 +32,13 @@
 impl RetryBudget {
     /// Counts the first attempt of a request, which adds `percent` hundredths of a
     /// retry.
-    pub fn requested(&mut self, percent: u32) {
+    pub fn record_request(&mut self, percent: u32) {
         let filled = self.hundredths.saturating_add(percent);
         self.hundredths = filled.min(MAXIMUM_RETRIES * RETRY_COST);
     }
 
     /// Takes one retry from the budget. Returns false if less than one is left.
-    pub fn take(&mut self) -> bool {
+    pub fn try_take(&mut self) -> bool {
         let Some(rest) = self.hundredths.checked_sub(RETRY_COST) else {
             return false;
         };
@@ -62,7 +62,7 @@
     /// Returns the budget of `tenant`. When the maximum number of tenants is reached, a
     /// new tenant evicts the one with the lowest name, which starts over with a fresh
     /// budget.
-    pub fn of(&mut self, tenant: &TenantName) -> &mut RetryBudget {
+    pub fn for_tenant(&mut self, tenant: &TenantName) -> &mut RetryBudget {
         if self.tenants.len() >= MAXIMUM_TENANTS && !self.tenants.contains_key(tenant) {
             self.tenants.pop_first();
         }
--- a/crates/coordination/src/retry/policy.rs
+++ b/crates/coordination/src/retry/policy.rs
@@ -67,7 +67,7 @@
         if next >= deadline {
             return RetryDecision::Stop(RetryStop::Deadline);
         }
-        if !budget.take() {
+        if !budget.try_take() {
             return RetryDecision::Stop(RetryStop::Budget);
         }
         RetryDecision::At(next)
--- a/crates/coordination/src/retry/tests.rs
+++ b/crates/coordination/src/retry/tests.rs
@@ -47,10 +47,10 @@
         let (mut requests, mut retries) = (0u32, 0u32);
         for _ in 0..2_000 {
             if bool::arbitrary(&mut random) {
-                budget.requested(percent);
+                budget.record_request(percent);
                 requests += 1;
             } else {
-                retries += u32::from(budget.take());
+                retries += u32::from(budget.try_take());
             }
             assert!(retries <= 10 + requests * percent / 100);
         }
@@ -61,7 +61,7 @@
 fn a_decision_stops_for_the_first_applicable_reason() {
     let exhausted = || {
         let mut budget = RetryBudget::default();
-        while budget.take() {}
+        while budget.try_take() {}
         budget
     };
     let far = Timestamp::from_millis(60_000);
@@ -97,8 +97,8 @@
     let mut budgets = RetryBudgets::new();
     for number in 0..10_000 {
         budgets
-            .of(&TenantName::new(format!("tenant-{number}")))
-            .take();
+            .for_tenant(&TenantName::new(format!("tenant-{number}")))
+            .try_take();
     }
     assert_eq!(budgets.len(), 4_096);
 }
--- a/crates/coordination/src/rollout/event.rs
+++ b/crates/coordination/src/rollout/event.rs
@@ -35,7 +35,7 @@
         version: BundleVersion,
     },
     /// A member died or left, or a message to it could not be delivered.
-    PeerGone(NodeId),
+    PeerLost(NodeId),
     /// A message from another node, whose origin was authenticated.
     PeerMessage {
         /// Node that sent the message.
@@ -62,10 +62,10 @@
         message: RolloutMessage,
     },
     /// Send a message to all other members of this node's zone.
-    TellZone(RolloutMessage),
+    BroadcastToZone(RolloutMessage),
     /// Drain the databases at these addresses. Replaces the previous set of databases
     /// drained because of the list of machines.
-    DrainLeaving(BTreeSet<SocketAddr>),
+    DrainDatabases(BTreeSet<SocketAddr>),
     /// The store holds a newer bundle: put it in force and announce its version to the
     /// members.
     Install(BundleVersion),
--- a/crates/coordination/src/rollout/machine.rs
+++ b/crates/coordination/src/rollout/machine.rs
@@ -123,7 +123,7 @@
             RolloutEvent::PeerVersion { node, version } => {
                 self.handle_peer_version(now, node, version);
             }
-            RolloutEvent::PeerGone(node) => self.remove_peer(now, node),
+            RolloutEvent::PeerLost(node) => self.remove_peer(now, node),
             RolloutEvent::PeerMessage { from, message } => {
                 self.handle_message(now, from, message, actions);
             }
@@ -176,8 +176,10 @@
     fn handle_leaving(&mut self, list: LeavingList, actions: &mut Vec<RolloutAction>) {
         if self.leaving.replace(list) {
             let list = self.leaving.clone();
-            actions.push(RolloutAction::DrainLeaving(list.addresses.clone()));
-            actions.push(RolloutAction::TellZone(RolloutMessage::Leaving(list)));
+            actions.push(RolloutAction::DrainDatabases(list.addresses.clone()));
+            actions.push(RolloutAction::BroadcastToZone(RolloutMessage::Leaving(
+                list,
+            )));
         }
     }
 
@@ -186,7 +188,7 @@
     fn handle_leaving_from_peer(&mut self, list: LeavingList, actions: &mut Vec<RolloutAction>) {
         if !self.watching && self.leaving.replace_if_newer(list) {
             let addresses = self.leaving.addresses.clone();
-            actions.push(RolloutAction::DrainLeaving(addresses));
+            actions.push(RolloutAction::DrainDatabases(addresses));
         }
     }
 
--- a/crates/coordination/src/rollout/roll.rs
+++ b/crates/coordination/src/rollout/roll.rs
@@ -37,7 +37,7 @@
         /// Current pointer.
         pointer: Option<PointerView<Attempt>>,
         /// Pointer that named the version to be rolled, from the history.
-        past: Option<PointerView<Attempt>>,
+        historical: Option<PointerView<Attempt>>,
     },
     /// The request got no answer.
     Failed {
@@ -45,7 +45,7 @@
         outcome: Outcome,
     },
     /// The operator's time limit has passed.
-    GaveUp,
+    TimedOut,
 }
 
 /// Next step of a roll.
@@ -78,7 +78,7 @@
     /// later.
     Conflict {
         /// Pointer set by the other roll.
-        winner: Option<PointerView<Attempt>>,
+        conflicting: Option<PointerView<Attempt>>,
     },
     /// The version is not newer than the one in force; nothing was changed.
     NotNewer {
@@ -132,15 +132,19 @@
                 previous: *previous,
                 superseded: false,
             },
-            (RollStep::MovePointer { previous, .. }, RollEvent::NotMoved { pointer, past }) => {
-                self.resolve(*previous, pointer, past.as_ref())
-            }
+            (
+                RollStep::MovePointer { previous, .. },
+                RollEvent::NotMoved {
+                    pointer,
+                    historical,
+                },
+            ) => self.resolve(*previous, pointer, historical.as_ref()),
             (RollStep::MovePointer { .. }, RollEvent::Failed { outcome }) => {
                 self.uncertain |= outcome != Outcome::NotRun;
                 return;
             }
-            (_, RollEvent::GaveUp) if self.uncertain => RollResult::Unknown,
-            (_, RollEvent::GaveUp) => RollResult::NotRun,
+            (_, RollEvent::TimedOut) if self.uncertain => RollResult::Unknown,
+            (_, RollEvent::TimedOut) => RollResult::NotRun,
             (RollStep::ReadPointer | RollStep::MovePointer { .. }, _) => return,
         };
         self.step = RollStep::Finished(result);
@@ -150,7 +154,9 @@
         let active = pointer.as_ref().map(|pointer| pointer.version);
         let active = active.unwrap_or_default();
         self.step = if self.expected.is_some_and(|expected| expected != active) {
-            RollStep::Finished(RollResult::Conflict { winner: pointer })
+            RollStep::Finished(RollResult::Conflict {
+                conflicting: pointer,
+            })
         } else if self.version <= active {
             RollStep::Finished(RollResult::NotNewer { active })
         } else {
@@ -165,16 +171,18 @@
         &self,
         previous: BundleVersion,
         pointer: Option<PointerView<Attempt>>,
-        past: Option<&PointerView<Attempt>>,
+        historical: Option<&PointerView<Attempt>>,
     ) -> RollResult<Attempt> {
         let is_own = |view: &PointerView<Attempt>| view.attempt == self.attempt;
         let in_force = pointer.as_ref().is_some_and(is_own);
-        if in_force || past.is_some_and(is_own) {
+        if in_force || historical.is_some_and(is_own) {
             return RollResult::Rolled {
                 previous,
                 superseded: !in_force,
             };
         }
-        RollResult::Conflict { winner: pointer }
+        RollResult::Conflict {
+            conflicting: pointer,
+        }
     }
 }
--- a/crates/coordination/src/rollout/tests/accepting.rs
+++ b/crates/coordination/src/rollout/tests/acceptance.rs
@@ -114,7 +114,7 @@
                 node,
                 version: BundleVersion(version),
             },
-            6 => RolloutEvent::PeerGone(node),
+            6 => RolloutEvent::PeerLost(node),
             7 | 8 => RolloutEvent::PeerMessage {
                 from: node,
                 message,
--- a/crates/coordination/src/rollout/tests/mod.rs
+++ b/crates/coordination/src/rollout/tests/mod.rs
@@ -1,6 +1,6 @@
 //! Tests of the rollout: which changes are accepted, and how versions are distributed.
 
-mod accepting;
-mod exploring;
+mod acceptance;
+mod distribution;
 mod network;
-mod spreading;
+mod roll_model;
--- a/crates/coordination/src/rollout/tests/network.rs
+++ b/crates/coordination/src/rollout/tests/network.rs
@@ -197,13 +197,13 @@
             }
             RolloutAction::SendPeer { to, message } => self.send(node, to, message),
             RolloutAction::Install(version) => self.announce(node, version),
-            RolloutAction::TellZone(message) => {
+            RolloutAction::BroadcastToZone(message) => {
                 let others: Vec<NodeId> = self.nodes.keys().copied().collect();
                 for other in others.into_iter().filter(|other| *other != node) {
                     self.send(node, other, message.clone());
                 }
             }
-            RolloutAction::DrainLeaving(addresses) => {
+            RolloutAction::DrainDatabases(addresses) => {
                 self.drained.insert(node, addresses);
             }
             RolloutAction::WatchPlatform(true) if self.faults.platform => {
--- a/crates/coordination/src/rollout/tests/exploring.rs
+++ b/crates/coordination/src/rollout/tests/roll_model.rs
@@ -77,7 +77,7 @@
             let past = self.history.get(&version).cloned();
             return RollEvent::NotMoved {
                 pointer: self.pointer.clone(),
-                past: past.filter(|_| mutation != Mutation::NoHistory),
+                historical: past.filter(|_| mutation != Mutation::NoHistory),
             };
         }
         let view = PointerView {
@@ -132,7 +132,7 @@
                 self.push_transaction_outcomes(transaction, mutation, successors);
             }
         }
-        successors.push(self.deliver(operator, RollEvent::GaveUp));
+        successors.push(self.deliver(operator, RollEvent::TimedOut));
     }
 
     fn push_transaction_outcomes(
--- a/crates/coordination/src/serving/admission.rs
+++ b/crates/coordination/src/serving/admission.rs
@@ -35,7 +35,7 @@
     /// Number of connections that serve the queue.
     pub connections: usize,
     /// Recent mean time for which a request occupies a connection.
-    pub held: Duration,
+    pub mean_hold_time: Duration,
 }
 
 impl ConnectionQueue {
@@ -44,23 +44,23 @@
     pub fn expected_wait(self) -> Duration {
         let turns = u32::try_from(self.ahead + 1).unwrap_or(u32::MAX);
         let connections = u32::try_from(self.connections.max(1)).unwrap_or(u32::MAX);
-        self.held.saturating_mul(turns) / connections
+        self.mean_hold_time.saturating_mul(turns) / connections
     }
 
-    /// Returns whether a request that can wait for at most `patience` may join the queue.
-    pub fn admits(self, patience: Duration, wanted: ConnectionUse) -> bool {
+    /// Returns whether a request that can wait for at most `max_wait` may join the queue.
+    pub fn admits(self, max_wait: Duration, wanted: ConnectionUse) -> bool {
         let others_first = wanted == ConnectionUse::Transaction && self.ahead > 0;
         let divisor = if others_first {
             TRANSACTION_WAIT_DIVISOR
         } else {
             1
         };
-        self.expected_wait() <= patience / divisor
+        self.expected_wait() <= max_wait / divisor
     }
 }
 
 /// Returns how long a request may wait in a queue: a fraction of its latency objective, less the
 /// time elapsed since it arrived.
-pub fn patience(target_latency: Duration, elapsed: Duration) -> Duration {
+pub fn max_queue_wait(target_latency: Duration, elapsed: Duration) -> Duration {
     (target_latency / QUEUE_WAIT_DIVISOR).saturating_sub(elapsed)
 }
--- a/crates/coordination/src/serving/attempt_limit.rs
+++ b/crates/coordination/src/serving/attempt_limit.rs
@@ -18,7 +18,7 @@
 ///
 /// A read may simply be long, in which case it takes as long on every database. So the limit
 /// doubles after each attempt that timed out.
-pub fn read_attempt_limit(
+pub fn read_attempt_timeout(
     service_time: Duration,
     target_latency: Duration,
     timed_out: u32,
--- a/crates/coordination/src/serving/cold_start.rs
+++ b/crates/coordination/src/serving/cold_start.rs
@@ -77,42 +77,42 @@
     ///
     /// A bound of four requests per second or less cannot be divided in this way; a cold database
     /// then receives nothing.
-    pub fn part(self, bounds: ColdStartBounds) -> GrantLimit {
+    pub fn holder_share(self, bounds: ColdStartBounds) -> GrantLimit {
         let holders = u64::try_from(COLD_HOLDERS).unwrap_or(u64::MAX);
-        let part = self.allowed(bounds) / (holders * PARTITION_SIDES);
-        let sustained = part.saturating_sub(MICROS);
+        let share = self.allowed(bounds) / (holders * PARTITION_SIDES);
+        let sustained = share.saturating_sub(MICROS);
         let window = 1_000 + u64::try_from(MAX_SEND_DELAY.as_millis()).unwrap_or(u64::MAX);
         let configured = self.rate_milli.saturating_mul(1_000) / holders;
         GrantLimit {
             rate: (sustained.saturating_mul(1_000) / window).min(configured),
-            burst: MICROS.min(part),
+            burst: MICROS.min(share),
         }
     }
 }
 
 /// How a registration relates to what the node knew of the database before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heard {
+pub enum RegistrationChange {
     /// The database was not known.
     First,
     /// The database is still in the same incarnation.
-    SameLife,
+    SameIncarnation,
     /// The database has restarted: a new incarnation has begun.
-    NewLife,
+    NewIncarnation,
     /// The entry had been removed and is back with the same start time.
     Returned,
     /// The entry had been removed and is back without a start time, so it is not known whether the
     /// database has restarted.
-    ReturnedUntold,
+    ReturnedWithoutStart,
 }
 
 /// Further facts on which the decision whether a database is cold depends.
 #[derive(Clone, Copy, Debug)]
-pub struct Circumstances {
+pub struct ColdStartFacts {
     /// Time as of which the node knows the store's state.
-    pub news_at: Timestamp,
+    pub store_known_at: Timestamp,
     /// Whether the database is registered with a start time.
-    pub told_start: bool,
+    pub has_start: bool,
 }
 
 /// Why a database is treated as cold.
@@ -150,17 +150,22 @@
 
 impl WarmUpState {
     /// Applies a registration which states that the database is cold for another `cold_for`.
-    pub fn hear(&mut self, change: Heard, cold_for: Duration, now: Timestamp) {
+    pub fn apply_registration(
+        &mut self,
+        change: RegistrationChange,
+        cold_for: Duration,
+        now: Timestamp,
+    ) {
         let until = now + cold_for;
         match change {
-            Heard::First | Heard::Returned => self.cold_until = until,
-            Heard::SameLife => self.cold_until = self.cold_until.min(until),
-            Heard::NewLife => {
+            RegistrationChange::First | RegistrationChange::Returned => self.cold_until = until,
+            RegistrationChange::SameIncarnation => self.cold_until = self.cold_until.min(until),
+            RegistrationChange::NewIncarnation => {
                 self.cold_until = until;
                 self.restart_suspected_at = None;
                 self.bucket = None;
             }
-            Heard::ReturnedUntold => {
+            RegistrationChange::ReturnedWithoutStart => {
                 self.cold_until = until;
                 self.restart_suspected_at = Some(now);
             }
@@ -168,7 +173,7 @@
     }
 
     /// Records that the database may have restarted.
-    pub fn doubt(&mut self, now: Timestamp) {
+    pub fn suspect_restart(&mut self, now: Timestamp) {
         self.restart_suspected_at = Some(now);
     }
 
@@ -176,15 +181,15 @@
     pub fn cold_reason(
         &self,
         start: ColdStart,
-        known: Circumstances,
+        known: ColdStartFacts,
         now: Timestamp,
     ) -> Option<ColdReason> {
         if now < self.cold_until {
             return Some(ColdReason::Registered);
         }
         let restart_suspected_at = self.restart_suspected_at?;
-        let confirmed_since =
-            known.told_start && known.news_at >= restart_suspected_at + RESTART_DETECTION_TIME;
+        let confirmed_since = known.has_start
+            && known.store_known_at >= restart_suspected_at + RESTART_DETECTION_TIME;
         let still_suspected = now < restart_suspected_at + start.duration && !confirmed_since;
         still_suspected.then_some(ColdReason::MayHaveRestarted)
     }
@@ -195,29 +200,29 @@
     }
 
     /// Takes a token for a caller's request. If none is available, returns the time until one is.
-    pub fn admit(&mut self, part: GrantLimit, now: Timestamp) -> Result<(), Duration> {
+    pub fn admit(&mut self, share: GrantLimit, now: Timestamp) -> Result<(), Duration> {
         if now < self.reserved_until {
             return Err(self.reserved_until.since(now));
         }
-        self.take(part, now)
+        self.take(share, now)
     }
 
-    fn take(&mut self, part: GrantLimit, now: Timestamp) -> Result<(), Duration> {
-        match self.bucket(part, now).take(now, Duration::ZERO) {
+    fn take(&mut self, share: GrantLimit, now: Timestamp) -> Result<(), Duration> {
+        match self.bucket(share, now).take(now, Duration::ZERO) {
             TokenAnswer::Granted { .. } => Ok(()),
-            TokenAnswer::Dry { retry_after_us } => Err(Duration::from_micros(retry_after_us)),
+            TokenAnswer::Exhausted { retry_after_us } => Err(Duration::from_micros(retry_after_us)),
             TokenAnswer::NotHeld => Err(Duration::MAX),
         }
     }
 
     /// Takes a token for a status query of this node's own; such queries are rate-limited. If no
     /// token is available, the next one is reserved for the query.
-    pub fn admit_question(&mut self, part: GrantLimit, now: Timestamp) -> Result<(), Duration> {
+    pub fn admit_query(&mut self, share: GrantLimit, now: Timestamp) -> Result<(), Duration> {
         let since = self.queried_at.map(|queried_at| now.since(queried_at));
         if let Some(since) = since.filter(|since| *since < QUERY_INTERVAL) {
             return Err(QUERY_INTERVAL - since);
         }
-        let taken = self.take(part, now);
+        let taken = self.take(share, now);
         if taken.is_ok() {
             self.queried_at = Some(now);
             self.reserved_until = now;
@@ -229,8 +234,8 @@
 
     /// Charges requests that are sent regardless of the budget; the bucket's level may become
     /// negative.
-    pub fn charge(&mut self, part: GrantLimit, requests: u32, now: Timestamp) {
-        self.bucket(part, now).charge(now, requests);
+    pub fn charge(&mut self, share: GrantLimit, requests: u32, now: Timestamp) {
+        self.bucket(share, now).charge(now, requests);
     }
 
     /// Drops this node's share, because the node is not a holder, was suspended, or the database is
@@ -239,22 +244,22 @@
         self.bucket = None;
     }
 
-    fn bucket(&mut self, part: GrantLimit, now: Timestamp) -> &mut TokenBucket {
+    fn bucket(&mut self, share: GrantLimit, now: Timestamp) -> &mut TokenBucket {
         let bucket = self
             .bucket
-            .get_or_insert_with(|| TokenBucket::empty(part, now));
-        bucket.update_limit(now, part);
+            .get_or_insert_with(|| TokenBucket::empty(share, now));
+        bucket.update_limit(now, share);
         bucket
     }
 }
 
 /// The warm-up states of all databases that the node knows.
 #[derive(Clone, Debug, Default)]
-pub struct ColdStarts {
+pub struct WarmUpStates {
     databases: BTreeMap<DatabaseName, WarmUpState>,
 }
 
-impl ColdStarts {
+impl WarmUpStates {
     /// Returns the state of one database, if it is known.
     pub fn get(&self, name: &DatabaseName) -> Option<&WarmUpState> {
         self.databases.get(name)
--- a/crates/coordination/src/serving/coordinator.rs
+++ b/crates/coordination/src/serving/coordinator.rs
@@ -11,14 +11,14 @@
 use serde::{Deserialize, Serialize};
 
 /// Time to live of the coordinator's record.
-pub const RECORD_TIME: Duration = Duration::from_millis(1_500);
+pub const RECORD_TTL: Duration = Duration::from_millis(1_500);
 /// The record is not relied on for this long before its time to live ends.
 const RECORD_MARGIN: Duration = Duration::from_millis(300);
 
 /// Returns until when a coordinator relies on its record after a renewal that it requested at
 /// `asked_at`.
-pub fn relied_on_until(asked_at: Timestamp) -> Timestamp {
-    asked_at + RECORD_TIME - RECORD_MARGIN
+pub fn lease_valid_until(asked_at: Timestamp) -> Timestamp {
+    asked_at + RECORD_TTL - RECORD_MARGIN
 }
 
 /// Delays claiming a free coordinator record after this node first observed the store's era.
@@ -53,7 +53,7 @@
             return;
         }
         self.era = Some(era);
-        self.until = if no_other { now } else { now + RECORD_TIME };
+        self.until = if no_other { now } else { now + RECORD_TTL };
     }
 
     /// Returns whether no coordinator of an earlier era can rely on its record any more.
@@ -88,7 +88,7 @@
             return;
         }
         if let Some(record) = &record {
-            self.learn(revision, &record.node);
+            self.note_announcement(revision, &record.node);
         }
         self.revision = match record {
             Some(_) => revision,
@@ -105,7 +105,7 @@
 
     /// Records a coordinator that has announced an order. For a node that has lost the store this
     /// is the only way to learn of a new coordinator.
-    pub fn learn(&mut self, revision: StoreRevision, node: &str) {
+    pub fn note_announcement(&mut self, revision: StoreRevision, node: &str) {
         if self
             .newest
             .as_ref()
@@ -127,7 +127,7 @@
 
     /// Returns the record if it was written by an earlier process of `node`, that is, if it is not
     /// attached to `lease`.
-    pub fn left_behind(&self, node: &str, lease: Option<u64>) -> Option<&CoordinatorRecord> {
+    pub fn stale_record(&self, node: &str, lease: Option<u64>) -> Option<&CoordinatorRecord> {
         self.holder()
             .filter(|record| record.node == node && Some(record.lease) != lease)
     }
--- a/crates/coordination/src/serving/demand.rs
+++ b/crates/coordination/src/serving/demand.rs
@@ -70,14 +70,14 @@
     }
 
     /// Returns the number of connections that a home node of the database keeps open.
-    pub fn kept(&mut self, now: Timestamp) -> usize {
-        self.needed(now) + SPARE
+    pub fn connections_to_keep(&mut self, now: Timestamp) -> usize {
+        self.recent_peak(now) + SPARE
     }
 
     /// Returns the number of connections needed recently. A node that is not a home node of the
     /// database keeps no more than these: any others, opened while it knew only a few members of
     /// the fleet, are for the home nodes to open.
-    pub fn needed(&mut self, now: Timestamp) -> usize {
+    pub fn recent_peak(&mut self, now: Timestamp) -> usize {
         let mut needed = 0;
         self.peaks.retain(|_, peak| {
             let recent_max = peak.recent_max(now);
--- a/crates/coordination/src/serving/departure.rs
+++ b/crates/coordination/src/serving/departure.rs
@@ -19,7 +19,7 @@
 
 /// Time within which databases and operators rewrite what was lost when the store was restored from
 /// an older copy: more than two heartbeats.
-pub const WRITTEN_AGAIN: Duration = Duration::from_millis(3_500);
+pub const REWRITE_TIME: Duration = Duration::from_millis(3_500);
 
 /// The time up to which a node knows every change in the store.
 ///
@@ -28,7 +28,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Coverage {
     until: Timestamp,
-    before_news: Timestamp,
+    before_last_update: Timestamp,
     /// Updates as of an earlier time may lack lost changes.
     incomplete_until: Timestamp,
 }
@@ -36,7 +36,7 @@
 impl Coverage {
     /// Records an update from the store that includes every change up to `until`.
     pub fn extend(&mut self, until: Timestamp) {
-        self.before_news = self.until;
+        self.before_last_update = self.until;
         if until >= self.incomplete_until {
             self.until = self.until.max(until);
         }
@@ -44,7 +44,7 @@
 
     /// Records that the store changed its era; `now` is when this node observed it.
     pub fn note_era(&mut self, now: Timestamp) {
-        self.incomplete_until = now + WRITTEN_AGAIN;
+        self.incomplete_until = now + REWRITE_TIME;
     }
 
     /// Records that the store has been in its era for longer than the rewriting takes.
@@ -59,14 +59,14 @@
 
     /// Returns the same time as of before the latest update: what that update reports happened
     /// later.
-    pub fn before_news(&self) -> Timestamp {
-        self.before_news
+    pub fn before_last_update(&self) -> Timestamp {
+        self.before_last_update
     }
 }
 
 /// When a node received a piece of information, and a lower bound for when the event happened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Hearing {
+pub struct LearnedTimes {
     /// When the node received the information.
     pub at: Timestamp,
     /// The event happened later than this.
@@ -75,7 +75,7 @@
 
 /// How a node knows that a database leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Sign {
+pub enum DepartureEvidence {
     /// Its registration says so.
     Announced,
     /// Its registration is missing, which may be due to an outage of the store.
@@ -85,29 +85,29 @@
 /// The departure of a database, as far as a node knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Departure {
-    sign: Sign,
-    heard_at: Timestamp,
+    evidence: DepartureEvidence,
+    learned_at: Timestamp,
     not_before: Timestamp,
 }
 
 impl Departure {
     /// Creates the record of a departure that is new to this node.
-    pub fn heard(sign: Sign, hearing: Hearing) -> Self {
+    pub fn new(evidence: DepartureEvidence, learned: LearnedTimes) -> Self {
         Self {
-            sign,
-            heard_at: hearing.at,
-            not_before: hearing.not_before.min(hearing.at),
+            evidence,
+            learned_at: learned.at,
+            not_before: learned.not_before.min(learned.at),
         }
     }
 
     /// Returns how the departure is known.
-    pub fn sign(&self) -> Sign {
-        self.sign
+    pub fn evidence(&self) -> DepartureEvidence {
+        self.evidence
     }
 
     /// Returns when this node received the information.
-    pub fn heard_at(&self) -> Timestamp {
-        self.heard_at
+    pub fn learned_at(&self) -> Timestamp {
+        self.learned_at
     }
 
     /// Returns the start of the grace period: the database began to leave no earlier.
@@ -117,8 +117,8 @@
 
     /// Applies a lower bound known to another node: the database began to leave no earlier than
     /// `not_before`.
-    pub fn learn(&mut self, not_before: Timestamp) {
-        self.not_before = self.not_before.max(not_before.min(self.heard_at));
+    pub fn raise_lower_bound(&mut self, not_before: Timestamp) {
+        self.not_before = self.not_before.max(not_before.min(self.learned_at));
     }
 
     /// Returns until when the database receives new work, if that is allowed for `limit` after it
@@ -127,11 +127,13 @@
     /// Many registrations go missing in an outage of the store although their databases are alive.
     /// A node that receives this information late would drop them all, so it keeps using them until
     /// their absence is conclusive.
-    pub fn work_ends(&self, limit: Duration) -> Timestamp {
+    pub fn grace_period_end(&self, limit: Duration) -> Timestamp {
         let ends = self.not_before + limit;
-        match self.sign {
-            Sign::Announced => ends,
-            Sign::Missing => ends.max(self.heard_at + ABSENCE_CONFIRMED_AFTER.min(limit)),
+        match self.evidence {
+            DepartureEvidence::Announced => ends,
+            DepartureEvidence::Missing => {
+                ends.max(self.learned_at + ABSENCE_CONFIRMED_AFTER.min(limit))
+            }
         }
     }
 }
--- a/crates/coordination/src/serving/directory.rs
+++ b/crates/coordination/src/serving/directory.rs
@@ -10,7 +10,7 @@
 //! writes a new entry.
 //!
 //! A database that restarts may keep its name, but loses all of its state: see
-//! [`database_life`](super::database_life).
+//! [`database_incarnation`](super::database_incarnation).
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -19,8 +19,8 @@
 use hookpoint_state::{DatabaseName, GroupName, StoreEra, StoreRevision, Timestamp, ZoneName};
 use serde::{Deserialize, Serialize};
 
-use super::database_life::{DatabaseStart, Tombstones};
-use super::departure::{ABSENCE_CONFIRMED_AFTER, Departure, Hearing, Sign};
+use super::database_incarnation::{DatabaseStart, Tombstones};
+use super::departure::{ABSENCE_CONFIRMED_AFTER, Departure, DepartureEvidence, LearnedTimes};
 
 /// Time within which an entry that was restored with a copy of the store expires if its database is
 /// not running: three heartbeats plus the propagation of the change.
@@ -60,7 +60,7 @@
 
 /// A registered database, and what is known about its departure.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct DirectoryEntry {
     /// The registration.
     pub database: Database,
     /// Revision of the registration, or of its removal.
@@ -81,23 +81,27 @@
     previous_start: Option<Option<DatabaseStart>>,
 }
 
-impl Listed {
+impl DirectoryEntry {
     /// Returns whether an answer to a query sent at `asked_at` certainly comes from the current
     /// incarnation: the previous one had ended before any node could learn of the current one.
-    pub fn is_of_this_life(&self, asked_at: Timestamp) -> bool {
+    pub fn is_of_current_incarnation(&self, asked_at: Timestamp) -> bool {
         asked_at > self.incarnation_since
     }
 
     /// Returns whether a registration describes an incarnation that ended before its era of the
     /// store began.
-    fn is_ended_incarnation(&self, started: Option<DatabaseStart>, told_at: StoreRevision) -> bool {
-        let is_later = told_at.era() > self.revision.era();
+    fn is_ended_incarnation(
+        &self,
+        started: Option<DatabaseStart>,
+        listed_at: StoreRevision,
+    ) -> bool {
+        let is_later = listed_at.era() > self.revision.era();
         is_later && self.previous_start == Some(started) && started != self.database.started
     }
 
     /// Returns whether a registration is the removed one, restored with a copy of the store.
-    fn is_restored_entry(&self, told_at: StoreRevision) -> bool {
-        self.missing && told_at.may_be_copy_of(self.registration_revision)
+    fn is_restored_entry(&self, listed_at: StoreRevision) -> bool {
+        self.missing && listed_at.may_be_copy_of(self.registration_revision)
     }
 
     /// Returns the announced departure if it remains in force after a registration of the same
@@ -105,7 +109,7 @@
     fn retained_announcement(&self, draining: bool, revision: StoreRevision) -> Option<Departure> {
         let announced = self
             .departure
-            .filter(|known| known.sign() == Sign::Announced);
+            .filter(|known| known.evidence() == DepartureEvidence::Announced);
         let lost = self.departure_era < revision.era();
         announced.filter(|_| draining || lost)
     }
@@ -120,7 +124,7 @@
             None => false,
             Some(_) if !self.missing => true,
             Some(departure) => {
-                let absent_since = departure.heard_at().max(steady_since);
+                let absent_since = departure.learned_at().max(steady_since);
                 now.since(absent_since) >= ABSENCE_CONFIRMED_AFTER
             }
         }
@@ -130,7 +134,7 @@
 /// All known databases.
 #[derive(Clone, Debug, Default)]
 pub struct Directory {
-    databases: BTreeMap<DatabaseName, Listed>,
+    databases: BTreeMap<DatabaseName, DirectoryEntry>,
     /// Names of the databases of each group, so that a request only touches those of its own group.
     by_group: BTreeMap<GroupName, BTreeSet<DatabaseName>>,
     /// Databases that are leaving, so that iterating over them does not touch all others.
@@ -141,13 +145,13 @@
 
 /// The effect of a registration on the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Registration {
+pub enum RegistrationOutcome {
     /// It was older than the known state and was ignored.
     Outdated,
     /// It was the first of its database, or an update of the known incarnation.
-    Taken,
+    Applied,
     /// It was of a different incarnation: what was known of the previous one no longer applies.
-    NewLife,
+    NewIncarnation,
 }
 
 impl Directory {
@@ -157,17 +161,17 @@
         &mut self,
         database: Database,
         revision: StoreRevision,
-        hearing: Hearing,
-    ) -> Registration {
+        learned: LearnedTimes,
+    ) -> RegistrationOutcome {
         if let Some(listed) = self.databases.get_mut(&database.name) {
             if listed.is_restored_entry(revision) {
-                listed.relisted_at.get_or_insert(hearing.at);
+                listed.relisted_at.get_or_insert(learned.at);
                 listed.revision = revision;
-                return Registration::Outdated;
+                return RegistrationOutcome::Outdated;
             }
             if listed.is_ended_incarnation(database.started, revision) {
                 listed.revision = revision;
-                return Registration::Outdated;
+                return RegistrationOutcome::Outdated;
             }
         }
         let before = self.databases.get(&database.name);
@@ -176,27 +180,27 @@
             None => self.tombstones.get(&database.name),
         };
         if known.is_some_and(|(known_revision, _)| known_revision > revision) {
-            return Registration::Outdated;
+            return RegistrationOutcome::Outdated;
         }
         let is_new_incarnation = known.is_some_and(|(_, started)| started != database.started);
         let same_incarnation = before.filter(|_| !is_new_incarnation);
         let retained = same_incarnation
             .and_then(|listed| listed.retained_announcement(database.draining, revision));
-        let announced = || Departure::heard(Sign::Announced, hearing);
+        let announced = || Departure::new(DepartureEvidence::Announced, learned);
         let departure = retained.or_else(|| database.draining.then(announced));
         let departure_era = match same_incarnation.filter(|_| retained.is_some()) {
             Some(listed) => listed.departure_era,
             None => revision.era(),
         };
         let incarnation_since =
-            same_incarnation.map_or(hearing.at, |listed| listed.incarnation_since);
+            same_incarnation.map_or(learned.at, |listed| listed.incarnation_since);
         let previous_start = match before {
             Some(listed) if is_new_incarnation => Some(listed.database.started),
             Some(listed) => listed.previous_start,
             None => None,
         };
         self.tombstones.remove(&database.name);
-        let listed = Listed {
+        let listed = DirectoryEntry {
             database: Database {
                 draining: departure.is_some(),
                 ..database
@@ -212,13 +216,13 @@
         };
         self.insert(listed);
         if is_new_incarnation {
-            Registration::NewLife
+            RegistrationOutcome::NewIncarnation
         } else {
-            Registration::Taken
+            RegistrationOutcome::Applied
         }
     }
 
-    fn insert(&mut self, listed: Listed) {
+    fn insert(&mut self, listed: DirectoryEntry) {
         let name = listed.database.name.clone();
         let group = listed.database.group.clone();
         if listed.departure.is_some() {
@@ -243,7 +247,7 @@
     }
 
     /// Records that the entry of `name` was removed as of `revision`.
-    pub fn remove(&mut self, name: &DatabaseName, revision: StoreRevision, hearing: Hearing) {
+    pub fn remove(&mut self, name: &DatabaseName, revision: StoreRevision, learned: LearnedTimes) {
         if let Some(listed) = self.databases.get_mut(name)
             && listed.revision <= revision
         {
@@ -252,7 +256,7 @@
             listed.relisted_at = None;
             self.leaving.insert(name.clone());
             if listed.departure.is_none() {
-                listed.departure = Some(Departure::heard(Sign::Missing, hearing));
+                listed.departure = Some(Departure::new(DepartureEvidence::Missing, learned));
                 listed.departure_era = revision.era();
             }
         }
@@ -260,7 +264,7 @@
 
     /// Applies another node's knowledge that an incarnation of a database announced its departure
     /// no earlier than `not_before`.
-    pub fn learn_departure(
+    pub fn apply_departure_bound(
         &mut self,
         name: &DatabaseName,
         started: Option<DatabaseStart>,
@@ -269,13 +273,15 @@
         let listed = self.databases.get_mut(name);
         let same_incarnation = listed.filter(|listed| listed.database.started == started);
         let departure = same_incarnation.and_then(|listed| listed.departure.as_mut());
-        if let Some(departure) = departure.filter(|known| known.sign() == Sign::Announced) {
-            departure.learn(not_before);
+        if let Some(departure) =
+            departure.filter(|known| known.evidence() == DepartureEvidence::Announced)
+        {
+            departure.raise_lower_bound(not_before);
         }
     }
 
     /// Returns the known databases that are absent from a complete listing, `present`.
-    pub fn lacking(&self, present: &BTreeSet<DatabaseName>) -> Vec<DatabaseName> {
+    pub fn absent_from(&self, present: &BTreeSet<DatabaseName>) -> Vec<DatabaseName> {
         let names = self.databases.keys();
         names
             .filter(|name| !present.contains(name))
@@ -285,8 +291,8 @@
 
     /// Marks databases as present whose entries were restored with a copy of the store and have not
     /// expired since.
-    pub fn note_lasting(&mut self, now: Timestamp) {
-        let has_lasted = |listed: &&Listed| {
+    pub fn confirm_restored_entries(&mut self, now: Timestamp) {
+        let has_lasted = |listed: &&DirectoryEntry| {
             let since = listed.relisted_at;
             since.is_some_and(|since| now.since(since) >= RESTORED_ENTRY_EXPIRY)
         };
@@ -301,7 +307,7 @@
                 listed.missing = false;
                 listed.departure = listed
                     .departure
-                    .filter(|known| known.sign() == Sign::Announced);
+                    .filter(|known| known.evidence() == DepartureEvidence::Announced);
                 if listed.departure.is_none() {
                     self.leaving.remove(&name);
                 }
@@ -311,11 +317,11 @@
 
     /// Removes the databases that have been missing since before `before`, and returns their names.
     pub fn forget_missing(&mut self, before: Timestamp) -> Vec<DatabaseName> {
-        let heard_before = |departure: Departure| departure.heard_at() <= before;
+        let learned_before = |departure: Departure| departure.learned_at() <= before;
         let forgotten: Vec<DatabaseName> = self
             .leaving()
             .filter(|listed| listed.missing && listed.relisted_at.is_none())
-            .filter(|listed| listed.departure.is_some_and(heard_before))
+            .filter(|listed| listed.departure.is_some_and(learned_before))
             .map(|listed| listed.database.name.clone())
             .collect();
         for name in &forgotten {
@@ -330,25 +336,25 @@
     }
 
     /// Returns a known database.
-    pub fn get(&self, name: &DatabaseName) -> Option<&Listed> {
+    pub fn get(&self, name: &DatabaseName) -> Option<&DirectoryEntry> {
         self.databases.get(name)
     }
 
     /// Returns the databases of a group, ordered by name.
-    pub fn of_group<'a>(&'a self, group: &GroupName) -> impl Iterator<Item = &'a Listed> {
+    pub fn of_group<'a>(&'a self, group: &GroupName) -> impl Iterator<Item = &'a DirectoryEntry> {
         let names = self.by_group.get(group).into_iter().flatten();
         names.filter_map(|name| self.databases.get(name))
     }
 
     /// Returns the databases that are leaving, ordered by name.
-    pub fn leaving(&self) -> impl Iterator<Item = &Listed> {
+    pub fn leaving(&self) -> impl Iterator<Item = &DirectoryEntry> {
         self.leaving
             .iter()
             .filter_map(|name| self.databases.get(name))
     }
 
     /// Returns all databases, ordered by name.
-    pub fn iter(&self) -> impl Iterator<Item = &Listed> {
+    pub fn iter(&self) -> impl Iterator<Item = &DirectoryEntry> {
         self.databases.values()
     }
 }
--- a/crates/coordination/src/serving/evacuation.rs
+++ b/crates/coordination/src/serving/evacuation.rs
@@ -5,11 +5,11 @@
 
 use hookpoint_state::{StoreRevision, Timestamp, ZoneName};
 
-use super::departure::WRITTEN_AGAIN;
+use super::departure::REWRITE_TIME;
 
 /// What the databases of a zone may be used for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum ZoneStanding {
+pub enum ZoneAvailability {
     /// Any request.
     Open,
     /// Any request, but only if no other database can serve it: an evacuation has just ended.
@@ -45,7 +45,7 @@
 impl Evacuations {
     /// Applies a request, or its end, as of `revision`. A revision that is not newer than the known
     /// one is ignored. Returns whether the request's state changed.
-    pub fn take(
+    pub fn apply(
         &mut self,
         zone: &ZoneName,
         requested: bool,
@@ -82,7 +82,7 @@
     ) -> Vec<ZoneName> {
         let mut changed = Vec::new();
         for (zone, requested_at) in listed {
-            if self.take(zone, true, *requested_at, now) {
+            if self.apply(zone, true, *requested_at, now) {
                 changed.push(zone.clone());
             }
         }
@@ -94,7 +94,7 @@
         for (zone, requested_at) in absent {
             if requested_at.era() < revision.era() {
                 self.note_unlisted(&zone, now);
-            } else if self.take(&zone, false, revision, now) {
+            } else if self.apply(&zone, false, revision, now) {
                 changed.push(zone);
             }
         }
@@ -112,7 +112,7 @@
     pub fn end_unlisted(&mut self, revision: StoreRevision, now: Timestamp) -> Vec<ZoneName> {
         let is_over = |evacuation: &Evacuation| {
             let since = evacuation.unlisted_since;
-            since.is_some_and(|since| now.since(since) >= WRITTEN_AGAIN)
+            since.is_some_and(|since| now.since(since) >= REWRITE_TIME)
         };
         let over: Vec<ZoneName> = self
             .zones
@@ -121,7 +121,7 @@
             .map(|(zone, _)| zone.clone())
             .collect();
         for zone in &over {
-            self.take(zone, false, revision, now);
+            self.apply(zone, false, revision, now);
         }
         over
     }
@@ -156,22 +156,22 @@
     /// Returns what the databases of a zone may be used for. They receive nothing once the request
     /// has been known for `limit`; after its end they are used only as a last resort for
     /// `return_time`.
-    pub fn standing(
+    pub fn availability(
         &self,
         zone: &ZoneName,
         limit: Duration,
         return_time: Duration,
         now: Timestamp,
-    ) -> ZoneStanding {
+    ) -> ZoneAvailability {
         let Some(evacuation) = self.zones.get(zone) else {
-            return ZoneStanding::Open;
+            return ZoneAvailability::Open;
         };
         let elapsed = now.since(evacuation.since);
         match evacuation.requested {
-            true if elapsed >= limit => ZoneStanding::Evacuated,
-            true => ZoneStanding::Evacuating,
-            false if elapsed < return_time => ZoneStanding::Returning,
-            false => ZoneStanding::Open,
+            true if elapsed >= limit => ZoneAvailability::Evacuated,
+            true => ZoneAvailability::Evacuating,
+            false if elapsed < return_time => ZoneAvailability::Returning,
+            false => ZoneAvailability::Open,
         }
     }
 }
--- a/crates/coordination/src/serving/failover.rs
+++ b/crates/coordination/src/serving/failover.rs
@@ -33,7 +33,8 @@
     /// It has not answered for this long.
     Silent(Duration),
     /// This node holds no connections to it, and no holder has provided one for this long.
-    Unhelped(Duration),
+    #[serde(rename = "Unhelped")]
+    NoHolderAvailable(Duration),
     /// This node has known no primary for this long.
     Leaderless(Duration),
     /// This node has made no observation.
@@ -42,7 +43,7 @@
 
 /// Number of nodes whose observations may count.
 #[derive(Clone, Copy, Debug)]
-pub struct Witnesses {
+pub struct ObserverCounts {
     /// Live nodes.
     pub members: usize,
     /// Live nodes that hold connections to the primary.
@@ -51,7 +52,7 @@
 
 /// Returns whether the primary counts as lost, given the observations of the nodes that answered,
 /// including the node that collects them.
-pub fn is_lost(observations: &[Observation], witnesses: Witnesses) -> bool {
+pub fn is_lost(observations: &[Observation], witnesses: ObserverCounts) -> bool {
     let mut reachable = 0;
     let mut direct = 0;
     let mut leaderless = 0;
@@ -67,7 +68,7 @@
             Observation::Refused(lasting) => (&mut direct, lasting, REFUSAL_EVIDENCE),
             Observation::Silent(lasting) => (&mut direct, lasting, SILENCE_EVIDENCE),
             Observation::Leaderless(lasting) => (&mut leaderless, lasting, SILENCE_EVIDENCE),
-            Observation::Unhelped(lasting) => (&mut unhelped, lasting, SILENCE_EVIDENCE),
+            Observation::NoHolderAvailable(lasting) => (&mut unhelped, lasting, SILENCE_EVIDENCE),
         };
         if lasting >= evidence {
             *count += 1;
--- a/crates/coordination/src/serving/feed.rs
+++ b/crates/coordination/src/serving/feed.rs
@@ -15,7 +15,7 @@
 use hookpoint_state::{StoreEra, StoreRevision, ZoneName};
 
 use super::homes::{HomeCandidate, rendezvous_score};
-use super::store_news::StoreTryOrder;
+use super::store_freshness::StoreTryOrder;
 
 /// Maximum size of a region in which every node watches the store itself.
 const SMALL_REGION_SIZE: usize = 4;
@@ -221,7 +221,7 @@
 
 /// Returns a fraction of `period` that is spread evenly by name, to stagger work that all nodes
 /// would otherwise do at the same time.
-pub fn share_of(name: &str, period: Duration) -> Duration {
+pub fn staggered_delay(name: &str, period: Duration) -> Duration {
     let share = u32::try_from(rendezvous_score(WATCH_SUBJECT, name) >> 48).unwrap_or(0);
     period * share / u32::from(u16::MAX)
 }
@@ -232,7 +232,7 @@
     /// The log holds every change after this revision; `None` if nothing is known yet.
     complete_after: Option<StoreRevision>,
     /// Whether the log holds the newest change of every subject, however old.
-    whole: bool,
+    complete: bool,
     changes: BTreeMap<(StoreRevision, Subject), Change>,
     newest: BTreeMap<Subject, StoreRevision>,
 }
@@ -241,7 +241,7 @@
     fn default() -> Self {
         Self {
             complete_after: None,
-            whole: false,
+            complete: false,
             changes: BTreeMap::new(),
             newest: BTreeMap::new(),
         }
@@ -255,7 +255,7 @@
         self.changes.clear();
         self.newest.clear();
         self.complete_after = Some(revision);
-        self.whole = true;
+        self.complete = true;
     }
 
     /// Applies a complete listing that was read at `revision`, after changes were missed.
@@ -275,7 +275,7 @@
         gone: impl Fn(&Subject, &Change) -> Option<Change>,
     ) {
         let began_later = self.complete_after > Some(revision);
-        if !self.whole || began_later || !self.is_of_era(revision.era()) {
+        if !self.complete || began_later || !self.is_of_era(revision.era()) {
             self.restart(revision);
         }
         let present: BTreeSet<&Subject> = listed.iter().map(|(_, subject, _)| subject).collect();
@@ -314,19 +314,20 @@
     fn forget_oldest(&mut self) {
         if let Some(((revision, subject), _)) = self.changes.pop_first() {
             self.newest.remove(&subject);
-            self.whole = false;
+            self.complete = false;
             self.complete_after = self.complete_after.max(Some(revision));
         }
     }
 
     /// Returns whether the newest change of every subject is known here.
-    pub fn is_whole(&self) -> bool {
-        self.whole
+    pub fn is_complete(&self) -> bool {
+        self.complete
     }
 
     /// Returns the newest change of every subject, or `None` if some are not known here.
     pub fn everything(&self) -> Option<Vec<Change>> {
-        self.whole.then(|| self.changes.values().cloned().collect())
+        self.complete
+            .then(|| self.changes.values().cloned().collect())
     }
 
     /// Returns whether the log holds the changes of this era.
--- a/crates/coordination/src/serving/interest.rs
+++ b/crates/coordination/src/serving/group_use.rs
@@ -26,7 +26,7 @@
 
 /// Recent use of one group on this node.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Interest {
+pub struct GroupUse {
     used_at: Option<Timestamp>,
     /// The last use that was not merged with the one before.
     counted_at: Option<Timestamp>,
@@ -40,7 +40,7 @@
     awaited_at: Option<Timestamp>,
 }
 
-impl Interest {
+impl GroupUse {
     /// Records a caller's request.
     pub fn note_use(&mut self, now: Timestamp) {
         let interval = self.counted_at.map(|counted_at| now.since(counted_at));
@@ -75,7 +75,7 @@
 
     /// Consumes one of the status queries that the uses so far allow; returns false if none is
     /// left.
-    pub fn take_question(&mut self) -> bool {
+    pub fn take_query(&mut self) -> bool {
         let left = self.queries.checked_sub(1);
         self.queries = left.unwrap_or_default();
         left.is_some()
@@ -97,7 +97,7 @@
     }
 
     /// Returns whether the group no longer needs to be tracked.
-    pub fn is_over(&self, now: Timestamp) -> bool {
+    pub fn is_unused(&self, now: Timestamp) -> bool {
         let may_ask = self.queries > 0 && now.since(self.relied_on_at) < IN_USE_TIME;
         !may_ask && !self.is_in_use(now) && !self.expects_use(now)
     }
--- a/crates/coordination/src/serving/handover.rs
+++ b/crates/coordination/src/serving/handover.rs
@@ -10,7 +10,7 @@
 
 use hookpoint_state::{DatabaseName, Position, RegionName, Timestamp};
 
-use super::evacuation::ZoneStanding;
+use super::evacuation::ZoneAvailability;
 
 /// Minimum time after a promotion before the primary moves because of its region or because it is
 /// cold. Each move costs its callers about a second of writes. A badly placed primary costs them
@@ -27,11 +27,11 @@
 
 /// What is known about one database as the location of its group's primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct PrimaryLocation {
     /// Whether it is about to leave the fleet.
     pub leaving: bool,
     /// What the databases of its zone may be used for.
-    pub zone: ZoneStanding,
+    pub zone: ZoneAvailability,
     /// Its region, if known.
     pub region: Option<RegionName>,
     /// Whether it has started recently and is slow.
@@ -57,7 +57,7 @@
 impl Drawbacks {
     /// Returns the drawbacks of a location. `allowed` are the regions that the group's routes
     /// allow; `None` or an empty set allows all.
-    pub fn of(place: &Place, allowed: Option<&BTreeSet<RegionName>>) -> Self {
+    pub fn of(place: &PrimaryLocation, allowed: Option<&BTreeSet<RegionName>>) -> Self {
         let restricted_to = allowed.filter(|regions| !regions.is_empty());
         let outside_regions = restricted_to.is_some_and(|regions| {
             let region = place.region.as_ref();
@@ -66,12 +66,12 @@
         Self {
             evacuated: matches!(
                 place.zone,
-                ZoneStanding::Evacuating | ZoneStanding::Evacuated
+                ZoneAvailability::Evacuating | ZoneAvailability::Evacuated
             ),
             leaving: place.leaving,
             outside_regions,
             cold: place.cold,
-            returning: place.zone == ZoneStanding::Returning,
+            returning: place.zone == ZoneAvailability::Returning,
         }
     }
 
@@ -183,11 +183,11 @@
 /// Rate limiter of planned moves, which leaves capacity of the promotion service for groups that
 /// have lost their primary.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct HandoverPace {
+pub struct HandoverLimiter {
     next_at: Timestamp,
 }
 
-impl HandoverPace {
+impl HandoverLimiter {
     /// Returns whether one more planned move may start now, and counts it if so. `service_rate` is
     /// the number of promotions per second that the service accepts; there is no limit if the
     /// service does not report one.
--- a/crates/coordination/src/serving/homes.rs
+++ b/crates/coordination/src/serving/homes.rs
@@ -144,7 +144,7 @@
 
 /// Start-up progress of a node.
 #[derive(Clone, Copy, Debug)]
-pub struct Start {
+pub struct StartupProgress {
     /// Whether it has known the store's current state since it started.
     pub caught_up: bool,
     /// Whether it has seen its own record in the membership.
@@ -153,14 +153,14 @@
     pub configured_for: Option<Duration>,
 }
 
-impl Start {
+impl StartupProgress {
     /// Returns whether the members known to the node may be taken for the whole fleet.
     ///
     /// A node that has just started may have read a listing that shows none or few of the other
     /// nodes, because they are starting at the same time. It would take itself for a home node of
     /// every database, and all nodes together would open more connections than the databases
     /// accept. Without a configuration there are no connections to open.
-    pub fn knows_fleet(self) -> bool {
+    pub fn membership_is_complete(self) -> bool {
         self.caught_up
             || self.registered
             || self
--- a/crates/coordination/src/serving/isolation.rs
+++ b/crates/coordination/src/serving/isolation.rs
@@ -21,7 +21,7 @@
 
 /// Reachability of primaries and peers from one node at one moment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Surroundings {
+pub struct ReachabilityCounts {
     /// Groups that callers used recently.
     pub groups: usize,
     /// Groups among them whose primary this node does not reach.
@@ -32,7 +32,7 @@
     pub silent_peers: usize,
 }
 
-impl Surroundings {
+impl ReachabilityCounts {
     /// Returns whether most groups lack their primary, so that peers should be queried.
     pub fn lack_primaries(self) -> bool {
         self.groups_without_primary * 2 > self.groups
@@ -75,7 +75,7 @@
     }
 
     /// Applies the current observations and returns the change of state, if any.
-    pub fn note(&mut self, seen: Surroundings, now: Timestamp) -> Option<IsolationChange> {
+    pub fn note(&mut self, seen: ReachabilityCounts, now: Timestamp) -> Option<IsolationChange> {
         let isolated = self.isolated_since.is_some();
         let partitioned = seen.appear_partitioned(isolated);
         if partitioned == isolated {
--- a/crates/coordination/src/serving/leadership.rs
+++ b/crates/coordination/src/serving/leadership.rs
@@ -19,13 +19,13 @@
 
 /// Sequence number of a leadership term on this node, starting at 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Reign(pub u64);
+pub struct LeadershipPeriod(pub u64);
 
 /// A position together with the leadership term in which it was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ReignPosition {
+pub struct PeriodPosition {
     /// Leadership term in which the position was read.
-    pub reign: Reign,
+    pub leadership_period: LeadershipPeriod,
     /// Position in the database's log.
     pub position: Position,
 }
@@ -56,7 +56,7 @@
 pub struct Leadership {
     leader: Option<DatabaseName>,
     previous: Option<DatabaseName>,
-    reign: Reign,
+    leadership_period: LeadershipPeriod,
     confirmed_at: Timestamp,
     /// The database last found not to lead, and when the query was sent.
     refuted: Option<(DatabaseName, Timestamp)>,
@@ -76,7 +76,7 @@
             return false;
         }
         if same && self.shows_loss(&proof) {
-            self.end_life(database, proof.answered_at);
+            self.end_incarnation(database, proof.answered_at);
             return false;
         }
         if self.is_rejected(database, &proof) {
@@ -137,7 +137,7 @@
     /// by `now`: samples, positions and refutations. Returns whether it was the known leader.
     ///
     /// Samples from the reign of another database are kept, as they are that database's positions.
-    pub fn end_life(&mut self, database: &DatabaseName, now: Timestamp) -> bool {
+    pub fn end_incarnation(&mut self, database: &DatabaseName, now: Timestamp) -> bool {
         if self
             .refuted
             .as_ref()
@@ -160,7 +160,7 @@
     }
 
     fn begin_reign(&mut self) {
-        self.reign = Reign(self.reign.0 + 1);
+        self.leadership_period = LeadershipPeriod(self.leadership_period.0 + 1);
         self.highest = None;
         self.freshness.clear();
     }
@@ -188,7 +188,7 @@
 
     /// Returns whether a database that reports itself as the primary may be tried as such: it has
     /// not been found not to lead since another database was last known to lead.
-    pub fn may_presume(&self, database: &DatabaseName) -> bool {
+    pub fn may_try_as_primary(&self, database: &DatabaseName) -> bool {
         self.refuted
             .as_ref()
             .is_none_or(|(refuted, _)| refuted != database)
@@ -206,20 +206,20 @@
     }
 
     /// Returns the current reign.
-    pub fn reign(&self) -> Reign {
-        self.reign
+    pub fn leadership_period(&self) -> LeadershipPeriod {
+        self.leadership_period
     }
 
     /// Returns the reign to which a position belongs that `database` reported in its answer to a
     /// write. This is the current reign also while `database` is being replaced and no other leader
     /// is known, since until then its positions are the valid ones. Returns reign 0 if another
     /// database leads.
-    pub fn reign_of(&self, database: &DatabaseName) -> Reign {
+    pub fn leadership_period_of(&self, database: &DatabaseName) -> LeadershipPeriod {
         let led_last = self.leader.is_none() && self.previous.as_ref() == Some(database);
         if led_last || self.leader.as_ref() == Some(database) {
-            self.reign
+            self.leadership_period
         } else {
-            Reign::default()
+            LeadershipPeriod::default()
         }
     }
 
@@ -235,8 +235,8 @@
 
     /// Returns the position that a database must have reached for a session that has seen `held` to
     /// read its own writes. Returns `None` if no sample of the current reign is known yet.
-    pub fn translate(&self, held: ReignPosition) -> Option<Position> {
-        if held.reign == self.reign {
+    pub fn translate(&self, held: PeriodPosition) -> Option<Position> {
+        if held.leadership_period == self.leadership_period {
             return Some(held.position);
         }
         self.freshness.first()
--- a/crates/coordination/src/serving/lease_grantor.rs
+++ b/crates/coordination/src/serving/lease_grantor.rs
@@ -8,14 +8,14 @@
 use hookpoint_state::{StoreRevision, Timestamp};
 
 use super::failover::majority;
-use super::primary_lease::{GRANT_TIME, LeaseAnswer, LeaseRequest, ProcessTime, VOTE_TIME};
+use super::primary_lease::{LEASE_DURATION, LeaseAnswer, LeaseRequest, ProcessTime, VOTE_DURATION};
 
 /// How long after a renewal in the state store, counted from when it was requested, no other
 /// coordinator issues orders. The store may delete a record at any time, so a new coordinator waits
 /// this long.
-pub const STORE_AUTHORITY: Duration = Duration::from_millis(1_100);
+pub const STORE_AUTHORITY_TIME: Duration = Duration::from_millis(1_100);
 /// How long a node that has lost the store grants leases based on the votes of a majority.
-pub const OUTAGE_AUTHORITY: Duration = Duration::from_secs(12);
+pub const OUTAGE_AUTHORITY_TIME: Duration = Duration::from_secs(12);
 /// How long a node that is no longer registered counts as a voter: until nodes that still count it,
 /// because they have lost the store, can no longer grant leases.
 pub const VOTER_MEMORY: Duration = Duration::from_secs(15);
@@ -46,13 +46,13 @@
     /// Number of nodes that may hold a lease, including the granting node.
     pub voters: usize,
     /// Time as of which the store's state was last known.
-    pub store_heard_at: Timestamp,
+    pub store_known_at: Timestamp,
 }
 
 /// The leases granted and the votes received by one process.
 #[derive(Clone, Debug)]
 pub struct LeaseGrantor {
-    life: u64,
+    process: u64,
     term: Option<CoordinatorTerm>,
     /// The coordinator under which the votes were cast.
     coordinator: StoreRevision,
@@ -64,9 +64,9 @@
 
 impl LeaseGrantor {
     /// Creates the state of a process that has granted no leases.
-    pub fn new(life: u64) -> Self {
+    pub fn new(process: u64) -> Self {
         Self {
-            life,
+            process,
             term: None,
             coordinator: StoreRevision::default(),
             votes: BTreeMap::new(),
@@ -118,7 +118,7 @@
         }
         let same = request.coordinator == coordinator;
         if same {
-            self.take_vote(voter, request.told);
+            self.take_vote(voter, request.echoed_time);
             self.note_majority(electorate);
         }
         let granted = same && self.has_authority(electorate, now);
@@ -128,8 +128,8 @@
         LeaseAnswer {
             coordinator,
             asked_at: request.asked_at,
-            told: ProcessTime {
-                life: self.life,
+            answered_at: ProcessTime {
+                process: self.process,
                 time: now,
             },
             granted,
@@ -138,12 +138,12 @@
 
     /// Records a vote. A request that echoes a timestamp was made after that time, however long it
     /// was in transit.
-    fn take_vote(&mut self, voter: &str, told: Option<ProcessTime>) {
-        let Some(told) = told.filter(|told| told.life == self.life) else {
+    fn take_vote(&mut self, voter: &str, echoed_time: Option<ProcessTime>) {
+        let Some(echoed_time) = echoed_time.filter(|echoed| echoed.process == self.process) else {
             return;
         };
         let vote = self.votes.entry(voter.to_owned()).or_default();
-        *vote = (*vote).max(told.time);
+        *vote = (*vote).max(echoed_time.time);
     }
 
     /// Marks earlier announcements as known once a majority has voted for this process and thereby
@@ -163,15 +163,15 @@
     /// majority to it.
     pub fn has_authority(&self, electorate: Electorate, now: Timestamp) -> bool {
         let by_store = self.term.is_some_and(|term| {
-            let relied_on = now.since(term.renewed_at) < STORE_AUTHORITY;
+            let relied_on = now.since(term.renewed_at) < STORE_AUTHORITY_TIME;
             term.coordinator == self.coordinator && relied_on && term.knows_predecessors
         });
         if by_store {
             return true;
         }
-        let bound = |vote: &&Timestamp| now.since(**vote) < VOTE_TIME;
+        let bound = |vote: &&Timestamp| now.since(**vote) < VOTE_DURATION;
         let votes = self.votes.values().filter(bound).count();
-        let remembered = now.since(electorate.store_heard_at) < OUTAGE_AUTHORITY;
+        let remembered = now.since(electorate.store_known_at) < OUTAGE_AUTHORITY_TIME;
         remembered && votes >= majority(electorate.voters)
     }
 
@@ -181,7 +181,7 @@
     pub fn withdraw(&self) -> Option<Withdrawal> {
         let term = self.term?;
         let until = |(node, granted_at): (&String, &Timestamp)| {
-            let until = *granted_at + GRANT_TIME;
+            let until = *granted_at + LEASE_DURATION;
             (node.clone(), until)
         };
         Some(Withdrawal {
@@ -245,7 +245,7 @@
     /// Returns whether all leases that an earlier coordinator granted with the store's authority
     /// have expired.
     fn predecessor_has_ended(&self, now: Timestamp) -> bool {
-        now.since(self.claimed_at) >= STORE_AUTHORITY + GRANT_TIME
+        now.since(self.claimed_at) >= STORE_AUTHORITY_TIME + LEASE_DURATION
     }
 
     /// Returns whether all leases that other nodes granted based on a majority's votes have
@@ -263,6 +263,6 @@
             return false;
         }
         let majority_at = *self.majority_at.get_or_insert(now);
-        now.since(majority_at) >= GRANT_TIME
+        now.since(majority_at) >= LEASE_DURATION
     }
 }
--- a/crates/coordination/src/serving/peer_contact.rs
+++ b/crates/coordination/src/serving/peer_contact.rs
@@ -7,7 +7,7 @@
 //! something is received from it. A peer that is merely slow to serve a request answers the probe,
 //! so requests stay in its queue.
 //!
-//! Silence is measured in the time in which this node was receiving (see [`super::own_lateness`]),
+//! Silence is measured in the time in which this node was receiving (see [`super::local_stalls`]),
 //! and the probes of all requests together are bounded (see [`super::probe_budget`]). Otherwise a
 //! busy fleet would declare its own nodes silent and spend its remaining capacity on probes.
 
@@ -16,7 +16,7 @@
 
 use hookpoint_state::Timestamp;
 
-use super::own_lateness::{LocalStalls, ReceiveMark};
+use super::local_stalls::{LocalStalls, ReceiveMark};
 use super::probe_budget::{ProbeBudget, ProbePurpose, silent_probe_interval};
 
 /// Longest round trip between two nodes, including the time that a loaded node takes to answer. The
@@ -46,7 +46,7 @@
 
 /// The next step of a request that waits for a peer's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Waiting {
+pub enum WaitAction {
     /// Wait and check again after this time.
     For(Duration),
     /// Probe the peer and keep waiting.
@@ -108,7 +108,7 @@
 
     /// Records that a message was received from a peer. If requests had given up on the peer,
     /// returns for how long it had been silent.
-    pub fn note_heard(&mut self, peer: &str, now: Timestamp) -> Option<Duration> {
+    pub fn note_received(&mut self, peer: &str, now: Timestamp) -> Option<Duration> {
         let probes = self.unanswered.remove(peer)?;
         self.drop_expired(now);
         self.answered.insert(peer.to_owned(), now);
@@ -134,24 +134,24 @@
     }
 
     /// Returns the next step of a request that has waited for `peer` since `since`.
-    pub fn waiting(&mut self, peer: &str, since: Timestamp, now: Timestamp) -> Waiting {
+    pub fn waiting(&mut self, peer: &str, since: Timestamp, now: Timestamp) -> WaitAction {
         let waited = now.since(since);
         if waited < PROBE_AFTER {
-            return Waiting::For(PROBE_AFTER.saturating_sub(waited));
+            return WaitAction::For(PROBE_AFTER.saturating_sub(waited));
         }
         if self.is_silent(peer, now) {
-            return Waiting::GiveUp;
+            return WaitAction::GiveUp;
         }
         if self.probe_if_due(peer, ProbePurpose::Waiting, now) {
-            Waiting::Probe
+            WaitAction::Probe
         } else {
-            Waiting::For(PROBE_INTERVAL)
+            WaitAction::For(PROBE_INTERVAL)
         }
     }
 
     /// Returns whether a request may be sent to a peer. The caller must send the probe that the
     /// result asks for.
-    pub fn approach(&mut self, peer: &str, now: Timestamp) -> Approach {
+    pub fn check_send(&mut self, peer: &str, now: Timestamp) -> Approach {
         if !self.is_silent(peer, now) {
             return Approach::Send;
         }
--- a/crates/coordination/src/serving/placement.rs
+++ b/crates/coordination/src/serving/placement.rs
@@ -43,7 +43,7 @@
 
 /// Which of a group's databases a statement needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Need {
+pub enum RequiredDatabase {
     /// The primary.
     Primary,
     /// Any database that has reached a given position.
@@ -73,7 +73,7 @@
 
 /// Why no permitted database can run a statement, however long it waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Obstacle {
+pub enum PlacementError {
     /// The regions of the route and of the tenant have none in common.
     NoCommonRegion,
     /// No database of the group is in an allowed region.
@@ -82,13 +82,13 @@
     PrimaryOutside,
 }
 
-impl Obstacle {
+impl PlacementError {
     /// Returns the short name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Obstacle::NoCommonRegion => "no_common_region",
-            Obstacle::NoDatabase => "no_database_in_region",
-            Obstacle::PrimaryOutside => "primary_outside_region",
+            PlacementError::NoCommonRegion => "no_common_region",
+            PlacementError::NoDatabase => "no_database_in_region",
+            PlacementError::PrimaryOutside => "primary_outside_region",
         }
     }
 }
@@ -142,7 +142,7 @@
     }
 
     /// Returns whether a node of `zone` may forward the text from the caller's node to a database.
-    pub fn may_carry(&self, zone: &ZoneName, regions: &Regions) -> bool {
+    pub fn may_forward(&self, zone: &ZoneName, regions: &Regions) -> bool {
         self.allows(zone, regions)
     }
 
@@ -177,25 +177,25 @@
     /// may be able to shortly.
     pub fn obstacle(
         &self,
-        need: Need,
+        need: RequiredDatabase,
         group: GroupView<'_>,
         regions: &Regions,
-    ) -> Option<Obstacle> {
+    ) -> Option<PlacementError> {
         let allowed = self.allowed.as_ref()?;
         if allowed.is_empty() {
-            return Some(Obstacle::NoCommonRegion);
+            return Some(PlacementError::NoCommonRegion);
         }
         let is_permitted = |database: &Database| self.may_run(&database.zone, regions);
         if !group.databases.iter().any(|known| is_permitted(known)) {
-            return Some(Obstacle::NoDatabase);
+            return Some(PlacementError::NoDatabase);
         }
         let leader_outside = group
             .find(group.leader)
             .is_some_and(|leader| !is_permitted(leader));
         let successor_permitted = group.find(group.successor).is_some_and(is_permitted);
         match need {
-            Need::Primary if leader_outside && !successor_permitted => {
-                Some(Obstacle::PrimaryOutside)
+            RequiredDatabase::Primary if leader_outside && !successor_permitted => {
+                Some(PlacementError::PrimaryOutside)
             }
             _ => None,
         }
--- a/crates/coordination/src/serving/primary_lease.rs
+++ b/crates/coordination/src/serving/primary_lease.rs
@@ -7,7 +7,7 @@
 //! requested, on the node's own monotonic clock.
 //!
 //! The coordinator grants leases. Every request is also a vote for the node to which it is sent:
-//! for [`VOTE_TIME`] the voter acknowledges no announcement of any other node. A coordinator that
+//! for [`VOTE_DURATION`] the voter acknowledges no announcement of any other node. A coordinator that
 //! has lost the state store may therefore continue while a majority votes for it, and while no
 //! coordinator answers, a stand-in may grant leases on the same basis. A stand-in cannot order
 //! promotions, so several of them do no harm.
@@ -19,11 +19,11 @@
 
 /// Duration of a lease, counted from when it was requested. It is longer than switching to a
 /// stand-in takes, so the loss of a coordinator fails no statement.
-pub const GRANT_TIME: Duration = Duration::from_millis(2_000);
+pub const LEASE_DURATION: Duration = Duration::from_millis(2_000);
 /// Interval between two requests.
 pub const RENEWAL_PERIOD: Duration = Duration::from_millis(350);
 /// How long a vote binds the node that cast it.
-pub const VOTE_TIME: Duration = Duration::from_millis(1_000);
+pub const VOTE_DURATION: Duration = Duration::from_millis(1_000);
 /// How long the node waits for an answer: more than the longest round trip.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 /// Number of consecutive unanswered requests after which the next node is asked.
@@ -37,7 +37,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessTime {
     /// Number of the process.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub process: u64,
     /// Time on its monotonic clock.
     pub time: Timestamp,
 }
@@ -50,7 +51,8 @@
     /// When the lease is requested, by the requesting node's clock.
     pub asked_at: ProcessTime,
     /// The timestamp in the last answer, echoed back; `None` if there is no answer yet.
-    pub told: Option<ProcessTime>,
+    #[serde(rename = "told")]
+    pub echoed_time: Option<ProcessTime>,
 }
 
 /// The answer to a [`LeaseRequest`].
@@ -61,7 +63,8 @@
     /// Copied from the request.
     pub asked_at: ProcessTime,
     /// When the request was answered, by the answering node's clock.
-    pub told: ProcessTime,
+    #[serde(rename = "told")]
+    pub answered_at: ProcessTime,
     /// Whether the lease is granted. The timestamp is valid in either case.
     pub granted: bool,
 }
@@ -78,7 +81,7 @@
 /// The lease of one node, from the requesting side.
 #[derive(Clone, Debug)]
 pub struct PrimaryLease {
-    life: u64,
+    process: u64,
     /// The newest coordinator known to this node.
     coordinator: StoreRevision,
     grantor: Grantor,
@@ -87,7 +90,7 @@
     refusals: u32,
     next_at: Timestamp,
     last_request: Timestamp,
-    told: Option<ProcessTime>,
+    last_answered_at: Option<ProcessTime>,
     /// When this node last voted for a node other than the current coordinator.
     other_vote_at: Timestamp,
     /// Start and end of the latest period throughout which a lease was in force.
@@ -97,9 +100,9 @@
 impl PrimaryLease {
     /// Creates the lease state of a process that starts now. The votes of an earlier process of the
     /// node are not known, so the node counts as having voted for another node until now.
-    pub fn new(life: u64, now: Timestamp) -> Self {
+    pub fn new(process: u64, now: Timestamp) -> Self {
         Self {
-            life,
+            process,
             coordinator: StoreRevision::default(),
             grantor: Grantor::Coordinator,
             unanswered: None,
@@ -107,7 +110,7 @@
             refusals: 0,
             next_at: now,
             last_request: Timestamp::default(),
-            told: None,
+            last_answered_at: None,
             other_vote_at: now,
             covered: None,
         }
@@ -133,7 +136,7 @@
         self.unanswered = None;
         self.failures = 0;
         self.refusals = 0;
-        self.told = None;
+        self.last_answered_at = None;
         self.next_at = now;
     }
 
@@ -151,10 +154,10 @@
         let request = LeaseRequest {
             coordinator: self.coordinator,
             asked_at: ProcessTime {
-                life: self.life,
+                process: self.process,
                 time: now,
             },
-            told: self.told,
+            echoed_time: self.last_answered_at,
         };
         Some((self.grantor, request))
     }
@@ -178,7 +181,7 @@
 
     /// Applies an answer. Returns whether it answers the newest request.
     pub fn take(&mut self, answer: &LeaseAnswer, now: Timestamp) -> bool {
-        if answer.asked_at.life != self.life {
+        if answer.asked_at.process != self.process {
             return false;
         }
         if answer.coordinator != self.coordinator {
@@ -193,7 +196,7 @@
         }
         self.unanswered = None;
         self.failures = 0;
-        let first = self.told.replace(answer.told).is_none();
+        let first = self.last_answered_at.replace(answer.answered_at).is_none();
         if answer.granted || !first {
             self.next_at = answer.asked_at.time + RENEWAL_PERIOD;
         }
@@ -217,7 +220,7 @@
     }
 
     fn extend(&mut self, asked_at: Timestamp) {
-        let until = asked_at + GRANT_TIME;
+        let until = asked_at + LEASE_DURATION;
         self.covered = match self.covered {
             Some((from, before)) if from <= asked_at && asked_at <= before => {
                 Some((from, before.max(until)))
@@ -247,11 +250,11 @@
         if coordinator == self.coordinator && self.grantor != Grantor::Coordinator {
             self.switch_to(Grantor::Coordinator, now);
         }
-        coordinator == self.coordinator && now.since(self.other_vote_at) >= VOTE_TIME
+        coordinator == self.coordinator && now.since(self.other_vote_at) >= VOTE_DURATION
     }
 
     /// Returns whether a lease may be in force that another node granted based on this node's vote.
     pub fn voted_for_others(&self, now: Timestamp) -> bool {
-        now.since(self.other_vote_at) < VOTE_TIME + GRANT_TIME
+        now.since(self.other_vote_at) < VOTE_DURATION + LEASE_DURATION
     }
 }
--- a/crates/coordination/src/serving/probe_budget.rs
+++ b/crates/coordination/src/serving/probe_budget.rs
@@ -10,11 +10,11 @@
 
 /// Sustained rate of probes. Including their answers, this is about 12 kB per second, a twentieth
 /// of the narrowest link of the known deployments, and a hundredth of a core.
-pub const PROBES_A_SECOND: u32 = 100;
+pub const PROBES_PER_SECOND: u32 = 100;
 
 /// Maximum burst: enough to check all holders of a few databases when a third of the fleet is
 /// partitioned.
-pub const PROBES_AT_ONCE: u32 = 64;
+pub const PROBE_BURST: u32 = 64;
 
 /// Part of the burst that is reserved for peers that a request waits for. A peer that may be needed
 /// next is probed only while more than this is left.
@@ -38,7 +38,7 @@
 }
 
 const MILLI: u64 = 1_000;
-const FULL: u64 = PROBES_AT_ONCE as u64 * MILLI;
+const FULL: u64 = PROBE_BURST as u64 * MILLI;
 
 impl Default for ProbeBudget {
     fn default() -> Self {
@@ -66,7 +66,7 @@
 
     fn refill(&mut self, now: Timestamp) {
         let elapsed = now.since(self.updated_at);
-        let gained = u64::try_from((elapsed * PROBES_A_SECOND).as_millis()).unwrap_or(FULL);
+        let gained = u64::try_from((elapsed * PROBES_PER_SECOND).as_millis()).unwrap_or(FULL);
         if gained == 0 {
             return;
         }
--- a/crates/coordination/src/serving/turns.rs
+++ b/crates/coordination/src/serving/queue_order.rs
@@ -17,7 +17,7 @@
 
 /// A waiting request.
 #[derive(Clone, Copy, Debug)]
-pub struct Waiting<'a> {
+pub struct QueuedRequest<'a> {
     /// Priority; 0 is served first.
     pub priority: u8,
     /// Principal of the request; `None` for a status query of the node itself, which any connection
@@ -29,8 +29,8 @@
 
 /// Returns the index of the request in `queue` that gets a connection of `principal`. The queue is
 /// ordered by priority, and by arrival within each priority.
-pub fn next_turn<'a>(
-    queue: impl Iterator<Item = Waiting<'a>>,
+pub fn next_waiter_index<'a>(
+    queue: impl Iterator<Item = QueuedRequest<'a>>,
     principal: &Principal,
 ) -> Option<usize> {
     let mut first = None;
--- a/crates/coordination/src/serving/quota.rs
+++ b/crates/coordination/src/serving/quota.rs
@@ -34,7 +34,7 @@
 
 /// Returns how long an operation may wait for a token after `elapsed` of its latency objective has
 /// passed.
-pub fn token_patience(target_latency: Duration, elapsed: Duration) -> Duration {
+pub fn max_token_wait(target_latency: Duration, elapsed: Duration) -> Duration {
     (target_latency / TOKEN_WAIT_DIVISOR).saturating_sub(elapsed)
 }
 
@@ -51,7 +51,7 @@
 /// replacement: the platform starts it after half a second, and it has to read the membership. A
 /// bucket starts with what would have been refilled in this time, so that callers that return after
 /// a loss of all power need not wait for it.
-pub const LEAST_RESTART: Duration = Duration::from_millis(300);
+pub const MIN_RESTART_TIME: Duration = Duration::from_millis(300);
 
 /// Buckets count millionths of an operation, so that a rate in operations per second adds that many
 /// units per microsecond.
@@ -160,7 +160,8 @@
         after_us: u64,
     },
     /// The tenant is over its limit; a token would be available after this time.
-    Dry {
+    #[serde(rename = "Dry")]
+    Exhausted {
         /// Delay in microseconds.
         retry_after_us: u64,
     },
@@ -181,7 +182,7 @@
 impl TokenBucket {
     /// Creates the bucket of a process that started, or took over as a holder, at `from`.
     pub fn new(limit: GrantLimit, from: Timestamp) -> Self {
-        let refilled = mul_micros(limit.rate, saturating_micros(LEAST_RESTART)).min(limit.burst);
+        let refilled = mul_micros(limit.rate, saturating_micros(MIN_RESTART_TIME)).min(limit.burst);
         Self {
             limit,
             level: i128::from(refilled),
@@ -231,12 +232,12 @@
         self.updated_at = now;
     }
 
-    /// Takes one token if it is available within `patience`.
-    pub fn take(&mut self, now: Timestamp, patience: Duration) -> TokenAnswer {
+    /// Takes one token if it is available within `max_wait`.
+    pub fn take(&mut self, now: Timestamp, max_wait: Duration) -> TokenAnswer {
         self.refill(now);
         let missing = i128::from(MICROS) - self.level;
         let Ok(missing) = u64::try_from(missing.max(0)) else {
-            return TokenAnswer::Dry {
+            return TokenAnswer::Exhausted {
                 retry_after_us: u64::MAX,
             };
         };
@@ -251,8 +252,8 @@
                     .saturating_add(until_filled + 1)
             }
         };
-        if wait > saturating_micros(patience) {
-            return TokenAnswer::Dry {
+        if wait > saturating_micros(max_wait) {
+            return TokenAnswer::Exhausted {
                 retry_after_us: wait,
             };
         }
@@ -277,14 +278,14 @@
         limit: GrantLimit,
         from: Timestamp,
         now: Timestamp,
-        patience: Duration,
+        max_wait: Duration,
     ) -> TokenAnswer {
         let bucket = self
             .buckets
             .entry(tenant.clone())
             .or_insert_with(|| TokenBucket::new(limit, from));
         bucket.update_limit(now, limit);
-        bucket.take(now, patience)
+        bucket.take(now, max_wait)
     }
 
     /// Drops the bucket of a tenant whose tokens are now held by another node.
--- a/crates/coordination/src/serving/question_budget.rs
+++ b/crates/coordination/src/serving/remote_query_budget.rs
@@ -15,7 +15,7 @@
 
 /// Returns whether another query may be sent through another node while `in_flight` are in
 /// flight.
-pub fn may_ask_afar(in_flight: usize, in_use: bool) -> bool {
+pub fn may_send_remote_query(in_flight: usize, in_use: bool) -> bool {
     let limit = if in_use {
         MAX_REMOTE_QUERIES
     } else {
--- a/crates/coordination/src/serving/selection.rs
+++ b/crates/coordination/src/serving/selection.rs
@@ -49,7 +49,7 @@
     /// Share of its statements that failed recently, in parts of [`reliability::WHOLE`].
     ///
     /// [`reliability::WHOLE`]: super::reliability::WHOLE
-    pub failing: u32,
+    pub failure_share: u32,
     /// Whether it has announced its departure.
     pub draining: bool,
     /// Whether another database is to be preferred because this one's zone is being evacuated, or
@@ -82,7 +82,7 @@
         let slots = u32::try_from(self.slots.max(1)).unwrap_or(u32::MAX);
         let ahead = self.service_time * waiting / slots;
         let mut cost = self.distance.cost() + self.wait + self.service_time + ahead;
-        cost += FAILING_COST * self.failing / WHOLE;
+        cost += FAILING_COST * self.failure_share / WHOLE;
         if self.leader {
             cost += LEADER_COST;
         }
--- a/crates/coordination/src/serving/store_news.rs
+++ b/crates/coordination/src/serving/store_freshness.rs
@@ -15,7 +15,7 @@
 
 /// Maximum wait of one watch. Each watch costs a call, and a silent store is noticed after one
 /// watch.
-pub const LONGEST_WATCH: Duration = Duration::from_millis(2_000);
+pub const MAX_WATCH_WAIT: Duration = Duration::from_millis(2_000);
 /// Age of the knowledge, in excess of one watch, at which a node switches to another source: allows
 /// for an answer of the store in transit, and forwarding by a few nodes that are short of processor
 /// time.
@@ -70,7 +70,7 @@
 const MAX_TRY_PERIOD: Duration = Duration::from_millis(3_000);
 
 /// Returns how long a node waits for the answer to a watch before it asks other nodes as well.
-pub fn patience(wait: Duration) -> Duration {
+pub fn watch_timeout(wait: Duration) -> Duration {
     let slack = if wait <= SHORT_WATCH {
         SHORT_ANSWER_SLACK
     } else {
@@ -96,7 +96,7 @@
     /// Returns the latest time at which the store can have given the answer: the end of the wait,
     /// however late the answer was read. A node that was paused in the meantime thus gains no newer
     /// knowledge.
-    pub fn told_at(&self) -> Timestamp {
+    pub fn known_at(&self) -> Timestamp {
         self.read_at.min(self.asked_at + self.wait)
     }
 
@@ -107,7 +107,7 @@
         if self.changed {
             self.asked_at
         } else {
-            self.told_at()
+            self.known_at()
         }
     }
 }
@@ -124,7 +124,7 @@
 impl NewsLimits {
     /// Returns the limits if a configuration has to be in force within `limit`.
     pub fn of(limit: Duration) -> Self {
-        let watch = LONGEST_WATCH.min(limit / 2);
+        let watch = MAX_WATCH_WAIT.min(limit / 2);
         Self {
             watch,
             oldest: (watch + FORWARDING_TIME).min(limit * 3 / 4),
@@ -170,10 +170,10 @@
 
 /// The age of one node's knowledge of the store, and the state of its search for newer updates.
 #[derive(Clone, Debug, Default)]
-pub struct StoreNews {
+pub struct StoreFreshness {
     /// Time as of which the store's state is known here, directly or through other nodes; never
     /// later than when the store gave its answer.
-    told_at: Timestamp,
+    known_at: Timestamp,
     /// When a call of this node last failed; `None` after a call that succeeded.
     rejected_at: Option<Timestamp>,
     /// Since when no upstream has provided anything newer.
@@ -182,18 +182,18 @@
     excluded: BTreeMap<String, Timestamp>,
 }
 
-impl StoreNews {
+impl StoreFreshness {
     /// Records that the store answered a call of this node with its state as of `when`.
-    pub fn note_told(&mut self, when: Timestamp) {
+    pub fn note_store_answer(&mut self, when: Timestamp) {
         self.rejected_at = None;
         self.searching_since = None;
-        self.told_at = self.told_at.max(when);
+        self.known_at = self.known_at.max(when);
     }
 
     /// Records that an upstream forwarded the store's state as of `when`, by this node's clock.
-    pub fn note_heard(&mut self, when: Timestamp) {
-        if when > self.told_at {
-            self.told_at = when;
+    pub fn note_upstream_answer(&mut self, when: Timestamp) {
+        if when > self.known_at {
+            self.known_at = when;
             self.searching_since = None;
         }
     }
@@ -206,40 +206,40 @@
     }
 
     /// Records that a call of this node failed, or that its answer is overdue.
-    pub fn note_turned_away(&mut self, now: Timestamp) {
+    pub fn note_rejected(&mut self, now: Timestamp) {
         self.rejected_at = Some(now);
     }
 
     /// Records that no upstream provided anything newer.
-    pub fn note_nothing_heard(&mut self, now: Timestamp) {
+    pub fn note_no_update(&mut self, now: Timestamp) {
         self.searching_since.get_or_insert(now);
     }
 
     /// Records that a peer reported that the store rejects its calls.
-    pub fn leave_out(&mut self, peer: &str, now: Timestamp) {
+    pub fn exclude(&mut self, peer: &str, now: Timestamp) {
         self.excluded.retain(|_, until| now < *until);
         self.excluded.insert(peer.to_owned(), now + EXCLUSION_TIME);
     }
 
     /// Clears the left-out peers once all peers have reported that the store rejects their calls,
     /// so that they are asked again.
-    pub fn ask_all_again(&mut self) {
+    pub fn clear_excluded(&mut self) {
         self.excluded.clear();
     }
 
     /// Returns whether the store is not known to reject a peer's calls.
-    pub fn helps(&self, peer: &str, now: Timestamp) -> bool {
+    pub fn may_forward(&self, peer: &str, now: Timestamp) -> bool {
         self.excluded.get(peer).is_none_or(|until| now >= *until)
     }
 
     /// Returns the time as of which the store's state is known here.
-    pub fn told_at(&self) -> Timestamp {
-        self.told_at
+    pub fn known_at(&self) -> Timestamp {
+        self.known_at
     }
 
     /// Returns the age of that knowledge.
     pub fn age(&self, now: Timestamp) -> Duration {
-        now.since(self.told_at)
+        now.since(self.known_at)
     }
 
     /// Returns whether the knowledge is recent enough to count as the store's current state.
@@ -249,7 +249,7 @@
 
     /// Returns whether the store rejected a call of this node recently and has not answered one
     /// since.
-    pub fn is_turned_away(&self, now: Timestamp) -> bool {
+    pub fn is_rejected(&self, now: Timestamp) -> bool {
         self.rejected_at
             .is_some_and(|at| now.since(at) < REJECTION_MEMORY)
     }
@@ -289,11 +289,11 @@
 
     /// Returns whether no update of the store has been received yet.
     fn has_just_started(&self) -> bool {
-        self.told_at == Timestamp::default()
+        self.known_at == Timestamp::default()
     }
 
     /// Returns how long an upstream may take to answer.
-    pub fn hold(&self, now: Timestamp, limits: NewsLimits) -> Duration {
+    pub fn upstream_timeout(&self, now: Timestamp, limits: NewsLimits) -> Duration {
         if self.has_just_started() {
             return STARTING_HOLD;
         }
@@ -318,9 +318,9 @@
         until: Timestamp,
         now: Timestamp,
     ) -> Reply {
-        if self.is_turned_away(now) {
+        if self.is_rejected(now) {
             Reply::StoreLost
-        } else if changed || self.told_at >= known_at + MIN_NEWER_BY {
+        } else if changed || self.known_at >= known_at + MIN_NEWER_BY {
             Reply::News
         } else if now < until {
             Reply::Wait
--- a/crates/coordination/src/serving/tenancy.rs
+++ b/crates/coordination/src/serving/tenancy.rs
@@ -114,7 +114,7 @@
 ) -> Result<Principal, Denial> {
     match tenants.keys.get(key) {
         Some(tenant) if keys_accepted => Ok(Principal::Tenant(tenant.clone())),
-        _ if route.open => Ok(Principal::Anonymous),
+        _ if route.allows_anonymous => Ok(Principal::Anonymous),
         Some(_) => Err(Denial::Partitioned),
         None => Err(Denial::UnknownKey),
     }
--- a/crates/coordination/src/serving/token_holders.rs
+++ b/crates/coordination/src/serving/token_holders.rs
@@ -13,7 +13,7 @@
 use super::homes::{HomeCandidate, rendezvous_score};
 
 /// Maximum number of holders of one tenant: one for each zone of the known deployments.
-pub const MOST_HOLDERS: usize = 6;
+pub const MAX_HOLDERS: usize = 6;
 
 /// Returns the `count` nodes that hold the tokens of `tenant`; `region` returns the region of a
 /// zone.
--- a/crates/coordination/src/serving/topology.rs
+++ b/crates/coordination/src/serving/topology.rs
@@ -35,7 +35,8 @@
     /// Priority; 0 is served first.
     pub priority: u8,
     /// Whether callers without a tenant's key may use the route.
-    pub open: bool,
+    #[serde(rename = "open")]
+    pub allows_anonymous: bool,
     /// Regions in which its statements may run and through which they may pass; empty if any may be
     /// used.
     pub allowed_regions: BTreeSet<RegionName>,
--- a/crates/coordination/src/slots/event.rs
+++ b/crates/coordination/src/slots/event.rs
@@ -87,7 +87,7 @@
     PolicyChanged(SlotPolicy),
     /// The database's address or user has changed: existing connections finish their
     /// current use and are closed.
-    Renew,
+    ReplaceConnections,
     /// The database drains: no new work is admitted.
     Drain,
     /// The database no longer drains: work is admitted again.
--- a/crates/coordination/src/slots/table.rs
+++ b/crates/coordination/src/slots/table.rs
@@ -81,7 +81,7 @@
                 self.queue.push_front(request);
             }
             SlotEvent::PolicyChanged(policy) => self.policy = policy,
-            SlotEvent::Renew => self.renew(),
+            SlotEvent::ReplaceConnections => self.renew(),
             SlotEvent::Drain => self.draining = true,
             SlotEvent::Undrain => self.draining = false,
             SlotEvent::Reroute => self.refuse_work(actions),
--- a/crates/coordination/src/slots/tests/faults.rs
+++ b/crates/coordination/src/slots/tests/faults.rs
@@ -162,7 +162,7 @@
 fn a_new_target_closes_the_connections_to_the_old_one() {
     let mut model = serving(2, 2);
     model.returned(true);
-    model.event(SlotEvent::Renew);
+    model.event(SlotEvent::ReplaceConnections);
     assert_eq!(model.closing.len(), 1);
     model.returned(true);
     assert_eq!(model.closing.len(), 2);
--- a/crates/coordination/src/slots/tests/random.rs
+++ b/crates/coordination/src/slots/tests/random.rs
@@ -39,7 +39,7 @@
         20 => model.set_slots(policy(usize::arbitrary(random) % 6)),
         21 => model.drain(bool::arbitrary(random)),
         22 => model.event(match u8::arbitrary(random) % 4 {
-            0 => SlotEvent::Renew,
+            0 => SlotEvent::ReplaceConnections,
             1 => SlotEvent::Reroute,
             2 => SlotEvent::Home(false),
             _ => SlotEvent::Home(true),
--- a/crates/coordination/src/terms.rs
+++ b/crates/coordination/src/terms.rs
@@ -47,7 +47,7 @@
     /// Last known role; `None` before the first observation.
     pub role: Option<Role>,
     /// Last known term and position.
-    pub place: Position,
+    pub position: Position,
     /// When the database last answered.
     pub observed_at: Timestamp,
     /// Whether the database answered the last time it was asked.
@@ -81,7 +81,7 @@
     /// Returns the primary of the highest known term, if it has been observed.
     pub fn primary(&self) -> Option<&DatabaseView> {
         self.databases.iter().find(|database| {
-            database.role == Some(Role::Primary) && database.place.term == self.highest_term
+            database.role == Some(Role::Primary) && database.position.term == self.highest_term
         })
     }
 
@@ -101,10 +101,10 @@
         database: &DatabaseView,
         required: Position,
     ) -> bool {
-        if database.place.covers(required) {
+        if database.position.includes(required) {
             return true;
         }
-        if database.place.term < required.term {
+        if database.position.term < required.term {
             return false;
         }
         self.reached_at(required.lsn)
@@ -173,12 +173,16 @@
         let Some(entry) = self.databases.iter_mut().find(|entry| &entry.name == name) else {
             return false;
         };
-        if status.term < entry.place.term {
+        if status.term < entry.position.term {
             return false;
         }
-        let same_term = status.term == entry.place.term;
-        let floor = if same_term { entry.place.lsn } else { Lsn(0) };
-        entry.place = Position {
+        let same_term = status.term == entry.position.term;
+        let floor = if same_term {
+            entry.position.lsn
+        } else {
+            Lsn(0)
+        };
+        entry.position = Position {
             term: status.term,
             lsn: status.position.max(floor),
         };
@@ -281,7 +285,7 @@
 
     /// Applies a status answer of `database`. Answers of an older term than the one
     /// already known of the database are dropped.
-    pub fn observe(
+    pub fn apply_status(
         &mut self,
         now: Timestamp,
         group: &GroupName,
@@ -305,7 +309,7 @@
 
     /// Raises the highest known term of `group`, as reported by an authentic token or by
     /// another node. Returns whether the term was raised.
-    pub fn learn_term(&mut self, group: &GroupName, term: Term) -> bool {
+    pub fn raise_term(&mut self, group: &GroupName, term: Term) -> bool {
         match self.groups.get_mut(group) {
             Some(view) if view.highest_term < term => {
                 view.raise_term(term);
@@ -317,16 +321,21 @@
 
     /// Stops routing writes to `database`, whose commit at `position` waits for a
     /// majority, until a status shows that a majority has flushed it.
-    pub fn doubt(&mut self, group: &GroupName, database: &DatabaseName, position: Position) {
+    pub fn mark_unconfirmed(
+        &mut self,
+        group: &GroupName,
+        database: &DatabaseName,
+        position: Position,
+    ) {
         if let Some(entry) = self.entry(group, database)
-            && entry.place.term == position.term
+            && entry.position.term == position.term
         {
             entry.unconfirmed = Some(position.lsn);
         }
     }
 
     /// Marks `database` as unreachable.
-    pub fn unreachable(&mut self, group: &GroupName, database: &DatabaseName) {
+    pub fn mark_unreachable(&mut self, group: &GroupName, database: &DatabaseName) {
         if let Some(entry) = self.entry(group, database) {
             entry.reachable = false;
         }
--- a/crates/coordination/tests/spread.rs
+++ b/crates/coordination/tests/leadership_propagation.rs
@@ -8,7 +8,7 @@
 
 use hookpoint_coordination::membership::{MemberInfo, MembershipSettings};
 use hookpoint_coordination::node::{
-    LeadershipNews, NodeAction, NodeEvent, NodeMachine, PeerMessage, PlatformMachine, Route,
+    LeadershipUpdate, NodeAction, NodeEvent, NodeMachine, PeerMessage, PlatformMachine, Route,
 };
 use hookpoint_state::bundle::{Database, Group};
 use hookpoint_state::{
@@ -27,7 +27,7 @@
     addresses: BTreeMap<SocketAddr, NodeId>,
     queue: BTreeMap<(Timestamp, u64), (NodeId, NodeEvent)>,
     sequence: u64,
-    learned: BTreeMap<NodeId, Vec<LeadershipNews>>,
+    learned: BTreeMap<NodeId, Vec<LeadershipUpdate>>,
     /// Number of leadership messages sent.
     sent: usize,
     /// Nodes to which every message is lost.
@@ -195,17 +195,17 @@
         homes[0]
     }
 
-    fn learned(&self, node: NodeId) -> &[LeadershipNews] {
+    fn learned(&self, node: NodeId) -> &[LeadershipUpdate] {
         self.learned.get(&node).map_or(&[], Vec::as_slice)
     }
 }
 
-fn leadership(group_index: usize, term: u32, primary: Option<usize>) -> LeadershipNews {
-    LeadershipNews {
+fn leadership(group_index: usize, term: u32, primary: Option<usize>) -> LeadershipUpdate {
+    LeadershipUpdate {
         group: group(group_index),
         term: Term(term),
         primary: primary.map(|zone_index| database(group_index, zone_index)),
-        place: Position::new(term, 100),
+        position: Position::new(term, 100),
     }
 }
 
@@ -312,9 +312,10 @@
 fn a_stopping_node_is_home_of_no_database() {
     let mut mesh = Mesh::new(6, 12);
     let node = mesh.home(&database(0, 0));
-    let homed_databases: Vec<DatabaseName> = mesh.machines[&node].held().cloned().collect();
+    let homed_databases: Vec<DatabaseName> =
+        mesh.machines[&node].own_databases().cloned().collect();
     mesh.deliver(node, NodeEvent::StopRequested);
-    assert_eq!(mesh.machines[&node].held().count(), 0);
+    assert_eq!(mesh.machines[&node].own_databases().count(), 0);
     mesh.run(Duration::from_millis(1_000));
     for database in homed_databases {
         assert_ne!(mesh.home(&database), node);
--- a/crates/coordination/tests/serving.rs
+++ b/crates/coordination/tests/serving.rs
@@ -6,17 +6,17 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::demand::Demand;
-use hookpoint_coordination::serving::departure::Hearing;
+use hookpoint_coordination::serving::departure::LearnedTimes;
 use hookpoint_coordination::serving::directory::{Database, Directory, StatedRole};
 use hookpoint_coordination::serving::failover::{
-    NoCandidate, Observation, ReplicaState, Witnesses, choose_candidate, is_lost,
+    NoCandidate, Observation, ObserverCounts, ReplicaState, choose_candidate, is_lost,
 };
 use hookpoint_coordination::serving::freshness::FreshnessLog;
 use hookpoint_coordination::serving::handover::Drawbacks;
 use hookpoint_coordination::serving::homes::{
     ConnectionSharing, HomeCandidate, home_count, rank_homes, useful_connections,
 };
-use hookpoint_coordination::serving::leadership::{Confirmation, Leadership, ReignPosition};
+use hookpoint_coordination::serving::leadership::{Confirmation, Leadership, PeriodPosition};
 use hookpoint_coordination::serving::reliability::Reliability;
 use hookpoint_coordination::serving::response_time::ResponseTime;
 use hookpoint_coordination::serving::selection::{Candidate, Distance, rank};
@@ -27,8 +27,8 @@
 use store::revision;
 
 /// Returns the receipt of an event at the moment at which it happens.
-fn received_at(millis: u64) -> Hearing {
-    Hearing {
+fn received_at(millis: u64) -> LearnedTimes {
+    LearnedTimes {
         at: at(millis),
         not_before: at(millis),
     }
@@ -76,8 +76,8 @@
 fn a_position_of_an_earlier_reign_translates_to_the_first_sample_of_the_current_one() {
     let mut leadership = Leadership::default();
     leadership.confirm(&name("a"), proof(10, 20, Position::new(1, 100)));
-    let held = ReignPosition {
-        reign: leadership.reign(),
+    let held = PeriodPosition {
+        leadership_period: leadership.leadership_period(),
         position: Position::new(1, 100),
     };
     assert_eq!(leadership.translate(held), Some(Position::new(1, 100)));
@@ -100,37 +100,45 @@
     let mut leadership = Leadership::default();
     leadership.confirm(&name("a"), proof(0, 5, Position::new(1, 90)));
     leadership.refute(&name("a"), at(100));
-    let held = ReignPosition {
-        reign: leadership.reign_of(&name("a")),
+    let held = PeriodPosition {
+        leadership_period: leadership.leadership_period_of(&name("a")),
         position: Position::new(1, 100),
     };
     assert_eq!(leadership.translate(held), Some(Position::new(1, 100)));
     leadership.confirm(&name("b"), proof(200, 205, Position::new(2, 98)));
     assert_eq!(leadership.translate(held), Some(Position::new(2, 98)));
-    let late = leadership.reign_of(&name("a"));
-    assert_ne!(late, leadership.reign(), "its positions no longer count");
+    let late = leadership.leadership_period_of(&name("a"));
+    assert_ne!(
+        late,
+        leadership.leadership_period(),
+        "its positions no longer count"
+    );
 }
 
 #[test]
 fn a_position_that_goes_backwards_begins_a_new_reign() {
     let mut leadership = Leadership::default();
     leadership.confirm(&name("a"), proof(10, 20, Position::new(1, 100)));
-    let reign = leadership.reign();
+    let leadership_period = leadership.leadership_period();
     leadership.confirm(&name("a"), proof(15, 30, Position::new(1, 99)));
-    assert_eq!(leadership.reign(), reign, "asked before the other answer");
+    assert_eq!(
+        leadership.leadership_period(),
+        leadership_period,
+        "asked before the other answer"
+    );
     leadership.confirm(&name("a"), proof(25, 30, Position::new(1, 99)));
-    assert!(leadership.reign() > reign);
+    assert!(leadership.leadership_period() > leadership_period);
 }
 
 #[test]
 fn a_primary_that_is_confirmed_again_keeps_its_reign() {
     let mut leadership = Leadership::default();
     leadership.confirm(&name("a"), proof(10, 20, Position::new(1, 100)));
-    let reign = leadership.reign();
+    let leadership_period = leadership.leadership_period();
     assert!(leadership.refute(&name("a"), at(25)));
     assert_eq!(leadership.leader(), None);
     leadership.confirm(&name("a"), proof(30, 40, Position::new(1, 101)));
-    assert_eq!(leadership.reign(), reign);
+    assert_eq!(leadership.leadership_period(), leadership_period);
 }
 
 #[test]
@@ -162,7 +170,7 @@
         (&[silent], 1, true),
     ];
     for (observations, members, lost) in cases {
-        let witnesses = Witnesses {
+        let witnesses = ObserverCounts {
             members,
             holders: members,
         };
@@ -172,11 +180,11 @@
 
 #[test]
 fn nodes_that_hold_no_connections_do_not_outvote_those_that_do() {
-    use Observation::{Leaderless, Reachable, Silent, Unhelped, Unknown};
+    use Observation::{Leaderless, NoHolderAvailable, Reachable, Silent, Unknown};
     let silent = Silent(ms(800));
-    let unhelped = Unhelped(ms(1_500));
+    let unhelped = NoHolderAvailable(ms(1_500));
     let leaderless = Leaderless(ms(1_500));
-    let witnesses = Witnesses {
+    let witnesses = ObserverCounts {
         members: 40,
         holders: 4,
     };
@@ -203,8 +211,12 @@
             false,
         ),
         ("no holder left, short", vec![unhelped; 36], false),
-        ("no holder left, long", vec![Unhelped(ms(2_600)); 36], true),
-        ("few, long", vec![Unhelped(ms(2_600)); 6], false),
+        (
+            "no holder left, long",
+            vec![NoHolderAvailable(ms(2_600)); 36],
+            true,
+        ),
+        ("few, long", vec![NoHolderAvailable(ms(2_600)); 6], false),
         ("no node knows a primary", vec![leaderless; 30], true),
     ];
     for (what, observations, lost) in cases {
@@ -252,11 +264,11 @@
     let mut demand = Demand::default();
     demand.note(at(10_000), &Principal::Anonymous, 4);
     demand.note(at(10_500), &Principal::Anonymous, 2);
-    assert_eq!(demand.kept(at(11_900)), 5);
+    assert_eq!(demand.connections_to_keep(at(11_900)), 5);
     demand.note(at(12_100), &Principal::Anonymous, 1);
-    assert_eq!(demand.kept(at(13_900)), 5);
-    assert_eq!(demand.kept(at(14_200)), 2);
-    assert_eq!(demand.kept(at(30_000)), 1);
+    assert_eq!(demand.connections_to_keep(at(13_900)), 5);
+    assert_eq!(demand.connections_to_keep(at(14_200)), 2);
+    assert_eq!(demand.connections_to_keep(at(30_000)), 1);
 }
 
 fn replica(text: &str, received: u64, draining: bool) -> ReplicaState {
@@ -298,7 +310,7 @@
         slots: 3,
         wait: ms(0),
         service_time: ms(20),
-        failing: 0,
+        failure_share: 0,
         draining: false,
         zone_avoided: false,
         suspect: false,
@@ -334,12 +346,12 @@
     };
     assert_eq!(rank(vec![crowded, far.clone()])[0], name("far"));
     let failing = Candidate {
-        failing: 750,
+        failure_share: 750,
         ..near.clone()
     };
     assert_eq!(rank(vec![failing, far.clone()])[0], name("far"));
     let seldom_failing = Candidate {
-        failing: 20,
+        failure_share: 20,
         ..near.clone()
     };
     assert_eq!(rank(vec![seldom_failing, far.clone()])[0], name("near"));
--- a/crates/coordination/tests/serving_attempt_limit.rs
+++ b/crates/coordination/tests/serving_attempt_limit.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hookpoint_coordination::serving::attempt_limit::read_attempt_limit;
+use hookpoint_coordination::serving::attempt_limit::read_attempt_timeout;
 
 #[test]
 fn the_attempt_limit_is_part_of_the_objective_and_doubles_after_each_timeout() {
@@ -17,7 +17,7 @@
     ];
     for (service, objective, timed_out, limit) in table {
         assert_eq!(
-            read_attempt_limit(
+            read_attempt_timeout(
                 Duration::from_millis(service),
                 Duration::from_millis(objective),
                 timed_out
--- a/crates/coordination/tests/serving_cold_start.rs
+++ b/crates/coordination/tests/serving_cold_start.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::cold_start::{
-    COLD_HOLDERS, Circumstances, ColdReason, ColdStart, ColdStartBounds, Heard, WarmUpState,
+    COLD_HOLDERS, ColdReason, ColdStart, ColdStartBounds, ColdStartFacts, RegistrationChange,
+    WarmUpState,
 };
 use hookpoint_coordination::serving::failover::{ReplicaState, choose_candidate};
 use hookpoint_coordination::serving::handover::Drawbacks;
@@ -31,10 +32,10 @@
     Duration::from_millis(millis)
 }
 
-fn known(news_at: u64, told_start: bool) -> Circumstances {
-    Circumstances {
-        news_at: at(news_at),
-        told_start,
+fn known(store_known_at: u64, has_start: bool) -> ColdStartFacts {
+    ColdStartFacts {
+        store_known_at: at(store_known_at),
+        has_start,
     }
 }
 
@@ -42,14 +43,14 @@
 fn a_database_is_cold_as_long_as_registered_and_later_entries_only_shorten_that() {
     let mut state = WarmUpState::default();
     let reason = |state: &WarmUpState, now| state.cold_reason(START, known(now, true), at(now));
-    state.hear(Heard::First, ms(0), at(100));
+    state.apply_registration(RegistrationChange::First, ms(0), at(100));
     assert_eq!(reason(&state, 100), None, "warm by its first entry");
-    state.hear(Heard::NewLife, ms(6_000), at(1_000));
+    state.apply_registration(RegistrationChange::NewIncarnation, ms(6_000), at(1_000));
     assert_eq!(reason(&state, 6_999), Some(ColdReason::Registered));
     assert_eq!(reason(&state, 7_000), None);
-    state.hear(Heard::SameLife, ms(6_000), at(3_000));
+    state.apply_registration(RegistrationChange::SameIncarnation, ms(6_000), at(3_000));
     assert_eq!(reason(&state, 7_000), None, "the same entry, read again");
-    state.hear(Heard::SameLife, ms(1_000), at(3_500));
+    state.apply_registration(RegistrationChange::SameIncarnation, ms(1_000), at(3_500));
     assert_eq!(reason(&state, 4_499), Some(ColdReason::Registered));
     assert_eq!(reason(&state, 4_500), None, "a later entry shortens it");
 }
@@ -57,8 +58,8 @@
 #[test]
 fn a_database_that_may_have_restarted_is_cold_until_the_store_would_show_it() {
     let mut state = WarmUpState::default();
-    state.hear(Heard::First, ms(0), at(0));
-    state.doubt(at(10_000));
+    state.apply_registration(RegistrationChange::First, ms(0), at(0));
+    state.suspect_restart(at(10_000));
     let suspected = Some(ColdReason::MayHaveRestarted);
     let cases = [
         (
@@ -95,7 +96,7 @@
     for (case, known, now, expected) in cases {
         assert_eq!(state.cold_reason(START, known, at(now)), expected, "{case}");
     }
-    state.hear(Heard::NewLife, ms(2_000), at(15_000));
+    state.apply_registration(RegistrationChange::NewIncarnation, ms(2_000), at(15_000));
     let known = known(15_000, true);
     assert_eq!(
         state.cold_reason(START, known, at(17_000)),
@@ -108,18 +109,18 @@
 fn a_returning_entry_of_the_same_incarnation_states_how_long_its_database_is_cold() {
     let mut state = WarmUpState::default();
     let reason = |state: &WarmUpState, now| state.cold_reason(START, known(now, true), at(now));
-    state.hear(Heard::First, ms(0), at(0));
-    state.hear(Heard::Returned, ms(0), at(5_000));
+    state.apply_registration(RegistrationChange::First, ms(0), at(0));
+    state.apply_registration(RegistrationChange::Returned, ms(0), at(5_000));
     assert_eq!(reason(&state, 5_000), None);
-    state.hear(Heard::Returned, ms(2_000), at(6_000));
+    state.apply_registration(RegistrationChange::Returned, ms(2_000), at(6_000));
     assert_eq!(reason(&state, 7_999), Some(ColdReason::Registered));
 }
 
 #[test]
 fn a_returning_entry_without_a_start_time_leaves_a_restart_possible() {
     let mut state = WarmUpState::default();
-    state.hear(Heard::First, ms(0), at(0));
-    state.hear(Heard::ReturnedUntold, ms(0), at(5_000));
+    state.apply_registration(RegistrationChange::First, ms(0), at(0));
+    state.apply_registration(RegistrationChange::ReturnedWithoutStart, ms(0), at(5_000));
     let reason = |now| state.cold_reason(START, known(now, false), at(now));
     assert_eq!(reason(10_999), Some(ColdReason::MayHaveRestarted));
     assert_eq!(reason(11_000), None);
@@ -135,53 +136,56 @@
                 ..START
             };
             let bounds = ColdStartBounds { slack, ..BOUNDS };
-            let part = start.part(bounds);
+            let share = start.holder_share(bounds);
             let sides = u64::try_from(2 * COLD_HOLDERS).unwrap();
-            let together = sides * (part.rate + part.burst);
+            let together = sides * (share.rate + share.burst);
             assert!(together <= start.allowed(bounds), "{rate_milli} {slack}");
-            assert!(part.rate <= rate_milli * 1_000);
+            assert!(share.rate <= rate_milli * 1_000);
         }
     }
     assert_eq!(START.allowed(BOUNDS), 17 * second);
     assert!(
-        START.part(BOUNDS).rate > second,
+        START.holder_share(BOUNDS).rate > second,
         "over one a second for each holder"
     );
 }
 
 #[test]
 fn a_holder_starts_with_an_empty_bucket_and_pays_off_debt_first() {
-    let part = START.part(BOUNDS);
+    let share = START.holder_share(BOUNDS);
     let mut state = WarmUpState::default();
-    let wait = state.admit(part, at(0)).unwrap_err();
-    assert!(state.admit(part, at(0) + wait).is_ok());
-    state.charge(part, 3, at(1_000));
-    let wait = state.admit(part, at(1_000)).unwrap_err();
+    let wait = state.admit(share, at(0)).unwrap_err();
+    assert!(state.admit(share, at(0) + wait).is_ok());
+    state.charge(share, 3, at(1_000));
+    let wait = state.admit(share, at(1_000)).unwrap_err();
     assert!(wait >= ms(1_000), "{wait:?}");
     state.empty_bucket();
     assert!(
-        state.admit(part, at(60_000)).is_err(),
+        state.admit(share, at(60_000)).is_err(),
         "it starts with an empty bucket"
     );
 }
 
 #[test]
 fn status_queries_are_rare_and_the_next_token_is_reserved_for_one() {
-    let part = START.part(BOUNDS);
+    let share = START.holder_share(BOUNDS);
     let mut state = WarmUpState::default();
-    let wait = state.admit_question(part, at(5_000)).unwrap_err();
+    let wait = state.admit_query(share, at(5_000)).unwrap_err();
     let then = at(5_000) + wait;
-    assert!(state.admit(part, then).is_err(), "reserved for the query");
-    assert!(state.admit_question(part, then).is_ok());
+    assert!(state.admit(share, then).is_err(), "reserved for the query");
+    assert!(state.admit_query(share, then).is_ok());
     assert!(
-        state.admit_question(part, then + ms(999)).is_err(),
+        state.admit_query(share, then + ms(999)).is_err(),
         "too soon"
     );
-    assert!(state.admit(part, then + ms(999)).is_ok());
-    assert!(state.admit_question(part, then + ms(1_400)).is_ok());
+    assert!(state.admit(share, then + ms(999)).is_ok());
+    assert!(state.admit_query(share, then + ms(1_400)).is_ok());
     let mut idle = WarmUpState::default();
-    assert!(idle.admit_question(part, at(5_000)).is_err());
-    assert!(idle.admit(part, at(5_600)).is_ok(), "not reserved for long");
+    assert!(idle.admit_query(share, at(5_000)).is_err());
+    assert!(
+        idle.admit(share, at(5_600)).is_ok(),
+        "not reserved for long"
+    );
 }
 
 #[test]
@@ -193,7 +197,7 @@
         slots: 3,
         wait: ms(0),
         service_time: ms(20),
-        failing: 0,
+        failure_share: 0,
         draining: false,
         zone_avoided: false,
         suspect: false,
@@ -294,23 +298,23 @@
     /// Suspends a node between taking a token and sending the request, or resumes it so that it
     /// sends the request.
     fn suspend_or_resume(&mut self, index: usize) {
-        let part = START.part(BOUNDS);
+        let share = START.holder_share(BOUNDS);
         match self.suspended[index].take() {
             Some(unsent) => {
                 self.holders[index].empty_bucket();
                 (0..unsent).for_each(|_| self.send_now());
             }
             None => {
-                let admitted = self.holders[index].admit(part, self.now).is_ok();
+                let admitted = self.holders[index].admit(share, self.now).is_ok();
                 self.suspended[index] = Some(usize::from(admitted));
             }
         }
     }
 
     fn query(&mut self, index: usize) {
-        let part = START.part(BOUNDS);
+        let share = START.holder_share(BOUNDS);
         if self.suspended[index].is_none()
-            && self.holders[index].admit_question(part, self.now).is_ok()
+            && self.holders[index].admit_query(share, self.now).is_ok()
         {
             self.send_now();
         }
@@ -320,8 +324,8 @@
         if self.suspended[index].is_some() {
             return;
         }
-        let part = START.part(BOUNDS);
-        let admitted = self.holders[index].admit(part, self.now).is_ok();
+        let share = START.holder_share(BOUNDS);
+        let admitted = self.holders[index].admit(share, self.now).is_ok();
         if admitted || self.fault == Fault::NoBucket {
             self.send_now();
         }
--- a/crates/coordination/tests/serving_coordinator.rs
+++ b/crates/coordination/tests/serving_coordinator.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::coordinator::{
-    ClaimDelay, CoordinatorRecord, CoordinatorView, RECORD_TIME, relied_on_until,
+    ClaimDelay, CoordinatorRecord, CoordinatorView, RECORD_TTL, lease_valid_until,
 };
 use hookpoint_state::{StoreEra, StoreRevision, Timestamp};
 use quickcheck::{QuickCheck, TestResult};
@@ -38,9 +38,9 @@
     let mut view = CoordinatorView::default();
     assert_eq!(view.newest(), None);
     view.take_record(revision(7), Some(record("first")));
-    view.learn(revision(12), "second");
+    view.note_announcement(revision(12), "second");
     assert_eq!(view.newest(), Some("second"));
-    view.learn(revision(7), "first");
+    view.note_announcement(revision(7), "first");
     assert_eq!(view.newest(), Some("second"));
     assert_eq!(view.holder(), Some(&record("first")));
     view.take_record(revision(15), Some(record("third")));
@@ -51,12 +51,12 @@
 #[test]
 fn a_record_is_left_behind_by_an_earlier_process_of_the_same_node_only() {
     let mut view = CoordinatorView::default();
-    assert!(view.left_behind("first", None).is_none());
+    assert!(view.stale_record("first", None).is_none());
     view.take_record(revision(7), Some(record("first")));
-    assert!(view.left_behind("first", None).is_some());
-    assert!(view.left_behind("first", Some(2)).is_some());
-    assert!(view.left_behind("first", Some(1)).is_none());
-    assert!(view.left_behind("second", None).is_none());
+    assert!(view.stale_record("first", None).is_some());
+    assert!(view.stale_record("first", Some(2)).is_some());
+    assert!(view.stale_record("first", Some(1)).is_none());
+    assert!(view.stale_record("second", None).is_none());
 }
 
 #[test]
@@ -79,8 +79,8 @@
     delay.note_era(first, false, at(10_000));
     assert!(delay.is_over(at(12_000)));
     delay.note_era(second, false, at(20_000));
-    assert!(!delay.is_over(at(20_000) + RECORD_TIME - Duration::from_millis(1)));
-    assert!(delay.is_over(at(20_000) + RECORD_TIME));
+    assert!(!delay.is_over(at(20_000) + RECORD_TTL - Duration::from_millis(1)));
+    assert!(delay.is_over(at(20_000) + RECORD_TTL));
     delay.note_era(second, false, at(30_000));
     delay.note_era(first, false, at(30_000));
     assert!(delay.is_over(at(30_000)), "nothing new");
@@ -156,16 +156,16 @@
             5 => {
                 let delay_over = !delayed || node.delay.is_over(now);
                 if record.is_none() && node.known_era == Some(era) && delay_over {
-                    record = Some((index, now + RECORD_TIME));
-                    node.tenure = Some((era, relied_on_until(now)));
+                    record = Some((index, now + RECORD_TTL));
+                    node.tenure = Some((era, lease_valid_until(now)));
                 }
             }
             _ => {
                 let own = record.filter(|(holder, _)| *holder == index);
                 match (own, node.tenure) {
                     (Some(_), Some((claimed_in, _))) if claimed_in == era => {
-                        record = Some((index, now + RECORD_TIME));
-                        node.tenure = Some((era, relied_on_until(now)));
+                        record = Some((index, now + RECORD_TTL));
+                        node.tenure = Some((era, lease_valid_until(now)));
                     }
                     _ => {}
                 }
--- a/crates/coordination/tests/serving_database_life.rs
+++ b/crates/coordination/tests/serving_database_incarnation.rs
@@ -6,9 +6,11 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use hookpoint_coordination::serving::database_life::DatabaseStart;
-use hookpoint_coordination::serving::departure::Hearing;
-use hookpoint_coordination::serving::directory::{Database, Directory, Registration, StatedRole};
+use hookpoint_coordination::serving::database_incarnation::DatabaseStart;
+use hookpoint_coordination::serving::departure::LearnedTimes;
+use hookpoint_coordination::serving::directory::{
+    Database, Directory, RegistrationOutcome, StatedRole,
+};
 use hookpoint_coordination::serving::failover::{ReplicaState, choose_candidate};
 use hookpoint_coordination::serving::handover::Drawbacks;
 use hookpoint_coordination::serving::leadership::{Confirmation, Leadership};
@@ -23,8 +25,8 @@
 }
 
 /// Returns the receipt of an event at the moment at which it happens.
-fn received_at(at: Timestamp) -> Hearing {
-    Hearing { at, not_before: at }
+fn received_at(at: Timestamp) -> LearnedTimes {
+    LearnedTimes { at, not_before: at }
 }
 
 fn name(text: &str) -> DatabaseName {
@@ -55,15 +57,15 @@
 
 #[test]
 fn another_start_time_is_a_new_incarnation_and_an_old_revision_restores_none() {
-    use Registration::{NewLife, Outdated, Taken};
+    use RegistrationOutcome::{Applied, NewIncarnation, Outdated};
     let cases = [
-        ("the first registration", Some(1), 5, Taken),
-        ("the same start", Some(1), 6, Taken),
-        ("another start", Some(2), 7, NewLife),
+        ("the first registration", Some(1), 5, Applied),
+        ("the same start", Some(1), 6, Applied),
+        ("another start", Some(2), 7, NewIncarnation),
         ("an earlier start, received late", Some(1), 6, Outdated),
-        ("no start time any more", None, 8, NewLife),
-        ("still none", None, 9, Taken),
-        ("a start time again", Some(2), 10, NewLife),
+        ("no start time any more", None, 8, NewIncarnation),
+        ("still none", None, 9, Applied),
+        ("a start time again", Some(2), 10, NewIncarnation),
     ];
     let mut directory = Directory::default();
     for (now, (case, started, number, expected)) in (10..).zip(cases) {
@@ -76,10 +78,10 @@
     }
     let listed = directory.get(&name("a")).unwrap();
     assert!(
-        !listed.is_of_this_life(at(16)),
+        !listed.is_of_current_incarnation(at(16)),
         "asked when it became known"
     );
-    assert!(listed.is_of_this_life(at(17)));
+    assert!(listed.is_of_current_incarnation(at(17)));
 }
 
 #[test]
@@ -87,8 +89,11 @@
     let mut directory = Directory::default();
     directory.put(database("a", Some(2)), revision(1), received_at(at(50)));
     let listed = directory.get(&name("a")).unwrap();
-    assert!(!listed.is_of_this_life(at(49)), "a peer may have asked");
-    assert!(listed.is_of_this_life(at(51)));
+    assert!(
+        !listed.is_of_current_incarnation(at(49)),
+        "a peer may have asked"
+    );
+    assert!(listed.is_of_current_incarnation(at(51)));
 }
 
 #[test]
@@ -111,15 +116,15 @@
     directory.remove(&name("a"), revision(2), received_at(at(20)));
     directory.forget_missing(at(30));
     let late = directory.put(database("a", Some(1)), revision(1), received_at(at(40)));
-    assert_eq!(late, Registration::Outdated);
+    assert_eq!(late, RegistrationOutcome::Outdated);
     assert!(directory.get(&name("a")).is_none());
     let back = directory.put(database("a", Some(2)), revision(3), received_at(at(50)));
-    assert_eq!(back, Registration::NewLife);
+    assert_eq!(back, RegistrationOutcome::NewIncarnation);
 }
 
 #[test]
 fn an_ended_incarnation_is_not_restored_with_a_copy_of_the_store() {
-    use Registration::{NewLife, Outdated, Taken};
+    use RegistrationOutcome::{Applied, NewIncarnation, Outdated};
     let restored = |number| StoreRevision::new(StoreEra::new(2), number);
     let mut directory = Directory::default();
     directory.put(database("a", Some(1)), revision(5), received_at(at(10)));
@@ -128,11 +133,14 @@
     assert_eq!(copied, Outdated);
     let listed = directory.get(&name("a")).unwrap();
     assert_eq!(listed.database.started, Some(DatabaseStart(2)));
-    assert!(listed.is_of_this_life(at(25)), "no known fact is dropped");
+    assert!(
+        listed.is_of_current_incarnation(at(25)),
+        "no known fact is dropped"
+    );
     let again = directory.put(database("a", Some(2)), restored(7), received_at(at(40)));
-    assert_eq!(again, Taken);
+    assert_eq!(again, Applied);
     let next = directory.put(database("a", Some(3)), restored(8), received_at(at(50)));
-    assert_eq!(next, NewLife);
+    assert_eq!(next, NewIncarnation);
 }
 
 #[test]
@@ -140,12 +148,15 @@
     let mut directory = Directory::default();
     directory.put(database("a", Some(1)), revision(1), received_at(at(10)));
     directory.put(database("b", Some(1)), revision(2), received_at(at(10)));
-    assert_eq!(directory.lacking(&BTreeSet::from([name("b")])), [name("a")]);
+    assert_eq!(
+        directory.absent_from(&BTreeSet::from([name("b")])),
+        [name("a")]
+    );
     directory.remove(&name("a"), revision(6), received_at(at(20)));
     assert!(directory.get(&name("a")).unwrap().missing);
     assert!(!directory.get(&name("b")).unwrap().missing);
     let back = directory.put(database("a", Some(1)), revision(7), received_at(at(30)));
-    assert_eq!(back, Registration::Taken);
+    assert_eq!(back, RegistrationOutcome::Applied);
 }
 
 #[test]
@@ -166,7 +177,7 @@
         "no replica was promoted"
     );
     leadership.confirm(&a, proof(at(3_200), at(3_201), Position::new(1, 4)));
-    leadership.end_life(&a, at(3_300));
+    leadership.end_incarnation(&a, at(3_300));
     let other = name("b");
     assert!(leadership.confirm(&other, proof(at(3_400), at(3_401), Position::new(2, 4))));
 }
@@ -176,9 +187,9 @@
     let a = name("a");
     let mut leadership = Leadership::default();
     leadership.confirm(&a, proof(at(1), at(2), Position::new(1, 9)));
-    assert!(!leadership.end_life(&name("b"), at(3)));
+    assert!(!leadership.end_incarnation(&name("b"), at(3)));
     assert_eq!(leadership.floor(at(0)), Some(Position::new(1, 9)));
-    assert!(leadership.end_life(&a, at(4)));
+    assert!(leadership.end_incarnation(&a, at(4)));
     assert_eq!(leadership.newest_sample(), None);
 }
 
@@ -318,8 +329,8 @@
         let taken = self
             .directory
             .put(registration, revision(number), received_at(self.now));
-        if taken == Registration::NewLife && self.protection.end_of_life {
-            self.leadership.end_life(&name, self.now);
+        if taken == RegistrationOutcome::NewIncarnation && self.protection.end_of_life {
+            self.leadership.end_incarnation(&name, self.now);
         }
     }
 
@@ -339,7 +350,7 @@
         let Some(listed) = self.directory.get(&name) else {
             return;
         };
-        if self.protection.late_answers && !listed.is_of_this_life(answer.asked_at) {
+        if self.protection.late_answers && !listed.is_of_current_incarnation(answer.asked_at) {
             return;
         }
         if answer.leads {
--- a/crates/coordination/tests/serving_departure.rs
+++ b/crates/coordination/tests/serving_departure.rs
@@ -5,9 +5,9 @@
 
 use std::time::Duration;
 
-use hookpoint_coordination::serving::database_life::DatabaseStart;
+use hookpoint_coordination::serving::database_incarnation::DatabaseStart;
 use hookpoint_coordination::serving::departure::{
-    ABSENCE_CONFIRMED_AFTER, Coverage, Departure, Hearing, Sign, WRITTEN_AGAIN,
+    ABSENCE_CONFIRMED_AFTER, Coverage, Departure, DepartureEvidence, LearnedTimes, REWRITE_TIME,
 };
 use hookpoint_coordination::serving::directory::{
     Database, Directory, RESTORED_ENTRY_EXPIRY, StatedRole,
@@ -43,7 +43,7 @@
 
 #[test]
 fn new_work_ends_by_the_known_bound_of_the_departure() {
-    use Sign::{Announced, Missing};
+    use DepartureEvidence::{Announced, Missing};
     let cases = [
         (
             "announced, received at once",
@@ -82,13 +82,13 @@
             43_500,
         ),
     ];
-    for (case, sign, heard_at, not_before, ends) in cases {
-        let hearing = Hearing {
-            at: at(heard_at),
+    for (case, evidence, learned_at, not_before, ends) in cases {
+        let hearing = LearnedTimes {
+            at: at(learned_at),
             not_before: at(not_before),
         };
-        let departure = Departure::heard(sign, hearing);
-        assert_eq!(departure.work_ends(LIMIT), at(ends), "{case}");
+        let departure = Departure::new(evidence, hearing);
+        assert_eq!(departure.grace_period_end(LIMIT), at(ends), "{case}");
     }
     assert!(ABSENCE_CONFIRMED_AFTER < LIMIT);
 }
@@ -96,7 +96,7 @@
 #[test]
 fn an_announcement_keeps_its_time_and_a_new_incarnation_has_its_own() {
     let mut directory = Directory::default();
-    let hearing = |millis| Hearing {
+    let hearing = |millis| LearnedTimes {
         at: at(millis),
         not_before: at(millis),
     };
@@ -128,7 +128,7 @@
         Some(at(8_000)),
         "a new incarnation"
     );
-    directory.learn_departure(&name(), Some(DatabaseStart(1)), at(8_500));
+    directory.apply_departure_bound(&name(), Some(DatabaseStart(1)), at(8_500));
     assert_eq!(
         counted_from(&directory),
         Some(at(8_000)),
@@ -141,8 +141,8 @@
     StoreRevision::new(StoreEra::new(2), number)
 }
 
-fn received_at(millis: u64) -> Hearing {
-    Hearing {
+fn received_at(millis: u64) -> LearnedTimes {
+    LearnedTimes {
         at: at(millis),
         not_before: at(millis),
     }
@@ -197,12 +197,13 @@
     directory.put(database(1, false), revision(5), received_at(0));
     directory.remove(&name(), revision(9), received_at(100));
     directory.put(database(1, false), restored(5), received_at(5_000));
-    directory.note_lasting(at(5_000) + RESTORED_ENTRY_EXPIRY - Duration::from_millis(1));
+    directory
+        .confirm_restored_entries(at(5_000) + RESTORED_ENTRY_EXPIRY - Duration::from_millis(1));
     assert!(directory.get(&name()).unwrap().missing);
     let mut expiring = directory.clone();
     expiring.remove(&name(), restored(8), received_at(9_000));
     for directory in [&mut directory, &mut expiring] {
-        directory.note_lasting(at(5_000) + RESTORED_ENTRY_EXPIRY);
+        directory.confirm_restored_entries(at(5_000) + RESTORED_ENTRY_EXPIRY);
     }
     let listed = directory.get(&name()).unwrap();
     assert!(!listed.missing);
@@ -218,27 +219,27 @@
     coverage.extend(at(12_000));
     coverage.extend(at(15_400));
     assert_eq!(coverage.until(), at(10_000));
-    assert_eq!(coverage.before_news(), at(10_000));
-    let complete = at(12_000) + WRITTEN_AGAIN;
+    assert_eq!(coverage.before_last_update(), at(10_000));
+    let complete = at(12_000) + REWRITE_TIME;
     coverage.extend(complete);
-    assert_eq!(coverage.before_news(), at(10_000));
+    assert_eq!(coverage.before_last_update(), at(10_000));
     assert_eq!(coverage.until(), complete);
 }
 
 #[test]
 fn a_bound_known_to_a_peer_only_extends_the_grace_period() {
-    let hearing = Hearing {
+    let hearing = LearnedTimes {
         at: at(60_000),
         not_before: at(0),
     };
-    let mut departure = Departure::heard(Sign::Announced, hearing);
-    departure.learn(at(57_000));
-    assert_eq!(departure.work_ends(LIMIT), at(66_000));
-    departure.learn(at(20_000));
-    assert_eq!(departure.work_ends(LIMIT), at(66_000));
-    departure.learn(at(61_000));
+    let mut departure = Departure::new(DepartureEvidence::Announced, hearing);
+    departure.raise_lower_bound(at(57_000));
+    assert_eq!(departure.grace_period_end(LIMIT), at(66_000));
+    departure.raise_lower_bound(at(20_000));
+    assert_eq!(departure.grace_period_end(LIMIT), at(66_000));
+    departure.raise_lower_bound(at(61_000));
     assert_eq!(
-        departure.work_ends(LIMIT),
+        departure.grace_period_end(LIMIT),
         at(69_000),
         "not after it was received"
     );
@@ -383,10 +384,10 @@
         node.revision = answer.revision;
         node.draining = answer.draining;
         let not_before = match counting {
-            Counting::FromLowerBound => node.coverage.before_news(),
+            Counting::FromLowerBound => node.coverage.before_last_update(),
             Counting::FromReceipt => self.now,
         };
-        let hearing = Hearing {
+        let hearing = LearnedTimes {
             at: self.now,
             not_before,
         };
@@ -395,7 +396,8 @@
             .put(registration, revision(answer.revision), hearing);
         if let Some(not_before) = answer.departure {
             let started = Some(DatabaseStart(1));
-            node.directory.learn_departure(&name(), started, not_before);
+            node.directory
+                .apply_departure_bound(&name(), started, not_before);
         }
     }
 
@@ -410,7 +412,7 @@
         });
         departures
             .into_iter()
-            .all(|departure| departure.work_ends(LIMIT) <= announced_at + LIMIT)
+            .all(|departure| departure.grace_period_end(LIMIT) <= announced_at + LIMIT)
     }
 }
 
--- a/crates/coordination/tests/serving_directory.rs
+++ b/crates/coordination/tests/serving_directory.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use hookpoint_coordination::serving::departure::Hearing;
-use hookpoint_coordination::serving::directory::{Database, Directory, Listed, StatedRole};
+use hookpoint_coordination::serving::departure::LearnedTimes;
+use hookpoint_coordination::serving::directory::{Database, Directory, DirectoryEntry, StatedRole};
 use hookpoint_state::{DatabaseName, GroupName, Timestamp, ZoneName};
 use quickcheck::quickcheck;
 
@@ -31,7 +31,7 @@
     let (number, group, kind) = step;
     let at = START + Duration::from_secs(revision);
     let revision = store::revision(revision);
-    let hearing = Hearing { at, not_before: at };
+    let hearing = LearnedTimes { at, not_before: at };
     match kind % 4 {
         0 => {
             directory.put(database(number, group, false), revision, hearing);
@@ -46,7 +46,7 @@
     }
 }
 
-fn names<'a>(listed: impl Iterator<Item = &'a Listed>) -> Vec<&'a DatabaseName> {
+fn names<'a>(listed: impl Iterator<Item = &'a DirectoryEntry>) -> Vec<&'a DatabaseName> {
     listed.map(|listed| &listed.database.name).collect()
 }
 
--- a/crates/coordination/tests/serving_handover.rs
+++ b/crates/coordination/tests/serving_handover.rs
@@ -5,14 +5,14 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use hookpoint_coordination::serving::departure::WRITTEN_AGAIN;
-use hookpoint_coordination::serving::evacuation::{Evacuations, ZoneStanding};
+use hookpoint_coordination::serving::departure::REWRITE_TIME;
+use hookpoint_coordination::serving::evacuation::{Evacuations, ZoneAvailability};
 use hookpoint_coordination::serving::failover::{
     NoCandidate, ReplicaState, choose_candidate, choose_target,
 };
 use hookpoint_coordination::serving::handover::{
-    Drawbacks, HandoverPace, MAX_CATCH_UP_WAIT, MIN_STAY, MoveReason, PLANNED_MOVE_SHARE, Place,
-    PlannedMove, holds_enough, plan_move, reason_to_move,
+    Drawbacks, HandoverLimiter, MAX_CATCH_UP_WAIT, MIN_STAY, MoveReason, PLANNED_MOVE_SHARE,
+    PlannedMove, PrimaryLocation, holds_enough, plan_move, reason_to_move,
 };
 use hookpoint_state::{
     DatabaseName, Position, RegionName, StoreEra, StoreRevision, Timestamp, ZoneName,
@@ -130,7 +130,7 @@
 
 #[test]
 fn drawbacks_follow_from_the_zone_and_the_allowed_regions() {
-    let place = |zone, region: Option<&str>| Place {
+    let place = |zone, region: Option<&str>| PrimaryLocation {
         leaving: false,
         zone,
         region: region.map(RegionName::new),
@@ -139,14 +139,19 @@
     let allowed: BTreeSet<RegionName> = [RegionName::new("east")].into();
     let none = BTreeSet::new();
     let rows = [
-        (ZoneStanding::Open, Some("east"), Some(&allowed), NONE),
-        (ZoneStanding::Open, Some("west"), Some(&allowed), OUTSIDE),
-        (ZoneStanding::Open, None, Some(&allowed), OUTSIDE),
-        (ZoneStanding::Open, Some("west"), Some(&none), NONE),
-        (ZoneStanding::Open, Some("west"), None, NONE),
-        (ZoneStanding::Returning, None, None, RETURNING),
-        (ZoneStanding::Evacuating, None, None, EVACUATED),
-        (ZoneStanding::Evacuated, None, None, EVACUATED),
+        (ZoneAvailability::Open, Some("east"), Some(&allowed), NONE),
+        (
+            ZoneAvailability::Open,
+            Some("west"),
+            Some(&allowed),
+            OUTSIDE,
+        ),
+        (ZoneAvailability::Open, None, Some(&allowed), OUTSIDE),
+        (ZoneAvailability::Open, Some("west"), Some(&none), NONE),
+        (ZoneAvailability::Open, Some("west"), None, NONE),
+        (ZoneAvailability::Returning, None, None, RETURNING),
+        (ZoneAvailability::Evacuating, None, None, EVACUATED),
+        (ZoneAvailability::Evacuated, None, None, EVACUATED),
     ];
     for (zone, region, regions, expected) in rows {
         let drawbacks = Drawbacks::of(&place(zone, region), regions);
@@ -294,7 +299,7 @@
 #[test]
 fn planned_moves_leave_capacity_of_the_promotion_service() {
     let rate = 50.0;
-    let mut pace = HandoverPace::default();
+    let mut pace = HandoverLimiter::default();
     let started = (0..100)
         .map(|round| at(round * 100))
         .map(|now| (0..40).filter(|_| pace.take(rate, now)).count())
@@ -309,7 +314,7 @@
 
 #[test]
 fn a_service_that_reports_no_rate_sets_no_limit() {
-    let mut pace = HandoverPace::default();
+    let mut pace = HandoverLimiter::default();
     assert!((0..100).all(|_| pace.take(0.0, at(0))));
 }
 
@@ -321,33 +326,36 @@
     let zone = ZoneName::new("z");
     let mut known = Evacuations::default();
     assert!(known.is_empty());
-    let standing = |known: &Evacuations, now| known.standing(&zone, LIMIT, RETURN, now);
-    assert_eq!(standing(&known, at(0)), ZoneStanding::Open);
-    assert!(known.take(&zone, true, revision(5), at(0)));
-    assert_eq!(standing(&known, at(2_499)), ZoneStanding::Evacuating);
-    assert_eq!(standing(&known, at(2_500)), ZoneStanding::Evacuated);
+    let availability = |known: &Evacuations, now| known.availability(&zone, LIMIT, RETURN, now);
+    assert_eq!(availability(&known, at(0)), ZoneAvailability::Open);
+    assert!(known.apply(&zone, true, revision(5), at(0)));
+    assert_eq!(
+        availability(&known, at(2_499)),
+        ZoneAvailability::Evacuating
+    );
+    assert_eq!(availability(&known, at(2_500)), ZoneAvailability::Evacuated);
     assert!(
-        !known.take(&zone, false, revision(4), at(2_600)),
+        !known.apply(&zone, false, revision(4), at(2_600)),
         "an older message"
     );
-    assert!(known.take(&zone, false, revision(6), at(3_000)));
+    assert!(known.apply(&zone, false, revision(6), at(3_000)));
     assert_eq!(known.age(&zone, at(3_000)), None);
-    assert_eq!(standing(&known, at(6_999)), ZoneStanding::Returning);
-    assert_eq!(standing(&known, at(7_000)), ZoneStanding::Open);
+    assert_eq!(availability(&known, at(6_999)), ZoneAvailability::Returning);
+    assert_eq!(availability(&known, at(7_000)), ZoneAvailability::Open);
 }
 
 #[test]
 fn a_repeated_request_keeps_its_age_and_a_new_one_starts_over() {
     let zone = ZoneName::new("z");
     let mut known = Evacuations::default();
-    known.take(&zone, true, revision(5), at(0));
-    assert!(!known.take(&zone, true, revision(7), at(1_000)));
+    known.apply(&zone, true, revision(5), at(0));
+    assert!(!known.apply(&zone, true, revision(7), at(1_000)));
     assert_eq!(
         known.age(&zone, at(1_500)),
         Some(Duration::from_millis(1_500))
     );
-    known.take(&zone, false, revision(8), at(2_000));
-    known.take(&zone, true, revision(9), at(2_100));
+    known.apply(&zone, false, revision(8), at(2_000));
+    known.apply(&zone, true, revision(9), at(2_100));
     assert_eq!(
         known.age(&zone, at(2_200)),
         Some(Duration::from_millis(100))
@@ -358,7 +366,7 @@
 fn a_listing_ends_absent_requests_and_ends_are_forwarded() {
     let [first, second] = ["a", "b"].map(ZoneName::new);
     let mut known = Evacuations::default();
-    known.take(&first, true, revision(5), at(0));
+    known.apply(&first, true, revision(5), at(0));
     let changed = known.replace(&[(second.clone(), revision(6))], revision(8), at(100));
     assert_eq!(changed, [second.clone(), first.clone()]);
     let entries: Vec<_> = known.known().collect();
@@ -367,9 +375,9 @@
         [(&first, false, revision(8)), (&second, true, revision(6))]
     );
     let mut behind = Evacuations::default();
-    behind.take(&first, true, revision(5), at(0));
+    behind.apply(&first, true, revision(5), at(0));
     for (zone, requested, revision) in known.known() {
-        behind.take(zone, requested, revision, at(200));
+        behind.apply(zone, requested, revision, at(200));
     }
     assert_eq!(
         behind.requested().collect::<Vec<_>>(),
@@ -382,12 +390,12 @@
     let [lost, withdrawn] = ["a", "b"].map(ZoneName::new);
     let restored = |number| StoreRevision::new(StoreEra::new(2), number);
     let mut known = Evacuations::default();
-    known.take(&lost, true, revision(8), at(0));
-    known.take(&withdrawn, true, revision(9), at(0));
+    known.apply(&lost, true, revision(8), at(0));
+    known.apply(&withdrawn, true, revision(9), at(0));
     assert!(known.replace(&[], restored(5), at(10_000)).is_empty());
     assert!(known.replace(&[], restored(6), at(11_000)).is_empty());
-    assert!(!known.take(&lost, true, restored(7), at(12_000)));
-    let over = at(10_000) + WRITTEN_AGAIN;
+    assert!(!known.apply(&lost, true, restored(7), at(12_000)));
+    let over = at(10_000) + REWRITE_TIME;
     let before = over - Duration::from_millis(1);
     assert!(known.end_unlisted(restored(9), before).is_empty());
     let ended = known.end_unlisted(restored(9), over);
--- a/crates/coordination/tests/serving_homes.rs
+++ b/crates/coordination/tests/serving_homes.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use hookpoint_coordination::serving::homes::Start;
+use hookpoint_coordination::serving::homes::StartupProgress;
 
-const STARTED: Start = Start {
+const STARTED: StartupProgress = StartupProgress {
     caught_up: false,
     registered: false,
     configured_for: Some(Duration::ZERO),
@@ -12,19 +12,19 @@
 
 #[test]
 fn a_node_knows_the_fleet_once_it_caught_up_or_waited_long_enough() {
-    let configured_for = |millis| Start {
+    let configured_for = |millis| StartupProgress {
         configured_for: Some(Duration::from_millis(millis)),
         ..STARTED
     };
-    let caught_up = Start {
+    let caught_up = StartupProgress {
         caught_up: true,
         ..STARTED
     };
-    let registered = Start {
+    let registered = StartupProgress {
         registered: true,
         ..STARTED
     };
-    let unconfigured = Start {
+    let unconfigured = StartupProgress {
         configured_for: None,
         ..STARTED
     };
@@ -37,6 +37,6 @@
         (unconfigured, true),
     ];
     for (start, known) in cases {
-        assert_eq!(start.knows_fleet(), known, "{start:?}");
+        assert_eq!(start.membership_is_complete(), known, "{start:?}");
     }
 }
--- a/crates/coordination/tests/serving_isolation.rs
+++ b/crates/coordination/tests/serving_isolation.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hookpoint_coordination::serving::isolation::{Isolation, IsolationChange, Surroundings};
+use hookpoint_coordination::serving::isolation::{Isolation, IsolationChange, ReachabilityCounts};
 use hookpoint_state::Timestamp;
 
 /// Interval between two observations.
@@ -13,8 +13,8 @@
     groups_without_primary: usize,
     peers: usize,
     silent_peers: usize,
-) -> Surroundings {
-    Surroundings {
+) -> ReachabilityCounts {
+    ReachabilityCounts {
         groups,
         groups_without_primary,
         peers,
@@ -26,7 +26,7 @@
 fn watch(
     isolation: &mut Isolation,
     now: &mut Timestamp,
-    surroundings: Surroundings,
+    surroundings: ReachabilityCounts,
     time: Duration,
 ) -> Vec<IsolationChange> {
     let until = *now + time;
--- a/crates/coordination/tests/serving_own_lateness.rs
+++ b/crates/coordination/tests/serving_local_stalls.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hookpoint_coordination::serving::own_lateness::LocalStalls;
+use hookpoint_coordination::serving::local_stalls::LocalStalls;
 use hookpoint_state::Timestamp;
 use quickcheck::quickcheck;
 
--- a/crates/coordination/tests/serving_peer_contact.rs
+++ b/crates/coordination/tests/serving_peer_contact.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::peer_contact::{
-    Approach, LONGEST_ROUND_TRIP, PeerContacts, Waiting,
+    Approach, LONGEST_ROUND_TRIP, PeerContacts, WaitAction,
 };
 use hookpoint_state::Timestamp;
 use quickcheck::quickcheck;
@@ -26,19 +26,19 @@
     let mut answer_arrives_at = None;
     while now < from + 5_000 {
         if answer_arrives_at.is_some_and(|answer_arrives_at| now >= answer_arrives_at) {
-            contacts.note_heard(PEER, at(now));
+            contacts.note_received(PEER, at(now));
             answer_arrives_at = None;
         }
         match contacts.waiting(PEER, at(from), at(now)) {
-            Waiting::For(pause) => {
+            WaitAction::For(pause) => {
                 let pause = u64::try_from(pause.as_millis()).unwrap();
                 now += pause.clamp(1, 5);
             }
-            Waiting::Probe => {
+            WaitAction::Probe => {
                 probes += 1;
                 answer_arrives_at = answer_arrives_at.or(answered_after.map(|after| now + after));
             }
-            Waiting::GiveUp => break,
+            WaitAction::GiveUp => break,
         }
     }
     (probes, now - from)
@@ -66,7 +66,7 @@
     let mut contacts = PeerContacts::default();
     let (_, now) = wait_for_answer(&mut contacts, 0, None);
     let approaches: Vec<Approach> = (0..40)
-        .map(|step| contacts.approach(PEER, at(now + step * 10)))
+        .map(|step| contacts.check_send(PEER, at(now + step * 10)))
         .collect();
     assert!(!approaches.contains(&Approach::Send));
     let probes = approaches
@@ -76,17 +76,17 @@
     assert!((1..=3).contains(&probes), "{probes} probes in 400 ms");
     assert!(contacts.note_given_up(PEER), "reported once");
     assert!(!contacts.note_given_up(PEER), "reported once");
-    let silent_for = contacts.note_heard(PEER, at(now + 400)).unwrap();
+    let silent_for = contacts.note_received(PEER, at(now + 400)).unwrap();
     assert!(silent_for >= Duration::from_millis(400), "{silent_for:?}");
-    assert_eq!(contacts.note_heard(PEER, at(now + 401)), None);
-    assert_eq!(contacts.approach(PEER, at(now + 410)), Approach::Send);
+    assert_eq!(contacts.note_received(PEER, at(now + 401)), None);
+    assert_eq!(contacts.check_send(PEER, at(now + 410)), Approach::Send);
 }
 
 #[test]
 fn an_old_silence_is_forgotten() {
     let mut contacts = PeerContacts::default();
     let (_, now) = wait_for_answer(&mut contacts, 0, None);
-    assert_eq!(contacts.approach(PEER, at(now + 60_000)), Approach::Send);
+    assert_eq!(contacts.check_send(PEER, at(now + 60_000)), Approach::Send);
     let (_, gave_up_after) = wait_for_answer(&mut contacts, now + 60_000, None);
     assert!(gave_up_after >= 120, "assessed again: {gave_up_after}");
 }
@@ -97,14 +97,14 @@
     assert!(contacts.probe_ahead(PEER, at(40)));
     assert!(!contacts.probe_ahead(PEER, at(50)));
     let later = at(40) + LONGEST_ROUND_TRIP;
-    assert_ne!(contacts.approach(PEER, later), Approach::Send);
+    assert_ne!(contacts.check_send(PEER, later), Approach::Send);
 }
 
 #[test]
 fn a_peer_that_is_never_waited_for_is_never_probed() {
     let mut contacts = PeerContacts::default();
     for step in 0..1_000 {
-        assert_eq!(contacts.approach(PEER, at(step)), Approach::Send);
+        assert_eq!(contacts.check_send(PEER, at(step)), Approach::Send);
     }
 }
 
@@ -120,11 +120,11 @@
                 now += 1;
                 let next = contacts.waiting(PEER, at(0), at(now));
                 let silent_for = Duration::from_millis(now - last_received);
-                if next == Waiting::GiveUp && silent_for < LONGEST_ROUND_TRIP {
+                if next == WaitAction::GiveUp && silent_for < LONGEST_ROUND_TRIP {
                     return false;
                 }
             }
-            contacts.note_heard(PEER, at(now));
+            contacts.note_received(PEER, at(now));
             last_received = now;
         }
         true
--- a/crates/coordination/tests/serving_placement.rs
+++ b/crates/coordination/tests/serving_placement.rs
@@ -9,7 +9,7 @@
 use hookpoint_coordination::serving::directory::{Database, StatedRole};
 use hookpoint_coordination::serving::feed::Regions;
 use hookpoint_coordination::serving::placement::{
-    GroupView, Need, Obstacle, Placement, primary_regions,
+    GroupView, Placement, PlacementError, RequiredDatabase, primary_regions,
 };
 use hookpoint_coordination::serving::tenancy::{Principal, Tenants};
 use hookpoint_coordination::serving::topology::{Configuration, Consistency, Group, Route};
@@ -41,7 +41,7 @@
         statement_timeout: Duration::from_millis(800),
         target_latency: Duration::from_millis(600),
         priority: 1,
-        open: true,
+        allows_anonymous: true,
         allowed_regions: set(allowed),
     }
 }
@@ -94,7 +94,7 @@
     let mut found = BTreeSet::new();
     for region in REGIONS {
         let permitted = placement.permit(&database(region), &known);
-        let carries = placement.may_carry(&zone(region, 1), &known);
+        let carries = placement.may_forward(&zone(region, 1), &known);
         assert_eq!(permitted.is_some(), carries, "{region}");
         if permitted.is_some_and(|permitted| permitted.name().as_str() == region) {
             found.insert(RegionName::new(region));
@@ -137,7 +137,7 @@
     let unknown = ZoneName::new("unknown");
     let restricted = Placement::of(&set(&["north"]), None);
     assert!(!restricted.may_run(&unknown, &regions()));
-    assert!(!restricted.may_carry(&unknown, &regions()));
+    assert!(!restricted.may_forward(&unknown, &regions()));
     assert!(Placement::unrestricted().may_run(&unknown, &regions()));
 }
 
@@ -175,14 +175,14 @@
 
 #[test]
 fn a_statement_that_no_permitted_database_can_run_is_detected_at_once() {
-    use Need::{AnyDatabase, Primary};
-    use Obstacle::{NoCommonRegion, NoDatabase, PrimaryOutside};
+    use PlacementError::{NoCommonRegion, NoDatabase, PrimaryOutside};
+    use RequiredDatabase::{AnyDatabase, Primary};
     struct Row {
         allowed: Placement,
-        need: Need,
+        need: RequiredDatabase,
         leader: Option<&'static str>,
         successor: Option<&'static str>,
-        expected: Option<Obstacle>,
+        expected: Option<PlacementError>,
     }
     let row = |allowed: &[&str], need, leader, successor, expected| Row {
         allowed: Placement::of(&set(allowed), None),
--- a/crates/coordination/tests/serving_primary_lease.rs
+++ b/crates/coordination/tests/serving_primary_lease.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::lease_grantor::{
-    Electorate, LeaseGrantor, OUTAGE_AUTHORITY, Predecessors, STORE_AUTHORITY, Withdrawal,
+    Electorate, LeaseGrantor, OUTAGE_AUTHORITY_TIME, Predecessors, STORE_AUTHORITY_TIME, Withdrawal,
 };
 use hookpoint_coordination::serving::primary_lease::{
-    GRANT_TIME, Grantor, LeaseRequest, PrimaryLease, ProcessTime, VOTE_TIME,
+    Grantor, LEASE_DURATION, LeaseRequest, PrimaryLease, ProcessTime, VOTE_DURATION,
 };
 use hookpoint_state::{StoreRevision, Timestamp};
 use store::revision;
@@ -25,22 +25,22 @@
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-fn electorate(voters: usize, store_heard_at: Timestamp) -> Electorate {
+fn electorate(voters: usize, store_known_at: Timestamp) -> Electorate {
     Electorate {
         voters,
-        store_heard_at,
+        store_known_at,
     }
 }
 
-fn request(coordinator: StoreRevision, told: Option<Timestamp>) -> LeaseRequest {
+fn request(coordinator: StoreRevision, echoed_time: Option<Timestamp>) -> LeaseRequest {
     LeaseRequest {
         coordinator,
         asked_at: ProcessTime {
-            life: 1,
+            process: 1,
             time: at(0),
         },
-        told: told.map(|time| ProcessTime {
-            life: PROCESS,
+        echoed_time: echoed_time.map(|time| ProcessTime {
+            process: PROCESS,
             time,
         }),
     }
@@ -71,11 +71,11 @@
     assert!(lease.take(&answer, at(200)), "a slow answer counts as well");
     assert!(!lease.covers(at(9)));
     assert!(lease.covers(at(10)));
-    assert!(lease.covers(at(10) + GRANT_TIME - ONE_MILLISECOND));
-    assert!(!lease.covers(at(10) + GRANT_TIME));
+    assert!(lease.covers(at(10) + LEASE_DURATION - ONE_MILLISECOND));
+    assert!(!lease.covers(at(10) + LEASE_DURATION));
     assert_eq!(
-        lease.lapsed_since(at(10) + GRANT_TIME),
-        Some(at(10) + GRANT_TIME)
+        lease.lapsed_since(at(10) + LEASE_DURATION),
+        Some(at(10) + LEASE_DURATION)
     );
 }
 
@@ -139,9 +139,9 @@
 /// Votes for a grantor without the store: only a majority of recent votes is sufficient.
 #[test]
 fn without_the_store_only_a_majority_of_fresh_votes_grants() {
-    let told = at(20_000);
-    let in_time = told + VOTE_TIME - ONE_MILLISECOND;
-    let late = told + VOTE_TIME;
+    let echoed_time = at(20_000);
+    let in_time = echoed_time + VOTE_DURATION - ONE_MILLISECOND;
+    let late = echoed_time + VOTE_DURATION;
     // (voters, votes, when asked, granted)
     let table = [
         (3, 1, in_time, false),
@@ -156,11 +156,11 @@
         let mut grantor = LeaseGrantor::new(PROCESS);
         let mut last = false;
         for vote in 0..votes {
-            let request = request(COORDINATOR, Some(told));
-            let heard = electorate(voters, told);
+            let request = request(COORDINATOR, Some(echoed_time));
+            let known_at = electorate(voters, echoed_time);
             let name = format!("node-{vote}");
             last = grantor
-                .answer(&name, &request, COORDINATOR, heard, now)
+                .answer(&name, &request, COORDINATOR, known_at, now)
                 .granted;
         }
         assert_eq!(last, granted, "{votes} votes of {voters}");
@@ -177,9 +177,10 @@
         assert!(!answer.granted);
     }
     let mut other_process = request(COORDINATOR, Some(now));
-    other_process.told = other_process
-        .told
-        .map(|told| ProcessTime { life: 8, ..told });
+    other_process.echoed_time = other_process.echoed_time.map(|echoed| ProcessTime {
+        process: 8,
+        ..echoed
+    });
     for node in ["a", "b", "c"] {
         let answer = grantor.answer(node, &other_process, COORDINATOR, electorate(3, now), now);
         assert!(!answer.granted);
@@ -188,12 +189,12 @@
 
 #[test]
 fn a_grantor_without_the_store_stops_after_the_outage_limit() {
-    let heard = at(0);
-    let now = heard + OUTAGE_AUTHORITY;
+    let known_at = at(0);
+    let now = known_at + OUTAGE_AUTHORITY_TIME;
     let mut grantor = LeaseGrantor::new(PROCESS);
     for node in ["a", "b", "c"] {
         let vote = request(COORDINATOR, Some(now - ONE_MILLISECOND));
-        let answer = grantor.answer(node, &vote, COORDINATOR, electorate(3, heard), now);
+        let answer = grantor.answer(node, &vote, COORDINATOR, electorate(3, known_at), now);
         assert!(!answer.granted);
     }
 }
@@ -213,21 +214,21 @@
         !lease.acknowledge(COORDINATOR, now),
         "just voted for a stand-in"
     );
-    assert!(!lease.acknowledge(COORDINATOR, now + VOTE_TIME - ONE_MILLISECOND));
-    assert!(lease.acknowledge(COORDINATOR, now + VOTE_TIME));
+    assert!(!lease.acknowledge(COORDINATOR, now + VOTE_DURATION - ONE_MILLISECOND));
+    assert!(lease.acknowledge(COORDINATOR, now + VOTE_DURATION));
     assert!(
-        !lease.acknowledge(revision(99), now + VOTE_TIME),
+        !lease.acknowledge(revision(99), now + VOTE_DURATION),
         "an earlier coordinator"
     );
-    assert!(lease.voted_for_others(now + VOTE_TIME));
-    assert!(!lease.voted_for_others(now + VOTE_TIME + GRANT_TIME));
+    assert!(lease.voted_for_others(now + VOTE_DURATION));
+    assert!(!lease.voted_for_others(now + VOTE_DURATION + LEASE_DURATION));
 }
 
 #[test]
 fn a_starting_process_acknowledges_nothing_for_the_duration_of_a_vote() {
     let mut lease = PrimaryLease::new(1, at(0));
-    assert!(!lease.acknowledge(COORDINATOR, at(0) + VOTE_TIME - ONE_MILLISECOND));
-    assert!(lease.acknowledge(COORDINATOR, at(0) + VOTE_TIME));
+    assert!(!lease.acknowledge(COORDINATOR, at(0) + VOTE_DURATION - ONE_MILLISECOND));
+    assert!(lease.acknowledge(COORDINATOR, at(0) + VOTE_DURATION));
 }
 
 fn withdrawal(grantor: &LeaseGrantor) -> Withdrawal {
@@ -261,8 +262,8 @@
     let mut withdrawal = withdrawal(&grantor);
     withdrawal.acknowledge("a", false);
     withdrawal.acknowledge("b", false);
-    assert!(!withdrawal.is_complete(&voters, long_after_claim + GRANT_TIME - ONE_MILLISECOND));
-    assert!(withdrawal.is_complete(&voters, long_after_claim + GRANT_TIME));
+    assert!(!withdrawal.is_complete(&voters, long_after_claim + LEASE_DURATION - ONE_MILLISECOND));
+    assert!(withdrawal.is_complete(&voters, long_after_claim + LEASE_DURATION));
 }
 
 #[test]
@@ -288,8 +289,8 @@
         !withdrawal.is_complete(&voters, now),
         "b recently voted for another node"
     );
-    assert!(!withdrawal.is_complete(&voters, now + GRANT_TIME - ONE_MILLISECOND));
-    assert!(withdrawal.is_complete(&voters, now + GRANT_TIME));
+    assert!(!withdrawal.is_complete(&voters, now + LEASE_DURATION - ONE_MILLISECOND));
+    assert!(withdrawal.is_complete(&voters, now + LEASE_DURATION));
 }
 
 #[test]
@@ -299,7 +300,7 @@
     let mut withdrawal = withdrawal(&grantor);
     withdrawal.acknowledge("a", false);
     withdrawal.acknowledge("b", false);
-    let ended = at(0) + STORE_AUTHORITY + GRANT_TIME;
+    let ended = at(0) + STORE_AUTHORITY_TIME + LEASE_DURATION;
     assert!(!withdrawal.is_complete(&voters, ended - ONE_MILLISECOND));
     assert!(withdrawal.is_complete(&voters, ended));
 }
@@ -321,7 +322,7 @@
     let echo_and_request = |grantor: &mut LeaseGrantor, voter: &str| {
         let first = request(COORDINATOR, None);
         let answer = grantor.answer(voter, &first, COORDINATOR, electorate(3, now), now);
-        let second = request(COORDINATOR, Some(answer.told.time));
+        let second = request(COORDINATOR, Some(answer.answered_at.time));
         let answer = grantor.answer(voter, &second, COORDINATOR, electorate(3, now), now);
         answer.granted
     };
--- a/crates/coordination/tests/serving_probe_budget.rs
+++ b/crates/coordination/tests/serving_probe_budget.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use hookpoint_coordination::serving::peer_contact::{Approach, PeerContacts, Waiting};
+use hookpoint_coordination::serving::peer_contact::{Approach, PeerContacts, WaitAction};
 use hookpoint_coordination::serving::probe_budget::{
-    PROBES_A_SECOND, PROBES_AT_ONCE, ProbeBudget, ProbePurpose, silent_probe_interval,
+    PROBE_BURST, PROBES_PER_SECOND, ProbeBudget, ProbePurpose, silent_probe_interval,
 };
-use hookpoint_coordination::serving::question_budget::{
-    MAX_REMOTE_QUERIES, MAX_REMOTE_QUERIES_UNUSED, may_ask_afar,
+use hookpoint_coordination::serving::remote_query_budget::{
+    MAX_REMOTE_QUERIES, MAX_REMOTE_QUERIES_UNUSED, may_send_remote_query,
 };
 use hookpoint_state::Timestamp;
 use quickcheck::quickcheck;
@@ -22,7 +22,7 @@
 }
 
 fn max_probes_in(millis: u64) -> usize {
-    PROBES_AT_ONCE as usize + (u64::from(PROBES_A_SECOND) * millis / 1_000) as usize + 1
+    PROBE_BURST as usize + (u64::from(PROBES_PER_SECOND) * millis / 1_000) as usize + 1
 }
 
 /// Returns the number of probes that a node sends in one second in which it constantly waits for
@@ -33,7 +33,7 @@
     let mut probes = 0;
     for now in (40..1_040).step_by(5) {
         for peer in &peers {
-            if contacts.waiting(peer, at(0), at(now)) == Waiting::Probe {
+            if contacts.waiting(peer, at(0), at(now)) == WaitAction::Probe {
                 let others = peers.iter().filter(|other| *other != peer);
                 let others = others.map(String::as_str);
                 probes += 1 + contacts
@@ -61,7 +61,7 @@
     for holders in [4, 32, 300, 1_500] {
         let names = names(holders);
         let mut contacts = PeerContacts::default();
-        assert_eq!(contacts.waiting("late", at(0), at(40)), Waiting::Probe);
+        assert_eq!(contacts.waiting("late", at(0), at(40)), WaitAction::Probe);
         let others = names.iter().map(String::as_str);
         let ahead = contacts.probe_alternatives("late", at(0), others, at(40));
         assert_eq!(ahead, [0, 1, 2]);
@@ -72,9 +72,9 @@
 fn alternatives_are_not_probed_once_the_peer_has_answered() {
     let names = names(8);
     let mut contacts = PeerContacts::default();
-    assert_eq!(contacts.waiting("slow", at(0), at(40)), Waiting::Probe);
-    contacts.note_heard("slow", at(60));
-    assert_eq!(contacts.waiting("slow", at(0), at(80)), Waiting::Probe);
+    assert_eq!(contacts.waiting("slow", at(0), at(40)), WaitAction::Probe);
+    contacts.note_received("slow", at(60));
+    assert_eq!(contacts.waiting("slow", at(0), at(80)), WaitAction::Probe);
     let others = names.iter().map(String::as_str);
     let ahead = contacts.probe_alternatives("slow", at(0), others, at(80));
     assert_eq!(ahead, Vec::<usize>::new());
@@ -95,15 +95,15 @@
     let mut contacts = PeerContacts::default();
     let mut probed = BTreeSet::new();
     for now in [40, 80, 120] {
-        assert_eq!(contacts.waiting("lost", at(0), at(now)), Waiting::Probe);
+        assert_eq!(contacts.waiting("lost", at(0), at(now)), WaitAction::Probe);
         let others = names.iter().map(String::as_str);
         probed.extend(contacts.probe_alternatives("lost", at(0), others, at(now)));
     }
-    assert_eq!(contacts.waiting("lost", at(0), at(160)), Waiting::GiveUp);
+    assert_eq!(contacts.waiting("lost", at(0), at(160)), WaitAction::GiveUp);
     assert_eq!(probed.len(), 9);
     for peer in &names[..3] {
         assert_ne!(
-            contacts.approach(peer, at(160)),
+            contacts.check_send(peer, at(160)),
             Approach::Send,
             "known by then"
         );
@@ -123,11 +123,11 @@
 fn a_stalled_node_does_not_give_up_on_its_peers() {
     let give_up = |stalled: bool| {
         let mut contacts = PeerContacts::default();
-        assert_eq!(contacts.waiting("peer", at(0), at(40)), Waiting::Probe);
+        assert_eq!(contacts.waiting("peer", at(0), at(40)), WaitAction::Probe);
         if stalled {
             contacts.note_timer(at(80), at(180));
         }
-        contacts.waiting("peer", at(0), at(180)) == Waiting::GiveUp
+        contacts.waiting("peer", at(0), at(180)) == WaitAction::GiveUp
     };
     assert!(!give_up(true));
     assert!(give_up(false), "control");
@@ -145,10 +145,14 @@
 
 #[test]
 fn remote_queries_are_bounded_and_groups_in_use_come_first() {
-    let most = |in_use| (0..).find(|sent| !may_ask_afar(*sent, in_use)).unwrap();
+    let most = |in_use| {
+        (0..)
+            .find(|sent| !may_send_remote_query(*sent, in_use))
+            .unwrap()
+    };
     assert_eq!(most(true), MAX_REMOTE_QUERIES);
     assert_eq!(most(false), MAX_REMOTE_QUERIES_UNUSED);
-    assert!(may_ask_afar(MAX_REMOTE_QUERIES_UNUSED, true));
+    assert!(may_send_remote_query(MAX_REMOTE_QUERIES_UNUSED, true));
 }
 
 quickcheck! {
@@ -178,7 +182,7 @@
         sent += u32::from(budget.take(ProbePurpose::Waiting, now));
     }
     assert!(
-        (PROBES_A_SECOND - 1..=PROBES_A_SECOND).contains(&sent),
+        (PROBES_PER_SECOND - 1..=PROBES_PER_SECOND).contains(&sent),
         "{sent}"
     );
 }
--- a/crates/coordination/tests/serving_quota.rs
+++ b/crates/coordination/tests/serving_quota.rs
@@ -7,10 +7,10 @@
 
 use hookpoint_coordination::serving::homes::HomeCandidate;
 use hookpoint_coordination::serving::quota::{
-    GrantLimit, LEAST_RESTART, OperationLimit, QuotaBounds, TOKEN_LIFE, TokenAnswer, TokenBucket,
-    TokenHolder,
+    GrantLimit, MIN_RESTART_TIME, OperationLimit, QuotaBounds, TOKEN_LIFE, TokenAnswer,
+    TokenBucket, TokenHolder,
 };
-use hookpoint_coordination::serving::token_holders::{MOST_HOLDERS, choose_token_holders};
+use hookpoint_coordination::serving::token_holders::{MAX_HOLDERS, choose_token_holders};
 use hookpoint_state::{TenantName, Timestamp, ZoneName};
 use quickcheck::{Arbitrary, Gen, quickcheck};
 
@@ -72,7 +72,7 @@
 
 impl Arbitrary for Step {
     fn arbitrary(g: &mut Gen) -> Self {
-        let holder = usize::arbitrary(g) % MOST_HOLDERS;
+        let holder = usize::arbitrary(g) % MAX_HOLDERS;
         match u8::arbitrary(g) % 8 {
             0 => Step::Restart { holder },
             1..=3 => Step::Pass {
@@ -92,7 +92,7 @@
 /// after it was granted.
 fn run_steps(steps: &[Step], limit: GrantLimit, life: Duration) -> Vec<u64> {
     let tenant = TenantName::new("clinic");
-    let holders = limit.holders(MOST_HOLDERS);
+    let holders = limit.holders(MAX_HOLDERS);
     let part = limit.part(holders);
     let mut now = at(1_000);
     let mut granting: Vec<(TokenHolder, Timestamp)> = (0..holders)
@@ -103,7 +103,7 @@
         match step {
             Step::Pass { millis } => now = now + Duration::from_millis(u64::from(*millis)),
             Step::Restart { holder } => {
-                now = now + LEAST_RESTART;
+                now = now + MIN_RESTART_TIME;
                 granting[holder % holders] = (TokenHolder::default(), now);
             }
             Step::Ask {
@@ -159,7 +159,7 @@
     let mut passed = Duration::ZERO;
     while passed < life + BOUNDS.window {
         let left = life.saturating_sub(passed).as_millis() * 1_000 / life.as_millis();
-        steps.extend((0..MOST_HOLDERS).map(|holder| Step::Ask {
+        steps.extend((0..MAX_HOLDERS).map(|holder| Step::Ask {
             holder,
             times: 250,
             patience_ms: 0,
@@ -230,7 +230,7 @@
     let mut bucket = TokenBucket::new(grant_limit, at(0));
     let zero = Duration::ZERO;
     let patience = Duration::from_millis(150);
-    let dry = |millis: u64| TokenAnswer::Dry {
+    let dry = |millis: u64| TokenAnswer::Exhausted {
         retry_after_us: millis * 1_000 + 1,
     };
     let granted = |after_us| TokenAnswer::Granted { after_us };
--- a/crates/coordination/tests/serving_store_news.rs
+++ b/crates/coordination/tests/serving_store_freshness.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use hookpoint_coordination::serving::store_news::{
-    NewsLimits, Reply, StoreNews, StoreTryOrder, WatchAnswer, patience,
+use hookpoint_coordination::serving::store_freshness::{
+    NewsLimits, Reply, StoreFreshness, StoreTryOrder, WatchAnswer, watch_timeout,
 };
 use hookpoint_state::Timestamp;
 
@@ -23,7 +23,7 @@
         assert!(limits.watch <= millis(2_000), "{limits:?}");
         assert!(limits.oldest <= limit * 3 / 4, "{limits:?}");
         // A watcher detects a silent store before its followers switch to other sources.
-        assert!(limits.oldest >= patience(limits.watch), "{limits:?}");
+        assert!(limits.oldest >= watch_timeout(limits.watch), "{limits:?}");
     }
 }
 
@@ -40,31 +40,31 @@
         (1_000, 1_000, false, 3_000, Reply::NothingNew),
     ];
     for (told, known, changed, now, expected) in cases {
-        let mut news = StoreNews::default();
-        news.note_told(at(told));
+        let mut news = StoreFreshness::default();
+        news.note_store_answer(at(told));
         let reply = news.reply(at(known), changed, until, at(now));
         assert_eq!(reply, expected, "{told} {known} {changed} {now}");
-        news.note_turned_away(at(now));
+        news.note_rejected(at(now));
         let reply = news.reply(at(known), changed, until, at(now));
         assert_eq!(reply, Reply::StoreLost, "rejected");
     }
 }
 
 /// Returns the state of a node that has received no newer update since time 0 and searches for one.
-fn searching() -> StoreNews {
-    let mut news = StoreNews::default();
-    news.note_told(at(0));
-    news.note_nothing_heard(at(0));
+fn searching() -> StoreFreshness {
+    let mut news = StoreFreshness::default();
+    news.note_store_answer(at(0));
+    news.note_no_update(at(0));
     news
 }
 
 /// Returns the times, in milliseconds, at which the node tries a store that rejects its calls, with
 /// a check every 10 ms.
-fn tries(news: &mut StoreNews, order: StoreTryOrder, begin: u64, until: u64) -> Vec<u64> {
+fn tries(news: &mut StoreFreshness, order: StoreTryOrder, begin: u64, until: u64) -> Vec<u64> {
     let mut tried = Vec::new();
     for now in (begin..until).step_by(10) {
         if news.try_is_due(order, at(now)) {
-            news.note_turned_away(at(now));
+            news.note_rejected(at(now));
             tried.push(now);
         }
     }
@@ -103,52 +103,52 @@
     let mut news = searching();
     let first = tries(&mut news, order, 0, 1_000)[0];
     assert!(!news.watches(at(first)));
-    news.note_told(at(first));
+    news.note_store_answer(at(first));
     assert!(news.watches(at(first)));
     let begin = 60_000;
     assert_eq!(tries(&mut news, order, 2_000, 3_000), Vec::<u64>::new());
-    news.note_nothing_heard(at(begin));
+    news.note_no_update(at(begin));
     let next = tries(&mut news, order, begin, begin + 1_000)[0];
     assert_eq!(next - begin, first);
 }
 
 #[test]
 fn a_rejected_watcher_leaves_watching_to_others_and_retries() {
-    let mut news = StoreNews::default();
-    news.note_told(at(0));
-    news.note_turned_away(at(1_000));
-    news.note_nothing_heard(at(1_000));
+    let mut news = StoreFreshness::default();
+    news.note_store_answer(at(0));
+    news.note_rejected(at(1_000));
+    news.note_no_update(at(1_000));
     assert!(!news.watches(at(1_500)), "it asks others first");
-    news.note_heard(at(1_500));
+    news.note_upstream_answer(at(1_500));
     assert!(!news.watches(at(2_900)), "it receives updates from others");
     assert!(news.watches(at(3_000)), "an occasional try");
-    assert!(news.is_turned_away(at(3_400)), "until the try is answered");
+    assert!(news.is_rejected(at(3_400)), "until the try is answered");
     assert!(news.watch_wait(millis(2_000), at(3_000)) < millis(100));
-    news.note_told(at(3_010));
+    news.note_store_answer(at(3_010));
     assert_eq!(news.watch_wait(millis(2_000), at(3_010)), millis(2_000));
-    assert!(!news.is_turned_away(at(3_010)));
+    assert!(!news.is_rejected(at(3_010)));
 }
 
 #[test]
 fn a_peer_rejected_by_the_store_is_left_out_for_a_while() {
-    let mut news = StoreNews::default();
-    assert!(news.helps("east-1", at(0)));
-    news.leave_out("east-1", at(0));
-    assert!(!news.helps("east-1", at(500)));
-    assert!(news.helps("east-2", at(500)));
-    assert!(news.helps("east-1", at(3_000)));
-    news.leave_out("east-1", at(4_000));
-    news.ask_all_again();
-    assert!(news.helps("east-1", at(4_000)));
+    let mut news = StoreFreshness::default();
+    assert!(news.may_forward("east-1", at(0)));
+    news.exclude("east-1", at(0));
+    assert!(!news.may_forward("east-1", at(500)));
+    assert!(news.may_forward("east-2", at(500)));
+    assert!(news.may_forward("east-1", at(3_000)));
+    news.exclude("east-1", at(4_000));
+    news.clear_excluded();
+    assert!(news.may_forward("east-1", at(4_000)));
 }
 
 #[test]
 fn older_knowledge_of_a_peer_neither_refreshes_nor_ends_the_search() {
-    let mut news = StoreNews::default();
-    news.note_told(at(1_000));
-    news.note_nothing_heard(at(4_000));
-    news.note_heard(at(900));
-    assert_eq!(news.told_at(), at(1_000));
+    let mut news = StoreFreshness::default();
+    news.note_store_answer(at(1_000));
+    news.note_no_update(at(4_000));
+    news.note_upstream_answer(at(900));
+    assert_eq!(news.known_at(), at(1_000));
     let order = StoreTryOrder { rank: 0, nodes: 5 };
     assert!(news.try_is_due(order, at(4_000)), "it still searches");
     assert!(!news.is_fresh(at(4_000), NewsLimits::of(millis(6_000))));
@@ -157,59 +157,66 @@
 #[test]
 fn an_upstream_may_answer_until_the_followers_knowledge_is_too_old() {
     let limits = NewsLimits::of(millis(6_000));
-    let mut news = StoreNews::default();
-    let starting = news.hold(at(0), limits);
+    let mut news = StoreFreshness::default();
+    let starting = news.upstream_timeout(at(0), limits);
     assert!(
         starting >= millis(500),
         "the upstream may be starting as well"
     );
-    news.note_told(at(0));
+    news.note_store_answer(at(0));
     for age in [0, 500, 2_000, 2_700] {
-        assert_eq!(news.hold(at(age), limits), limits.oldest - millis(age));
+        assert_eq!(
+            news.upstream_timeout(at(age), limits),
+            limits.oldest - millis(age)
+        );
     }
-    let least = news.hold(at(20_000), limits);
+    let least = news.upstream_timeout(at(20_000), limits);
     assert!((millis(100)..millis(300)).contains(&least), "{least:?}");
-    news.note_nothing_heard(at(500));
-    assert_eq!(news.hold(at(500), limits), least, "it is searching");
+    news.note_no_update(at(500));
+    assert_eq!(
+        news.upstream_timeout(at(500), limits),
+        least,
+        "it is searching"
+    );
 }
 
 #[test]
 fn a_starting_node_begins_with_a_short_watch() {
-    let mut news = StoreNews::default();
+    let mut news = StoreFreshness::default();
     let started = at(60_000);
     assert!(news.watch_wait(millis(2_000), started) < millis(100));
-    news.note_told(started);
+    news.note_store_answer(started);
     assert_eq!(news.watch_wait(millis(2_000), started), millis(2_000));
 }
 
 #[test]
 fn reading_an_answer_late_does_not_make_it_newer() {
-    // Requested at 1 s with a wait of 2 s: has changes, read at, `told_at`, `covered`.
+    // Requested at 1 s with a wait of 2 s: has changes, read at, `known_at`, `covered`.
     let cases = [
         (false, 3_010, 3_000, 3_000),
         (false, 8_000, 3_000, 3_000),
         (true, 1_400, 1_400, 1_000),
         (true, 8_000, 3_000, 1_000),
     ];
-    for (changed, read_at, told_at, covered) in cases {
+    for (changed, read_at, known_at, covered) in cases {
         let answer = WatchAnswer {
             asked_at: at(1_000),
             wait: millis(2_000),
             changed,
             read_at: at(read_at),
         };
-        assert_eq!(answer.told_at(), at(told_at), "{changed} {read_at}");
+        assert_eq!(answer.known_at(), at(known_at), "{changed} {read_at}");
         assert_eq!(answer.covered(), at(covered), "{changed} {read_at}");
     }
 }
 
 #[test]
 fn a_node_answered_by_the_store_again_forwards_updates() {
-    let mut news = StoreNews::default();
-    news.note_turned_away(at(0));
+    let mut news = StoreFreshness::default();
+    news.note_rejected(at(0));
     news.note_answered();
-    assert!(!news.is_turned_away(at(100)));
-    news.note_heard(at(200));
+    assert!(!news.is_rejected(at(100)));
+    news.note_upstream_answer(at(200));
     let reply = news.reply(at(0), true, at(1_000), at(200));
     assert_eq!(reply, Reply::News);
 }
