--- a/crates/coordination/tests/serving_store_news_fleet.rs
+++ b/crates/coordination/tests/serving_store_freshness_fleet.rs
@@ -6,7 +6,9 @@
 
 use hookpoint_coordination::serving::feed::{Regions, store_upstreams, try_order};
 use hookpoint_coordination::serving::homes::HomeCandidate;
-use hookpoint_coordination::serving::store_news::{NewsLimits, Reply, StoreNews, patience};
+use hookpoint_coordination::serving::store_freshness::{
+    NewsLimits, Reply, StoreFreshness, watch_timeout,
+};
 use hookpoint_state::{Timestamp, ZoneName};
 use quickcheck::{Gen, QuickCheck, TestResult};
 
@@ -80,7 +82,7 @@
 }
 
 struct Machine {
-    news: StoreNews,
+    news: StoreFreshness,
     /// Time of the store's actual state that is known here.
     actual_as_of: Timestamp,
     activity: Activity,
@@ -114,7 +116,7 @@
             }));
         }
         let machines = nodes.iter().map(|_| Machine {
-            news: StoreNews::default(),
+            news: StoreFreshness::default(),
             actual_as_of: Timestamp::default(),
             activity: Activity::Next,
             held: Vec::new(),
@@ -136,7 +138,7 @@
             if name == self.nodes[own].node {
                 own_helps
             } else {
-                !use_exclusions || self.machines[own].news.helps(name, self.now)
+                !use_exclusions || self.machines[own].news.may_forward(name, self.now)
             }
         };
         store_upstreams(&self.nodes[own], &self.nodes, &self.regions, helps)
@@ -207,13 +209,13 @@
         };
         match reply {
             Reply::News => {
-                machine.news.note_heard(now - age - transit_time);
+                machine.news.note_upstream_answer(now - age - transit_time);
                 machine.actual_as_of = machine.actual_as_of.max(actual_as_of);
                 machine.activity = Activity::Next;
             }
             Reply::StoreLost => {
                 let name = &self.nodes[upstream].node;
-                machine.news.leave_out(name, now);
+                machine.news.exclude(name, now);
                 self.continue_search(to);
             }
             _ => self.continue_search(to),
@@ -223,7 +225,7 @@
     /// Continues after an upstream that did not help: tries the store if it is this node's turn,
     /// and asks the next upstream otherwise.
     fn continue_search(&mut self, index: usize) {
-        self.machines[index].news.note_nothing_heard(self.now);
+        self.machines[index].news.note_no_update(self.now);
         if self.own_try_is_due(index) {
             return self.watch(index);
         }
@@ -271,13 +273,13 @@
             } if now >= ends_at => {
                 let machine = &mut self.machines[index];
                 if answered {
-                    machine.news.note_told(due_at.min(now));
+                    machine.news.note_store_answer(due_at.min(now));
                     machine.actual_as_of = ends_at - DELAY;
                     machine.activity = Activity::Pause {
                         until: now + Duration::from_millis(40),
                     };
                 } else {
-                    machine.news.note_turned_away(now);
+                    machine.news.note_rejected(now);
                     let until = now + machine.news.search_pause(now);
                     machine.activity = Activity::Pause { until };
                 }
@@ -304,7 +306,7 @@
         if asked.len() == ASKED_IN_A_ROUND {
             return None;
         }
-        let turned_away = self.machines[index].news.is_turned_away(self.now);
+        let turned_away = self.machines[index].news.is_rejected(self.now);
         let upstreams = self.upstreams(index, !turned_away, true);
         upstreams
             .into_iter()
@@ -328,15 +330,15 @@
             let query = Message::Query {
                 from: index,
                 age: machine.news.age(now),
-                hold: machine.news.hold(now, NewsLimits::of(LIMIT)),
+                hold: machine.news.upstream_timeout(now, NewsLimits::of(LIMIT)),
             };
             self.wire.push((now + DELAY, upstream, query));
             return;
         }
         if asked.is_empty() {
-            machine.news.ask_all_again();
+            machine.news.clear_excluded();
         }
-        machine.news.note_nothing_heard(now);
+        machine.news.note_no_update(now);
         let is_first = self.upstreams(index, true, false).is_empty();
         if is_first || self.own_try_is_due(index) {
             return self.watch(index);
@@ -354,7 +356,7 @@
         let watch_time = match (answered, self.refusal) {
             (true, _) => wait + DELAY * 2,
             (false, Refusal::WithError) => DELAY * 2,
-            (false, Refusal::NoAnswer) => patience(wait),
+            (false, Refusal::NoAnswer) => watch_timeout(wait),
         };
         self.machines[index].activity = Activity::Watch {
             ends_at: now + watch_time,
@@ -402,7 +404,7 @@
         }
         fleet.tick();
         for machine in &fleet.machines {
-            outcome.too_new |= machine.news.told_at() > machine.actual_as_of;
+            outcome.too_new |= machine.news.known_at() > machine.actual_as_of;
             if fleet.now >= at(LOST_AT) {
                 outcome.oldest = outcome.oldest.max(fleet.now.since(machine.actual_as_of));
             }
--- a/crates/coordination/tests/serving_tenancy.rs
+++ b/crates/coordination/tests/serving_tenancy.rs
@@ -3,21 +3,23 @@
 
 use std::time::Duration;
 
+use hookpoint_coordination::serving::queue_order::{
+    MAX_PRINCIPAL_WAIT, QueuedRequest, next_waiter_index,
+};
 use hookpoint_coordination::serving::tenancy::{
     Denial, KeyDigest, Principal, RevocationPolicy, Tenants, identify,
 };
 use hookpoint_coordination::serving::topology::{Consistency, Route};
-use hookpoint_coordination::serving::turns::{MAX_PRINCIPAL_WAIT, Waiting, next_turn};
 use hookpoint_state::{GroupName, TenantName};
 
-fn route(open: bool) -> Route {
+fn route(allows_anonymous: bool) -> Route {
     Route {
         group: GroupName::new("orders"),
         consistency: Consistency::Primary,
         statement_timeout: Duration::from_millis(800),
         target_latency: Duration::from_millis(600),
         priority: 1,
-        open,
+        allows_anonymous,
         allowed_regions: std::collections::BTreeSet::new(),
     }
 }
@@ -100,11 +102,13 @@
         ),
     ];
     for (queue, expected) in cases {
-        let waiting = queue.iter().map(|(priority, principal, waited)| Waiting {
-            priority: *priority,
-            principal: *principal,
-            waited: Duration::from_millis(*waited),
-        });
-        assert_eq!(next_turn(waiting, &one), expected, "{queue:?}");
+        let waiting = queue
+            .iter()
+            .map(|(priority, principal, waited)| QueuedRequest {
+                priority: *priority,
+                principal: *principal,
+                waited: Duration::from_millis(*waited),
+            });
+        assert_eq!(next_waiter_index(waiting, &one), expected, "{queue:?}");
     }
 }
--- a/crates/serving/src/cold_start.rs
+++ b/crates/serving/src/cold_start.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::cold_start::{
-    COLD_HOLDERS, Circumstances, ColdReason, ColdStart, Heard,
+    COLD_HOLDERS, ColdReason, ColdStart, ColdStartFacts, RegistrationChange,
 };
-use hookpoint_coordination::serving::directory::{Listed, Registration};
+use hookpoint_coordination::serving::directory::{DirectoryEntry, RegistrationOutcome};
 use hookpoint_coordination::serving::quota::GrantLimit;
 use hookpoint_state::{DatabaseName, Timestamp};
 use serde_json::Value;
@@ -54,24 +54,24 @@
     pub(crate) fn note_registered_warmth(
         &self,
         name: &DatabaseName,
-        before: Option<&Listed>,
-        registration: Registration,
+        before: Option<&DirectoryEntry>,
+        registration: RegistrationOutcome,
     ) {
         let directory = self.directory.borrow();
         let Some(listed) = directory.get(name) else {
             return;
         };
         let registration_kind = match (registration, before) {
-            (Registration::Outdated, _) => return,
-            (Registration::NewLife, _) => Heard::NewLife,
-            (Registration::Taken, None) => Heard::First,
-            (Registration::Taken, Some(before)) if before.missing => {
+            (RegistrationOutcome::Outdated, _) => return,
+            (RegistrationOutcome::NewIncarnation, _) => RegistrationChange::NewIncarnation,
+            (RegistrationOutcome::Applied, None) => RegistrationChange::First,
+            (RegistrationOutcome::Applied, Some(before)) if before.missing => {
                 match listed.database.started {
-                    Some(_) => Heard::Returned,
-                    None => Heard::ReturnedUntold,
+                    Some(_) => RegistrationChange::Returned,
+                    None => RegistrationChange::ReturnedWithoutStart,
                 }
             }
-            (Registration::Taken, Some(_)) => Heard::SameLife,
+            (RegistrationOutcome::Applied, Some(_)) => RegistrationChange::SameIncarnation,
         };
         // An entry cannot keep its database cold for longer than the configured duration of a cold
         // start.
@@ -81,24 +81,24 @@
         let mut starts = self.cold.starts.borrow_mut();
         starts
             .entry(name)
-            .hear(registration_kind, cold_for, self.now());
+            .apply_registration(registration_kind, cold_for, self.now());
     }
 
     /// Records that a database may have restarted.
-    pub(crate) fn doubt_warmth(&self, name: &DatabaseName) {
+    pub(crate) fn note_possible_restart(&self, name: &DatabaseName) {
         if self.cold_start_of(name).is_some() {
             let mut starts = self.cold.starts.borrow_mut();
-            starts.entry(name).doubt(self.now());
+            starts.entry(name).suspect_restart(self.now());
         }
     }
 
     /// Records that the first connection to a database was opened. In that case only information
     /// from the store shows how long the database has been running.
     pub(crate) fn note_first_connection(&self, name: &DatabaseName) {
-        let reported_at = self.feed.reported_at();
-        let store_was_read = reported_at > Timestamp::default();
-        if store_was_read && self.now().since(reported_at) >= STORE_INFORMATION_MAX_AGE {
-            self.doubt_warmth(name);
+        let known_at = self.feed.known_at();
+        let store_was_read = known_at > Timestamp::default();
+        if store_was_read && self.now().since(known_at) >= STORE_INFORMATION_MAX_AGE {
+            self.note_possible_restart(name);
         }
     }
 
@@ -119,8 +119,8 @@
                 return Ok(1);
             };
             let waited = self.now().since(began);
-            let patience = request.limits.patience.min(request.limits.limit);
-            if request.principal.is_none() || waited.saturating_add(retry_after) > patience {
+            let max_wait = request.limits.max_expected_wait.min(request.limits.limit);
+            if request.principal.is_none() || waited.saturating_add(retry_after) > max_wait {
                 self.counters.count("cold_requests", "refused");
                 return Err(AcquireError::Cold { retry_after });
             }
@@ -140,7 +140,7 @@
         let warmth = starts.entry(name);
         match request.principal {
             Some(_) => warmth.admit(cold.share, now),
-            None => warmth.admit_question(cold.share, now),
+            None => warmth.admit_query(cold.share, now),
         }
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// Returns the refusal of a node that holds no share of a cold database's budget.
-    pub(crate) fn not_for_cold(&self, name: &DatabaseName) -> Option<AcquireError> {
+    pub(crate) fn refusal_if_cold(&self, name: &DatabaseName) -> Option<AcquireError> {
         let retry_after = HOLDERS_RETRY_AFTER;
         let refusal = AcquireError::Cold { retry_after };
         self.is_cold(name).then_some(refusal)
@@ -199,7 +199,7 @@
     fn cold_share(&self, name: &DatabaseName) -> Option<ColdShare> {
         let start = self.cold_start_of(name)?;
         self.cold_reason_of(name, start)?;
-        let share = start.part(self.changeable().cold_start);
+        let share = start.holder_share(self.changeable().cold_start);
         Some(ColdShare { share })
     }
 
@@ -213,12 +213,12 @@
         starts.get(name)?.cold_reason(start, known, self.now())
     }
 
-    fn circumstances(&self, name: &DatabaseName) -> Circumstances {
+    fn circumstances(&self, name: &DatabaseName) -> ColdStartFacts {
         let directory = self.directory.borrow();
         let listed = directory.get(name);
-        Circumstances {
-            news_at: self.feed.reported_at(),
-            told_start: listed
+        ColdStartFacts {
+            store_known_at: self.feed.known_at(),
+            has_start: listed
                 .is_some_and(|listed| !listed.missing && listed.database.started.is_some()),
         }
     }
@@ -318,7 +318,7 @@
     let starts = node.cold.starts.borrow();
     let cold_for = starts.get(name).map(|warmth| millis(warmth.cold_for(now)));
     let started = node.database(name).and_then(|database| database.started);
-    let news_age = millis(now.since(node.feed.reported_at()));
+    let news_age = millis(now.since(node.feed.known_at()));
     [
         ("database", name.as_str().into()),
         ("reason", reason.as_str().into()),
@@ -340,5 +340,5 @@
     }
     relay::lease(node, pool, query)
         .await
-        .map_err(|refusal| refusal.or(AcquireError::NotHeld))
+        .map_err(|refusal| refusal.or(AcquireError::Unreachable))
 }
--- a/crates/serving/src/coordinator/handover.rs
+++ b/crates/serving/src/coordinator/handover.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hookpoint_coordination::serving::directory::{Listed, StatedRole};
+use hookpoint_coordination::serving::directory::{DirectoryEntry, StatedRole};
 use hookpoint_coordination::serving::handover::{
-    Drawbacks, Place, PlannedMove, plan_move, reason_to_move,
+    Drawbacks, PlannedMove, PrimaryLocation, plan_move, reason_to_move,
 };
 use hookpoint_state::{DatabaseName, GroupName, Position, RegionName};
 
@@ -109,15 +109,15 @@
 
 /// Returns the drawbacks of another database of the group, which counts as leaving at the first
 /// sign.
-pub(super) fn drawbacks_of(node: &Rc<Node>, listed: &Listed) -> Drawbacks {
+pub(super) fn drawbacks_of(node: &Rc<Node>, listed: &DirectoryEntry) -> Drawbacks {
     assess_drawbacks(node, listed, listed.departure.is_some())
 }
 
-fn assess_drawbacks(node: &Rc<Node>, listed: &Listed, leaving: bool) -> Drawbacks {
+fn assess_drawbacks(node: &Rc<Node>, listed: &DirectoryEntry, leaving: bool) -> Drawbacks {
     let zone = &listed.database.zone;
-    let place = Place {
+    let place = PrimaryLocation {
         leaving,
-        zone: node.zone_standing(zone),
+        zone: node.zone_availability(zone),
         region: node.changeable().regions.get(zone).map(RegionName::new),
         cold: node.is_cold(&listed.database.name),
     };
--- a/crates/serving/src/coordinator/mod.rs
+++ b/crates/serving/src/coordinator/mod.rs
@@ -13,8 +13,8 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::failover::{Observation, is_lost};
-use hookpoint_coordination::serving::handover::{HandoverPace, holds_enough};
-use hookpoint_coordination::serving::leadership::Reign;
+use hookpoint_coordination::serving::handover::{HandoverLimiter, holds_enough};
+use hookpoint_coordination::serving::leadership::LeadershipPeriod;
 use hookpoint_state::{DatabaseName, GroupName, Timestamp};
 use tokio::time::sleep;
 
@@ -86,7 +86,7 @@
 /// State of the coordinator's periodic check of all groups.
 #[derive(Default)]
 struct Survey {
-    pace: HandoverPace,
+    pace: HandoverLimiter,
     /// The last group of the previous round-robin batch.
     last: Option<GroupName>,
     /// Groups whose primaries should move.
@@ -152,14 +152,14 @@
 }
 
 fn reason(node: &Rc<Node>, group: &GroupName) -> Option<Reason> {
-    if node.all_shut(group) {
+    if node.all_in_evacuated_zones(group) {
         return None;
     }
     let now = node.now();
     let (leader, lost, awaited) = node.with_group(group, |state| {
         let lost = state.contact.lost_since.is_some();
         let reported = state.reported_leader(now).is_some();
-        let never_seen = state.leadership.reign() == Reign::default();
+        let never_seen = state.leadership.leadership_period() == LeadershipPeriod::default();
         let lately = state
             .leaderless_since
             .is_none_or(|since| now.since(since) < FIRST_PRIMARY_TIME);
@@ -174,7 +174,7 @@
     };
     // A primary in an evacuated zone is not contacted any more, so its silence does not show
     // whether it works.
-    if lost && !node.is_shut(&leader) {
+    if lost && !node.is_in_evacuated_zone(&leader) {
         return Some(Reason::Lost);
     }
     handover::due(node, group, &leader).map(Reason::Planned)
@@ -367,7 +367,7 @@
         Observation::Reachable => ("reachable", None),
         Observation::Refused(lasting) => ("refused", Some(lasting)),
         Observation::Silent(lasting) => ("silent", Some(lasting)),
-        Observation::Unhelped(lasting) => ("unhelped", Some(lasting)),
+        Observation::NoHolderAvailable(lasting) => ("unhelped", Some(lasting)),
         Observation::Leaderless(lasting) => ("leaderless", Some(lasting)),
         Observation::Unknown => ("unknown", None),
     };
--- a/crates/serving/src/coordinator/replicas.rs
+++ b/crates/serving/src/coordinator/replicas.rs
@@ -15,7 +15,7 @@
 
 use super::handover::drawbacks_of;
 use crate::cold_start;
-use crate::lease::{Lease, prove_leadership};
+use crate::lease::{Lease, check_leadership};
 use crate::message::{Command, DatabaseStatus, FailureCode};
 use crate::node::Node;
 use crate::pool::{ConnectionRequest, Pool, WaitLimits};
@@ -163,7 +163,7 @@
     directory.get(name).is_some_and(|listed| {
         let missing_since = listed
             .departure
-            .map_or(now, |departure| departure.heard_at());
+            .map_or(now, |departure| departure.learned_at());
         !listed.missing || now.since(missing_since) < MISSING_REPLICA_COUNTS_FOR
     })
 }
@@ -197,7 +197,7 @@
 /// known here is in an evacuated zone, this node has no other way to learn of the new one.
 async fn prove_found_primary(node: &Rc<Node>, name: &DatabaseName) {
     if let Some(mut lease) = lease_for_status(node, &node.pool(name)).await
-        && prove_leadership(node, &mut lease).await.is_err()
+        && check_leadership(node, &mut lease).await.is_err()
     {
         node.counters.count("primaries_found", "not_proved");
     }
@@ -222,7 +222,9 @@
     replicas: &[DatabaseName],
     command: &Command,
 ) -> Vec<(DatabaseName, DatabaseStatus)> {
-    let asked = replicas.iter().filter(|name| !node.is_shut(name));
+    let asked = replicas
+        .iter()
+        .filter(|name| !node.is_in_evacuated_zone(name));
     let queries = asked.map(|name| {
         let command = command.clone();
         async move {
--- a/crates/serving/src/coordinator/step_down.rs
+++ b/crates/serving/src/coordinator/step_down.rs
@@ -65,7 +65,7 @@
     let mut others: Vec<DatabaseName> = databases
         .iter()
         .filter(|name| **name != order.candidate && !replicas.contains(name))
-        .filter(|name| !node.is_shut(name))
+        .filter(|name| !node.is_in_evacuated_zone(name))
         .cloned()
         .collect();
     for _ in 0..STEP_DOWN_ATTEMPTS {
--- a/crates/serving/src/coordinator_record.rs
+++ b/crates/serving/src/coordinator_record.rs
@@ -8,9 +8,9 @@
 
 use bytes::Bytes;
 use hookpoint_coordination::serving::coordinator::{
-    CoordinatorRecord, RECORD_TIME, relied_on_until,
+    CoordinatorRecord, RECORD_TTL, lease_valid_until,
 };
-use hookpoint_coordination::serving::departure::WRITTEN_AGAIN;
+use hookpoint_coordination::serving::departure::REWRITE_TIME;
 use hookpoint_coordination::serving::fencing::FencingToken;
 use hookpoint_coordination::serving::homes::claim_order;
 use hookpoint_coordination::serving::lease_grantor::Predecessors;
@@ -85,7 +85,7 @@
 fn stale_record_revision(node: &Rc<Node>) -> Option<StoreRevision> {
     let view = node.coordinator.borrow();
     let own_lease = node.coordinator_lease.get();
-    view.left_behind(&node.settings.name, own_lease)?;
+    view.stale_record(&node.settings.name, own_lease)?;
     Some(view.revision())
 }
 
@@ -107,7 +107,7 @@
 ) -> Option<(LeaseId, StoreRevision)> {
     let asked_at = node.now();
     let era = node.feed.revision().era();
-    let lease = node.store.grant_lease(RECORD_TIME).await.ok()?;
+    let lease = node.store.grant_lease(RECORD_TTL).await.ok()?;
     let record = CoordinatorRecord {
         node: node.settings.name.clone(),
         lease: lease.0,
@@ -172,7 +172,7 @@
 /// Writes to the store that an era has settled, for nodes that start later, after the time within
 /// which the records lost with the previous era are written again.
 async fn write_settled_era(node: Rc<Node>, era: StoreEra) {
-    sleep(WRITTEN_AGAIN).await;
+    sleep(REWRITE_TIME).await;
     if node.store_era.get() != Some(era) {
         return;
     }
@@ -202,7 +202,7 @@
 
 fn extend_tenure(node: &Rc<Node>, asked_at: Timestamp) {
     node.coordinator_lease_valid_until
-        .set(relied_on_until(asked_at));
+        .set(lease_valid_until(asked_at));
 }
 
 /// Renews the lease until it expires, another node holds the record, or the node stops. A renewal
@@ -221,7 +221,7 @@
                 note_era(node, era);
                 break;
             }
-            Ok(Err(StoreError::LeaseOver)) => break,
+            Ok(Err(StoreError::LeaseExpired)) => break,
             Ok(Err(_)) | Err(_) => {}
         }
         sleep(
--- a/crates/serving/src/counted_store.rs
+++ b/crates/serving/src/counted_store.rs
@@ -33,19 +33,19 @@
 impl StateStore for CountedStore {
     async fn read_all(&self, freshness: ReadFreshness) -> Result<StoreChanges, StoreError> {
         self.count(match freshness {
-            ReadFreshness::Present => "read_all",
-            ReadFreshness::MayBeOld => "read_all_old",
+            ReadFreshness::Current => "read_all",
+            ReadFreshness::Stale => "read_all_old",
         });
         self.store.read_all(freshness).await
     }
 
-    async fn read_own(
+    async fn read_fleet_records(
         &self,
         prefix: &str,
         freshness: ReadFreshness,
     ) -> Result<StoreChanges, StoreError> {
         self.count("read_own");
-        self.store.read_own(prefix, freshness).await
+        self.store.read_fleet_records(prefix, freshness).await
     }
 
     async fn watch(
--- a/crates/serving/src/database_life.rs
+++ b/crates/serving/src/database_incarnation.rs
@@ -1,10 +1,10 @@
 //! Discards the state that belongs to an earlier process of a database when the database restarts:
-//! see [`hookpoint_coordination::serving::database_life`].
+//! see [`hookpoint_coordination::serving::database_incarnation`].
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use hookpoint_coordination::serving::directory::{Database, Registration};
+use hookpoint_coordination::serving::directory::{Database, RegistrationOutcome};
 use hookpoint_state::{DatabaseName, StoreRevision, Timestamp};
 
 use crate::node::{Contact, Node};
@@ -21,7 +21,7 @@
                 .put(database, revision, self.learned_times());
         self.note_registered_warmth(&name, before.as_ref(), registration);
         self.log_departure(&name, before.as_ref());
-        if registration == Registration::NewLife {
+        if registration == RegistrationOutcome::NewIncarnation {
             self.discard_earlier_process(&name);
         }
     }
@@ -39,7 +39,7 @@
         for (database, entry_revision) in listing {
             self.register_database(database, entry_revision);
         }
-        let absent = self.directory.borrow().lacking(&present);
+        let absent = self.directory.borrow().absent_from(&present);
         for name in absent {
             self.remove_database(&name, revision);
         }
@@ -62,7 +62,7 @@
     ) -> Option<Database> {
         let directory = self.directory.borrow();
         let listed = directory.get(name)?;
-        if !listed.is_of_this_life(asked_at) {
+        if !listed.is_of_current_incarnation(asked_at) {
             self.counters.count("database_answers", "earlier_life");
             return None;
         }
@@ -76,7 +76,7 @@
         };
         let now = self.now();
         let had_led = self.with_group(&database.group, |state| {
-            let had_led = state.leadership.end_life(name, now);
+            let had_led = state.leadership.end_incarnation(name, now);
             if had_led {
                 state.contact = Contact::default();
                 state.leaderless_since.get_or_insert(now);
@@ -138,7 +138,7 @@
         let now = self.now();
         let open: Vec<Rc<Pool>> = {
             let mut pools = self.pools.borrow_mut();
-            pools.retain(|_, pool| Rc::strong_count(pool) > 1 || !pool.is_forgettable(now));
+            pools.retain(|_, pool| Rc::strong_count(pool) > 1 || !pool.can_be_dropped(now));
             let open = pools.values().filter(|pool| pool.open_connections() > 0);
             open.cloned().collect()
         };
--- a/crates/serving/src/departures.rs
+++ b/crates/serving/src/departures.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 
 use futures::future::join_all;
-use hookpoint_coordination::serving::database_life::DatabaseStart;
-use hookpoint_coordination::serving::departure::{Hearing, Sign};
-use hookpoint_coordination::serving::directory::Listed;
+use hookpoint_coordination::serving::database_incarnation::DatabaseStart;
+use hookpoint_coordination::serving::departure::{DepartureEvidence, LearnedTimes};
+use hookpoint_coordination::serving::directory::DirectoryEntry;
 use hookpoint_state::{DatabaseName, Timestamp};
 use serde::{Deserialize, Serialize};
 
@@ -38,29 +38,29 @@
 
 impl Node {
     /// Returns the time bounds of information that is being applied from the store's feed.
-    pub(crate) fn learned_times(&self) -> Hearing {
-        Hearing {
+    pub(crate) fn learned_times(&self) -> LearnedTimes {
+        LearnedTimes {
             at: self.now(),
             not_before: self.feed.covered_before_last_report(),
         }
     }
 
     /// Returns whether a database may still be given new work.
-    pub(crate) fn takes_new_work(&self, listed: &Listed) -> bool {
+    pub(crate) fn listed_accepts_new_work(&self, listed: &DirectoryEntry) -> bool {
         let limit = self.changeable().drain_limit;
         let in_time = |ends: Timestamp| self.now() < ends;
         listed
             .departure
-            .is_none_or(|departure| in_time(departure.work_ends(limit)))
+            .is_none_or(|departure| in_time(departure.grace_period_end(limit)))
     }
 
     /// Returns whether the database `name` may still be given new work. An unlisted database has
     /// left.
-    pub(crate) fn gets_new_work(&self, name: &DatabaseName) -> bool {
+    pub(crate) fn accepts_new_work(&self, name: &DatabaseName) -> bool {
         let directory = self.directory.borrow();
         directory
             .get(name)
-            .is_some_and(|listed| self.takes_new_work(listed))
+            .is_some_and(|listed| self.listed_accepts_new_work(listed))
     }
 
     /// Returns for how much longer a database gets new work, or `Duration::MAX` if it is not
@@ -70,19 +70,19 @@
         let departure = directory.get(name).and_then(|listed| listed.departure);
         let limit = self.changeable().drain_limit;
         departure.map_or(Duration::MAX, |departure| {
-            departure.work_ends(limit).since(self.now())
+            departure.grace_period_end(limit).since(self.now())
         })
     }
 
     /// Returns when this node learnt that a database is leaving.
-    pub(crate) fn departure_heard_at(&self, name: &DatabaseName) -> Option<Timestamp> {
+    pub(crate) fn departure_learned_at(&self, name: &DatabaseName) -> Option<Timestamp> {
         let directory = self.directory.borrow();
         let departure = directory.get(name)?.departure?;
-        Some(departure.heard_at())
+        Some(departure.learned_at())
     }
 
     /// Returns for how long a database has counted as leaving, or `None` if it is not leaving.
-    pub(crate) fn leaving_for(&self, name: &DatabaseName) -> Option<Duration> {
+    pub(crate) fn draining_for(&self, name: &DatabaseName) -> Option<Duration> {
         let directory = self.directory.borrow();
         let departure = directory.get(name)?.departure?;
         Some(self.now().since(departure.counted_from()))
@@ -91,9 +91,9 @@
     /// Returns the announced departures known here, with their ages.
     pub(crate) fn announced_departures(&self) -> Vec<AnnouncedDeparture> {
         let now = self.now();
-        let report = |listed: &Listed| {
+        let report = |listed: &DirectoryEntry| {
             let departure = listed.departure?;
-            (departure.sign() == Sign::Announced).then(|| AnnouncedDeparture {
+            (departure.evidence() == DepartureEvidence::Announced).then(|| AnnouncedDeparture {
                 database: listed.database.name.clone(),
                 started: listed.database.started,
                 // Rounded up, so that the age never decreases while it is passed on.
@@ -112,12 +112,12 @@
         let mut directory = self.directory.borrow_mut();
         for report in departures {
             let not_before = asked_at - Duration::from_millis(report.age_ms);
-            directory.learn_departure(&report.database, report.started, not_before);
+            directory.apply_departure_bound(&report.database, report.started, not_before);
         }
     }
 
     /// Logs that a database is leaving, unless `before` shows that this was known already.
-    pub(crate) fn log_departure(&self, name: &DatabaseName, before: Option<&Listed>) {
+    pub(crate) fn log_departure(&self, name: &DatabaseName, before: Option<&DirectoryEntry>) {
         let left_before = before.is_some_and(|listed| listed.departure.is_some());
         let directory = self.directory.borrow();
         let listed = directory.get(name).filter(|_| !left_before);
@@ -145,10 +145,11 @@
 /// although other nodes still use them, in particular primaries that are waiting to be replaced.
 pub(crate) fn ask_about_late_departures(node: &Rc<Node>) {
     let asked_at = node.departures_asked_at.get();
-    let is_new = |listed: &Listed| {
+    let is_new = |listed: &DirectoryEntry| {
         listed.departure.is_some_and(|departure| {
-            let late = departure.heard_at().since(departure.counted_from()) > LATE_THRESHOLD;
-            late && departure.sign() == Sign::Announced && departure.heard_at() > asked_at
+            let late = departure.learned_at().since(departure.counted_from()) > LATE_THRESHOLD;
+            late && departure.evidence() == DepartureEvidence::Announced
+                && departure.learned_at() > asked_at
         })
     };
     if node.directory.borrow().leaving().any(is_new) {
--- a/crates/serving/src/evacuation.rs
+++ b/crates/serving/src/evacuation.rs
@@ -8,8 +8,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hookpoint_coordination::serving::evacuation::ZoneStanding;
-use hookpoint_coordination::serving::feed::share_of;
+use hookpoint_coordination::serving::evacuation::ZoneAvailability;
+use hookpoint_coordination::serving::feed::staggered_delay;
 use hookpoint_state::{DatabaseName, GroupName, StoreRevision, Timestamp, ZoneName};
 
 use crate::node::Node;
@@ -43,41 +43,45 @@
 
 impl Node {
     /// Returns what the databases of a zone may be used for at the moment.
-    pub(crate) fn zone_standing(&self, zone: &ZoneName) -> ZoneStanding {
+    pub(crate) fn zone_availability(&self, zone: &ZoneName) -> ZoneAvailability {
         let known = self.evacuations.known.borrow();
         if known.is_empty() {
-            return ZoneStanding::Open;
+            return ZoneAvailability::Open;
         }
         let limit = self.changeable().evacuation_limit;
-        let own_share = || share_of(&self.settings.name, RETURN_SPREAD);
+        let own_share = || staggered_delay(&self.settings.name, RETURN_SPREAD);
         let return_time = self.evacuations.return_time.get_or_init(own_share);
-        known.standing(zone, limit, *return_time, self.now())
+        known.availability(zone, limit, *return_time, self.now())
     }
 
     /// Returns the standing of a database's zone.
-    pub(crate) fn zone_standing_of(&self, name: &DatabaseName) -> ZoneStanding {
+    pub(crate) fn zone_availability_of(&self, name: &DatabaseName) -> ZoneAvailability {
         if self.evacuations.known.borrow().is_empty() {
-            return ZoneStanding::Open;
+            return ZoneAvailability::Open;
         }
         let directory = self.directory.borrow();
-        directory.get(name).map_or(ZoneStanding::Open, |listed| {
-            self.zone_standing(&listed.database.zone)
-        })
+        directory
+            .get(name)
+            .map_or(ZoneAvailability::Open, |listed| {
+                self.zone_availability(&listed.database.zone)
+            })
     }
 
     /// Returns whether nothing may be sent to a database because its zone is evacuated.
-    pub(crate) fn is_shut(&self, name: &DatabaseName) -> bool {
-        self.zone_standing_of(name) == ZoneStanding::Evacuated
+    pub(crate) fn is_in_evacuated_zone(&self, name: &DatabaseName) -> bool {
+        self.zone_availability_of(name) == ZoneAvailability::Evacuated
     }
 
     /// Returns whether all databases of a group are in evacuated zones.
-    pub(crate) fn all_shut(&self, group: &GroupName) -> bool {
+    pub(crate) fn all_in_evacuated_zones(&self, group: &GroupName) -> bool {
         if self.evacuations.known.borrow().is_empty() {
             return false;
         }
         let directory = self.directory.borrow();
         let mut databases = directory.of_group(group);
-        databases.all(|listed| self.zone_standing(&listed.database.zone) == ZoneStanding::Evacuated)
+        databases.all(|listed| {
+            self.zone_availability(&listed.database.zone) == ZoneAvailability::Evacuated
+        })
     }
 
     /// Returns whether statements may still be sent to a database. In a zone under evacuation only
@@ -87,17 +91,18 @@
         let Some(listed) = directory.get(name) else {
             return false;
         };
-        let zone_allows = match self.zone_standing(&listed.database.zone) {
-            ZoneStanding::Open | ZoneStanding::Returning => true,
-            ZoneStanding::Evacuating => self.leads(name),
-            ZoneStanding::Evacuated => false,
+        let zone_allows = match self.zone_availability(&listed.database.zone) {
+            ZoneAvailability::Open | ZoneAvailability::Returning => true,
+            ZoneAvailability::Evacuating => self.leads(name),
+            ZoneAvailability::Evacuated => false,
         };
-        zone_allows && self.takes_new_work(listed)
+        zone_allows && self.listed_accepts_new_work(listed)
     }
 
     /// Returns the known primary of a group if its zone is evacuated.
-    pub(crate) fn shut_leader(&self, group: &GroupName) -> Option<DatabaseName> {
-        self.leader(group).filter(|leader| self.is_shut(leader))
+    pub(crate) fn evacuated_leader(&self, group: &GroupName) -> Option<DatabaseName> {
+        self.leader(group)
+            .filter(|leader| self.is_in_evacuated_zone(leader))
     }
 
     /// Returns the known evacuations: each zone, whether its evacuation is requested, and the
@@ -124,7 +129,7 @@
     ) {
         let since = self.evacuation_counted_from();
         let mut known = self.evacuations.known.borrow_mut();
-        let changed = known.take(zone, requested, revision, since);
+        let changed = known.apply(zone, requested, revision, since);
         drop(known);
         if changed {
             self.note_evacuation(zone, requested, revision);
@@ -225,7 +230,7 @@
 }
 
 fn clear_zone(node: &Rc<Node>, zone: &ZoneName) {
-    let shut = node.zone_standing(zone) == ZoneStanding::Evacuated;
+    let shut = node.zone_availability(zone) == ZoneAvailability::Evacuated;
     let pools = pools_in(node, zone);
     for pool in &pools {
         if shut || !node.leads(pool.database()) {
@@ -233,7 +238,7 @@
             node.note_connections_closed(zone, closed);
         }
         if shut {
-            pool.dismiss_waiters();
+            pool.fail_waiters();
         }
     }
     let connections = pools.iter().map(|pool| pool.in_use()).sum();
--- a/crates/serving/src/explanation.rs
+++ b/crates/serving/src/explanation.rs
@@ -172,7 +172,7 @@
 }
 
 /// Formats one line per event, with a mark where a node's wall clock was stepped.
-pub fn tell(events: &[Event]) -> Vec<String> {
+pub fn format_lines(events: &[Event]) -> Vec<String> {
     let mut lines = Vec::with_capacity(events.len());
     for (index, event) in events.iter().enumerate() {
         let before = events[..index]
--- a/crates/serving/src/second_way.rs
+++ b/crates/serving/src/fallback_connection.rs
@@ -24,7 +24,7 @@
 /// Sends a command that a database answers immediately on the connection of `lease`, and on a new
 /// connection if no answer arrives. If only the new connection is answered, the idle connections
 /// on which nothing was received in the meantime are closed.
-pub(crate) async fn ask(
+pub(crate) async fn query_with_fallback(
     node: &Rc<Node>,
     pool: &Rc<Pool>,
     mut lease: Lease,
@@ -67,7 +67,7 @@
         match pool.open(node, None).await {
             Ok(mut lease) => send_command(&mut lease).await.ok(),
             // The refusal was sent by the database, so the database is responsive.
-            Err(AcquireError::Crowded) => {
+            Err(AcquireError::ConnectionLimitReached) => {
                 node.note_contact(pool.database());
                 Some(())
             }
--- a/crates/serving/src/feed/answering.rs
+++ b/crates/serving/src/feed/answering.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hookpoint_coordination::serving::store_news::Reply;
+use hookpoint_coordination::serving::store_freshness::Reply;
 use hookpoint_state::{StoreRevision, Timestamp};
 use serde::{Deserialize, Serialize};
 use tokio::time::timeout;
@@ -44,7 +44,7 @@
 
 /// A follower's request for changes.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct FollowQuestion {
+pub struct FollowRequest {
     /// Revision up to which the follower knows all changes; the default if it knows nothing.
     pub(super) revision: StoreRevision,
     /// Version of the configuration in force on the follower, or `None` if it has none.
@@ -55,7 +55,7 @@
     pub(super) hold_ms: u64,
 }
 
-impl FollowQuestion {
+impl FollowRequest {
     /// Returns whether the follower has just started. It can use the upstream's state immediately,
     /// like a listing that may be old, and learns whether that state is current as it continues to
     /// follow.
@@ -65,7 +65,7 @@
 }
 
 /// Answers a follower as soon as this node has newer information from the store than the follower.
-pub async fn answer(node: &Rc<Node>, request: &FollowQuestion) -> FeedAnswer {
+pub async fn answer(node: &Rc<Node>, request: &FollowRequest) -> FeedAnswer {
     let feed = &node.feed;
     let asked_at = node.now();
     let known_at = asked_at - Duration::from_millis(request.age_ms);
@@ -77,7 +77,7 @@
         let advanced = feed.advanced.notified();
         let now = node.now();
         let changes = feed.changes_since(request.revision);
-        if request.is_from_new_node() && feed.log.borrow().is_whole() {
+        if request.is_from_new_node() && feed.log.borrow().is_complete() {
             return new_changes_answer(node, request, changes, asked_at);
         }
         let changed = changes.as_ref().is_some_and(|changes| !changes.is_empty());
@@ -105,7 +105,7 @@
 /// a complete listing if some of those are not known.
 fn new_changes_answer(
     node: &Rc<Node>,
-    request: &FollowQuestion,
+    request: &FollowRequest,
     changes: Option<Vec<Rc<StoreChange>>>,
     asked_at: Timestamp,
 ) -> FeedAnswer {
@@ -123,7 +123,7 @@
 /// the store may have been restored without it.
 fn unlisted_configuration(
     node: &Node,
-    request: &FollowQuestion,
+    request: &FollowRequest,
     changes: &[Rc<StoreChange>],
 ) -> Option<StoreChange> {
     let in_force = node.configuration()?;
@@ -142,7 +142,7 @@
 /// complete listing if `after` is `None`.
 fn changes_answer(
     node: &Rc<Node>,
-    request: &FollowQuestion,
+    request: &FollowRequest,
     after: Option<StoreRevision>,
     mut changes: Vec<Rc<StoreChange>>,
     asked_at: Timestamp,
@@ -164,7 +164,7 @@
         everything: after.is_none(),
         steady_ms: millis(now.since(node.store_steady_since.get())),
         // Rounded up, so that the age never decreases while it is passed on.
-        age_ms: millis(now.since(node.feed.reported_at())) + 1,
+        age_ms: millis(now.since(node.feed.known_at())) + 1,
         covered_ms: millis(now.since(node.feed.coverage.borrow().until())) + 1,
         held_ms: millis(now.since(asked_at)),
     }
--- a/crates/serving/src/feed/following.rs
+++ b/crates/serving/src/feed/following.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::feed::{is_small_region, store_upstreams, try_order};
-use hookpoint_coordination::serving::store_news::{LONGEST_WATCH, NewsLimits};
+use hookpoint_coordination::serving::store_freshness::{MAX_WATCH_WAIT, NewsLimits};
 use hookpoint_state::StoreRevision;
 
-use super::answering::{FeedAnswer, FollowQuestion};
+use super::answering::{FeedAnswer, FollowRequest};
 use crate::homes::Peer;
 use crate::link::{self, LinkReply, LinkRequest};
 use crate::node::Node;
@@ -65,15 +65,15 @@
             Ok(followed) => return followed,
             Err(reason) => note_unhelpful_upstream(node, &upstream, reason),
         }
-        node.feed.news.borrow_mut().note_nothing_heard(node.now());
+        node.feed.news.borrow_mut().note_no_update(node.now());
         if is_own_turn(node) {
             return Followed::Nothing;
         }
     }
     let mut news = node.feed.news.borrow_mut();
-    news.note_nothing_heard(node.now());
+    news.note_no_update(node.now());
     if asked.is_empty() {
-        news.ask_all_again();
+        news.clear_excluded();
     }
     Followed::Nothing
 }
@@ -88,7 +88,7 @@
             "peer_failed"
         }
         NoChangesReason::RefusedByStore => {
-            feed.news.borrow_mut().leave_out(&upstream.name, now);
+            feed.news.borrow_mut().exclude(&upstream.name, now);
             "peer_turned_away"
         }
         NoChangesReason::Behind => "peer_behind",
@@ -136,13 +136,13 @@
             }
             // Apart from the time for which the upstream held the request, all of the round trip
             // may have been spent on the answer.
-            let reported_at = node.now().min(asked_at + Duration::from_millis(held_ms));
+            let known_at = node.now().min(asked_at + Duration::from_millis(held_ms));
             node.counters.count("store_followed", "peer");
             let age = Duration::from_millis(age_ms);
             // A starting node may receive an old state, which says nothing about the present one.
             if revision != StoreRevision::default() || age < limits(node).oldest {
-                let covered = reported_at - Duration::from_millis(covered_ms);
-                node.feed.note_relayed_report(reported_at - age, covered);
+                let covered = known_at - Duration::from_millis(covered_ms);
+                node.feed.note_relayed_report(known_at - age, covered);
             }
             note_steady(node, Duration::from_millis(steady_ms));
             Ok(if everything {
@@ -185,9 +185,9 @@
     let now = node.now();
     let (age, hold) = {
         let news = node.feed.news.borrow();
-        (news.age(now), news.hold(now, limits(node)))
+        (news.age(now), news.upstream_timeout(now, limits(node)))
     };
-    let request = LinkRequest::Follow(FollowQuestion {
+    let request = LinkRequest::Follow(FollowRequest {
         revision,
         configuration: node.configuration_version(),
         age_ms: millis(age),
@@ -241,7 +241,7 @@
 /// Returns whether this node watches the store itself at the moment.
 pub fn watches_store(node: &Rc<Node>) -> bool {
     let names = upstream_names(node, |name| {
-        node.is_responsive(name) && node.feed.news.borrow().helps(name, node.now())
+        node.is_responsive(name) && node.feed.news.borrow().may_forward(name, node.now())
     });
     names.is_empty() && node.feed.news.borrow().watches(node.now())
 }
@@ -263,7 +263,7 @@
     let regions = &node.changeable().regions;
     let longest = if is_small_region(&node.settings.zone, &node.registered_nodes(), regions) {
         // No other node follows this one.
-        LONGEST_WATCH
+        MAX_WATCH_WAIT
     } else {
         limits(node).watch
     };
@@ -274,12 +274,12 @@
 /// refuses its calls, this node follows others even if it is the region's watcher.
 fn upstreams(node: &Rc<Node>) -> Vec<Peer> {
     let now = node.now();
-    let turned_away = node.feed.news.borrow().is_turned_away(now);
+    let turned_away = node.feed.news.borrow().is_rejected(now);
     let names = upstream_names(node, |name| {
         if name == node.settings.name {
             return !turned_away;
         }
-        node.is_responsive(name) && node.feed.news.borrow().helps(name, now)
+        node.is_responsive(name) && node.feed.news.borrow().may_forward(name, now)
     });
     names.iter().filter_map(|name| node.peer(name)).collect()
 }
--- a/crates/serving/src/feed/mod.rs
+++ b/crates/serving/src/feed/mod.rs
@@ -1,7 +1,7 @@
 //! Passes changes of the state store from the node that watches it to the other nodes.
 //!
 //! The rules for the age of this node's information, and for where it looks for newer information,
-//! are in `hookpoint_coordination::serving::store_news`.
+//! are in `hookpoint_coordination::serving::store_freshness`.
 
 mod answering;
 mod following;
@@ -13,11 +13,11 @@
 use bytes::Bytes;
 use hookpoint_coordination::serving::departure::Coverage;
 use hookpoint_coordination::serving::feed::ChangeLog;
-use hookpoint_coordination::serving::store_news::StoreNews;
+use hookpoint_coordination::serving::store_freshness::StoreFreshness;
 use hookpoint_state::{StoreRevision, Timestamp};
 use tokio::sync::Notify;
 
-pub use self::answering::{FeedAnswer, FollowQuestion, answer};
+pub use self::answering::{FeedAnswer, FollowRequest, answer};
 pub use self::following::{
     Followed, follow_upstream, is_fresh, is_region_watcher, should_try_store, watch_wait,
     watches_store,
@@ -33,7 +33,7 @@
     /// Store revision up to which this node has applied all changes.
     revision: Cell<StoreRevision>,
     /// Age of this node's information, and the state of the search for newer.
-    news: RefCell<StoreNews>,
+    news: RefCell<StoreFreshness>,
     /// The time up to which every change is known here.
     coverage: RefCell<Coverage>,
     caught_up: Cell<bool>,
@@ -99,7 +99,7 @@
         self.failures.set(0);
         self.caught_up.set(true);
         self.coverage.borrow_mut().extend(covered);
-        self.news.borrow_mut().note_told(when);
+        self.news.borrow_mut().note_store_answer(when);
         self.advanced.notify_waiters();
     }
 
@@ -124,15 +124,15 @@
         self.failures.set(0);
         self.caught_up.set(true);
         self.coverage.borrow_mut().extend(covered);
-        self.news.borrow_mut().note_heard(when);
+        self.news.borrow_mut().note_upstream_answer(when);
         self.advanced.notify_waiters();
     }
 
     /// Records that a call of this node failed or that its answer is overdue. Followers whose
     /// requests wait here are informed immediately.
-    pub fn note_turned_away(&self, now: Timestamp) {
+    pub fn note_rejected(&self, now: Timestamp) {
         self.failures.set(self.failures.get().saturating_add(1));
-        self.news.borrow_mut().note_turned_away(now);
+        self.news.borrow_mut().note_rejected(now);
         self.advanced.notify_waiters();
     }
 
@@ -153,14 +153,14 @@
     }
 
     /// Returns when the store reported, directly or through other nodes, the state known here.
-    pub fn reported_at(&self) -> Timestamp {
-        self.news.borrow().told_at()
+    pub fn known_at(&self) -> Timestamp {
+        self.news.borrow().known_at()
     }
 
     /// Returns the time up to which every change was known before the most recently applied
     /// report: the changes in that report happened later.
     pub(crate) fn covered_before_last_report(&self) -> Timestamp {
-        self.coverage.borrow().before_news()
+        self.coverage.borrow().before_last_update()
     }
 
     /// Returns the pause before upstreams that reported nothing newer are asked again.
--- a/crates/serving/src/follower.rs
+++ b/crates/serving/src/follower.rs
@@ -7,7 +7,7 @@
 
 use hookpoint_coordination::serving::coordinator::CoordinatorRecord;
 use hookpoint_coordination::serving::directory::Database;
-use hookpoint_coordination::serving::store_news::{WatchAnswer, patience};
+use hookpoint_coordination::serving::store_freshness::{WatchAnswer, watch_timeout};
 use hookpoint_state::{DatabaseName, StoreRevision, Timestamp, ZoneName};
 use tokio::time::{sleep, timeout};
 
@@ -102,7 +102,7 @@
             node.feed.note_answered();
             node.store_steady_since.set(node.now());
             note_era(node, &all);
-            let present = freshness == ReadFreshness::Present;
+            let present = freshness == ReadFreshness::Current;
             if present {
                 node.feed.note_store_report(asked_at, asked_at);
             }
@@ -179,7 +179,7 @@
 /// Returns whether a listing states that its era has settled.
 fn marks_era_settled(all: &StoreChanges) -> bool {
     all.changes.iter().any(|change| match &change.record {
-        StoreRecord::Own { key, .. } => settled_era(key) == Some(all.revision.era()),
+        StoreRecord::Fleet { key, .. } => settled_era(key) == Some(all.revision.era()),
         _ => false,
     })
 }
@@ -195,9 +195,9 @@
 /// break.
 fn listing_freshness(node: &Rc<Node>) -> ReadFreshness {
     if node.configuration().is_none() {
-        ReadFreshness::MayBeOld
+        ReadFreshness::Stale
     } else {
-        ReadFreshness::Present
+        ReadFreshness::Current
     }
 }
 
@@ -286,7 +286,7 @@
     let wait = feed::watch_wait(node);
     let asked_at = node.now();
     let mut watch = node.store.watch(revision, wait);
-    let outcome = match timeout(patience(wait), &mut watch).await {
+    let outcome = match timeout(watch_timeout(wait), &mut watch).await {
         Ok(outcome) => outcome,
         Err(_) => match await_late_watch(node, watch, revision).await {
             LateWatch::Answered(outcome) => outcome,
@@ -295,7 +295,7 @@
     };
     match outcome {
         Ok(changes) => Some(apply_watch_answer(node, changes, revision, asked_at, wait).await),
-        Err(StoreError::HistoryGone) => None,
+        Err(StoreError::Compacted) => None,
         Err(error) => {
             note_store_error(node, &error);
             sleep(pause_after_failed_watch(node)).await;
@@ -333,7 +333,7 @@
     revision: StoreRevision,
 ) -> LateWatch {
     node.counters.count("store_followed", "store_late");
-    node.feed.note_turned_away(node.now());
+    node.feed.note_rejected(node.now());
     let following = async {
         loop {
             let followed = feed::follow_upstream(node, revision).await;
@@ -367,7 +367,7 @@
     };
     let pause = gather_pause(&changes.changes);
     node.feed
-        .note_store_report(answer.told_at(), answer.covered());
+        .note_store_report(answer.known_at(), answer.covered());
     let next = apply_changes(node, changes, revision);
     if let Some(pause) = pause {
         sleep(pause).await;
@@ -378,7 +378,7 @@
 /// Returns how long to wait for further changes after these, or `None` if there were none.
 fn gather_pause(changes: &[StoreChange]) -> Option<Duration> {
     let of_member = |change: &StoreChange| match &change.record {
-        StoreRecord::Own { key, .. } => member_name(key).is_some(),
+        StoreRecord::Fleet { key, .. } => member_name(key).is_some(),
         _ => false,
     };
     if changes.is_empty() {
@@ -394,7 +394,7 @@
 
 fn note_store_error(node: &Rc<Node>, error: &StoreError) {
     node.counters.count("store_followed", "store_failed");
-    node.feed.note_turned_away(node.now());
+    node.feed.note_rejected(node.now());
     note_reachable(node, false, &error.to_string());
 }
 
@@ -429,7 +429,7 @@
         match change.record {
             StoreRecord::Evacuation { .. } => {}
             StoreRecord::Database(database) => databases.push((database, change.revision)),
-            StoreRecord::Own { ref key, .. } => {
+            StoreRecord::Fleet { ref key, .. } => {
                 members.extend(member_name(key).map(str::to_owned));
                 coordinated |= is_coordinator_key(key, all.revision.era());
                 apply(node, change);
@@ -488,7 +488,7 @@
                 ],
             );
         }
-        StoreRecord::DatabaseGone(name) => remove_database(node, &name, change.revision),
+        StoreRecord::DatabaseRemoved(name) => remove_database(node, &name, change.revision),
         StoreRecord::Evacuation { zone, requested } => {
             node.apply_evacuation(&zone, requested, change.revision);
         }
@@ -499,7 +499,7 @@
                 remove_database(node, &name, change.revision);
             }
         }
-        StoreRecord::Own { key, value, lease } => {
+        StoreRecord::Fleet { key, value, lease } => {
             apply_own(node, &key, value.as_deref(), lease, change.revision);
         }
     }
@@ -578,7 +578,9 @@
 }
 
 fn housekeeping(node: &Rc<Node>) {
-    node.directory.borrow_mut().note_lasting(node.now());
+    node.directory
+        .borrow_mut()
+        .confirm_restored_entries(node.now());
     let before = node.now() - FORGET_AFTER;
     let forgotten = node.directory.borrow_mut().forget_missing(before);
     departures::ask_about_late_departures(node);
--- a/crates/serving/src/homes.rs
+++ b/crates/serving/src/homes.rs
@@ -10,10 +10,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hookpoint_coordination::serving::failover::Witnesses;
+use hookpoint_coordination::serving::failover::ObserverCounts;
 use hookpoint_coordination::serving::fleet::{Fleet, wins_place};
 use hookpoint_coordination::serving::homes::{
-    ConnectionSharing, HomeCandidate, Start, home_count, rank_homes, tenant_weight,
+    ConnectionSharing, HomeCandidate, StartupProgress, home_count, rank_homes, tenant_weight,
     useful_connections,
 };
 use hookpoint_coordination::serving::placement::Placement;
@@ -217,7 +217,7 @@
     /// Returns how many connections this node may have open to a database; 0 if it is not a home
     /// of it.
     pub fn connection_cap(&self, name: &DatabaseName) -> usize {
-        if !self.knows_fleet() {
+        if !self.membership_is_complete() {
             let cold = self.is_cold(name);
             return if cold { 0 } else { CAP_WITHOUT_MEMBERS };
         }
@@ -226,7 +226,7 @@
 
     /// Returns the other nodes that hold connections to a database, in order of preference.
     pub fn holders(&self, name: &DatabaseName) -> Rc<[Peer]> {
-        if !self.knows_fleet() {
+        if !self.membership_is_complete() {
             return Rc::default();
         }
         Rc::clone(&self.home_view(name).holders)
@@ -258,7 +258,7 @@
         }
         let carriers = holders
             .iter()
-            .filter(|holder| self.may_carry(holder, placement));
+            .filter(|holder| self.may_receive_statement(holder, placement));
         carriers.cloned().collect()
     }
 
@@ -275,7 +275,7 @@
             return true;
         };
         let own = tenant_weight(tenant, &self.settings.name);
-        let may_keep = self.is_carrier(placement);
+        let may_keep = self.may_relay_statement(placement);
         let now = self.now();
         let carriers = self.carriers(name, placement);
         let mut others = carriers
@@ -286,14 +286,14 @@
 
     /// Returns whether the members known to this node can be assumed to be the whole fleet. Until
     /// then it opens only connections that requests are waiting for.
-    pub(crate) fn knows_fleet(&self) -> bool {
+    pub(crate) fn membership_is_complete(&self) -> bool {
         let configured_at = self.configured_at.get();
-        let start = Start {
+        let start = StartupProgress {
             caught_up: self.feed.has_caught_up(),
             registered: self.own_record_revision.get().is_some(),
             configured_for: configured_at.map(|since| self.now().since(since)),
         };
-        start.knows_fleet()
+        start.membership_is_complete()
     }
 
     /// Returns the address of one of the holders, selected by `number`, or `None` if there are
@@ -305,13 +305,13 @@
     }
 
     /// Returns the number of live nodes, and of those that hold connections to `leader`.
-    pub fn witnesses(&self, leader: Option<&DatabaseName>) -> Witnesses {
+    pub fn witnesses(&self, leader: Option<&DatabaseName>) -> ObserverCounts {
         let members = self.live_members();
         let holders = leader.map_or(members, |leader| {
             let view = self.home_view(leader);
             view.holders.len() + usize::from(view.cap > 0)
         });
-        Witnesses { members, holders }
+        ObserverCounts { members, holders }
     }
 
     /// Returns the nodes that are currently registered.
--- a/crates/serving/src/isolation.rs
+++ b/crates/serving/src/isolation.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use hookpoint_coordination::serving::homes::choice_weight;
-use hookpoint_coordination::serving::isolation::{Isolation, IsolationChange, Surroundings};
+use hookpoint_coordination::serving::isolation::{Isolation, IsolationChange, ReachabilityCounts};
 use hookpoint_state::{Timestamp, ZoneName};
 
 use crate::homes::Peer;
@@ -31,7 +31,7 @@
         let in_use = monitored
             .iter()
             .filter_map(|group| groups.get(group))
-            .filter(|state| state.interest.is_in_use(now));
+            .filter(|state| state.group_use.is_in_use(now));
         let (mut all, mut without_primary) = (0, 0);
         for state in in_use {
             all += 1;
@@ -66,12 +66,12 @@
 
     /// Collects what this node observes of the fleet. Peers are probed only if primaries are
     /// missing or the node already counts as isolated.
-    fn surroundings(&self) -> Surroundings {
+    fn surroundings(&self) -> ReachabilityCounts {
         let (groups, groups_without_primary) = self.groups_in_use();
-        let mut seen = Surroundings {
+        let mut seen = ReachabilityCounts {
             groups,
             groups_without_primary,
-            ..Surroundings::default()
+            ..ReachabilityCounts::default()
         };
         if seen.lack_primaries() || self.isolated_since().is_some() {
             let now = self.now();
@@ -108,7 +108,7 @@
     }
     let isolated = node.isolated_since().is_some();
     node.counters.set("node_isolated", u64::from(isolated));
-    if isolated && node.sessions_move_since().is_some() {
+    if isolated && node.unable_to_serve_since().is_some() {
         node.stop_advanced.notify_waiters();
     }
 }
--- a/crates/serving/src/leaders.rs
+++ b/crates/serving/src/leaders.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::directory::{Database, StatedRole};
-use hookpoint_coordination::serving::evacuation::ZoneStanding;
+use hookpoint_coordination::serving::evacuation::ZoneAvailability;
 use hookpoint_coordination::serving::leadership::Confirmation;
 use hookpoint_state::{DatabaseName, GroupName, Position, Timestamp};
 
@@ -74,14 +74,14 @@
         let listed = stated.next()?;
         let usable = stated.next().is_none()
             && listed.departure.is_none()
-            && self.zone_standing(&listed.database.zone) == ZoneStanding::Open;
+            && self.zone_availability(&listed.database.zone) == ZoneAvailability::Open;
         let name = &listed.database.name;
         let contradicted = self.with_group(group, |state| {
             let other_promoted = state
                 .promoting
                 .as_ref()
                 .is_some_and(|(candidate, _)| candidate != name);
-            other_promoted || !state.leadership.may_presume(name)
+            other_promoted || !state.leadership.may_try_as_primary(name)
         });
         (usable && !contradicted).then(|| name.clone())
     }
@@ -110,7 +110,7 @@
             return;
         }
         let now = self.now();
-        let (changed, reign, ended) = self.with_group(&database.group, |state| {
+        let (changed, leadership_period, ended) = self.with_group(&database.group, |state| {
             let led = state.leadership.leader().is_some();
             let changed = state.leadership.confirm(name, proof);
             let ended = led && state.leadership.leader().is_none();
@@ -123,7 +123,7 @@
             } else if state.leadership.leader().is_none() {
                 state.leaderless_since.get_or_insert(now);
             }
-            (changed, state.leadership.reign(), ended)
+            (changed, state.leadership.leadership_period(), ended)
         });
         if ended {
             self.log(
@@ -141,7 +141,7 @@
                 &[
                     ("group", database.group.as_str().into()),
                     ("database", name.as_str().into()),
-                    ("reign", reign.0.into()),
+                    ("reign", leadership_period.0.into()),
                     ("position", proof.position.map(format_position).into()),
                 ],
             );
@@ -150,7 +150,7 @@
     }
 
     /// Applies a proof, requested at `asked_at`, that a database does not lead.
-    pub fn refute_leader(&self, name: &DatabaseName, asked_at: Timestamp) {
+    pub fn reject_leader(&self, name: &DatabaseName, asked_at: Timestamp) {
         let Some(database) = self.database_unless_restarted(name, asked_at) else {
             return;
         };
--- a/crates/serving/src/lease.rs
+++ b/crates/serving/src/lease.rs
@@ -69,12 +69,12 @@
         commands: &[Command],
         limit: Duration,
     ) -> Result<Vec<Answer>, ConnectionError> {
-        if node.is_shut(self.pool.database()) {
+        if node.is_in_evacuated_zone(self.pool.database()) {
             self.connection().broken = true;
             return Err(ConnectionError::NotSent);
         }
         let begins_work = !self.statement_sent && commands.iter().any(Command::is_statement);
-        if begins_work && !node.gets_new_work(self.pool.database()) {
+        if begins_work && !node.accepts_new_work(self.pool.database()) {
             // The connection's recorded values and prepared statements already include the
             // commands that are not sent.
             self.connection().broken = true;
@@ -141,7 +141,7 @@
 
 /// Begins a plain transaction, which only a primary accepts, and records whether the database is
 /// the primary and its position.
-pub async fn prove_leadership(node: &Rc<Node>, lease: &mut Lease) -> Result<(), ConnectionError> {
+pub async fn check_leadership(node: &Rc<Node>, lease: &mut Lease) -> Result<(), ConnectionError> {
     let mut commands = Vec::with_capacity(2);
     if lease.connection().in_transaction {
         commands.push(Command::Rollback);
@@ -153,13 +153,13 @@
     let asked_at = node.now();
     let answers = lease.exchange(node, &commands, CONTROL_LIMIT).await?;
     if let Some(answer) = answers.last() {
-        note_begin(node, lease, asked_at, answer);
+        record_begin_answer(node, lease, asked_at, answer);
     }
     Ok(())
 }
 
 /// Records from the answer to a plain `Begin` whether the database is the primary.
-pub fn note_begin(node: &Rc<Node>, lease: &Lease, asked_at: Timestamp, answer: &Answer) {
+pub fn record_begin_answer(node: &Rc<Node>, lease: &Lease, asked_at: Timestamp, answer: &Answer) {
     let database = lease.pool.database().clone();
     match &answer.result {
         Ok(_) => {
@@ -171,7 +171,7 @@
             node.confirm_leader(&database, proof);
         }
         Err(failure) if failure.code == FailureCode::NotPrimary => {
-            node.refute_leader(&database, asked_at);
+            node.reject_leader(&database, asked_at);
         }
         Err(_) => {}
     }
--- a/crates/serving/src/lib.rs
+++ b/crates/serving/src/lib.rs
@@ -6,7 +6,6 @@
 //! the store. The decision logic is in `hookpoint_coordination::serving`.
 #![forbid(unsafe_code)]
 
-mod attention;
 mod cold_databases;
 mod cold_start;
 pub mod connection;
@@ -14,11 +13,12 @@
 pub mod coordinator_record;
 mod counted_store;
 pub mod counters;
-mod database_life;
+mod database_incarnation;
 mod departures;
 mod evacuation;
 pub mod events;
 pub mod explanation;
+mod fallback_connection;
 pub mod feed;
 pub mod follower;
 pub mod homes;
@@ -28,6 +28,7 @@
 pub mod link;
 pub mod message;
 pub mod monitor;
+mod monitored_groups;
 pub mod node;
 pub mod packed;
 pub mod peer_message;
@@ -41,7 +42,6 @@
 pub mod records;
 pub mod registration;
 pub mod relay;
-mod second_way;
 pub mod session;
 pub mod settings;
 pub mod shutdown;
--- a/crates/serving/src/link.rs
+++ b/crates/serving/src/link.rs
@@ -19,7 +19,7 @@
 
 use crate::connection::Answer;
 use crate::departures::AnnouncedDeparture;
-use crate::feed::{FeedAnswer, FollowQuestion};
+use crate::feed::{FeedAnswer, FollowRequest};
 use crate::homes::Peer;
 use crate::message::Command;
 use crate::node::Node;
@@ -86,7 +86,7 @@
     Release,
     Snapshot,
     /// Requests changes of the store, or newer confirmation that there are none.
-    Follow(FollowQuestion),
+    Follow(FollowRequest),
     /// Requests the times at which databases announced that they are leaving.
     Departures,
 }
--- a/crates/serving/src/monitor/mod.rs
+++ b/crates/serving/src/monitor/mod.rs
@@ -2,20 +2,20 @@
 //!
 //! A plain transaction opened on a database proves that it leads. Such a transaction is opened on
 //! the known primary if that was not confirmed lately, and on every database of a group whose
-//! primary is not known. Only the groups needed on this node are monitored (see `attention`); the
+//! primary is not known. Only the groups needed on this node are monitored (see `monitored_groups`); the
 //! coordinator checks all other groups in turn, a few in each round.
 
-mod questions;
+mod queries;
 
 use std::ops::Bound;
 use std::rc::Rc;
 use std::time::Duration;
 
-use hookpoint_coordination::serving::interest::Interest;
+use hookpoint_coordination::serving::group_use::GroupUse;
 use hookpoint_state::{DatabaseName, GroupName, Timestamp};
 use tokio::time::{sleep, timeout};
 
-use self::questions::{Queries, SEARCH_PAUSE, query_database, reconnect_unreachable};
+use self::queries::{Queries, SEARCH_PAUSE, query_database, reconnect_unreachable};
 use crate::cold_start;
 use crate::evacuation;
 use crate::isolation;
@@ -109,7 +109,7 @@
     confirmed_at: Timestamp,
     is_lost: bool,
     promoting: Option<DatabaseName>,
-    interest: Interest,
+    group_use: GroupUse,
     in_use: bool,
 }
 
@@ -121,8 +121,8 @@
             confirmed_at: state.leadership.confirmed_at(),
             is_lost: state.contact.lost_since.is_some(),
             promoting: state.promoting.as_ref().map(|(name, _)| name.clone()),
-            interest: state.interest,
-            in_use: state.interest.is_in_use(now),
+            group_use: state.group_use,
+            in_use: state.group_use.is_in_use(now),
         })
     }
 }
@@ -132,10 +132,10 @@
         let node = &self.node;
         let now = node.now();
         let view = GroupView::of(node, group);
-        if !view.in_use && !node.knows_fleet() {
+        if !view.in_use && !node.membership_is_complete() {
             return;
         }
-        if node.shut_leader(group).is_some() {
+        if node.evacuated_leader(group).is_some() {
             if view.in_use {
                 self.find_successor(group);
             }
@@ -170,16 +170,16 @@
         let node = &self.node;
         let unconfirmed = node.now().since(view.confirmed_at);
         if node.connection_cap(leader) > 0 {
-            let may_ask = || node.with_group(group, |state| state.interest.take_question());
+            let may_ask = || node.with_group(group, |state| state.group_use.take_query());
             if unconfirmed >= CONFIRMATION_MAX_AGE
                 && !self.queries.is_in_progress(leader)
                 && may_ask()
             {
                 query_database(node, &self.queries, leader, view.in_use);
             }
-        } else if view.interest.wants_samples(node.now()) {
+        } else if view.group_use.wants_samples(node.now()) {
             self.keep_sampled(group, leader, view, CONFIRMATION_MAX_AGE_REMOTE);
-        } else if view.interest.expects_use(node.now()) {
+        } else if view.group_use.expects_use(node.now()) {
             self.keep_sampled(group, leader, view, CONFIRMATION_MAX_AGE_UNUSED);
         }
     }
@@ -206,7 +206,7 @@
     fn sweep(&self, group: &GroupName) {
         let node = &self.node;
         let view = GroupView::of(node, group);
-        if node.shut_leader(group).is_some() || !node.knows_fleet() {
+        if node.evacuated_leader(group).is_some() || !node.membership_is_complete() {
             return;
         }
         let Some(leader) = &view.leader else {
@@ -284,7 +284,7 @@
         let leaderless_since = node.with_group(group, |state| state.leaderless_since);
         let waited_long = leaderless_since.is_none_or(|since| now.since(since) >= PEER_ANSWER_TIME);
         let mut databases = node.by_stated_role(group);
-        if !node.knows_fleet() {
+        if !node.membership_is_complete() {
             databases.truncate(1);
         }
         for database in databases {
--- a/crates/serving/src/monitor/questions.rs
+++ b/crates/serving/src/monitor/queries.rs
@@ -6,18 +6,18 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::placement::Placement;
-use hookpoint_coordination::serving::question_budget::may_ask_afar;
+use hookpoint_coordination::serving::remote_query_budget::may_send_remote_query;
 use hookpoint_coordination::serving::session::SessionValues;
 use hookpoint_state::{DatabaseName, Timestamp};
 use tokio::time::sleep;
 
 use crate::cold_start;
 use crate::connection::ConnectionError;
-use crate::lease::{Lease, prove_leadership};
+use crate::fallback_connection;
+use crate::lease::{Lease, check_leadership};
 use crate::node::Node;
 use crate::pool::{AcquireError, CONTROL_LIMIT, ConnectionRequest, Pool, WaitLimits};
 use crate::relay;
-use crate::second_way;
 
 /// Pause between two queries to the same database while no database is known to lead.
 pub(super) const SEARCH_PAUSE: Duration = Duration::from_millis(100);
@@ -55,11 +55,11 @@
     database: &DatabaseName,
     in_use: bool,
 ) {
-    if node.is_shut(database) {
+    if node.is_in_evacuated_zone(database) {
         return;
     }
     let remote = node.connection_cap(database) == 0;
-    if remote && !may_ask_afar(queries.remote.get(), in_use) {
+    if remote && !may_send_remote_query(queries.remote.get(), in_use) {
         return;
     }
     if !queries.begin(database) {
@@ -103,15 +103,15 @@
     if cap == 0 || !pool.is_reachable() {
         return relay::lease(node, pool, query)
             .await
-            .map_err(|refusal| refusal.or(AcquireError::NotHeld));
+            .map_err(|refusal| refusal.or(AcquireError::Unreachable));
     }
     if pool.open_connections() > 0 && !pool.may_open(node) {
         return Err(AcquireError::TimedOut);
     }
     match pool.open(node, query.principal).await {
-        Err(AcquireError::Crowded) => relay::lease(node, pool, query)
+        Err(AcquireError::ConnectionLimitReached) => relay::lease(node, pool, query)
             .await
-            .map_err(|refusal| refusal.or(AcquireError::Crowded)),
+            .map_err(|refusal| refusal.or(AcquireError::ConnectionLimitReached)),
         other => other,
     }
 }
@@ -125,15 +125,15 @@
             note_error(node, database, asked_at, &error);
             return;
         }
-        Err(AcquireError::NotHeld) => {
+        Err(AcquireError::Unreachable) => {
             node.note_lost_contact(database, asked_at, pool.was_refused());
             return;
         }
         Err(_) => return,
     };
     let asked_at = node.now();
-    let query = async |lease: &mut Lease| prove_leadership(node, lease).await;
-    if let Err(error) = second_way::ask(node, &pool, lease, query).await {
+    let query = async |lease: &mut Lease| check_leadership(node, lease).await;
+    if let Err(error) = fallback_connection::query_with_fallback(node, &pool, lease, query).await {
         note_error(node, database, asked_at, &error);
     }
 }
@@ -155,7 +155,7 @@
 pub(super) fn reconnect_unreachable(node: &Rc<Node>, attempts: &Rc<Queries>) {
     for pool in node.unreachable_pools() {
         let held = node.connection_cap(pool.database()) > 0;
-        if !held || node.is_shut(pool.database()) {
+        if !held || node.is_in_evacuated_zone(pool.database()) {
             continue;
         }
         let database = pool.database().clone();
--- a/crates/serving/src/attention.rs
+++ b/crates/serving/src/monitored_groups.rs
@@ -37,14 +37,14 @@
     /// Records that a caller's request uses a group.
     pub(crate) fn note_use(&self, group: &GroupName) {
         let now = self.now();
-        self.with_group(group, |state| state.interest.note_use(now));
+        self.with_group(group, |state| state.group_use.note_use(now));
         self.monitored_groups.add(group);
     }
 
     /// Records that a caller's request is waiting for a group's primary to become known.
-    pub(crate) fn note_awaited(&self, group: &GroupName) {
+    pub(crate) fn note_primary_awaited(&self, group: &GroupName) {
         let now = self.now();
-        self.with_group(group, |state| state.interest.note_awaited(now));
+        self.with_group(group, |state| state.group_use.note_awaited(now));
         self.monitored_groups.add(group);
     }
 
@@ -52,7 +52,7 @@
     /// connections to it or determines which database leads.
     pub(crate) fn note_relied_on(&self, group: &GroupName) {
         let now = self.now();
-        self.with_group(group, |state| state.interest.note_relied_on(now));
+        self.with_group(group, |state| state.group_use.note_relied_on(now));
         self.monitored_groups.add(group);
     }
 
@@ -97,5 +97,5 @@
 
 fn is_needed(state: &GroupState, coordinates: bool, now: Timestamp) -> bool {
     let needs_primary = state.contact.lost_since.is_some() || state.was_reported(now);
-    !state.interest.is_over(now) || state.being_replaced || (coordinates && needs_primary)
+    !state.group_use.is_unused(now) || state.being_replaced || (coordinates && needs_primary)
 }
--- a/crates/serving/src/node.rs
+++ b/crates/serving/src/node.rs
@@ -9,7 +9,7 @@
 use hookpoint_coordination::serving::coordinator::{ClaimDelay, CoordinatorView};
 use hookpoint_coordination::serving::directory::{Database, Directory, StatedRole};
 use hookpoint_coordination::serving::fencing::FencingToken;
-use hookpoint_coordination::serving::interest::Interest;
+use hookpoint_coordination::serving::group_use::GroupUse;
 use hookpoint_coordination::serving::isolation::Isolation;
 use hookpoint_coordination::serving::leadership::Leadership;
 use hookpoint_coordination::serving::lease_grantor::LeaseGrantor;
@@ -22,7 +22,6 @@
 use serde_json::Value;
 use tokio::sync::Notify;
 
-use crate::attention::MonitoredGroups;
 use crate::cold_databases::ColdDatabases;
 use crate::counted_store::CountedStore;
 use crate::counters::Counters;
@@ -30,6 +29,7 @@
 use crate::feed::Feed;
 use crate::homes::HomeViews;
 use crate::link::Links;
+use crate::monitored_groups::MonitoredGroups;
 use crate::pool::Pool;
 use crate::ports::{LeaseId, PromotionService, StateStore, WireProtocol};
 use crate::reachability::Reachability;
@@ -72,7 +72,7 @@
     /// Contact with the known leader, or with the last one.
     pub contact: Contact,
     /// What this node needs the group for.
-    pub interest: Interest,
+    pub group_use: GroupUse,
     /// The primary that a peer reported as lost (`None` if that peer knew no primary), and when.
     pub reported_lost: Option<(Option<DatabaseName>, Timestamp)>,
     /// When this node last reported that it lacks the primary.
@@ -358,8 +358,8 @@
     }
 
     /// Returns whether this node's information about keys is recent enough to admit callers.
-    pub(crate) fn keys_pass(&self) -> bool {
-        let age = self.now().since(self.feed.reported_at());
+    pub(crate) fn accepts_keys(&self) -> bool {
+        let age = self.now().since(self.feed.known_at());
         self.changeable().revocation.accepts(age)
     }
 
@@ -380,7 +380,7 @@
         let version = configuration.version;
         if self.configuration.borrow_mut().offer(configuration) {
             if let Some(taken) = self.configuration() {
-                self.place_primaries(&taken);
+                self.compute_primary_regions(&taken);
             }
             if self.configured_at.get().is_none() {
                 self.configured_at.set(Some(self.now()));
--- a/crates/serving/src/peers.rs
+++ b/crates/serving/src/peers.rs
@@ -10,7 +10,7 @@
 
 use hookpoint_coordination::serving::coordinator::CoordinatorRecord;
 use hookpoint_coordination::serving::failover::Observation;
-use hookpoint_coordination::serving::leadership::{Confirmation, Reign};
+use hookpoint_coordination::serving::leadership::{Confirmation, LeadershipPeriod};
 use hookpoint_coordination::serving::peer_contact::LONGEST_ROUND_TRIP;
 use hookpoint_state::{DatabaseName, GroupName, StoreRevision, Timestamp};
 use tokio::net::UdpSocket;
@@ -181,7 +181,7 @@
     }
 
     /// Sends token requests as they become due, until the node shuts down.
-    pub async fn send_token_questions(self: Rc<Self>, node: Rc<Node>) {
+    pub async fn send_token_requests(self: Rc<Self>, node: Rc<Node>) {
         loop {
             for (request, address) in node.tokens.due_requests().await {
                 self.send(&request, address);
@@ -415,7 +415,8 @@
             .is_some_and(|known| self.connection_cap(known) > 0);
         self.with_group(group, |state| {
             if known.is_none() {
-                let never_seen = state.leadership.reign() == Reign::default();
+                let never_seen =
+                    state.leadership.leadership_period() == LeadershipPeriod::default();
                 return match state.leaderless_since {
                     Some(since) if never_seen && now.since(since) < FIRST_PRIMARY_TIME => {
                         Observation::Unknown
@@ -432,7 +433,7 @@
                     Observation::Reachable
                 }
                 None => Observation::Unknown,
-                Some(since) if !held => Observation::Unhelped(now.since(since)),
+                Some(since) if !held => Observation::NoHolderAvailable(now.since(since)),
                 Some(since) if state.contact.refused => Observation::Refused(now.since(since)),
                 Some(since) => Observation::Silent(now.since(since)),
             }
--- a/crates/serving/src/placement.rs
+++ b/crates/serving/src/placement.rs
@@ -27,7 +27,7 @@
     }
 
     /// Stores the regions in which a configuration wants the primaries.
-    pub(crate) fn place_primaries(&self, configuration: &Configuration) {
+    pub(crate) fn compute_primary_regions(&self, configuration: &Configuration) {
         *self.primary_regions.borrow_mut() = primary_regions(configuration);
     }
 
@@ -39,17 +39,17 @@
 
     /// Returns whether a peer may receive the text of a statement with this placement. A peer that
     /// is no longer a known member may receive it only if the placement is not restricted.
-    pub(crate) fn may_carry(&self, peer: &Peer, placement: &Placement) -> bool {
+    pub(crate) fn may_receive_statement(&self, peer: &Peer, placement: &Placement) -> bool {
         if !placement.is_restricted() {
             return true;
         }
         let members = self.members.borrow();
         let zone = members.get(&peer.name).map(|member| &member.zone);
-        zone.is_some_and(|zone| placement.may_carry(zone, &self.changeable().regions))
+        zone.is_some_and(|zone| placement.may_forward(zone, &self.changeable().regions))
     }
 
     /// Returns whether this node may carry the text of other nodes' statements with this placement.
-    pub(crate) fn is_carrier(&self, placement: &Placement) -> bool {
-        placement.may_carry(&self.settings.zone, &self.changeable().regions)
+    pub(crate) fn may_relay_statement(&self, placement: &Placement) -> bool {
+        placement.may_forward(&self.settings.zone, &self.changeable().regions)
     }
 }
--- a/crates/serving/src/pool/acquire.rs
+++ b/crates/serving/src/pool/acquire.rs
@@ -7,7 +7,7 @@
 use hookpoint_coordination::serving::tenancy::Principal;
 use hookpoint_state::Timestamp;
 
-use super::place::OpenPermit;
+use super::open_permit::OpenPermit;
 use super::waiters::{Grant, Ticket, Waiters};
 use super::{AcquireError, ConnectionRequest, Pool};
 use crate::connection::{Connection, ConnectionError};
@@ -33,7 +33,7 @@
         request: ConnectionRequest<'_>,
     ) -> Result<Lease, AcquireError> {
         let node = self.node.upgrade().ok_or(AcquireError::Unlisted)?;
-        if node.is_shut(&self.database) {
+        if node.is_in_evacuated_zone(&self.database) {
             return Err(AcquireError::ZoneEvacuated);
         }
         self.note_demand(node.now(), request.principal);
@@ -54,14 +54,14 @@
         let direct = if is_home {
             self.acquire_direct(&node, request).await
         } else {
-            Err(AcquireError::NotHeld)
+            Err(AcquireError::Unreachable)
         };
         match direct {
             Err(AcquireError::Connection(ConnectionError::Rejected(_)))
             | Err(AcquireError::TimedOut | AcquireError::Overloaded)
             | Ok(_) => direct,
             Err(error) => match relay::lease(&node, self, request).await {
-                Err(NoLease::Silent) => self.acquire_as_substitute(&node, request).await,
+                Err(NoLease::NoAnswer) => self.acquire_as_substitute(&node, request).await,
                 outcome => outcome.map_err(|refusal| refusal.or(error)),
             },
         }
@@ -75,9 +75,9 @@
         request: ConnectionRequest<'_>,
     ) -> Result<Lease, AcquireError> {
         if !self.reachable.get() && self.is_suspect(node.now()) {
-            return Err(AcquireError::NotHeld);
+            return Err(AcquireError::Unreachable);
         }
-        if let Some(refusal) = node.not_for_cold(&self.database) {
+        if let Some(refusal) = node.refusal_if_cold(&self.database) {
             return Err(refusal);
         }
         node.counters.count("connections", "substitute");
@@ -86,8 +86,8 @@
     }
 
     /// Checks out a connection that a peer node holds.
-    pub fn lend_relayed(self: &Rc<Self>, connection: Connection) -> Lease {
-        self.lend(connection)
+    pub fn check_out_relayed(self: &Rc<Self>, connection: Connection) -> Lease {
+        self.check_out(connection)
     }
 
     /// Acquires a connection of this node: an idle one, a new one, or the next that becomes free.
@@ -97,14 +97,14 @@
         node: &Rc<Node>,
         request: ConnectionRequest<'_>,
     ) -> Result<Lease, AcquireError> {
-        if node.is_shut(&self.database) {
+        if node.is_in_evacuated_zone(&self.database) {
             return Err(AcquireError::ZoneEvacuated);
         }
         if !self.reachable.get() {
-            return Err(AcquireError::NotHeld);
+            return Err(AcquireError::Unreachable);
         }
         if node.connection_cap(&self.database) == 0 && node.is_cold(&self.database) {
-            return Err(AcquireError::NotHeld);
+            return Err(AcquireError::Unreachable);
         }
         let asked_at = node.now();
         let admitted = node.admit_to_cold(&self.database, &request).await?;
@@ -135,16 +135,16 @@
         }
         if self.may_open_within(cap, node.now()) || self.evict_idle(cap, node.now()) {
             match self.open(node, request.principal).await {
-                Err(AcquireError::Crowded) => {}
+                Err(AcquireError::ConnectionLimitReached) => {}
                 other => return other,
             }
         }
         if self.open.get() == 0 {
-            return Err(AcquireError::Crowded);
+            return Err(AcquireError::ConnectionLimitReached);
         }
         if !self
             .queue(node.now(), request.priority)
-            .admits(request.limits.patience, request.limits.wanted)
+            .admits(request.limits.max_expected_wait, request.limits.purpose)
         {
             return Err(AcquireError::Overloaded);
         }
@@ -156,8 +156,8 @@
         let principal = principal.unwrap_or(&Principal::Anonymous);
         let in_use = self.in_use.borrow().get(principal).copied();
         let waiting = self.waiters.borrow().len_for(principal);
-        let wanted = in_use.unwrap_or_default() + waiting + 1;
-        self.demand.borrow_mut().note(now, principal, wanted);
+        let needed = in_use.unwrap_or_default() + waiting + 1;
+        self.demand.borrow_mut().note(now, principal, needed);
     }
 
     /// Closes the connection that has been idle longest to make room for a new one. Called when no
@@ -198,7 +198,7 @@
         node: &Rc<Node>,
         principal: Option<&Principal>,
     ) -> Result<Lease, AcquireError> {
-        if node.is_shut(&self.database) {
+        if node.is_in_evacuated_zone(&self.database) {
             return Err(AcquireError::ZoneEvacuated);
         }
         let (address, group) = node
@@ -227,25 +227,25 @@
                 permit.mark_opened();
                 connection.last_received_at = node.now();
                 if !self.reachable.replace(true) {
-                    node.doubt_warmth(&self.database);
+                    node.note_possible_restart(&self.database);
                 }
                 if self.open.get() == 1 {
                     node.note_first_connection(&self.database);
                 }
-                Ok(self.lend(connection))
+                Ok(self.check_out(connection))
             }
             Err(ConnectionError::Rejected(failure))
                 if failure.code == FailureCode::TooManyConnections =>
             {
                 self.opening_paused_until
                     .set(node.now() + CONNECTION_LIMIT_PAUSE);
-                Err(AcquireError::Crowded)
+                Err(AcquireError::ConnectionLimitReached)
             }
             Err(error) => {
                 if !matches!(error, ConnectionError::Rejected(_)) {
                     let refused = matches!(error, ConnectionError::Refused(_));
                     self.connection_refused.set(refused);
-                    node.doubt_warmth(&self.database);
+                    node.note_possible_restart(&self.database);
                     self.note_failure(node.now());
                     self.note_unreachable();
                 }
--- a/crates/serving/src/pool/mod.rs
+++ b/crates/serving/src/pool/mod.rs
@@ -4,7 +4,7 @@
 
 mod acquire;
 mod idle;
-mod place;
+mod open_permit;
 mod release;
 mod waiters;
 
@@ -26,10 +26,10 @@
 use self::idle::IdleConnections;
 use self::waiters::Waiters;
 use crate::connection::{Connection, ConnectionError};
+use crate::fallback_connection;
 use crate::lease::Lease;
 use crate::message::Command;
 use crate::node::Node;
-use crate::second_way;
 
 /// Time limit for answers to commands that need no execution slot at the database.
 pub const CONTROL_LIMIT: Duration = Duration::from_millis(450);
@@ -46,9 +46,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WaitLimits {
     /// The request does not join a queue whose expected wait is longer than this.
-    pub patience: Duration,
+    pub max_expected_wait: Duration,
     /// What the connection will be used for.
-    pub wanted: ConnectionUse,
+    pub purpose: ConnectionUse,
     /// The request leaves the queue after this time.
     pub limit: Duration,
 }
@@ -57,7 +57,7 @@
     /// Returns the limits that remain after a request has waited for `waited`.
     pub(crate) fn after(self, waited: Duration) -> Self {
         Self {
-            patience: self.patience.saturating_sub(waited),
+            max_expected_wait: self.max_expected_wait.saturating_sub(waited),
             limit: self.limit.saturating_sub(waited),
             ..self
         }
@@ -66,8 +66,8 @@
     /// Returns limits of a request that joins any queue and leaves it after `limit`.
     pub fn patient(limit: Duration) -> Self {
         Self {
-            patience: Duration::MAX,
-            wanted: ConnectionUse::Statement,
+            max_expected_wait: Duration::MAX,
+            purpose: ConnectionUse::Statement,
             limit,
         }
     }
@@ -100,13 +100,13 @@
     Connection(#[from] ConnectionError),
     /// This node holds no connections to the database, or cannot reach it.
     #[error("this node cannot reach the database by itself")]
-    NotHeld,
+    Unreachable,
     /// The wait queue for the database's connections is too long.
     #[error("the queue for the database's connections is too long")]
     Overloaded,
     /// The database's connection limit is reached, and this node has no connection to it.
     #[error("the database takes no more connections")]
-    Crowded,
+    ConnectionLimitReached,
     /// The database is no longer listed in the directory, or the pool is retired.
     #[error("the database is not listed")]
     Unlisted,
@@ -183,7 +183,7 @@
 
     /// Returns whether the pool can be dropped without losing more than a new pool would have: it
     /// has no connections, no waiting requests and no recent statistics.
-    pub(crate) fn is_forgettable(&self, now: Timestamp) -> bool {
+    pub(crate) fn can_be_dropped(&self, now: Timestamp) -> bool {
         self.open.get() == 0
             && self.in_flight() == 0
             && self.is_reachable()
@@ -246,14 +246,14 @@
         ConnectionQueue {
             ahead: self.waiters.borrow().ahead_of(priority),
             connections: self.open.get(),
-            held: self.usage_time.get().expected(now),
+            mean_hold_time: self.usage_time.get().expected(now),
         }
     }
 
     /// Returns the share of recent statements that failed, in units of 1/[`reliability::WHOLE`].
     ///
     /// [`reliability::WHOLE`]: hookpoint_coordination::serving::reliability::WHOLE
-    pub fn failing(&self, now: Timestamp) -> u32 {
+    pub fn failure_share(&self, now: Timestamp) -> u32 {
         self.reliability.get().failing(now)
     }
 
@@ -309,7 +309,7 @@
         loop {
             let mut connection = self.idle.borrow_mut().take(principal, preferred)?;
             if connection.is_usable() {
-                return Some(self.lend(connection));
+                return Some(self.check_out(connection));
             }
             self.open.set(self.open.get() - 1);
             self.note_closed();
@@ -322,12 +322,12 @@
         if !self.idle.borrow_mut().any_usable()
             && let Some(node) = self.node.upgrade()
         {
-            node.doubt_warmth(&self.database);
+            node.note_possible_restart(&self.database);
         }
     }
 
     /// Counts a connection as in use and wraps it in a lease.
-    fn lend(self: &Rc<Self>, connection: Connection) -> Lease {
+    fn check_out(self: &Rc<Self>, connection: Connection) -> Lease {
         self.leased.set(self.leased.get() + 1);
         let mut in_use = self.in_use.borrow_mut();
         *in_use.entry(connection.principal.clone()).or_default() += 1;
@@ -350,12 +350,12 @@
     /// Closes one idle connection if more are open than were recently needed.
     pub fn trim(&self, is_home: bool, now: Timestamp) {
         let mut demand = self.demand.borrow_mut();
-        let kept = if is_home {
-            demand.kept(now)
+        let limit = if is_home {
+            demand.connections_to_keep(now)
         } else {
-            demand.needed(now)
+            demand.recent_peak(now)
         };
-        if self.open.get() <= kept {
+        if self.open.get() <= limit {
             return;
         }
         if self.idle.borrow_mut().take_oldest().is_some() {
@@ -367,7 +367,7 @@
     /// execution slot on an idle connection. Without an answer the database is marked as
     /// unreachable.
     pub(crate) fn verify_reachable(self: &Rc<Self>, node: &Rc<Node>) {
-        if node.is_shut(&self.database) || self.verifying.replace(true) {
+        if node.is_in_evacuated_zone(&self.database) || self.verifying.replace(true) {
             return;
         }
         let pool = Rc::clone(self);
@@ -395,7 +395,7 @@
             let answers = lease.connection().exchange(&commands, CONTROL_LIMIT).await;
             answers.map(drop)
         };
-        second_way::ask(node, self, lease, send_rollback)
+        fallback_connection::query_with_fallback(node, self, lease, send_rollback)
             .await
             .is_ok()
     }
@@ -418,7 +418,7 @@
     pub(crate) fn retire(&self) {
         self.retired.set(true);
         self.close_idle();
-        self.dismiss_waiters();
+        self.fail_waiters();
     }
 
     /// Closes the idle connections; returns their number.
@@ -429,7 +429,7 @@
     }
 
     /// Makes all requests that wait for a connection fail.
-    pub(crate) fn dismiss_waiters(&self) {
+    pub(crate) fn fail_waiters(&self) {
         self.waiters.borrow_mut().dismiss_all();
     }
 }
--- a/crates/serving/src/pool/release.rs
+++ b/crates/serving/src/pool/release.rs
@@ -5,7 +5,7 @@
 
 use hookpoint_coordination::serving::tenancy::Principal;
 
-use super::place::OpenPermit;
+use super::open_permit::OpenPermit;
 use super::waiters::{Grant, Waiter};
 use super::{Pool, note_time};
 use crate::connection::Connection;
@@ -33,7 +33,7 @@
         let Some(node) = self.node.upgrade() else {
             return;
         };
-        if node.is_shut(&self.database) {
+        if node.is_in_evacuated_zone(&self.database) {
             // Closing the connection makes the database roll back its transaction.
             self.open.set(self.open.get() - 1);
             return;
@@ -53,7 +53,7 @@
     /// rollback again.
     fn spawn_roll_back(self: &Rc<Self>, node: &Rc<Node>, mut connection: Connection) {
         connection.broken = true;
-        let mut lease = self.lend(connection);
+        let mut lease = self.check_out(connection);
         let node = Rc::clone(node);
         tokio::task::spawn_local(async move {
             lease.connection().broken = false;
@@ -87,7 +87,7 @@
                 self.pass_permit_on(node, OpenPermit::from_closed(self), waiter);
                 return None;
             }
-            let lease = Box::new(self.lend(connection));
+            let lease = Box::new(self.check_out(connection));
             match waiter.sender.send(Grant::Connection(lease)) {
                 Ok(()) => return None,
                 Err(Grant::Connection(mut lease)) => {
--- a/crates/serving/src/pool/waiters.rs
+++ b/crates/serving/src/pool/waiters.rs
@@ -2,12 +2,12 @@
 
 use std::collections::BTreeMap;
 
+use hookpoint_coordination::serving::queue_order::{QueuedRequest, next_waiter_index};
 use hookpoint_coordination::serving::tenancy::Principal;
-use hookpoint_coordination::serving::turns::{Waiting, next_turn};
 use hookpoint_state::Timestamp;
 use tokio::sync::oneshot;
 
-use super::place::OpenPermit;
+use super::open_permit::OpenPermit;
 use crate::lease::Lease;
 
 /// Key in the queue: priority, then order of arrival.
@@ -90,12 +90,15 @@
 
     /// Removes and returns the request that is next when a connection of `principal` becomes free.
     pub(super) fn take_next(&mut self, principal: &Principal, now: Timestamp) -> Option<Waiter> {
-        let waiting = self.queue.iter().map(|((priority, _), waiter)| Waiting {
-            priority: *priority,
-            principal: waiter.principal.as_ref(),
-            waited: now.since(waiter.since),
-        });
-        let index = next_turn(waiting, principal)?;
+        let waiting = self
+            .queue
+            .iter()
+            .map(|((priority, _), waiter)| QueuedRequest {
+                priority: *priority,
+                principal: waiter.principal.as_ref(),
+                waited: now.since(waiter.since),
+            });
+        let index = next_waiter_index(waiting, principal)?;
         let ticket = *self.queue.keys().nth(index)?;
         self.queue.remove(&ticket)
     }
--- a/crates/serving/src/ports.rs
+++ b/crates/serving/src/ports.rs
@@ -45,10 +45,10 @@
     /// The history after the given revision is no longer available, possibly together with its
     /// era: everything must be read again.
     #[error("the state store no longer has the requested history")]
-    HistoryGone,
+    Compacted,
     /// The lease has expired or was ended.
     #[error("the lease has expired or was ended")]
-    LeaseOver,
+    LeaseExpired,
     /// The answer could not be decoded.
     #[error("the answer of the state store cannot be decoded: {0}")]
     Unreadable(String),
@@ -66,7 +66,8 @@
     /// The registration of a database.
     Database(Database),
     /// The registration of a database was removed.
-    DatabaseGone(DatabaseName),
+    #[serde(rename = "DatabaseGone")]
+    DatabaseRemoved(DatabaseName),
     /// The operator's request to stop using the databases of a zone, or the end of that request.
     Evacuation {
         /// The zone concerned.
@@ -82,7 +83,8 @@
         reason: String,
     },
     /// A record written by the nodes themselves.
-    Own {
+    #[serde(rename = "Own")]
+    Fleet {
         /// Key without the fleet's prefix.
         key: String,
         /// The value, or `None` if the record was removed.
@@ -111,7 +113,8 @@
     /// The evacuation of a zone.
     Evacuation(ZoneName),
     /// A key of a record written by the nodes.
-    Own(String),
+    #[serde(rename = "Own")]
+    Fleet(String),
 }
 
 impl StoreRecord {
@@ -120,12 +123,12 @@
     pub fn gone(subject: &ChangeSubject) -> Option<Self> {
         match subject {
             ChangeSubject::Configuration => None,
-            ChangeSubject::Database(name) => Some(StoreRecord::DatabaseGone(name.clone())),
+            ChangeSubject::Database(name) => Some(StoreRecord::DatabaseRemoved(name.clone())),
             ChangeSubject::Evacuation(zone) => Some(StoreRecord::Evacuation {
                 zone: zone.clone(),
                 requested: false,
             }),
-            ChangeSubject::Own(key) => Some(StoreRecord::Own {
+            ChangeSubject::Fleet(key) => Some(StoreRecord::Fleet {
                 key: key.clone(),
                 value: None,
                 lease: None,
@@ -138,10 +141,10 @@
         match self {
             StoreRecord::Configuration(_) => ChangeSubject::Configuration,
             StoreRecord::Database(database) => ChangeSubject::Database(database.name.clone()),
-            StoreRecord::DatabaseGone(name) => ChangeSubject::Database(name.clone()),
+            StoreRecord::DatabaseRemoved(name) => ChangeSubject::Database(name.clone()),
             StoreRecord::Evacuation { zone, .. } => ChangeSubject::Evacuation(zone.clone()),
             StoreRecord::Unreadable { subject, .. } => subject.clone(),
-            StoreRecord::Own { key, .. } => ChangeSubject::Own(key.clone()),
+            StoreRecord::Fleet { key, .. } => ChangeSubject::Fleet(key.clone()),
         }
     }
 }
@@ -182,10 +185,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadFreshness {
     /// The state at the moment of the call.
-    Present,
+    Current,
     /// The state may be seconds old, which makes the read cheap. Watching from its revision
     /// catches up.
-    MayBeOld,
+    Stale,
 }
 
 /// The service that stores the fleet's durable state.
@@ -194,7 +197,7 @@
     /// Reads all records that concern the fleet.
     async fn read_all(&self, freshness: ReadFreshness) -> Result<StoreChanges, StoreError>;
     /// Reads the records written by the nodes whose keys begin with `prefix`.
-    async fn read_own(
+    async fn read_fleet_records(
         &self,
         prefix: &str,
         freshness: ReadFreshness,
--- a/crates/serving/src/primary_lease.rs
+++ b/crates/serving/src/primary_lease.rs
@@ -47,7 +47,7 @@
 
 /// Time without a lease after which requests that need a primary are refused immediately: the
 /// callers reach other nodes sooner than this one gets a lease again.
-pub(crate) const LAPSE_PASSES: Duration = Duration::from_millis(300);
+pub(crate) const LEASE_RECOVERY_LIMIT: Duration = Duration::from_millis(300);
 /// Time without a lease after which idle sessions are closed. By then callers are no longer routed
 /// to this node.
 const SESSIONS_MOVE_AFTER: Duration = Duration::from_millis(2_200);
@@ -61,7 +61,7 @@
             continue;
         }
         renew(&node, &peers);
-        if node.sessions_move_since().is_some() {
+        if node.unable_to_serve_since().is_some() {
             node.stop_advanced.notify_waiters();
         }
         let now = node.now();
@@ -199,7 +199,9 @@
 
 /// Records a coordinator reported by a peer.
 pub(crate) fn learn_coordinator(node: &Node, revision: StoreRevision, name: &str) {
-    node.coordinator.borrow_mut().learn(revision, name);
+    node.coordinator
+        .borrow_mut()
+        .note_announcement(revision, name);
     node.lease_due.notify_one();
 }
 
@@ -213,7 +215,7 @@
 ) -> bool {
     node.coordinator
         .borrow_mut()
-        .learn(coordinator, coordinator_name);
+        .note_announcement(coordinator, coordinator_name);
     node.learn_promotion(announcement);
     let now = node.now();
     let ended = node.with_group(&announcement.group, |state| {
@@ -237,7 +239,7 @@
     fn answer_lease(&self, peer: &str, request: &LeaseRequest) -> LeaseAnswer {
         let electorate = Electorate {
             voters: self.voters().len(),
-            store_heard_at: self.store_answered_at.get(),
+            store_known_at: self.store_answered_at.get(),
         };
         let coordinator = self.primary_lease.borrow().coordinator();
         let mut grantor = self.grantor.borrow_mut();
@@ -344,7 +346,7 @@
         if let Some(replaced) = replaced
             && !self.changeable().fenced_promotions
         {
-            self.refute_leader(&replaced, now);
+            self.reject_leader(&replaced, now);
         }
     }
 
@@ -395,7 +397,7 @@
 
     /// Returns since when this node has lacked what it needs to serve callers, if that has lasted
     /// so long that existing sessions should move to other nodes.
-    pub(crate) fn sessions_move_since(&self) -> Option<Timestamp> {
+    pub(crate) fn unable_to_serve_since(&self) -> Option<Timestamp> {
         let now = self.now();
         self.lease_lapsed_since()
             .or_else(|| self.not_counted_since())
--- a/crates/serving/src/reachability.rs
+++ b/crates/serving/src/reachability.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hookpoint_coordination::serving::peer_contact::{Approach, PeerContacts, Waiting};
+use hookpoint_coordination::serving::peer_contact::{Approach, PeerContacts, WaitAction};
 use hookpoint_state::Timestamp;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
@@ -38,7 +38,7 @@
 impl Reachability {
     /// Returns whether a request may be sent to a peer. A silent peer is probed from time to time.
     pub fn may_ask(&self, peer: &Peer, now: Timestamp) -> bool {
-        let approach = self.contacts.borrow_mut().approach(&peer.name, now);
+        let approach = self.contacts.borrow_mut().check_send(&peer.name, now);
         if approach == Approach::AvoidAndProbe {
             self.probe(peer);
         }
@@ -82,7 +82,7 @@
         .reachability
         .contacts
         .borrow_mut()
-        .note_heard(peer, node.now());
+        .note_received(peer, node.now());
     if let Some(away) = silent_for {
         node.log(
             "peer_regained",
@@ -132,12 +132,12 @@
             .borrow_mut()
             .waiting(&peer.name, since, now);
         match next {
-            Waiting::For(pause) => pause_for(node, pause).await,
-            Waiting::Probe => {
+            WaitAction::For(pause) => pause_for(node, pause).await,
+            WaitAction::Probe => {
                 node.reachability.probe(peer);
                 probe_alternatives(node, (peer, since), alternatives, now);
             }
-            Waiting::GiveUp => {
+            WaitAction::GiveUp => {
                 note_given_up(node, &peer.name);
                 return;
             }
--- a/crates/serving/src/records.rs
+++ b/crates/serving/src/records.rs
@@ -20,14 +20,14 @@
 pub const PROMOTION_PREFIX: &str = "promotions/";
 
 /// Returns the key prefix of the nodes in the same part of a zone as the node `name`.
-pub fn member_part(zone: &ZoneName, name: &str) -> String {
+pub fn member_part_prefix(zone: &ZoneName, name: &str) -> String {
     let part = choice_weight("part", name) % PARTS_PER_ZONE;
     format!("{MEMBER_PREFIX}{}/{part}/", zone.as_str())
 }
 
 /// Returns the key of the member record of the node `name`.
 pub fn member_key(zone: &ZoneName, name: &str) -> String {
-    format!("{}{name}", member_part(zone, name))
+    format!("{}{name}", member_part_prefix(zone, name))
 }
 
 /// Returns the key of the coordinator record in an era of the store. Because the era is part of
--- a/crates/serving/src/registration.rs
+++ b/crates/serving/src/registration.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hookpoint_coordination::serving::feed::share_of;
+use hookpoint_coordination::serving::feed::staggered_delay;
 use tokio::time::sleep;
 
 use crate::node::Node;
@@ -38,7 +38,7 @@
             Ok(lease) => {
                 renew_until_expired(&node, lease).await;
                 node.log("lease_lost", &[]);
-                pause = share_of(&node.settings.name, REREGISTRATION_SPREAD);
+                pause = staggered_delay(&node.settings.name, REREGISTRATION_SPREAD);
             }
             Err(error) => {
                 pause = pause.max(RETRY_PAUSE);
@@ -68,7 +68,7 @@
                 return Ok(lease);
             }
             // The lease has expired: the attempt cost no more than one cheap call.
-            Err(StoreError::LeaseOver) => {}
+            Err(StoreError::LeaseExpired) => {}
             Err(error) => return Err(error),
         }
     }
@@ -143,7 +143,7 @@
         let renewed = renew(node, lease, record_vanished).await;
         due_at = match renewed {
             Ok(()) => now + lease_time / RENEWAL_DIVISOR,
-            Err(StoreError::LeaseOver) => return,
+            Err(StoreError::LeaseExpired) => return,
             Err(_) => {
                 node.counters.count("lease_renewals", "failed");
                 now + lease_time / RETRY_DIVISOR
--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -22,7 +22,7 @@
 use crate::connection::{Answer, Connection, ConnectionError};
 use crate::feed;
 use crate::homes::Peer;
-use crate::lease::{Lease, note_begin};
+use crate::lease::{Lease, record_begin_answer};
 use crate::link::{
     self, LINK_SLACK, LinkReply, LinkRequest, LinkStream, SkipReason, framed, receive, send,
 };
@@ -97,15 +97,15 @@
 pub async fn lease(
     node: &Rc<Node>,
     pool: &Rc<Pool>,
-    wanted: ConnectionRequest<'_>,
+    request: ConnectionRequest<'_>,
 ) -> Result<Lease, NoLease> {
     let database = pool.database();
-    let limit = wanted.limits.limit;
+    let limit = request.limits.limit;
     let mut asked = 0;
-    let mut refusal = NoLease::NotLent;
-    let principal = wanted.principal.unwrap_or(&Principal::Anonymous);
-    let holders = node.holders_for(database, principal, wanted.placement);
-    let request = lease_request(database, wanted);
+    let mut refusal = NoLease::NoneAvailable;
+    let principal = request.principal.unwrap_or(&Principal::Anonymous);
+    let holders = node.holders_for(database, principal, request.placement);
+    let link_request = lease_request(database, request);
     let mut responsive = 0;
     for peer in holders.iter() {
         if asked == MAX_PEERS_ASKED {
@@ -117,11 +117,11 @@
         let mut skip_reason = node.links.skip_reason(&peer.name, database, node.now());
         if skip_reason.is_none() {
             asked += 1;
-            match request_lease(node, peer, &holders, &request, limit).await {
+            match request_lease(node, peer, &holders, &link_request, limit).await {
                 Ok(granted) => {
                     let connection = granted.into_connection(database, principal);
                     node.counters.count("relayed_leases", "granted");
-                    return Ok(pool.lend_relayed(connection));
+                    return Ok(pool.check_out_relayed(connection));
                 }
                 Err(PeerRefusal::Overloaded) => {
                     node.counters.count("relayed_leases", "overloaded");
@@ -139,12 +139,12 @@
                 }
             }
         }
-        if counts_as_responsive(skip_reason, wanted.placement) {
+        if counts_as_responsive(skip_reason, request.placement) {
             responsive += 1;
         }
     }
     if responsive == 0 && !node.holders(database).is_empty() {
-        refusal = NoLease::Silent;
+        refusal = NoLease::NoAnswer;
     }
     Err(refusal)
 }
@@ -158,15 +158,15 @@
     skip_reason != Some(SkipReason::Broken) || !placement.is_restricted()
 }
 
-fn lease_request(database: &DatabaseName, wanted: ConnectionRequest<'_>) -> LinkRequest {
-    let limits = wanted.limits;
+fn lease_request(database: &DatabaseName, request: ConnectionRequest<'_>) -> LinkRequest {
+    let limits = request.limits;
     LinkRequest::Lease {
         database: database.clone(),
-        principal: wanted.principal.cloned(),
-        priority: wanted.priority,
-        values: wanted.values.clone(),
-        wanted: limits.wanted,
-        patience_ms: millis(limits.patience),
+        principal: request.principal.cloned(),
+        priority: request.priority,
+        values: request.values.clone(),
+        wanted: limits.purpose,
+        patience_ms: millis(limits.max_expected_wait),
         limit_ms: millis(limits.limit),
     }
 }
@@ -175,7 +175,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoLease {
     /// None of the peers asked has a connection to lease.
-    NotLent,
+    NoneAvailable,
     /// The queue of the last peer that answered is too long.
     Overloaded,
     /// The database has just started, and the budgets of the peers asked are used up.
@@ -184,14 +184,14 @@
         retry_after: Duration,
     },
     /// None of the nodes that hold connections and may be asked responds.
-    Silent,
+    NoAnswer,
 }
 
 impl NoLease {
     /// Converts to the error to report; `otherwise` if the peers' refusals give no reason.
     pub(crate) fn or(self, otherwise: AcquireError) -> AcquireError {
         match self {
-            NoLease::NotLent | NoLease::Silent => otherwise,
+            NoLease::NoneAvailable | NoLease::NoAnswer => otherwise,
             NoLease::Overloaded => AcquireError::Overloaded,
             NoLease::Cold { retry_after } => AcquireError::Cold { retry_after },
         }
@@ -353,20 +353,20 @@
 async fn lend(
     node: &Rc<Node>,
     database: &DatabaseName,
-    wanted: ConnectionRequest<'_>,
+    request: ConnectionRequest<'_>,
 ) -> Result<LentConnection, AcquireError> {
     if node.stop_stage() >= StopStage::CloseIdle {
-        return Err(AcquireError::NotHeld);
+        return Err(AcquireError::Unreachable);
     }
     // A peer that does not know yet that the database is leaving turns to another holder. If the
     // connection were lent, its statements would be refused only when they are sent, again and
     // again.
-    if wanted.principal.is_some() && !node.gets_new_work(database) {
-        return Err(AcquireError::NotHeld);
+    if request.principal.is_some() && !node.accepts_new_work(database) {
+        return Err(AcquireError::Unreachable);
     }
     let pool = node.pool(database);
-    let lease = pool.acquire_direct(node, wanted).await?;
-    let label = match wanted.principal {
+    let lease = pool.acquire_direct(node, request).await?;
+    let label = match request.principal {
         Some(_) => {
             node.note_lent_statement(database);
             "for_statement"
@@ -403,11 +403,11 @@
             } => {
                 drop(held.take());
                 let limits = WaitLimits {
-                    wanted,
-                    patience: Duration::from_millis(patience_ms),
+                    purpose: wanted,
+                    max_expected_wait: Duration::from_millis(patience_ms),
                     limit: Duration::from_millis(limit_ms),
                 };
-                let wanted = ConnectionRequest {
+                let request = ConnectionRequest {
                     principal: principal.as_ref(),
                     priority,
                     values: &values,
@@ -415,7 +415,7 @@
                     placement: &Placement::unrestricted(),
                     limits,
                 };
-                match lend(&node, &database, wanted).await {
+                match lend(&node, &database, request).await {
                     Ok(lent) => granted(&mut held.insert(lent).lease),
                     Err(AcquireError::Overloaded | AcquireError::TimedOut) => LinkReply::Overloaded,
                     Err(AcquireError::Cold { retry_after }) => LinkReply::Cold {
@@ -494,7 +494,7 @@
             read_only: false, ..
         } = command
         {
-            note_begin(node, lease, asked_at, answer);
+            record_begin_answer(node, lease, asked_at, answer);
         }
     }
 }
--- a/crates/serving/src/session/admission.rs
+++ b/crates/serving/src/session/admission.rs
@@ -16,8 +16,8 @@
         let configuration = self.node.configuration().ok_or_else(not_configured)?;
         let route = configuration.routes.get(&self.database);
         let route = route.ok_or_else(no_such_database)?;
-        let keys_pass = self.node.keys_pass();
-        let identified = identify(&configuration.tenants, route, &self.key, keys_pass);
+        let accepts_keys = self.node.accepts_keys();
+        let identified = identify(&configuration.tenants, route, &self.key, accepts_keys);
         match identified {
             Ok(principal) => Ok((Rc::clone(route), principal)),
             Err(denial) => Err(self.denied(denial)),
@@ -49,8 +49,8 @@
         }
         let configuration = self.node.configuration()?;
         let route = &transaction.route;
-        let keys_pass = self.node.keys_pass();
-        match identify(&configuration.tenants, route, &self.key, keys_pass) {
+        let accepts_keys = self.node.accepts_keys();
+        match identify(&configuration.tenants, route, &self.key, accepts_keys) {
             Ok(principal) if principal == transaction.principal => None,
             Ok(_) => Some(rolled_back()),
             Err(denial) => Some(self.denied(denial)),
--- a/crates/serving/src/session/mod.rs
+++ b/crates/serving/src/session/mod.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::{Bytes, BytesMut};
-use hookpoint_coordination::serving::leadership::ReignPosition;
+use hookpoint_coordination::serving::leadership::PeriodPosition;
 use hookpoint_coordination::serving::session::{Access, Phase, SessionState};
 use hookpoint_coordination::serving::tenancy::{KeyDigest, Principal};
 use hookpoint_coordination::serving::topology::Route;
@@ -102,7 +102,7 @@
     /// Digest of the key that the caller sent.
     key: KeyDigest,
     state: SessionState,
-    own_position: Option<ReignPosition>,
+    own_position: Option<PeriodPosition>,
     transaction: Option<Transaction>,
 }
 
@@ -225,7 +225,7 @@
     /// Returns whether the session should be closed so that its caller reconnects to another node:
     /// this node has been cut off since the session began.
     fn caller_must_reconnect(&self) -> bool {
-        let since = self.node.sessions_move_since();
+        let since = self.node.unable_to_serve_since();
         since.is_some_and(|since| self.began_at < since)
     }
 
@@ -264,7 +264,7 @@
             .as_ref()
             .map(|lease| lease.pool().database());
         let Some(database) = database
-            .filter(|database| self.node.is_shut(database))
+            .filter(|database| self.node.is_in_evacuated_zone(database))
             .cloned()
         else {
             return;
--- a/crates/serving/src/start.rs
+++ b/crates/serving/src/start.rs
@@ -18,7 +18,7 @@
 use crate::homes::Peer;
 use crate::node::Node;
 use crate::ports::{ReadFreshness, StoreChanges, StoreError, StoreRecord};
-use crate::records::{MemberRecord, decode, member_part};
+use crate::records::{MemberRecord, decode, member_part_prefix};
 use crate::registration;
 
 /// Time within which processes that lost power together start. Until then a peer that refuses
@@ -58,14 +58,17 @@
 /// Returns the registered nodes in this node's part of its zone. When the whole fleet starts for
 /// the first time, waits until this node is among them, as the others have registered by then.
 async fn read_nearby_members(node: &Rc<Node>) -> Result<Vec<MemberRecord>, StoreError> {
-    let part = member_part(&node.settings.zone, &node.settings.name);
+    let part = member_part_prefix(&node.settings.zone, &node.settings.name);
     let mut reads = 0;
     loop {
         if node.settings.first_start {
             sleep(FIRST_START_PAUSE).await;
         }
         reads += 1;
-        let read = node.store.read_own(&part, ReadFreshness::MayBeOld).await?;
+        let read = node
+            .store
+            .read_fleet_records(&part, ReadFreshness::Stale)
+            .await?;
         node.feed.note_answered();
         find_own_lease(node, &read);
         note_reachable(node, true, "read");
@@ -85,7 +88,7 @@
     let own = registration::own_member_record(node);
     let is_own = |value: &Option<Bytes>| value.as_deref().and_then(decode) == Some(own.clone());
     let lease = read.changes.iter().find_map(|change| match &change.record {
-        StoreRecord::Own { value, lease, .. } if is_own(value) => *lease,
+        StoreRecord::Fleet { value, lease, .. } if is_own(value) => *lease,
         _ => None,
     });
     node.lease_found.set(lease);
@@ -93,7 +96,7 @@
 
 fn member_records(read: StoreChanges) -> Vec<MemberRecord> {
     let record = |record| match record {
-        StoreRecord::Own { value, .. } => value.as_deref().and_then(decode),
+        StoreRecord::Fleet { value, .. } => value.as_deref().and_then(decode),
         _ => None,
     };
     let changes = read.changes.into_iter();
--- a/crates/serving/src/statement/attempt.rs
+++ b/crates/serving/src/statement/attempt.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use hookpoint_coordination::serving::admission::{ConnectionUse, patience};
-use hookpoint_coordination::serving::attempt_limit::read_attempt_limit;
+use hookpoint_coordination::serving::admission::{ConnectionUse, max_queue_wait};
+use hookpoint_coordination::serving::attempt_limit::read_attempt_timeout;
 use hookpoint_coordination::serving::leadership::Confirmation;
 use hookpoint_coordination::serving::placement::Placement;
 use hookpoint_coordination::serving::session::Access;
 use hookpoint_state::{DatabaseName, Position, Timestamp};
 
-use super::stance::TransactionMode;
 use super::target::Target;
+use super::transaction_mode::TransactionMode;
 use super::{Request, Work, min_attempt_time, prepared_name};
 use crate::connection::{Answer, ConnectionError};
 use crate::lease::Lease;
@@ -79,14 +79,14 @@
     ) -> Attempt {
         let pool = self.node.pool(target.database());
         let asked_at = self.node.now();
-        let wanted = ConnectionRequest {
+        let request = ConnectionRequest {
             principal: Some(self.principal),
             priority: self.route.priority,
             values: &self.state.values,
             placement: target.placement(),
             limits: self.wait_limits(work, in_transaction, target.database()),
         };
-        let acquired = pool.acquire(wanted).await;
+        let acquired = pool.acquire(request).await;
         let now = self.node.now();
         let waited = now.since(asked_at);
         pool.note_wait(now, waited);
@@ -99,7 +99,7 @@
                     .note_lost_contact(target.database(), asked_at, refused);
                 return Attempt::NotRun(AttemptFailure::NoConnection);
             }
-            Err(AcquireError::NotHeld) => {
+            Err(AcquireError::Unreachable) => {
                 self.node
                     .note_lost_contact(target.database(), asked_at, pool.was_refused());
                 return Attempt::NotRun(AttemptFailure::NoConnection);
@@ -136,7 +136,7 @@
         if !self.still_allows(placement) {
             return Attempt::NotRun(AttemptFailure::PlacementChanged);
         }
-        if !self.node.gets_new_work(lease.pool().database()) {
+        if !self.node.accepts_new_work(lease.pool().database()) {
             return Attempt::NotRun(AttemptFailure::NotSent);
         }
         let mut commands = match self.prepare_connection(&mut lease, mode).await {
@@ -257,14 +257,14 @@
         database: &DatabaseName,
     ) -> WaitLimits {
         let elapsed = self.node.now().since(self.arrived);
-        let wanted = if in_transaction {
+        let purpose = if in_transaction {
             ConnectionUse::Transaction
         } else {
             ConnectionUse::Statement
         };
         WaitLimits {
-            wanted,
-            patience: patience(self.route.target_latency, elapsed),
+            purpose,
+            max_expected_wait: max_queue_wait(self.route.target_latency, elapsed),
             limit: self
                 .time_left()
                 .saturating_sub(min_attempt_time(work))
@@ -278,7 +278,7 @@
             Access::Write => left,
             Access::Read => {
                 let service_time = lease.pool().service_time(self.node.now());
-                let limit = read_attempt_limit(
+                let limit = read_attempt_timeout(
                     service_time,
                     self.route.target_latency,
                     self.read_timeouts.get(),
--- a/crates/serving/src/statement/mod.rs
+++ b/crates/serving/src/statement/mod.rs
@@ -3,11 +3,11 @@
 mod attempt;
 mod evacuated;
 mod outcome;
-mod placing;
 mod quota;
-mod stance;
+mod region_restriction;
 mod target;
 mod transaction;
+mod transaction_mode;
 
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -16,8 +16,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use hookpoint_coordination::serving::leadership::ReignPosition;
-use hookpoint_coordination::serving::placement::Need;
+use hookpoint_coordination::serving::leadership::PeriodPosition;
+use hookpoint_coordination::serving::placement::RequiredDatabase;
 use hookpoint_coordination::serving::session::{Access, Phase, PreparedShape, SessionState};
 use hookpoint_coordination::serving::tenancy::Principal;
 use hookpoint_coordination::serving::topology::Route;
@@ -33,7 +33,7 @@
 use crate::lease::Lease;
 use crate::message::{Command, Failure, FailureCode};
 use crate::node::Node;
-use crate::primary_lease::LAPSE_PASSES;
+use crate::primary_lease::LEASE_RECOVERY_LIMIT;
 
 /// Minimum time left for another attempt at a read; also the pause after some failed attempts.
 const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(10);
@@ -122,7 +122,7 @@
     /// When this statement arrived.
     pub arrived: Timestamp,
     /// Position of the session's own last write; `None` before the first.
-    pub own_position: Option<ReignPosition>,
+    pub own_position: Option<PeriodPosition>,
     /// Number of attempts at a read that timed out.
     pub read_timeouts: Cell<u32>,
 }
@@ -148,11 +148,11 @@
     ///
     /// A request waits up to its deadline while a lost primary is being replaced. It is refused
     /// at once when the replacement has taken longer than `EXPECTED_FAILOVER_TIME`, when this
-    /// node's primary lease lapsed `LAPSE_PASSES` ago or earlier, and when this node is isolated.
+    /// node's primary lease lapsed `LEASE_RECOVERY_LIMIT` ago or earlier, and when this node is isolated.
     fn wait_deadline(&self) -> Timestamp {
         let now = self.node.now();
         let lapsed = self.node.lease_lapsed_since();
-        if lapsed.is_some_and(|since| now.since(since) >= LAPSE_PASSES) {
+        if lapsed.is_some_and(|since| now.since(since) >= LEASE_RECOVERY_LIMIT) {
             return now;
         }
         if self.node.isolated_since().is_some() {
@@ -173,10 +173,10 @@
     /// ordered, whichever is later.
     fn draining_leader_failover_since(&self) -> Option<Timestamp> {
         let leader = self.node.leader(&self.route.group)?;
-        if self.node.gets_new_work(&leader) {
+        if self.node.accepts_new_work(&leader) {
             return None;
         }
-        let draining_since = self.node.departure_heard_at(&leader)?;
+        let draining_since = self.node.departure_learned_at(&leader)?;
         let ordered_at = self.node.with_group(&self.route.group, |state| {
             let (candidate, ordered_at) = state.promoting.as_ref()?;
             (*candidate != leader).then_some(*ordered_at)
@@ -195,7 +195,7 @@
         if left < MIN_ATTEMPT_TIME {
             return Err(NoTarget::NoDatabase);
         }
-        self.node.note_awaited(&self.route.group);
+        self.node.note_primary_awaited(&self.route.group);
         let changed = self.node.leader_changed.notified();
         let _ = timeout(left.min(TARGET_RECHECK_INTERVAL), changed).await;
         Ok(())
@@ -261,7 +261,7 @@
                     return Ok(ExecutedStatement {
                         answer,
                         lease,
-                        opened_read_only: need == Need::AnyDatabase,
+                        opened_read_only: need == RequiredDatabase::AnyDatabase,
                     });
                 }
                 Attempt::Unknown => {
@@ -286,8 +286,8 @@
 
     /// Returns whether only the primary can serve the statement at the moment: it needs the
     /// primary, or the position that a replica must hold for its reads is not known.
-    fn only_leader_serves(&self, need: Need) -> bool {
-        need == Need::Primary || self.required_position().is_none()
+    fn only_leader_serves(&self, need: RequiredDatabase) -> bool {
+        need == RequiredDatabase::Primary || self.required_position().is_none()
     }
 
     fn refuse_without_target(
@@ -329,7 +329,7 @@
                 self.node.pool(database).note_lagging(self.node.now());
                 excluded.insert(database.clone());
             }
-            AttemptFailure::NotPrimary => self.node.refute_leader(database, began),
+            AttemptFailure::NotPrimary => self.node.reject_leader(database, began),
             AttemptFailure::PlacementChanged => {}
             AttemptFailure::NoConnection | AttemptFailure::NotSent => {
                 excluded.insert(database.clone());
--- a/crates/serving/src/statement/outcome.rs
+++ b/crates/serving/src/statement/outcome.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hookpoint_coordination::serving::placement::Obstacle;
+use hookpoint_coordination::serving::placement::PlacementError;
 use hookpoint_coordination::serving::session::Access;
 use hookpoint_coordination::serving::topology::{Consistency, Route};
 use hookpoint_state::{DatabaseName, RegionName};
@@ -102,7 +102,7 @@
         &self,
         work: &Work,
         mut summary: AttemptSummary,
-        obstacle: Obstacle,
+        obstacle: PlacementError,
     ) -> Failure {
         summary.refusal_reason = Some(obstacle.as_str());
         self.log_outcome(work, &summary, "refused");
@@ -139,11 +139,11 @@
         outcome: &'static str,
     ) -> Vec<(&'static str, Value)> {
         let now = self.node.now();
-        let (leader, reign, confirmed_at, sample) =
+        let (leader, leadership_period, confirmed_at, sample) =
             self.node.with_group(&self.route.group, |state| {
                 (
                     state.leadership.leader().cloned(),
-                    state.leadership.reign(),
+                    state.leadership.leadership_period(),
                     state.leadership.confirmed_at(),
                     state.leadership.newest_sample(),
                 )
@@ -163,7 +163,7 @@
             ("access", kind.into()),
             ("configuration", self.node.configuration_version().into()),
             ("leader", name(&leader)),
-            ("reign", reign.0.into()),
+            ("reign", leadership_period.0.into()),
             ("confirmed_ms_ago", millis(now.since(confirmed_at)).into()),
             ("sample_ms_ago", sample_age.into()),
             ("held_ms", millis(now.since(self.arrived)).into()),
@@ -181,7 +181,7 @@
 impl Request<'_> {
     /// Returns for how many milliseconds a database has been draining; null if it is not draining.
     fn leaving_ms(&self, database: Option<&DatabaseName>) -> Value {
-        let age = database.and_then(|database| self.node.leaving_for(database));
+        let age = database.and_then(|database| self.node.draining_for(database));
         age.map(millis).into()
     }
 
@@ -193,7 +193,7 @@
         database: &DatabaseName,
         waited: Duration,
     ) {
-        let Some(age) = self.node.leaving_for(database) else {
+        let Some(age) = self.node.draining_for(database) else {
             return;
         };
         let fields = || {
--- a/crates/serving/src/statement/quota.rs
+++ b/crates/serving/src/statement/quota.rs
@@ -1,11 +1,11 @@
 //! Rate limiting per tenant. An operation is a single statement or a whole transaction, which
 //! is counted at its first statement.
 
-use hookpoint_coordination::serving::quota::token_patience;
+use hookpoint_coordination::serving::quota::max_token_wait;
 
 use super::{Request, Work};
 use crate::message::{Failure, FailureCode};
-use crate::tokens::{self, NoToken};
+use crate::tokens::{self, TokenDenial};
 use crate::units::millis;
 
 impl Request<'_> {
@@ -16,14 +16,14 @@
             return Ok(());
         };
         let elapsed = self.node.now().since(self.arrived);
-        let patience = token_patience(self.route.target_latency, elapsed).min(self.time_left());
-        let outcome = tokens::take(self.node, tenant, patience).await;
+        let max_wait = max_token_wait(self.route.target_latency, elapsed).min(self.time_left());
+        let outcome = tokens::take_token(self.node, tenant, max_wait).await;
         let waited = self.node.now().since(self.arrived);
         self.node.counters.observe("token", waited);
         let (reason, retry_after) = match outcome {
             Ok(()) => return Ok(()),
-            Err(NoToken::OverLimit { retry_after }) => ("over_limit", Some(retry_after)),
-            Err(NoToken::NotCounted) => ("not_counted", None),
+            Err(TokenDenial::OverLimit { retry_after }) => ("over_limit", Some(retry_after)),
+            Err(TokenDenial::NotCounted) => ("not_counted", None),
         };
         self.node.counters.count("refused", reason);
         self.node.log(
--- a/crates/serving/src/statement/placing.rs
+++ b/crates/serving/src/statement/region_restriction.rs
@@ -3,7 +3,9 @@
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
-use hookpoint_coordination::serving::placement::{GroupView, Need, Obstacle, Placement};
+use hookpoint_coordination::serving::placement::{
+    GroupView, Placement, PlacementError, RequiredDatabase,
+};
 use hookpoint_coordination::serving::session::Access;
 use hookpoint_coordination::serving::topology::Consistency;
 use hookpoint_state::DatabaseName;
@@ -47,7 +49,11 @@
     /// Refuses a write in a transaction that was opened read-only because the primary is outside
     /// the allowed regions.
     pub(crate) fn refuse_write_outside_regions(&self, work: &Work) -> Failure {
-        self.refuse_for_region(work, AttemptSummary::default(), Obstacle::PrimaryOutside)
+        self.refuse_for_region(
+            work,
+            AttemptSummary::default(),
+            PlacementError::PrimaryOutside,
+        )
     }
 
     /// Returns the database for the next attempt, or `None` if none is usable at the moment, and
@@ -57,15 +63,15 @@
         work: &Work,
         read_write_transaction: bool,
         excluded: &BTreeSet<DatabaseName>,
-    ) -> Result<(Option<Target>, Need), Obstacle> {
+    ) -> Result<(Option<Target>, RequiredDatabase), PlacementError> {
         let placement = self.placement();
         let need = self.need(work, read_write_transaction, &placement);
         if let Some(obstacle) = self.obstacle(&placement, need) {
             return Err(obstacle);
         }
         let target = match need {
-            Need::Primary => self.leader_target(&placement),
-            Need::AnyDatabase => self.read_target(&placement, excluded),
+            RequiredDatabase::Primary => self.leader_target(&placement),
+            RequiredDatabase::AnyDatabase => self.read_target(&placement, excluded),
         };
         Ok((target, need))
     }
@@ -73,22 +79,30 @@
     /// Returns which database the statement needs. A transaction that may write and begins with a
     /// read gets the primary. If the primary is outside the allowed regions, the transaction runs
     /// read-only on another database, because the caller may only want to read.
-    fn need(&self, work: &Work, read_write_transaction: bool, placement: &Placement) -> Need {
+    fn need(
+        &self,
+        work: &Work,
+        read_write_transaction: bool,
+        placement: &Placement,
+    ) -> RequiredDatabase {
         let reads_primary = self.route.consistency == Consistency::Primary;
         if reads_primary || work.access == Access::Write {
-            return Need::Primary;
+            return RequiredDatabase::Primary;
         }
-        let outside = || self.obstacle(placement, Need::Primary) == Some(Obstacle::PrimaryOutside);
+        let outside = || {
+            self.obstacle(placement, RequiredDatabase::Primary)
+                == Some(PlacementError::PrimaryOutside)
+        };
         if read_write_transaction && !outside() {
-            Need::Primary
+            RequiredDatabase::Primary
         } else {
-            Need::AnyDatabase
+            RequiredDatabase::AnyDatabase
         }
     }
 
     /// Returns why no allowed database can run the statement however long it waits, or `None` if
     /// one may become usable.
-    fn obstacle(&self, placement: &Placement, need: Need) -> Option<Obstacle> {
+    fn obstacle(&self, placement: &Placement, need: RequiredDatabase) -> Option<PlacementError> {
         if !placement.is_restricted() {
             return None;
         }
--- a/crates/serving/src/statement/target.rs
+++ b/crates/serving/src/statement/target.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hookpoint_coordination::serving::evacuation::ZoneStanding;
+use hookpoint_coordination::serving::evacuation::ZoneAvailability;
 use hookpoint_coordination::serving::placement::{PermittedDatabase, Placement};
 use hookpoint_coordination::serving::selection::{Candidate, rank};
 use hookpoint_coordination::serving::topology::Consistency;
@@ -132,9 +132,10 @@
                     slots: database.slots,
                     wait: pool.expected_wait(now),
                     service_time: pool.service_time(now),
-                    failing: pool.failing(now),
+                    failure_share: pool.failure_share(now),
                     draining: listed.departure.is_some(),
-                    zone_avoided: self.node.zone_standing(&database.zone) != ZoneStanding::Open,
+                    zone_avoided: self.node.zone_availability(&database.zone)
+                        != ZoneAvailability::Open,
                     suspect: pool.is_suspect(now),
                     lagging: pool.is_lagging(now),
                     cold: self.node.is_cold(&database.name),
--- a/crates/serving/src/statement/transaction.rs
+++ b/crates/serving/src/statement/transaction.rs
@@ -1,7 +1,7 @@
 //! The later statements of an open transaction and its commit.
 
 use bytes::Bytes;
-use hookpoint_coordination::serving::leadership::ReignPosition;
+use hookpoint_coordination::serving::leadership::PeriodPosition;
 use hookpoint_coordination::serving::session::Phase;
 use hookpoint_state::DatabaseName;
 use tokio::time::sleep;
@@ -138,11 +138,14 @@
         &self,
         database: &DatabaseName,
         answer: &Answer,
-    ) -> Option<ReignPosition> {
+    ) -> Option<PeriodPosition> {
         let position = answer.position.filter(|_| answer.result.is_ok())?;
-        let reign = self.node.with_group(&self.route.group, |state| {
-            state.leadership.reign_of(database)
+        let leadership_period = self.node.with_group(&self.route.group, |state| {
+            state.leadership.leadership_period_of(database)
         });
-        Some(ReignPosition { reign, position })
+        Some(PeriodPosition {
+            leadership_period,
+            position,
+        })
     }
 }
--- a/crates/serving/src/statement/stance.rs
+++ b/crates/serving/src/statement/transaction_mode.rs
@@ -7,7 +7,7 @@
 use super::Request;
 use super::attempt::AttemptFailure;
 use crate::connection::{Answer, ConnectionError};
-use crate::lease::{Lease, note_begin};
+use crate::lease::{Lease, record_begin_answer};
 use crate::message::{Command, FailureCode};
 use crate::pool::CONTROL_LIMIT;
 
@@ -107,7 +107,7 @@
                 Err(AttemptFailure::Broken)
             }
             (TransactionMode::LeaderTransaction, _) => {
-                note_begin(self.node, lease, asked_at, answer);
+                record_begin_answer(self.node, lease, asked_at, answer);
                 match code {
                     None => Ok(Vec::new()),
                     Some(FailureCode::NotPrimary) => Err(AttemptFailure::NotPrimary),
--- a/crates/serving/src/tokens.rs
+++ b/crates/serving/src/tokens.rs
@@ -13,7 +13,7 @@
 use hookpoint_coordination::serving::quota::{
     GrantLimit, TAKEOVER_PAUSE, TOKEN_LIFE, TokenAnswer, TokenHolder,
 };
-use hookpoint_coordination::serving::token_holders::MOST_HOLDERS;
+use hookpoint_coordination::serving::token_holders::MAX_HOLDERS;
 use hookpoint_state::{TenantName, Timestamp};
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{sleep, timeout};
@@ -55,7 +55,7 @@
 
 /// The reason why an operation may not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum NoToken {
+pub(crate) enum TokenDenial {
     /// The tenant has exceeded its limit.
     OverLimit {
         /// When a token is available again.
@@ -141,7 +141,7 @@
     fn may_hold_tokens(&self) -> bool {
         let now = self.now();
         let counted = self.settings.lease_time + MEMBER_RETENTION;
-        self.knows_fleet()
+        self.membership_is_complete()
             && (feed::is_fresh(self) || now.since(self.lease_renewed_at.get()) < counted)
     }
 
@@ -152,7 +152,7 @@
             && self
                 .configuration()
                 .is_some_and(|configuration| !configuration.tenants.limits.is_empty());
-        !counted || self.knows_fleet()
+        !counted || self.membership_is_complete()
     }
 
     /// Returns since when the operations of most tenants cannot be counted on this node because no
@@ -166,19 +166,19 @@
         let Some(limit) = self.grant_limit(tenant) else {
             return true;
         };
-        let holders = self.token_holders(tenant, limit.holders(MOST_HOLDERS));
+        let holders = self.token_holders(tenant, limit.holders(MAX_HOLDERS));
         holders.iter().any(|holder| {
             holder.name == self.settings.name || self.reachability.may_ask(holder, self.now())
         })
     }
 }
 
-/// Grants one token held by this node, if one is available within `patience`.
-pub(crate) fn grant(node: &Node, tenant: &TenantName, patience: Duration) -> TokenAnswer {
+/// Grants one token held by this node, if one is available within `max_wait`.
+pub(crate) fn grant(node: &Node, tenant: &TenantName, max_wait: Duration) -> TokenAnswer {
     let Some(limit) = node.grant_limit(tenant) else {
         return TokenAnswer::NotHeld;
     };
-    let holders = limit.holders(MOST_HOLDERS);
+    let holders = limit.holders(MAX_HOLDERS);
     let held = node
         .token_holders(tenant, holders)
         .iter()
@@ -191,7 +191,7 @@
     }
     let from = node.tokens.replenished_from(tenant, node.started_at());
     let mut granting = node.tokens.granting.borrow_mut();
-    granting.take(tenant, limit.part(holders), from, node.now(), patience)
+    granting.take(tenant, limit.part(holders), from, node.now(), max_wait)
 }
 
 /// Handles the answer to a request that may still be pending.
@@ -205,25 +205,25 @@
 }
 
 /// Takes a token for one operation of a tenant from the nearest holder that has one. Waits for a
-/// token that becomes available within `patience`.
-pub(crate) async fn take(
+/// token that becomes available within `max_wait`.
+pub(crate) async fn take_token(
     node: &Rc<Node>,
     tenant: &TenantName,
-    patience: Duration,
-) -> Result<(), NoToken> {
+    max_wait: Duration,
+) -> Result<(), TokenDenial> {
     let Some(limit) = node.grant_limit(tenant) else {
         return Ok(());
     };
     let asked_at = node.now();
-    await_fleet(node, asked_at + patience).await;
-    let holders = node.token_holders(tenant, limit.holders(MOST_HOLDERS));
+    await_fleet(node, asked_at + max_wait).await;
+    let holders = node.token_holders(tenant, limit.holders(MAX_HOLDERS));
     let mut soonest: Option<(Timestamp, &Peer)> = None;
     for holder in holders.iter() {
         let mut exhausted_until = node.tokens.exhausted_until(tenant, holder);
         if exhausted_until <= node.now() {
             match request_token(node, tenant, holder, Duration::ZERO).await {
                 Some(TokenAnswer::Granted { .. }) => return Ok(()),
-                Some(TokenAnswer::Dry { retry_after_us }) => {
+                Some(TokenAnswer::Exhausted { retry_after_us }) => {
                     exhausted_until = node.now() + Duration::from_micros(retry_after_us);
                     node.tokens.note_exhausted(tenant, holder, exhausted_until);
                 }
@@ -235,19 +235,19 @@
         }
     }
     let Some((until, holder)) = soonest else {
-        return Err(NoToken::NotCounted);
+        return Err(TokenDenial::NotCounted);
     };
-    let left = (asked_at + patience).since(node.now());
+    let left = (asked_at + max_wait).since(node.now());
     let retry_after = until.since(node.now());
     if retry_after > left {
-        return Err(NoToken::OverLimit { retry_after });
+        return Err(TokenDenial::OverLimit { retry_after });
     }
     take_when_replenished(node, tenant, holder, left).await
 }
 
 /// Waits until this node knows the other nodes, which takes a moment after its start.
 async fn await_fleet(node: &Rc<Node>, until: Timestamp) {
-    while !node.knows_fleet() && node.now() < until {
+    while !node.membership_is_complete() && node.now() < until {
         sleep(FLEET_POLL_INTERVAL).await;
     }
 }
@@ -257,27 +257,27 @@
     node: &Rc<Node>,
     tenant: &TenantName,
     holder: &Peer,
-    patience: Duration,
-) -> Result<(), NoToken> {
+    max_wait: Duration,
+) -> Result<(), TokenDenial> {
     let asked_at = node.now();
-    match request_token(node, tenant, holder, patience).await {
+    match request_token(node, tenant, holder, max_wait).await {
         Some(TokenAnswer::Granted { after_us }) => {
             let after = Duration::from_micros(after_us);
             sleep((asked_at + after).since(node.now())).await;
             if node.now() > asked_at + after + TOKEN_LIFE {
                 node.counters.count("tokens", "expired");
                 let retry_after = Duration::ZERO;
-                return Err(NoToken::OverLimit { retry_after });
+                return Err(TokenDenial::OverLimit { retry_after });
             }
             Ok(())
         }
-        Some(TokenAnswer::Dry { retry_after_us }) => {
+        Some(TokenAnswer::Exhausted { retry_after_us }) => {
             let retry_after = Duration::from_micros(retry_after_us);
             let until = node.now() + retry_after;
             node.tokens.note_exhausted(tenant, holder, until);
-            Err(NoToken::OverLimit { retry_after })
+            Err(TokenDenial::OverLimit { retry_after })
         }
-        Some(TokenAnswer::NotHeld) | None => Err(NoToken::NotCounted),
+        Some(TokenAnswer::NotHeld) | None => Err(TokenDenial::NotCounted),
     }
 }
 
@@ -287,10 +287,10 @@
     node: &Rc<Node>,
     tenant: &TenantName,
     holder: &Peer,
-    patience: Duration,
+    max_wait: Duration,
 ) -> Option<TokenAnswer> {
     if holder.name == node.settings.name {
-        return Some(grant(node, tenant, patience));
+        return Some(grant(node, tenant, max_wait));
     }
     let now = node.now();
     if !node.reachability.may_ask(holder, now) {
@@ -300,7 +300,7 @@
     let request = PeerMessage::AskToken {
         nonce,
         tenant: tenant.clone(),
-        patience_us: u64::try_from(patience.as_micros()).unwrap_or(u64::MAX),
+        patience_us: u64::try_from(max_wait.as_micros()).unwrap_or(u64::MAX),
     };
     node.tokens.send(request.clone(), holder.address);
     let mut received = timeout(REPEAT_AFTER, &mut answer).await;
@@ -325,7 +325,8 @@
 pub(crate) fn check_holders(node: &Node) {
     let now = node.now();
     let tokens = &node.tokens;
-    if now.since(tokens.checked_at.get()) < HOLDER_CHECK_INTERVAL || !node.knows_fleet() {
+    if now.since(tokens.checked_at.get()) < HOLDER_CHECK_INTERVAL || !node.membership_is_complete()
+    {
         return;
     }
     tokens.checked_at.set(now);
--- a/crates/serving/tests/event_log.rs
+++ b/crates/serving/tests/event_log.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use hookpoint_serving::events::EventLog;
-use hookpoint_serving::explanation::{Event, Subject, select, tell};
+use hookpoint_serving::explanation::{Event, Subject, format_lines, select};
 use hookpoint_state::Timestamp;
 
 /// A writer that never returns.
@@ -141,7 +141,7 @@
         names,
         ["promotion_ordered", "statement_decided", "dependency_lost"]
     );
-    let lines = tell(&selected);
+    let lines = format_lines(&selected);
     assert!(lines[2].contains("its clock was stepped"), "{lines:?}");
     let database = select(&events, &Subject::Database("d2".to_owned()));
     assert_eq!(database.len(), 1);
--- a/crates/serving/tests/packed.rs
+++ b/crates/serving/tests/packed.rs
@@ -18,7 +18,7 @@
         consistency: Consistency::ReadYourWrites(Duration::from_millis(1_500)),
         statement_timeout: Duration::from_millis(700 + number as u64 % 300),
         target_latency: Duration::from_millis(400),
-        open: true,
+        allows_anonymous: true,
         allowed_regions: Default::default(),
         priority: 1,
     };
--- a/crates/state/src/position.rs
+++ b/crates/state/src/position.rs
@@ -85,13 +85,13 @@
     /// position proves nothing. On the same or a newer term the logs share their prefix
     /// up to every acknowledged position, because a write is acknowledged only when
     /// every later primary holds it; so on such a term the log position alone decides.
-    pub fn covers(self, required: Position) -> bool {
+    pub fn includes(self, required: Position) -> bool {
         self.term >= required.term && self.lsn >= required.lsn
     }
 
     /// Returns the union of two requirements: the higher term and the higher log
     /// position.
-    pub fn join(self, other: Position) -> Position {
+    pub fn merge(self, other: Position) -> Position {
         Position {
             term: self.term.max(other.term),
             lsn: self.lsn.max(other.lsn),
--- a/crates/state/src/store_revision.rs
+++ b/crates/state/src/store_revision.rs
@@ -23,7 +23,7 @@
     }
 
     /// Returns the previous era, or the first era itself, which has no predecessor.
-    pub const fn before(self) -> Self {
+    pub const fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 
--- a/crates/transport/src/admin/metrics.rs
+++ b/crates/transport/src/admin/metrics.rs
@@ -86,7 +86,7 @@
                 self.reachable.with_label_values(&labels).set(reachable);
                 let draining = i64::from(database.draining);
                 self.draining.with_label_values(&labels).set(draining);
-                let position = to_gauge(database.place.lsn.0);
+                let position = to_gauge(database.position.lsn.0);
                 self.position.with_label_values(&labels).set(position);
             }
         }
--- a/crates/transport/src/admin/status.rs
+++ b/crates/transport/src/admin/status.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns the present nodes that do not have the newest version in force.
-    pub fn behind(&self) -> impl Iterator<Item = &NodeStatus> {
+    pub fn outdated(&self) -> impl Iterator<Item = &NodeStatus> {
         self.present().filter(|node| node.bundle < self.newest)
     }
 }
--- a/crates/transport/src/backend/pool.rs
+++ b/crates/transport/src/backend/pool.rs
@@ -230,7 +230,7 @@
         let before = std::mem::replace(&mut self.parts.configuration, message.0);
         if before.target != self.parts.configuration.target {
             self.context = Arc::new(connection_context(&self.parts));
-            self.handle(SlotEvent::Renew, context);
+            self.handle(SlotEvent::ReplaceConnections, context);
         }
         let draining = self.parts.configuration.draining;
         if before.draining != draining {
--- a/crates/transport/src/backend/pools.rs
+++ b/crates/transport/src/backend/pools.rs
@@ -79,7 +79,7 @@
     }
 
     /// Replaces the filter that determines which databases this node is home for.
-    pub fn set_home(&self, filter: HomeFilter) {
+    pub fn set_home_filter(&self, filter: HomeFilter) {
         *self.home.write() = filter;
         self.refresh_homes();
     }
--- a/crates/transport/src/backend/task.rs
+++ b/crates/transport/src/backend/task.rs
@@ -73,7 +73,7 @@
             let ConnectionContext {
                 group, database, ..
             } = &*self.context;
-            self.context.shared.unreachable(group, database);
+            self.context.shared.mark_unreachable(group, database);
         }
         self.notify_pool(ConnectionEvent::Failed(failure));
     }
@@ -164,7 +164,7 @@
             let ConnectionContext {
                 group, database, ..
             } = &*self.context;
-            self.context.shared.observe(group, database, &status);
+            self.context.shared.apply_status(group, database, &status);
         }
         answered.is_ok() && connection.is_clean()
     }
--- a/crates/transport/src/caller/actions.rs
+++ b/crates/transport/src/caller/actions.rs
@@ -10,7 +10,7 @@
 use hookpoint_state::{DatabaseName, Refusal, Timestamp};
 
 use crate::caller::active::Failure;
-use crate::caller::flight::Wrapping;
+use crate::caller::pipeline::Wrapping;
 use crate::caller::session::Session;
 use crate::lease::AcquireRequest;
 
@@ -64,10 +64,12 @@
             RequestAction::Probe { after } => {
                 active.probe_at = Some(self.context.shared.now() + after);
             }
-            RequestAction::Doubt { database, position } => {
-                self.context.shared.doubt(&self.group, &database, position);
+            RequestAction::MarkUnconfirmed { database, position } => {
+                self.context
+                    .shared
+                    .mark_unconfirmed(&self.group, &database, position);
             }
-            RequestAction::AskStatus { database, after } => self.ask_status(database, after),
+            RequestAction::QueryStatus { database, after } => self.ask_status(database, after),
             RequestAction::Acknowledge { .. } => active.answer.release_end(),
             RequestAction::Release { reusable } => active.release(reusable),
             RequestAction::Wait { until } => active.timer = Some(until),
--- a/crates/transport/src/caller/active.rs
+++ b/crates/transport/src/caller/active.rs
@@ -19,7 +19,7 @@
 
 use crate::caller::answer::{Answer, Step};
 use crate::caller::drain;
-use crate::caller::flight::{Pipeline, Section};
+use crate::caller::pipeline::{Pipeline, Section};
 use crate::caller::unit::{Translation, UnitPlan};
 use crate::lease::BackendLease;
 
--- a/crates/transport/src/caller/drive.rs
+++ b/crates/transport/src/caller/drive.rs
@@ -66,7 +66,9 @@
         // A machine is created while a transaction is open only to restart a read; that
         // is not a new request.
         if self.transaction.is_none() {
-            shared.retries.requested(&self.tenant, limits.retry_percent);
+            shared
+                .retries
+                .record_request(&self.tenant, limits.retry_percent);
         }
         let profile = RequestProfile {
             session: self.guard.entry.id,
@@ -143,7 +145,9 @@
                 None => RequestEvent::VerifyFailed,
             }),
             Input::Status(database, Some(status)) => {
-                self.context.shared.observe(&self.group, &database, &status);
+                self.context
+                    .shared
+                    .apply_status(&self.group, &database, &status);
                 events.push_back(RequestEvent::ProbeAnswered { status });
             }
             Input::Status(_, None) => events.push_back(RequestEvent::ProbeFailed),
@@ -170,21 +174,21 @@
                 log::error!(
                     "caller: a unit cannot make progress; its outcome is reported as unknown."
                 );
-                self.handle(RequestEvent::CallerGone);
+                self.handle(RequestEvent::CallerDisconnected);
                 self.fail_with(Failure::Unknown(UnknownCause::Deadline));
             }
             Input::Reply(reply) => self.observe(reply, events),
             Input::Message(frame) => self.handle_message(&frame)?,
             Input::Gone(gone) => {
-                self.handle(RequestEvent::CallerGone);
+                self.handle(RequestEvent::CallerDisconnected);
                 return Err(gone.into());
             }
             Input::Idle => {
-                self.handle(RequestEvent::CallerGone);
+                self.handle(RequestEvent::CallerDisconnected);
                 return Err(SessionEnd::IdleTransaction);
             }
             Input::Cancelled => {
-                self.handle(RequestEvent::CallerGone);
+                self.handle(RequestEvent::CallerDisconnected);
                 self.fail_with(Failure::Cancelled);
             }
         }
@@ -212,7 +216,9 @@
                     events.push_back(event);
                 }
                 Observed::Status(database, status) => {
-                    self.context.shared.observe(&self.group, &database, &status);
+                    self.context
+                        .shared
+                        .apply_status(&self.group, &database, &status);
                 }
             }
         }
@@ -226,7 +232,7 @@
         };
         match frame.tag {
             frontend::TERMINATE => {
-                self.handle(RequestEvent::CallerGone);
+                self.handle(RequestEvent::CallerDisconnected);
                 return Err(SessionEnd::Terminated);
             }
             frontend::COPY_DATA => active.queue_frame(frame),
@@ -268,7 +274,7 @@
     /// Abandons a unit in the middle of its messages; closing the connection rolls back
     /// what it did so far.
     fn abandon_unit(&mut self) {
-        self.handle(RequestEvent::CallerGone);
+        self.handle(RequestEvent::CallerDisconnected);
         self.fail_with(Failure::AlreadyReported);
     }
 
--- a/crates/transport/src/caller/listener.rs
+++ b/crates/transport/src/caller/listener.rs
@@ -70,7 +70,7 @@
     ) -> Result<CallerHandle, CallerError> {
         let address = settings.listen;
         if settings.credentials.is_empty() && !address.ip().is_loopback() {
-            return Err(CallerError::TrustBeyondLoopback { address });
+            return Err(CallerError::TrustOutsideLoopback { address });
         }
         let bind_failure = |source| CallerError::Bind { address, source };
         let tls = settings.tls.clone().map(TlsAcceptance::load).transpose()?;
--- a/crates/transport/src/caller/own_answers.rs
+++ b/crates/transport/src/caller/local_answers.rs
@@ -96,7 +96,7 @@
             Some(token) if token.group == self.group => {
                 self.context
                     .shared
-                    .learn_term(&self.group, token.position.term);
+                    .raise_term(&self.group, token.position.term);
                 self.require(token.position);
             }
             _ => self.required = None,
@@ -108,7 +108,7 @@
     /// `position`.
     pub(super) fn require(&mut self, position: Position) {
         self.required = Some(match self.required {
-            Some(required) => required.join(position),
+            Some(required) => required.merge(position),
             None => position,
         });
     }
--- a/crates/transport/src/caller/marks.rs
+++ b/crates/transport/src/caller/request_ids.rs
@@ -17,7 +17,7 @@
         if !traits.executes || traits.only_opens || traits.only_ends {
             return None;
         }
-        if !self.context.settings.checks.guard {
+        if !self.context.settings.checks.ledger {
             return None;
         }
         if let Some(request) = &traits.request_id {
--- a/crates/transport/src/caller/settings.rs
+++ b/crates/transport/src/caller/settings.rs
@@ -117,7 +117,7 @@
 pub enum CallerError {
     /// Without credentials the listener would be open to the network.
     #[error("no credentials are set, so listening on {address} beyond loopback is refused")]
-    TrustBeyondLoopback {
+    TrustOutsideLoopback {
         /// The requested address.
         address: SocketAddr,
     },
--- a/crates/transport/src/observe/mod.rs
+++ b/crates/transport/src/observe/mod.rs
@@ -2,7 +2,7 @@
 //! and verification of a group's term.
 
 mod prober;
-mod sharing;
+mod shared_rounds;
 mod status;
 mod verifier;
 
--- a/crates/transport/src/observe/prober.rs
+++ b/crates/transport/src/observe/prober.rs
@@ -167,10 +167,10 @@
     database: DatabaseName,
 ) {
     match pools.query_status(&group, &database, PROBE_TIMEOUT).await {
-        Ok(status) => shared.observe(&group, &database, &status),
+        Ok(status) => shared.apply_status(&group, &database, &status),
         Err(StatusError::Timeout) => {
             log::warn!("observer: database {database} does not answer.");
-            shared.unreachable(&group, &database);
+            shared.mark_unreachable(&group, &database);
             pools.reroute(&database);
         }
         Err(error) => log::debug!("observer: the status query to {database} failed: {error}."),
@@ -186,7 +186,7 @@
     database: DatabaseName,
 ) {
     match fleet.query_status(&group, &database, PROBE_TIMEOUT).await {
-        Ok(status) => shared.observe(&group, &database, &status),
+        Ok(status) => shared.apply_status(&group, &database, &status),
         Err(error) => log::debug!("observer: the status query to {database} failed: {error}."),
     }
 }
--- a/crates/transport/src/observe/sharing.rs
+++ b/crates/transport/src/observe/shared_rounds.rs
@@ -76,7 +76,7 @@
         let waiter = WaiterNumber(entry.next_waiter);
         entry.next_waiter += 1;
         entry.waiters.insert(waiter, sender);
-        self.handle(&key, entry, RoundEvent::Called(waiter), None);
+        self.handle(&key, entry, RoundEvent::Requested(waiter), None);
         result
     }
 
--- a/crates/transport/src/observe/status.rs
+++ b/crates/transport/src/observe/status.rs
@@ -14,7 +14,7 @@
 use hookpoint_state::{DatabaseName, GroupName, Refusal, SessionId, TenantName, ZoneName};
 use thiserror::Error;
 
-use super::sharing::SharedRounds;
+use super::shared_rounds::SharedRounds;
 use crate::backend::LocalPools;
 use crate::lease::{AcquireRequest, BackendLease, LeaseSource};
 use crate::shared::Shared;
@@ -66,7 +66,7 @@
 const QUERY_TIMEOUT: Duration = Duration::from_millis(500);
 /// A status query waits for the running one to end.
 const QUERY_POLICY: RoundPolicy = RoundPolicy {
-    patience: Duration::MAX,
+    overlap_delay: Duration::MAX,
     maximum: 1,
 };
 
--- a/crates/transport/src/observe/verifier.rs
+++ b/crates/transport/src/observe/verifier.rs
@@ -11,7 +11,7 @@
 use hookpoint_state::{DatabaseName, GroupName, Position};
 use tokio::sync::mpsc;
 
-use super::sharing::SharedRounds;
+use super::shared_rounds::SharedRounds;
 use super::status::StatusSource;
 use crate::lease::TermVerifier;
 use crate::shared::Shared;
@@ -21,7 +21,7 @@
 /// A round delayed by a slow database delays the next one by at most 60 ms; up to 4
 /// rounds run at once.
 const ROUND_POLICY: RoundPolicy = RoundPolicy {
-    patience: Duration::from_millis(60),
+    overlap_delay: Duration::from_millis(60),
     maximum: 4,
 };
 
@@ -132,7 +132,7 @@
                 .query_status(&group, &database, ROUND_TIMEOUT)
                 .await;
             if let Ok(status) = &answer {
-                shared.observe(&group, &database, status);
+                shared.apply_status(&group, &database, status);
             }
             let _ended = answers.send((database, answer.ok())).await;
         }
--- a/crates/transport/src/peer/actor.rs
+++ b/crates/transport/src/peer/actor.rs
@@ -11,7 +11,7 @@
 use futures::StreamExt;
 use hookpoint_coordination::explain::Decision;
 use hookpoint_coordination::membership::{Datagram, MemberInfo, MemberState};
-use hookpoint_coordination::node::{LeadershipNews, NodeAction, NodeEvent, PeerMessage};
+use hookpoint_coordination::node::{LeadershipUpdate, NodeAction, NodeEvent, PeerMessage};
 use hookpoint_coordination::rollout::RolloutEvent;
 use hookpoint_protocol::peer::{
     DatagramSealer, MAXIMUM_DATAGRAM_BYTES, ReplayGuard, open_datagram,
@@ -160,12 +160,12 @@
                 Err(_) => false,
             };
             if !sent && matches!(message, PeerMessage::Rollout(_)) {
-                core.notify_rollout(RolloutEvent::PeerGone(to));
+                core.notify_rollout(RolloutEvent::PeerLost(to));
             }
         });
     }
 
-    fn apply_leadership(&self, news: &LeadershipNews) {
+    fn apply_leadership(&self, news: &LeadershipUpdate) {
         leadership::apply(&self.core.shared, news);
     }
 
@@ -177,7 +177,7 @@
         self.core.shared.record(None, decision);
         if state == MemberState::Dead {
             self.core.links.remove_peer(info.node);
-            self.core.notify_rollout(RolloutEvent::PeerGone(info.node));
+            self.core.notify_rollout(RolloutEvent::PeerLost(info.node));
         }
     }
 
--- a/crates/transport/src/peer/handle.rs
+++ b/crates/transport/src/peer/handle.rs
@@ -128,7 +128,7 @@
                 MemberState::Alive
             };
             let own = MemberStatus::new(&self.core.own, state, membership.bundle());
-            (own, machine.held().count())
+            (own, machine.own_databases().count())
         });
         FleetStatus {
             own,
@@ -154,7 +154,7 @@
     /// Returns the databases that this node is the home of.
     pub fn homes(&self) -> Vec<DatabaseName> {
         self.core
-            .with_machine(|machine| machine.held().cloned().collect())
+            .with_machine(|machine| machine.own_databases().cloned().collect())
     }
 
     /// Returns a watch that changes when this node becomes the home of a database or
@@ -227,7 +227,7 @@
 
     /// Returns the part of this node's identifier that is put into process numbers sent
     /// to clients, so that any node can route a cancel request to this node.
-    pub fn tag(&self) -> u16 {
+    pub fn cancel_tag(&self) -> u16 {
         tag_of(self.core.own.node)
     }
 
--- a/crates/transport/src/peer/leadership.rs
+++ b/crates/transport/src/peer/leadership.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hookpoint_coordination::node::{LeadershipNews, NodeEvent};
+use hookpoint_coordination::node::{LeadershipUpdate, NodeEvent};
 use hookpoint_coordination::status::{BackendStatus, Role};
 use hookpoint_state::GroupName;
 
@@ -16,24 +16,24 @@
 
 /// Applies a leadership change from another node to the shared tables; older terms have
 /// no effect there.
-pub(super) fn apply(shared: &Shared, news: &LeadershipNews) {
-    shared.learn_term(&news.group, news.term);
+pub(super) fn apply(shared: &Shared, news: &LeadershipUpdate) {
+    shared.raise_term(&news.group, news.term);
     let Some(primary) = &news.primary else {
         return;
     };
     let status = BackendStatus {
         role: Role::Primary,
         term: news.term,
-        position: news.place.lsn,
+        position: news.position.lsn,
         flushed: Vec::new(),
     };
-    shared.observe(&news.group, primary, &status);
+    shared.apply_status(&news.group, primary, &status);
 }
 
 /// Passes each leadership change that this node observes itself to the node machine.
 pub(super) async fn watch(core: Arc<Core>) {
     let mut changes = core.shared.view_changes();
-    let mut reported: BTreeMap<GroupName, LeadershipNews> = BTreeMap::new();
+    let mut reported: BTreeMap<GroupName, LeadershipUpdate> = BTreeMap::new();
     loop {
         for news in core.shared.leaderships() {
             let before = reported.get(&news.group);
--- a/crates/transport/src/platform/rollout.rs
+++ b/crates/transport/src/platform/rollout.rs
@@ -157,8 +157,8 @@
             RolloutAction::WatchPlatform(on) => self.command(PlatformCommand::Watch(on)),
             RolloutAction::FetchFromPlatform => self.command(PlatformCommand::Fetch),
             RolloutAction::SendPeer { to, message } => self.links.send(to, message),
-            RolloutAction::TellZone(message) => self.links.send_to_zone(message),
-            RolloutAction::DrainLeaving(addresses) => self.drain(addresses),
+            RolloutAction::BroadcastToZone(message) => self.links.send_to_zone(message),
+            RolloutAction::DrainDatabases(addresses) => self.drain(addresses),
             RolloutAction::Install(version) => self.install(version.0),
             RolloutAction::Rejected { source, error } => {
                 log::warn!("rollout: a change from {source:?} was rejected: {error}.");
--- a/crates/transport/src/retries.rs
+++ b/crates/transport/src/retries.rs
@@ -37,8 +37,12 @@
     }
 
     /// Counts a request of `tenant`, which earns `percent` hundredths of a retry.
-    pub fn requested(&self, tenant: &TenantName, percent: u32) {
-        self.state.lock().budgets.of(tenant).requested(percent);
+    pub fn record_request(&self, tenant: &TenantName, percent: u32) {
+        self.state
+            .lock()
+            .budgets
+            .for_tenant(tenant)
+            .record_request(percent);
     }
 
     /// Returns when a request may be retried after `attempts` attempts, none of which
@@ -54,7 +58,7 @@
         tenant: &TenantName,
     ) -> Result<Timestamp, Refusal> {
         let State { policy, budgets } = &mut *self.state.lock();
-        match policy.decide(now, deadline, attempts, budgets.of(tenant)) {
+        match policy.decide(now, deadline, attempts, budgets.for_tenant(tenant)) {
             RetryDecision::At(at) => Ok(at),
             RetryDecision::Stop(RetryStop::Deadline) => Err(Refusal::WaitDeadline),
             RetryDecision::Stop(RetryStop::Budget) => Err(Refusal::TenantLimit),
--- a/crates/transport/src/shared.rs
+++ b/crates/transport/src/shared.rs
@@ -9,7 +9,7 @@
 use std::time::Instant;
 
 use hookpoint_coordination::explain::{Decision, ExplainRing};
-use hookpoint_coordination::node::LeadershipNews;
+use hookpoint_coordination::node::LeadershipUpdate;
 use hookpoint_coordination::status::BackendStatus;
 use hookpoint_coordination::terms::{GroupView, Member, Proximity, TermTable};
 use hookpoint_state::{
@@ -207,7 +207,7 @@
     }
 
     /// Returns the leadership of each group, as known to this node.
-    pub fn leaderships(&self) -> Vec<LeadershipNews> {
+    pub fn leaderships(&self) -> Vec<LeadershipUpdate> {
         let terms = self.terms.read();
         let views = terms
             .groups()
@@ -215,11 +215,11 @@
         views
             .map(|(group, view)| {
                 let primary = view.primary();
-                LeadershipNews {
+                LeadershipUpdate {
                     group: group.clone(),
                     term: view.highest_term,
                     primary: primary.map(|primary| primary.name.clone()),
-                    place: primary.map(|primary| primary.place).unwrap_or_default(),
+                    position: primary.map(|primary| primary.position).unwrap_or_default(),
                 }
             })
             .collect()
@@ -227,9 +227,12 @@
 
     /// Applies the status that a database reported, and wakes waiting requests if
     /// leadership changed.
-    pub fn observe(&self, group: &GroupName, database: &DatabaseName, status: &BackendStatus) {
+    pub fn apply_status(&self, group: &GroupName, database: &DatabaseName, status: &BackendStatus) {
         let now = self.now();
-        let change = self.terms.write().observe(now, group, database, status);
+        let change = self
+            .terms
+            .write()
+            .apply_status(now, group, database, status);
         if let Some(change) = change {
             let primary = change.primary.as_ref().map(DatabaseName::as_str);
             log::info!(
@@ -250,24 +253,26 @@
 
     /// Records that `group` has reached `term`, as reported by an authentic source such
     /// as a session token; primaries of older terms are no longer trusted.
-    pub fn learn_term(&self, group: &GroupName, term: Term) {
-        if self.terms.write().learn_term(group, term) {
+    pub fn raise_term(&self, group: &GroupName, term: Term) {
+        if self.terms.write().raise_term(group, term) {
             self.view_changes.send_modify(|count| *count += 1);
         }
     }
 
     /// Keeps further writes off a primary whose commit at `position` has not been
     /// confirmed by a majority.
-    pub fn doubt(&self, group: &GroupName, database: &DatabaseName, position: Position) {
+    pub fn mark_unconfirmed(&self, group: &GroupName, database: &DatabaseName, position: Position) {
         log::info!(
             "terms: database {database} has not confirmed the commit at {position} in time."
         );
-        self.terms.write().doubt(group, database, position);
+        self.terms
+            .write()
+            .mark_unconfirmed(group, database, position);
     }
 
     /// Marks a database as unreachable and wakes waiting requests.
-    pub fn unreachable(&self, group: &GroupName, database: &DatabaseName) {
-        self.terms.write().unreachable(group, database);
+    pub fn mark_unreachable(&self, group: &GroupName, database: &DatabaseName) {
+        self.terms.write().mark_unreachable(group, database);
         self.view_changes.send_modify(|count| *count += 1);
     }
 
--- a/crates/transport/tests/backend_faults.rs
+++ b/crates/transport/tests/backend_faults.rs
@@ -277,7 +277,7 @@
     let lease = pools.acquire(request("books-0", 1, TIMEOUT)).await.unwrap();
     lease.commands.send(release(true)).await.unwrap();
     eventually(|| pools.counts()[&"books-0".into()].idle == 1).await;
-    pools.set_home(Arc::new(|_| false));
+    pools.set_home_filter(Arc::new(|_| false));
     eventually(|| database.count(|seen| *seen == LogEntry::Ended(1)) == 1).await;
     let mut lease = pools.acquire(request("books-0", 2, TIMEOUT)).await.unwrap();
     assert_eq!(ask(&mut lease, query("WHO")).await, "TDCZ");
@@ -311,7 +311,7 @@
     // waiting.
     eventually(|| database.started() >= 4).await;
     assert_eq!(home.counts()[&"books-0".into()].waiting, 1);
-    former.set_home(Arc::new(|_| false));
+    former.set_home_filter(Arc::new(|_| false));
     assert_eq!(first.await.unwrap(), Ok(()));
     // The running lease is finished first; only then does its slot move.
     assert_eq!(ask(&mut held, query("WHO")).await, "TDCZ");
--- a/crates/transport/tests/backend_observer.rs
+++ b/crates/transport/tests/backend_observer.rs
@@ -107,7 +107,7 @@
     let scene = Scene::new(2).await;
     scene
         .pools
-        .set_home(Arc::new(|name| name.as_str() == "books-0"));
+        .set_home_filter(Arc::new(|name| name.as_str() == "books-0"));
     scene.observe();
     eventually(|| scene.primary() == Some(("books-0".to_owned(), 1))).await;
     let received_messages = |index: usize| {
@@ -124,7 +124,9 @@
     let before = [0, 1, 2].map(received_messages);
     eventually(|| received_messages(0) >= before[0] + 3).await;
     assert_eq!([received_messages(1), received_messages(2)], before[1..]);
-    scene.shared.unreachable(&"books".into(), &"books-2".into());
+    scene
+        .shared
+        .mark_unreachable(&"books".into(), &"books-2".into());
     eventually(|| reachable(2)).await;
     scene.databases[0].script(|script| script.silent = true);
     scene.fail_over(2);
--- a/crates/transport/tests/caller_ends.rs
+++ b/crates/transport/tests/caller_ends.rs
@@ -151,7 +151,7 @@
     let final_message = client.until_ready().await;
     assert_eq!(first_error(&final_message).as_deref(), Some("25P03"));
     assert_eq!(
-        group.server.lock().nodes["db-a"].place,
+        group.server.lock().nodes["db-a"].position,
         Position::new(1, 100)
     );
     group
--- a/crates/transport/tests/caller_faults.rs
+++ b/crates/transport/tests/caller_faults.rs
@@ -233,7 +233,7 @@
     group.observe_all();
     for node in group.server.lock().nodes.values_mut() {
         if node.role == Role::Replica {
-            node.place = Position::new(1, 50);
+            node.position = Position::new(1, 50);
         }
     }
     let answer = client.query("SELECT 'mine'").await;
--- a/crates/transport/tests/caller_security.rs
+++ b/crates/transport/tests/caller_security.rs
@@ -78,7 +78,7 @@
     let shared = Arc::clone(&group.shared);
     let result = CallerListener::start(settings, shared, group.clone(), group).await;
     let error = result.map(|handle| handle.address()).expect_err("refused");
-    assert!(matches!(error, CallerError::TrustBeyondLoopback { address } if address == listen));
+    assert!(matches!(error, CallerError::TrustOutsideLoopback { address } if address == listen));
 }
 
 /// A directory of this test with a certificate and key for `localhost`.
--- a/crates/transport/tests/caller_support/mod.rs
+++ b/crates/transport/tests/caller_support/mod.rs
@@ -77,7 +77,7 @@
             let status = self.server.lock().status(name);
             let group = GroupName::new(GROUP);
             self.shared
-                .observe(&group, &DatabaseName::new(name), &status);
+                .apply_status(&group, &DatabaseName::new(name), &status);
         }
     }
 
@@ -201,7 +201,7 @@
             .iter()
             .map(|name| server.status(name))
             .filter(|status| status.role == Role::Primary)
-            .map(|status| status.place())
+            .map(|status| status.position())
             .max_by_key(|place| place.term)
     }
 
--- a/crates/transport/tests/caller_support/server.rs
+++ b/crates/transport/tests/caller_support/server.rs
@@ -9,7 +9,7 @@
 #[derive(Debug)]
 pub struct Node {
     pub role: Role,
-    pub place: Position,
+    pub position: Position,
 }
 
 /// State shared by all fake databases of a group.
@@ -54,8 +54,8 @@
             } else {
                 Role::Replica
             };
-            let place = Position::new(1, 100);
-            ((*name).to_owned(), Node { role, place })
+            let position = Position::new(1, 100);
+            ((*name).to_owned(), Node { role, position })
         });
         Self {
             nodes: nodes.collect(),
@@ -84,15 +84,15 @@
         let flushed = replicas.map(|(name, _)| FlushedReplica {
             name: name.clone(),
             position: if self.replicas_confirm {
-                node.place.lsn
+                node.position.lsn
             } else {
                 Lsn(0)
             },
         });
         BackendStatus {
             role: node.role,
-            term: node.place.term,
-            position: node.place.lsn,
+            term: node.position.term,
+            position: node.position.lsn,
             flushed: match node.role {
                 Role::Primary => flushed.collect(),
                 Role::Replica => Vec::new(),
@@ -102,7 +102,7 @@
 
     /// Makes another database the primary of a new term.
     pub fn promote(&mut self, name: &str) {
-        let term = self.nodes.values().map(|node| node.place.term.0).max();
+        let term = self.nodes.values().map(|node| node.position.term.0).max();
         let term = Term(term.unwrap_or_default() + 1);
         for (other, node) in &mut self.nodes {
             node.role = if other == name {
@@ -110,15 +110,15 @@
             } else {
                 Role::Replica
             };
-            node.place.term = term;
+            node.position.term = term;
         }
     }
 
     pub fn advance(&mut self, name: &str) {
-        let lsn = self.nodes[name].place.lsn.0 + 1;
+        let lsn = self.nodes[name].position.lsn.0 + 1;
         for (other, node) in &mut self.nodes {
             if other == name || self.replicas_follow {
-                node.place.lsn = Lsn(lsn);
+                node.position.lsn = Lsn(lsn);
             }
         }
     }
--- a/crates/transport/tests/peer.rs
+++ b/crates/transport/tests/peer.rs
@@ -247,7 +247,7 @@
     nodes[2]
         .fleet
         .set_cancel_handler(std::sync::Arc::new(handler));
-    let process = u32::from(nodes[2].fleet.tag()) << 16 | 17;
+    let process = u32::from(nodes[2].fleet.cancel_tag()) << 16 | 17;
     in_time(nodes[0].fleet.cancel_session(process, 42)).await;
     assert_eq!(in_time(received_messages.recv()).await, Some((process, 42)));
 }
--- a/hookpoint/src/command/explain.rs
+++ b/hookpoint/src/command/explain.rs
@@ -5,7 +5,7 @@
 
 use anyhow::{Context, Result, bail};
 use hookpoint_coordination::explain::Entry;
-use hookpoint_serving::explanation::{Event, Subject, select, tell};
+use hookpoint_serving::explanation::{Event, Subject, format_lines, select};
 use hookpoint_state::NodeId;
 use serde_json::Value;
 
@@ -42,7 +42,7 @@
     if story.is_empty() {
         bail!("none of {} events tells of it", events.len());
     }
-    for line in tell(&story) {
+    for line in format_lines(&story) {
         println!("{line}");
     }
     Ok(())
--- a/hookpoint/src/command/fleet.rs
+++ b/hookpoint/src/command/fleet.rs
@@ -27,7 +27,7 @@
             node.node, node.state, node.zone, node.region, node.address, node.bundle.0
         );
     }
-    let behind = fleet.behind().count();
+    let behind = fleet.outdated().count();
     println!(
         "newest bundle {}; {} nodes; {behind} not yet there",
         fleet.newest.0,
--- a/hookpoint/src/operator/roll.rs
+++ b/hookpoint/src/operator/roll.rs
@@ -78,7 +78,7 @@
                     let outcome = error.outcome();
                     machine.handle(RollEvent::Failed { outcome });
                     if !attempts.wait_after(&error).await {
-                        machine.handle(RollEvent::GaveUp);
+                        machine.handle(RollEvent::TimedOut);
                     }
                     failure = Some(error);
                 }
@@ -113,7 +113,7 @@
         }
         Ok(Ok(RollEvent::NotMoved {
             pointer: view_of(ACTIVE_KEY, read_by(&answer.responses, 0))?,
-            past: view_of(&history_key(pointer.version), read_by(&answer.responses, 1))?,
+            historical: view_of(&history_key(pointer.version), read_by(&answer.responses, 1))?,
         }))
     }
 }
@@ -128,7 +128,9 @@
             pointer,
             superseded: *superseded,
         }),
-        RollResult::Conflict { winner } => Err(OperatorError::Conflict {
+        RollResult::Conflict {
+            conflicting: winner,
+        } => Err(OperatorError::Conflict {
             winner: Winner::of(winner.as_ref()),
         }),
         RollResult::NotNewer { active } => Err(OperatorError::NotNewer {
--- a/hookpoint/src/proxy/mod.rs
+++ b/hookpoint/src/proxy/mod.rs
@@ -53,7 +53,7 @@
 impl Running {
     /// Lets go of the fleet, which the pools' filter holds and which holds the pools.
     fn forget_homes(&self) {
-        self.pools.set_home(Arc::new(|_| false));
+        self.pools.set_home_filter(Arc::new(|_| false));
     }
 }
 
--- a/hookpoint/src/proxy/parts.rs
+++ b/hookpoint/src/proxy/parts.rs
@@ -69,7 +69,7 @@
         Arc::clone(&pools) as _,
     )?;
     let of_fleet = fleet.clone();
-    pools.set_home(Arc::new(move |database| of_fleet.is_home(database)));
+    pools.set_home_filter(Arc::new(move |database| of_fleet.is_home(database)));
     follow_homes(&fleet, Arc::clone(&pools));
     let probing = arbiters.backends[0].handle();
     let statuses = FleetStatuses::new(Arc::clone(&shared), fleet.lease_source(), probing.clone());
@@ -211,7 +211,7 @@
     }));
     let fleet = fleet.clone();
     callers.set_cancel_route(
-        fleet.tag(),
+        fleet.cancel_tag(),
         Arc::new(move |process, secret| {
             let fleet = fleet.clone();
             actix_rt::spawn(async move { fleet.cancel_session(process, secret).await });
--- a/lab/measure/src/scale/phases.rs
+++ b/lab/measure/src/scale/phases.rs
@@ -214,7 +214,9 @@
         flushed: Vec::new(),
     };
     let began = Instant::now();
-    fleet.nodes[home].shared.observe(&group, &primary, &status);
+    fleet.nodes[home]
+        .shared
+        .apply_status(&group, &primary, &status);
     let knows = |node: &HollowNode| {
         let view = node.shared.view(&group);
         view.is_some_and(|view| view.highest_term >= Term(2))
--- a/lab/sim/src/models/acknowledge.rs
+++ b/lab/sim/src/models/acknowledge.rs
@@ -199,7 +199,7 @@
             Some(Reply::Status(status)) => {
                 let name = DatabaseName::new(NAMES[0]);
                 let now = self.now();
-                self.table.observe(now, &group(), &name, &status);
+                self.table.apply_status(now, &group(), &name, &status);
                 let event = if self.checked() {
                     RequestEvent::ProbeAnswered { status }
                 } else {
@@ -345,7 +345,7 @@
         let database = DatabaseName::new(NAMES[0]);
         state
             .table
-            .observe(Timestamp(1), &group(), &database, &status);
+            .apply_status(Timestamp(1), &group(), &database, &status);
         state.feed(RequestEvent::Begin);
         state.feed(RequestEvent::LeaseGranted { database });
         state
@@ -411,7 +411,7 @@
             Step::Learn => {
                 let latest = state.replicas.iter().map(|replica| replica.timeline).max();
                 let term = Term(u32::from(latest.unwrap_or(1)));
-                if state.table.learn_term(&group(), term) {
+                if state.table.raise_term(&group(), term) {
                     state.feed(RequestEvent::ViewChanged);
                 }
             }
--- a/lab/sim/src/models/primary_lease.rs
+++ b/lab/sim/src/models/primary_lease.rs
@@ -104,7 +104,7 @@
 fn electorate(now: Timestamp) -> Electorate {
     Electorate {
         voters: NODES,
-        store_heard_at: now,
+        store_known_at: now,
     }
 }
 
--- a/lab/sim/src/models/quota.rs
+++ b/lab/sim/src/models/quota.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::quota::{
-    GrantLimit, LEAST_RESTART, OperationLimit, QuotaBounds, TOKEN_LIFE, TokenAnswer, TokenBucket,
+    GrantLimit, MIN_RESTART_TIME, OperationLimit, QuotaBounds, TOKEN_LIFE, TokenAnswer, TokenBucket,
 };
 use hookpoint_state::Timestamp;
 
@@ -182,7 +182,7 @@
                         steps.push(Step::Ask(holder));
                     }
                 }
-                Err(since) if state.now.since(*since) >= LEAST_RESTART => {
+                Err(since) if state.now.since(*since) >= MIN_RESTART_TIME => {
                     steps.push(Step::Start(holder));
                 }
                 Err(_) => {}
--- a/lab/sim/src/world/nodes.rs
+++ b/lab/sim/src/world/nodes.rs
@@ -6,7 +6,7 @@
 
 use hookpoint_coordination::home::HomeChange;
 use hookpoint_coordination::membership::{Datagram, MemberState};
-use hookpoint_coordination::node::{LeadershipNews, NodeAction, NodeEvent};
+use hookpoint_coordination::node::{LeadershipUpdate, NodeAction, NodeEvent};
 use hookpoint_coordination::rollout::{RolloutAction, RolloutEvent};
 use hookpoint_coordination::slots::SlotEvent;
 use hookpoint_coordination::status::{BackendStatus, Role};
@@ -126,12 +126,12 @@
     /// A link to a node broke.
     pub(crate) fn peer_lost(&mut self, proxy: ProxyIndex, node: NodeId) {
         self.node_event(proxy, NodeEvent::PeerLost(node));
-        self.rollout_event(proxy, RolloutEvent::PeerGone(node));
+        self.rollout_event(proxy, RolloutEvent::PeerLost(node));
     }
 
     fn member_changed(&mut self, proxy: ProxyIndex, node: NodeId, state: MemberState) {
         if state == MemberState::Dead {
-            self.rollout_event(proxy, RolloutEvent::PeerGone(node));
+            self.rollout_event(proxy, RolloutEvent::PeerLost(node));
         }
     }
 
@@ -144,12 +144,12 @@
         let view = self.proxies[proxy].terms.view(&change.group);
         let place = view
             .and_then(|view| view.primary())
-            .map(|primary| primary.place);
-        let news = LeadershipNews {
+            .map(|primary| primary.position);
+        let news = LeadershipUpdate {
             group: change.group,
             term: change.term,
             primary: change.primary,
-            place: place.unwrap_or(Position {
+            position: place.unwrap_or(Position {
                 term: change.term,
                 ..Position::default()
             }),
@@ -157,7 +157,7 @@
         self.node_event(proxy, NodeEvent::LeadershipObserved(news));
     }
 
-    fn leadership_learned(&mut self, proxy: ProxyIndex, news: &LeadershipNews) {
+    fn leadership_learned(&mut self, proxy: ProxyIndex, news: &LeadershipUpdate) {
         let Some(group) = self
             .groups
             .iter()
@@ -165,7 +165,7 @@
         else {
             return;
         };
-        if self.proxies[proxy].terms.learn_term(&news.group, news.term) {
+        if self.proxies[proxy].terms.raise_term(&news.group, news.term) {
             self.view_changed(proxy);
         }
         let names = &self.database_names;
@@ -175,7 +175,7 @@
             let status = BackendStatus {
                 role: Role::Primary,
                 term: news.term,
-                position: news.place.lsn,
+                position: news.position.lsn,
                 flushed: Vec::new(),
             };
             self.observe(proxy, group, database, &status);
@@ -227,7 +227,7 @@
             }
             RolloutAction::Install(_) => self.install(proxy),
             // The simulated platform has no list of machines that databases could leave.
-            RolloutAction::TellZone(_) | RolloutAction::DrainLeaving(_) => {}
+            RolloutAction::BroadcastToZone(_) | RolloutAction::DrainDatabases(_) => {}
             RolloutAction::Rejected { .. } => {}
         }
     }
--- a/lab/sim/src/world/session.rs
+++ b/lab/sim/src/world/session.rs
@@ -48,7 +48,7 @@
         let group = self.clients[client].group;
         if let Some(position) = required {
             let name = self.groups[group].name.clone();
-            let news = self.proxies[proxy].terms.learn_term(&name, position.term);
+            let news = self.proxies[proxy].terms.raise_term(&name, position.term);
             if news {
                 self.view_changed(proxy);
             }
@@ -125,7 +125,7 @@
         };
         let checks = SafetyChecks {
             position: !self.settings.mutated(Mutation::SkipPositionCheck),
-            evidence: !self.settings.mutated(Mutation::SkipEvidence),
+            majority: !self.settings.mutated(Mutation::SkipEvidence),
             ..SafetyChecks::default()
         };
         let machine = RequestMachine::with_checks(profile, ACKNOWLEDGE_WITHIN, checks);
@@ -181,13 +181,13 @@
                 };
                 self.schedule.at(now + after, Event::Proxy { proxy, event });
             }
-            RequestAction::Doubt { database, position } => {
+            RequestAction::MarkUnconfirmed { database, position } => {
                 let group = session.group;
                 let group = self.group_name(group);
                 let terms = &mut self.proxies[proxy].terms;
-                terms.doubt(&group, &database, position);
+                terms.mark_unconfirmed(&group, &database, position);
             }
-            RequestAction::AskStatus { database, after } => {
+            RequestAction::QueryStatus { database, after } => {
                 self.ask_evidence(number, &database, after);
             }
             RequestAction::Acknowledge { position } => self.acknowledge(number, position),
@@ -284,7 +284,7 @@
             .get(&number)
             .is_some_and(|session| session.machine.is_some());
         if active {
-            self.feed(number, RequestEvent::CallerGone);
+            self.feed(number, RequestEvent::CallerDisconnected);
         }
         self.release(number, false);
     }
@@ -480,7 +480,7 @@
         let database = self.database_names[database].clone();
         let change = self.proxies[proxy]
             .terms
-            .observe(now, &name, &database, status);
+            .apply_status(now, &name, &database, status);
         if let Some(change) = change {
             self.leadership_observed(proxy, change);
             self.reroute(proxy, group);
@@ -504,7 +504,7 @@
 
 fn require(session: &mut Session, position: Position) {
     session.required = Some(match session.required {
-        Some(required) => required.join(position),
+        Some(required) => required.merge(position),
         None => position,
     });
 }
--- a/lab/sim/src/world/verify.rs
+++ b/lab/sim/src/world/verify.rs
@@ -66,7 +66,7 @@
             let answered = self.proxies[proxy].answered_at.get(&database).copied();
             if now.since(answered.unwrap_or_default()) > UNREACHABLE_AFTER {
                 let name = self.database_names[database].clone();
-                self.proxies[proxy].terms.unreachable(&group, &name);
+                self.proxies[proxy].terms.mark_unreachable(&group, &name);
             }
         }
     }
--- a/lab/sim/tests/models.rs
+++ b/lab/sim/tests/models.rs
@@ -16,7 +16,7 @@
 #[test]
 fn without_evidence_an_acknowledged_write_is_lost() {
     let checks = SafetyChecks {
-        evidence: false,
+        majority: false,
         ..SafetyChecks::default()
     };
     let result = explore(&AcknowledgeModel { checks }, 60, 400_000);
--- a/lab/src/demo/mod.rs
+++ b/lab/src/demo/mod.rs
@@ -99,8 +99,8 @@
 fn checks_without(protection: Option<Protection>) -> SafetyChecks {
     SafetyChecks {
         position: protection != Some(Protection::Check),
-        evidence: protection != Some(Protection::Term),
-        guard: protection != Some(Protection::Guard),
+        majority: protection != Some(Protection::Term),
+        ledger: protection != Some(Protection::Guard),
     }
 }
 
--- a/lab/tests/resubmission.rs
+++ b/lab/tests/resubmission.rs
@@ -92,7 +92,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn without_the_ledger_the_checker_finds_it_doubled() -> anyhow::Result<()> {
     let checks = SafetyChecks {
-        guard: false,
+        ledger: false,
         ..SafetyChecks::default()
     };
     let history = submit_twice(checks).await?;
