--- a/crates/coordination/src/observer/schedule.rs
+++ b/crates/coordination/src/observer/schedule.rs
@@ -32,7 +32,7 @@
     /// lengthened.
     pub fast_limit: Duration,
     /// A primary that has not answered a probe for this long counts as unreachable here.
-    pub patience: Duration,
+    pub unreachable_after: Duration,
 }
 
 impl Default for ProbePace {
@@ -44,7 +44,7 @@
             slowed: Duration::from_millis(250),
             after_lost_connection: Duration::from_secs(2),
             fast_limit: Duration::from_secs(15),
-            patience: Duration::from_millis(150),
+            unreachable_after: Duration::from_millis(150),
         }
     }
 }
@@ -234,7 +234,7 @@
     fn unresponsive_at(&self, primary: Option<&DatabaseView>) -> Option<Timestamp> {
         let observed = self.databases.get(&primary?.name)?;
         let probed_at = observed.probed_at.filter(|_| observed.in_flight)?;
-        Some(probed_at + self.pace.patience)
+        Some(probed_at + self.pace.unreachable_after)
     }
 
     /// Updates whether the group is probed fast. Returns the interval for fast probing;
--- a/crates/coordination/src/request/tests/mod.rs
+++ b/crates/coordination/src/request/tests/mod.rs
@@ -414,12 +414,15 @@
     harness.now = harness.now + Duration::from_millis(1);
     let primary = DatabaseName::new("a");
     let position = Position::new(1, 130);
-    let doubt = RequestAction::MarkUnconfirmed {
+    let mark_unconfirmed = RequestAction::MarkUnconfirmed {
         database: primary.clone(),
         position,
     };
-    assert_eq!(harness.probe(alone())[0], doubt);
-    assert!(!harness.probe(alone()).contains(&doubt), "reported once");
+    assert_eq!(harness.probe(alone())[0], mark_unconfirmed);
+    assert!(
+        !harness.probe(alone()).contains(&mark_unconfirmed),
+        "reported once"
+    );
     let mut next = Harness::new(WRITE, at(1, 10));
     next.table.mark_unconfirmed(&group(), &primary, position);
     let held = next.feed(RequestEvent::Begin);
--- a/crates/coordination/src/serving/failover.rs
+++ b/crates/coordination/src/serving/failover.rs
@@ -52,11 +52,11 @@
 
 /// Returns whether the primary counts as lost, given the observations of the nodes that answered,
 /// including the node that collects them.
-pub fn is_lost(observations: &[Observation], witnesses: ObserverCounts) -> bool {
+pub fn is_lost(observations: &[Observation], observer_counts: ObserverCounts) -> bool {
     let mut reachable = 0;
     let mut direct = 0;
     let mut leaderless = 0;
-    let mut unhelped = 0;
+    let mut no_holder = 0;
     let mut longest = Duration::ZERO;
     for observation in observations {
         let (count, lasting, evidence) = match *observation {
@@ -68,7 +68,7 @@
             Observation::Refused(lasting) => (&mut direct, lasting, REFUSAL_EVIDENCE),
             Observation::Silent(lasting) => (&mut direct, lasting, SILENCE_EVIDENCE),
             Observation::Leaderless(lasting) => (&mut leaderless, lasting, SILENCE_EVIDENCE),
-            Observation::NoHolderAvailable(lasting) => (&mut unhelped, lasting, SILENCE_EVIDENCE),
+            Observation::NoHolderAvailable(lasting) => (&mut no_holder, lasting, SILENCE_EVIDENCE),
         };
         if lasting >= evidence {
             *count += 1;
@@ -76,17 +76,17 @@
         }
     }
     let long = longest >= LONG_LOSS;
-    if direct > reachable && (direct + reachable >= majority(witnesses.holders) || long) {
+    if direct > reachable && (direct + reachable >= majority(observer_counts.holders) || long) {
         return true;
     }
     if reachable > 0 {
         return false;
     }
     let without_primary = direct + leaderless;
-    let all = without_primary + unhelped;
-    without_primary >= majority(witnesses.members)
-        || (leaderless > 0 && unhelped == 0 && long)
-        || (all >= majority(witnesses.members) && long)
+    let all = without_primary + no_holder;
+    without_primary >= majority(observer_counts.members)
+        || (leaderless > 0 && no_holder == 0 && long)
+        || (all >= majority(observer_counts.members) && long)
 }
 
 /// Returns the size of the smallest majority of `nodes`: any two majorities have a node in common.
--- a/crates/coordination/src/serving/freshness.rs
+++ b/crates/coordination/src/serving/freshness.rs
@@ -15,7 +15,7 @@
 /// Maximum number of samples.
 const MAX_SAMPLES: usize = 256;
 
-/// The position samples of one leadership term, oldest first.
+/// The position samples of one leadership period, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct FreshnessLog {
     samples: VecDeque<(Timestamp, Position)>,
@@ -43,7 +43,7 @@
             .map(|(_, position)| *position)
     }
 
-    /// Returns the first sample of the leadership term.
+    /// Returns the first sample of the leadership period.
     pub fn first(&self) -> Option<Position> {
         self.samples.front().map(|(_, position)| *position)
     }
@@ -53,7 +53,7 @@
         self.samples.back().copied()
     }
 
-    /// Drops all samples, because another leadership term has begun.
+    /// Drops all samples, because another leadership period has begun.
     pub fn clear(&mut self) {
         self.samples.clear();
     }
--- a/crates/coordination/src/serving/handover.rs
+++ b/crates/coordination/src/serving/handover.rs
@@ -57,21 +57,21 @@
 impl Drawbacks {
     /// Returns the drawbacks of a location. `allowed` are the regions that the group's routes
     /// allow; `None` or an empty set allows all.
-    pub fn of(place: &PrimaryLocation, allowed: Option<&BTreeSet<RegionName>>) -> Self {
+    pub fn of(location: &PrimaryLocation, allowed: Option<&BTreeSet<RegionName>>) -> Self {
         let restricted_to = allowed.filter(|regions| !regions.is_empty());
         let outside_regions = restricted_to.is_some_and(|regions| {
-            let region = place.region.as_ref();
+            let region = location.region.as_ref();
             region.is_none_or(|region| !regions.contains(region))
         });
         Self {
             evacuated: matches!(
-                place.zone,
+                location.zone,
                 ZoneAvailability::Evacuating | ZoneAvailability::Evacuated
             ),
-            leaving: place.leaving,
+            leaving: location.leaving,
             outside_regions,
-            cold: place.cold,
-            returning: place.zone == ZoneAvailability::Returning,
+            cold: location.cold,
+            returning: location.zone == ZoneAvailability::Returning,
         }
     }
 
--- a/crates/coordination/src/serving/isolation.rs
+++ b/crates/coordination/src/serving/isolation.rs
@@ -42,7 +42,7 @@
         self.silent_peers * 2 > self.peers
     }
 
-    /// Returns whether a node with these surroundings is partitioned. An isolated node stays so
+    /// Returns whether a node with these counts is partitioned. An isolated node stays so
     /// until peers or primaries answer: its callers go elsewhere, so the absence of groups in use
     /// proves nothing.
     fn appear_partitioned(self, isolated: bool) -> bool {
--- a/crates/coordination/src/serving/leadership.rs
+++ b/crates/coordination/src/serving/leadership.rs
@@ -1,9 +1,9 @@
 //! The primary of a group as known to this node, and when it was last confirmed.
 //!
-//! A reign is a leadership term: the period for which this node considers one database the primary.
-//! Positions of different reigns are never compared: a promotion rolls back what the new primary
-//! had not received, so a position from an earlier reign may no longer exist. The first sample of a
-//! reign covers everything that survived from earlier ones.
+//! A leadership period is the time for which this node considers one database the primary.
+//! Positions of different periods are never compared: a promotion rolls back what the new primary
+//! had not received, so a position from an earlier period may no longer exist. The first sample of a
+//! period covers everything that survived from earlier ones.
 
 use std::time::Duration;
 
@@ -17,14 +17,14 @@
 /// primary is better than one without a primary.
 const LOST_COMMITS_TIME: Duration = Duration::from_secs(3);
 
-/// Sequence number of a leadership term on this node, starting at 1.
+/// Sequence number of a leadership period on this node, starting at 1.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeadershipPeriod(pub u64);
 
-/// A position together with the leadership term in which it was read.
+/// A position together with the leadership period in which it was read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeriodPosition {
-    /// Leadership term in which the position was read.
+    /// Leadership period in which the position was read.
     pub leadership_period: LeadershipPeriod,
     /// Position in the database's log.
     pub position: Position,
@@ -68,7 +68,7 @@
 
 impl Leadership {
     /// Applies a proof that `database` was the primary. Returns whether the known leader or its
-    /// reign changed. A proof that the leader has lost all of its commits clears the known leader,
+    /// period changed. A proof that the leader has lost all of its commits clears the known leader,
     /// because the leader restarted empty.
     pub fn confirm(&mut self, database: &DatabaseName, proof: Confirmation) -> bool {
         let same = self.leader.as_ref() == Some(database);
@@ -83,16 +83,16 @@
             return false;
         }
         let resumed = self.leader.is_none() && self.previous.as_ref() == Some(database);
-        let new_reign = !(same || resumed) || self.rolled_back(&proof);
-        if new_reign {
-            self.begin_reign();
+        let new_period = !(same || resumed) || self.rolled_back(&proof);
+        if new_period {
+            self.begin_period();
         }
         self.lost_commits = None;
         self.leader = Some(database.clone());
         self.previous = Some(database.clone());
         self.confirmed_at = self.confirmed_at.max(proof.asked_at);
         self.sample(&proof);
-        !same || new_reign
+        !same || new_period
     }
 
     /// Returns whether a query sent no earlier than the proof's found that the database did not
@@ -136,7 +136,7 @@
     /// Discards everything known about the previous incarnation of `database`, which has restarted
     /// by `now`: samples, positions and refutations. Returns whether it was the known leader.
     ///
-    /// Samples from the reign of another database are kept, as they are that database's positions.
+    /// Samples from the period of another database are kept, as they are that database's positions.
     pub fn end_incarnation(&mut self, database: &DatabaseName, now: Timestamp) -> bool {
         if self
             .refuted
@@ -159,7 +159,7 @@
         self.leader.take().is_some()
     }
 
-    fn begin_reign(&mut self) {
+    fn begin_period(&mut self) {
         self.leadership_period = LeadershipPeriod(self.leadership_period.0 + 1);
         self.highest = None;
         self.freshness.clear();
@@ -205,14 +205,14 @@
         self.confirmed_at
     }
 
-    /// Returns the current reign.
+    /// Returns the current period.
     pub fn leadership_period(&self) -> LeadershipPeriod {
         self.leadership_period
     }
 
-    /// Returns the reign to which a position belongs that `database` reported in its answer to a
-    /// write. This is the current reign also while `database` is being replaced and no other leader
-    /// is known, since until then its positions are the valid ones. Returns reign 0 if another
+    /// Returns the period to which a position belongs that `database` reported in its answer to a
+    /// write. This is the current period also while `database` is being replaced and no other leader
+    /// is known, since until then its positions are the valid ones. Returns period 0 if another
     /// database leads.
     pub fn leadership_period_of(&self, database: &DatabaseName) -> LeadershipPeriod {
         let led_last = self.leader.is_none() && self.previous.as_ref() == Some(database);
@@ -234,7 +234,7 @@
     }
 
     /// Returns the position that a database must have reached for a session that has seen `held` to
-    /// read its own writes. Returns `None` if no sample of the current reign is known yet.
+    /// read its own writes. Returns `None` if no sample of the current period is known yet.
     pub fn translate(&self, held: PeriodPosition) -> Option<Position> {
         if held.leadership_period == self.leadership_period {
             return Some(held.position);
--- a/crates/coordination/src/serving/placement.rs
+++ b/crates/coordination/src/serving/placement.rs
@@ -95,7 +95,7 @@
 
 impl Placement {
     /// Returns a placement that allows every region. It is used for a node's own status queries,
-    /// which carry no text of a caller, and by a node that lends a connection to a node which has
+    /// which carry no text of a caller, and by a node that leases a connection to a node which has
     /// checked the placement.
     pub fn unrestricted() -> Self {
         Self { allowed: None }
@@ -175,7 +175,7 @@
 
     /// Returns why waiting is futile, or `None` if a permitted database can run the statement or
     /// may be able to shortly.
-    pub fn obstacle(
+    pub fn placement_error(
         &self,
         need: RequiredDatabase,
         group: GroupView<'_>,
--- a/crates/coordination/src/serving/primary_lease.rs
+++ b/crates/coordination/src/serving/primary_lease.rs
@@ -173,7 +173,7 @@
         if self.failures >= FAILURES_BEFORE_NEXT {
             let next = match self.grantor {
                 Grantor::Coordinator => 0,
-                Grantor::StandIn(place) => place + 1,
+                Grantor::StandIn(index) => index + 1,
             };
             self.switch_to(Grantor::StandIn(next), now);
         }
--- a/crates/coordination/src/serving/store_freshness.rs
+++ b/crates/coordination/src/serving/store_freshness.rs
@@ -114,14 +114,14 @@
 
 /// Limits derived from the time within which a configuration has to be in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct NewsLimits {
+pub struct FreshnessLimits {
     /// Wait of a watch on which other nodes depend.
     pub watch: Duration,
     /// Age at which a node switches to another source.
     pub oldest: Duration,
 }
 
-impl NewsLimits {
+impl FreshnessLimits {
     /// Returns the limits if a configuration has to be in force within `limit`.
     pub fn of(limit: Duration) -> Self {
         let watch = MAX_WATCH_WAIT.min(limit / 2);
@@ -159,11 +159,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// Newer knowledge of this node.
-    News,
+    Update,
     /// Nothing yet; newer knowledge may arrive soon.
     Wait,
     /// Nothing newer arrived in time.
-    NothingNew,
+    NoUpdate,
     /// The store rejects this node's calls.
     StoreLost,
 }
@@ -243,7 +243,7 @@
     }
 
     /// Returns whether the knowledge is recent enough to count as the store's current state.
-    pub fn is_fresh(&self, now: Timestamp, limits: NewsLimits) -> bool {
+    pub fn is_fresh(&self, now: Timestamp, limits: FreshnessLimits) -> bool {
         self.age(now) < limits.oldest
     }
 
@@ -293,7 +293,7 @@
     }
 
     /// Returns how long an upstream may take to answer.
-    pub fn upstream_timeout(&self, now: Timestamp, limits: NewsLimits) -> Duration {
+    pub fn upstream_timeout(&self, now: Timestamp, limits: FreshnessLimits) -> Duration {
         if self.has_just_started() {
             return STARTING_HOLD;
         }
@@ -321,11 +321,11 @@
         if self.is_rejected(now) {
             Reply::StoreLost
         } else if changed || self.known_at >= known_at + MIN_NEWER_BY {
-            Reply::News
+            Reply::Update
         } else if now < until {
             Reply::Wait
         } else {
-            Reply::NothingNew
+            Reply::NoUpdate
         }
     }
 }
--- a/crates/coordination/tests/serving.rs
+++ b/crates/coordination/tests/serving.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_position_of_an_earlier_reign_translates_to_the_first_sample_of_the_current_one() {
+fn a_position_of_an_earlier_period_translates_to_the_first_sample_of_the_current_one() {
     let mut leadership = Leadership::default();
     leadership.confirm(&name("a"), proof(10, 20, Position::new(1, 100)));
     let held = PeriodPosition {
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_position_that_goes_backwards_begins_a_new_reign() {
+fn a_position_that_goes_backwards_begins_a_new_leadership_period() {
     let mut leadership = Leadership::default();
     leadership.confirm(&name("a"), proof(10, 20, Position::new(1, 100)));
     let leadership_period = leadership.leadership_period();
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_primary_that_is_confirmed_again_keeps_its_reign() {
+fn a_primary_that_is_confirmed_again_keeps_its_leadership_period() {
     let mut leadership = Leadership::default();
     leadership.confirm(&name("a"), proof(10, 20, Position::new(1, 100)));
     let leadership_period = leadership.leadership_period();
@@ -170,11 +170,15 @@
         (&[silent], 1, true),
     ];
     for (observations, members, lost) in cases {
-        let witnesses = ObserverCounts {
+        let observer_counts = ObserverCounts {
             members,
             holders: members,
         };
-        assert_eq!(is_lost(observations, witnesses), lost, "{observations:?}");
+        assert_eq!(
+            is_lost(observations, observer_counts),
+            lost,
+            "{observations:?}"
+        );
     }
 }
 
@@ -182,16 +186,16 @@
 fn nodes_that_hold_no_connections_do_not_outvote_those_that_do() {
     use Observation::{Leaderless, NoHolderAvailable, Reachable, Silent, Unknown};
     let silent = Silent(ms(800));
-    let unhelped = NoHolderAvailable(ms(1_500));
+    let no_holder = NoHolderAvailable(ms(1_500));
     let leaderless = Leaderless(ms(1_500));
-    let witnesses = ObserverCounts {
+    let observer_counts = ObserverCounts {
         members: 40,
         holders: 4,
     };
     let cases: [(&str, Vec<Observation>, bool); 9] = [
         (
             "no connection because of load",
-            [vec![Reachable], vec![unhelped; 30]].concat(),
+            [vec![Reachable], vec![no_holder; 30]].concat(),
             false,
         ),
         (
@@ -210,7 +214,7 @@
             [vec![silent; 2], vec![Reachable; 2]].concat(),
             false,
         ),
-        ("no holder left, short", vec![unhelped; 36], false),
+        ("no holder left, short", vec![no_holder; 36], false),
         (
             "no holder left, long",
             vec![NoHolderAvailable(ms(2_600)); 36],
@@ -220,7 +224,7 @@
         ("no node knows a primary", vec![leaderless; 30], true),
     ];
     for (what, observations, lost) in cases {
-        assert_eq!(is_lost(&observations, witnesses), lost, "{what}");
+        assert_eq!(is_lost(&observations, observer_counts), lost, "{what}");
     }
 }
 
--- a/crates/coordination/tests/serving_coordinator.rs
+++ b/crates/coordination/tests/serving_coordinator.rs
@@ -49,7 +49,7 @@
 
 /// A restarted process finds the record of its predecessor and may replace it.
 #[test]
-fn a_record_is_left_behind_by_an_earlier_process_of_the_same_node_only() {
+fn a_record_is_stale_only_if_an_earlier_process_of_the_same_node_wrote_it() {
     let mut view = CoordinatorView::default();
     assert!(view.stale_record("first", None).is_none());
     view.take_record(revision(7), Some(record("first")));
--- a/crates/coordination/tests/serving_database_incarnation.rs
+++ b/crates/coordination/tests/serving_database_incarnation.rs
@@ -69,12 +69,12 @@
     ];
     let mut directory = Directory::default();
     for (now, (case, started, number, expected)) in (10..).zip(cases) {
-        let taken = directory.put(
+        let outcome = directory.put(
             database("a", started),
             revision(number),
             received_at(at(now)),
         );
-        assert_eq!(taken, expected, "{case}");
+        assert_eq!(outcome, expected, "{case}");
     }
     let listed = directory.get(&name("a")).unwrap();
     assert!(
@@ -242,12 +242,12 @@
     /// Answers to queries sent before the node learned of the incarnation are ignored.
     late_answers: bool,
     /// Facts about an incarnation are dropped when it ends.
-    end_of_life: bool,
+    end_of_incarnation: bool,
 }
 
 const FULL: Protection = Protection {
     late_answers: true,
-    end_of_life: true,
+    end_of_incarnation: true,
 };
 
 /// Maximum number of commits in one incarnation; a position divided by this number gives the
@@ -326,10 +326,10 @@
     fn receive_registration(&mut self, entry_index: usize) {
         let (registration, number) = self.written[entry_index].clone();
         let name = registration.name.clone();
-        let taken = self
+        let outcome = self
             .directory
             .put(registration, revision(number), received_at(self.now));
-        if taken == RegistrationOutcome::NewIncarnation && self.protection.end_of_life {
+        if outcome == RegistrationOutcome::NewIncarnation && self.protection.end_of_incarnation {
             self.leadership.end_incarnation(&name, self.now);
         }
     }
@@ -413,13 +413,16 @@
         late_answers: false,
         ..FULL
     };
-    let without_end_of_life = Protection {
-        end_of_life: false,
+    let without_end_of_incarnation = Protection {
+        end_of_incarnation: false,
         ..FULL
     };
     assert!(stays_sound(FULL, &ANSWER_COMES_LATE));
     assert!(stays_sound(FULL, &ANSWER_COMES_FIRST));
     assert!(stays_sound(FULL, &QUERIED_BEFORE_KNOWN));
     assert!(!stays_sound(without_late_answers, &ANSWER_COMES_LATE));
-    assert!(!stays_sound(without_end_of_life, &ANSWER_COMES_FIRST));
+    assert!(!stays_sound(
+        without_end_of_incarnation,
+        &ANSWER_COMES_FIRST
+    ));
 }
--- a/crates/coordination/tests/serving_departure.rs
+++ b/crates/coordination/tests/serving_departure.rs
@@ -83,11 +83,11 @@
         ),
     ];
     for (case, evidence, learned_at, not_before, ends) in cases {
-        let hearing = LearnedTimes {
+        let learned_times = LearnedTimes {
             at: at(learned_at),
             not_before: at(not_before),
         };
-        let departure = Departure::new(evidence, hearing);
+        let departure = Departure::new(evidence, learned_times);
         assert_eq!(departure.grace_period_end(LIMIT), at(ends), "{case}");
     }
     assert!(ABSENCE_CONFIRMED_AFTER < LIMIT);
@@ -96,7 +96,7 @@
 #[test]
 fn an_announcement_keeps_its_time_and_a_new_incarnation_has_its_own() {
     let mut directory = Directory::default();
-    let hearing = |millis| LearnedTimes {
+    let learned_times = |millis| LearnedTimes {
         at: at(millis),
         not_before: at(millis),
     };
@@ -104,25 +104,25 @@
         let departure = directory.get(&name())?.departure?;
         Some(departure.counted_from())
     };
-    directory.put(database(1, true), revision(5), hearing(100));
-    directory.put(database(1, true), revision(6), hearing(900));
+    directory.put(database(1, true), revision(5), learned_times(100));
+    directory.put(database(1, true), revision(6), learned_times(900));
     assert_eq!(counted_from(&directory), Some(at(100)), "still the same");
-    directory.remove(&name(), revision(7), hearing(2_000));
+    directory.remove(&name(), revision(7), learned_times(2_000));
     assert_eq!(
         counted_from(&directory),
         Some(at(100)),
         "its entry is removed"
     );
-    directory.put(database(1, false), revision(8), hearing(3_000));
+    directory.put(database(1, false), revision(8), learned_times(3_000));
     assert_eq!(counted_from(&directory), None, "withdrawn");
-    directory.remove(&name(), revision(9), hearing(4_000));
-    directory.put(database(1, true), revision(10), hearing(7_000));
+    directory.remove(&name(), revision(9), learned_times(4_000));
+    directory.put(database(1, true), revision(10), learned_times(7_000));
     assert_eq!(
         counted_from(&directory),
         Some(at(7_000)),
         "it had only expired"
     );
-    directory.put(database(2, true), revision(11), hearing(8_000));
+    directory.put(database(2, true), revision(11), learned_times(8_000));
     assert_eq!(
         counted_from(&directory),
         Some(at(8_000)),
@@ -228,11 +228,11 @@
 
 #[test]
 fn a_bound_known_to_a_peer_only_extends_the_grace_period() {
-    let hearing = LearnedTimes {
+    let learned_times = LearnedTimes {
         at: at(60_000),
         not_before: at(0),
     };
-    let mut departure = Departure::new(DepartureEvidence::Announced, hearing);
+    let mut departure = Departure::new(DepartureEvidence::Announced, learned_times);
     departure.raise_lower_bound(at(57_000));
     assert_eq!(departure.grace_period_end(LIMIT), at(66_000));
     departure.raise_lower_bound(at(20_000));
@@ -387,13 +387,13 @@
             Counting::FromLowerBound => node.coverage.before_last_update(),
             Counting::FromReceipt => self.now,
         };
-        let hearing = LearnedTimes {
+        let learned_times = LearnedTimes {
             at: self.now,
             not_before,
         };
         let registration = database(1, answer.draining);
         node.directory
-            .put(registration, revision(answer.revision), hearing);
+            .put(registration, revision(answer.revision), learned_times);
         if let Some(not_before) = answer.departure {
             let started = Some(DatabaseStart(1));
             node.directory
--- a/crates/coordination/tests/serving_directory.rs
+++ b/crates/coordination/tests/serving_directory.rs
@@ -31,15 +31,19 @@
     let (number, group, kind) = step;
     let at = START + Duration::from_secs(revision);
     let revision = store::revision(revision);
-    let hearing = LearnedTimes { at, not_before: at };
+    let learned_times = LearnedTimes { at, not_before: at };
     match kind % 4 {
         0 => {
-            directory.put(database(number, group, false), revision, hearing);
+            directory.put(database(number, group, false), revision, learned_times);
         }
         1 => {
-            directory.put(database(number, group, true), revision, hearing);
+            directory.put(database(number, group, true), revision, learned_times);
         }
-        2 => directory.remove(&database(number, group, false).name, revision, hearing),
+        2 => directory.remove(
+            &database(number, group, false).name,
+            revision,
+            learned_times,
+        ),
         _ => {
             directory.forget_missing(at - Duration::from_secs(5));
         }
--- a/crates/coordination/tests/serving_handover.rs
+++ b/crates/coordination/tests/serving_handover.rs
@@ -130,7 +130,7 @@
 
 #[test]
 fn drawbacks_follow_from_the_zone_and_the_allowed_regions() {
-    let place = |zone, region: Option<&str>| PrimaryLocation {
+    let location = |zone, region: Option<&str>| PrimaryLocation {
         leaving: false,
         zone,
         region: region.map(RegionName::new),
@@ -154,7 +154,7 @@
         (ZoneAvailability::Evacuated, None, None, EVACUATED),
     ];
     for (zone, region, regions, expected) in rows {
-        let drawbacks = Drawbacks::of(&place(zone, region), regions);
+        let drawbacks = Drawbacks::of(&location(zone, region), regions);
         assert_eq!(drawbacks, expected, "{zone:?} {region:?} {regions:?}");
     }
 }
@@ -190,7 +190,7 @@
             };
             let choice = choices.get(moves).copied().unwrap_or_default();
             let target = &planned.targets[choice % planned.targets.len()];
-            leader = places.iter().position(|(place, _)| place == target).unwrap();
+            leader = places.iter().position(|(location, _)| location == target).unwrap();
         }
         false
     }
@@ -299,10 +299,10 @@
 #[test]
 fn planned_moves_leave_capacity_of_the_promotion_service() {
     let rate = 50.0;
-    let mut pace = HandoverLimiter::default();
+    let mut limiter = HandoverLimiter::default();
     let started = (0..100)
         .map(|round| at(round * 100))
-        .map(|now| (0..40).filter(|_| pace.take(rate, now)).count())
+        .map(|now| (0..40).filter(|_| limiter.take(rate, now)).count())
         .collect::<Vec<_>>();
     let first_second: usize = started[..10].iter().sum();
     let all: usize = started.iter().sum();
@@ -314,8 +314,8 @@
 
 #[test]
 fn a_service_that_reports_no_rate_sets_no_limit() {
-    let mut pace = HandoverLimiter::default();
-    assert!((0..100).all(|_| pace.take(0.0, at(0))));
+    let mut limiter = HandoverLimiter::default();
+    assert!((0..100).all(|_| limiter.take(0.0, at(0))));
 }
 
 const LIMIT: Duration = Duration::from_millis(2_500);
--- a/crates/coordination/tests/serving_isolation.rs
+++ b/crates/coordination/tests/serving_isolation.rs
@@ -22,17 +22,17 @@
     }
 }
 
-/// Applies `surroundings` for `time` and returns the resulting changes.
+/// Applies `counts` for `time` and returns the resulting changes.
 fn watch(
     isolation: &mut Isolation,
     now: &mut Timestamp,
-    surroundings: ReachabilityCounts,
+    counts: ReachabilityCounts,
     time: Duration,
 ) -> Vec<IsolationChange> {
     let until = *now + time;
     let mut changes = Vec::new();
     while *now < until {
-        changes.extend(isolation.note(surroundings, *now));
+        changes.extend(isolation.note(counts, *now));
         *now = *now + OBSERVATION_INTERVAL;
     }
     changes
@@ -62,15 +62,10 @@
         ("no group in use", seen(0, 0, 10, 10), false),
         ("no peer is known", seen(8, 8, 0, 0), false),
     ];
-    for (case, surroundings, isolated) in cases {
+    for (case, counts, isolated) in cases {
         let mut isolation = Isolation::default();
         let mut now = Timestamp(1_000_000);
-        watch(
-            &mut isolation,
-            &mut now,
-            surroundings,
-            Duration::from_secs(3),
-        );
+        watch(&mut isolation, &mut now, counts, Duration::from_secs(3));
         assert_eq!(isolation.since().is_some(), isolated, "{case}");
     }
 }
--- a/crates/coordination/tests/serving_placement.rs
+++ b/crates/coordination/tests/serving_placement.rs
@@ -246,7 +246,7 @@
             leader: leader.as_ref(),
             successor: successor.as_ref(),
         };
-        let found = row.allowed.obstacle(row.need, group, &regions());
+        let found = row.allowed.placement_error(row.need, group, &regions());
         assert_eq!(found, row.expected, "row {number}");
     }
 }
--- a/crates/coordination/tests/serving_quota.rs
+++ b/crates/coordination/tests/serving_quota.rs
@@ -60,7 +60,7 @@
     Ask {
         holder: usize,
         times: u8,
-        patience_ms: u16,
+        max_wait_ms: u16,
         late_permille: u16,
     },
     /// Time passes.
@@ -81,16 +81,16 @@
             _ => Step::Ask {
                 holder,
                 times: u8::arbitrary(g),
-                patience_ms: u16::arbitrary(g) % 200,
+                max_wait_ms: u16::arbitrary(g) % 200,
                 late_permille: u16::arbitrary(g) % 1_001,
             },
         }
     }
 }
 
-/// Applies the steps and returns the times at which operations ran. A token is used at most `life`
+/// Applies the steps and returns the times at which operations ran. A token is used at most `token_life`
 /// after it was granted.
-fn run_steps(steps: &[Step], limit: GrantLimit, life: Duration) -> Vec<u64> {
+fn run_steps(steps: &[Step], limit: GrantLimit, token_life: Duration) -> Vec<u64> {
     let tenant = TenantName::new("clinic");
     let holders = limit.holders(MAX_HOLDERS);
     let part = limit.part(holders);
@@ -109,15 +109,15 @@
             Step::Ask {
                 holder,
                 times,
-                patience_ms,
+                max_wait_ms,
                 late_permille,
             } => {
                 let (tokens, from) = &mut granting[holder % holders];
-                let patience = Duration::from_millis(u64::from(*patience_ms));
+                let max_wait = Duration::from_millis(u64::from(*max_wait_ms));
                 for _ in 0..*times {
-                    let answer = tokens.take(&tenant, part, *from, now, patience);
+                    let answer = tokens.take(&tenant, part, *from, now, max_wait);
                     if let TokenAnswer::Granted { after_us } = answer {
-                        let late = life * u32::from(*late_permille) / 1_000;
+                        let late = token_life * u32::from(*late_permille) / 1_000;
                         let used = now + Duration::from_micros(after_us) + late;
                         ran.push(used.0);
                     }
@@ -153,22 +153,22 @@
 
 /// Tokens are requested from full buckets without a pause for a window plus the validity of a
 /// token. The tokens granted first are used as late as possible, all at the same time.
-fn worst_case(grant_limit: GrantLimit, life: Duration) -> usize {
+fn worst_case(grant_limit: GrantLimit, token_life: Duration) -> usize {
     const PAUSE_MS: u16 = 10;
     let mut steps = vec![Step::Pass { millis: 60_000 }];
     let mut passed = Duration::ZERO;
-    while passed < life + BOUNDS.window {
-        let left = life.saturating_sub(passed).as_millis() * 1_000 / life.as_millis();
+    while passed < token_life + BOUNDS.window {
+        let left = token_life.saturating_sub(passed).as_millis() * 1_000 / token_life.as_millis();
         steps.extend((0..MAX_HOLDERS).map(|holder| Step::Ask {
             holder,
             times: 250,
-            patience_ms: 0,
+            max_wait_ms: 0,
             late_permille: u16::try_from(left).unwrap(),
         }));
         steps.push(Step::Pass { millis: PAUSE_MS });
         passed += Duration::from_millis(u64::from(PAUSE_MS));
     }
-    let mut ran = run_steps(&steps, grant_limit, life);
+    let mut ran = run_steps(&steps, grant_limit, token_life);
     max_in_window(&mut ran, BOUNDS.window)
 }
 
@@ -229,25 +229,25 @@
     };
     let mut bucket = TokenBucket::new(grant_limit, at(0));
     let zero = Duration::ZERO;
-    let patience = Duration::from_millis(150);
-    let dry = |millis: u64| TokenAnswer::Exhausted {
+    let max_wait = Duration::from_millis(150);
+    let exhausted = |millis: u64| TokenAnswer::Exhausted {
         retry_after_us: millis * 1_000 + 1,
     };
     let granted = |after_us| TokenAnswer::Granted { after_us };
     let cases = [
         (0, zero, granted(0)),
         (0, zero, granted(0)),
-        (0, zero, dry(100)),
-        (50, zero, dry(50)),
+        (0, zero, exhausted(100)),
+        (50, zero, exhausted(50)),
         (100, zero, granted(0)),
-        (100, patience, granted(100_001)),
-        (100, patience, dry(200)),
+        (100, max_wait, granted(100_001)),
+        (100, max_wait, exhausted(200)),
         (1_000, zero, granted(0)),
         (1_000, zero, granted(0)),
-        (1_000, zero, dry(100)),
+        (1_000, zero, exhausted(100)),
     ];
-    for (number, (millis, patience, expected)) in cases.into_iter().enumerate() {
-        assert_eq!(bucket.take(at(millis), patience), expected, "{number}");
+    for (number, (millis, max_wait, expected)) in cases.into_iter().enumerate() {
+        assert_eq!(bucket.take(at(millis), max_wait), expected, "{number}");
     }
 }
 
--- a/crates/coordination/tests/serving_store_freshness_fleet.rs
+++ b/crates/coordination/tests/serving_store_freshness_fleet.rs
@@ -7,7 +7,7 @@
 use hookpoint_coordination::serving::feed::{Regions, store_upstreams, try_order};
 use hookpoint_coordination::serving::homes::HomeCandidate;
 use hookpoint_coordination::serving::store_freshness::{
-    NewsLimits, Reply, StoreFreshness, watch_timeout,
+    FreshnessLimits, Reply, StoreFreshness, watch_timeout,
 };
 use hookpoint_state::{Timestamp, ZoneName};
 use quickcheck::{Gen, QuickCheck, TestResult};
@@ -82,7 +82,7 @@
 }
 
 struct Machine {
-    news: StoreFreshness,
+    freshness: StoreFreshness,
     /// Time of the store's actual state that is known here.
     actual_as_of: Timestamp,
     activity: Activity,
@@ -116,7 +116,7 @@
             }));
         }
         let machines = nodes.iter().map(|_| Machine {
-            news: StoreFreshness::default(),
+            freshness: StoreFreshness::default(),
             actual_as_of: Timestamp::default(),
             activity: Activity::Next,
             held: Vec::new(),
@@ -138,7 +138,7 @@
             if name == self.nodes[own].node {
                 own_helps
             } else {
-                !use_exclusions || self.machines[own].news.may_forward(name, self.now)
+                !use_exclusions || self.machines[own].freshness.may_forward(name, self.now)
             }
         };
         store_upstreams(&self.nodes[own], &self.nodes, &self.regions, helps)
@@ -208,14 +208,16 @@
             _ => now.since(*asked_at).saturating_sub(held),
         };
         match reply {
-            Reply::News => {
-                machine.news.note_upstream_answer(now - age - transit_time);
+            Reply::Update => {
+                machine
+                    .freshness
+                    .note_upstream_answer(now - age - transit_time);
                 machine.actual_as_of = machine.actual_as_of.max(actual_as_of);
                 machine.activity = Activity::Next;
             }
             Reply::StoreLost => {
                 let name = &self.nodes[upstream].node;
-                machine.news.exclude(name, now);
+                machine.freshness.exclude(name, now);
                 self.continue_search(to);
             }
             _ => self.continue_search(to),
@@ -225,7 +227,7 @@
     /// Continues after an upstream that did not help: tries the store if it is this node's turn,
     /// and asks the next upstream otherwise.
     fn continue_search(&mut self, index: usize) {
-        self.machines[index].news.note_no_update(self.now);
+        self.machines[index].freshness.note_no_update(self.now);
         if self.own_try_is_due(index) {
             return self.watch(index);
         }
@@ -234,7 +236,7 @@
 
     fn own_try_is_due(&self, index: usize) -> bool {
         let order = try_order(&self.nodes[index], &self.nodes, &self.regions);
-        self.machines[index].news.try_is_due(order, self.now)
+        self.machines[index].freshness.try_is_due(order, self.now)
     }
 
     fn answer_held(&mut self, index: usize) {
@@ -242,9 +244,11 @@
         let machine = &mut self.machines[index];
         let mut waiting = Vec::new();
         for query in std::mem::take(&mut machine.held) {
-            let mut reply = machine.news.reply(query.known_at, false, query.until, now);
+            let mut reply = machine
+                .freshness
+                .reply(query.known_at, false, query.until, now);
             if self.control == Control::ForwardAnything && reply != Reply::Wait {
-                reply = Reply::News;
+                reply = Reply::Update;
             }
             if reply == Reply::Wait {
                 waiting.push(query);
@@ -252,7 +256,7 @@
             }
             let answer = Message::Answer {
                 reply,
-                age: machine.news.age(now),
+                age: machine.freshness.age(now),
                 held: now.since(query.asked_at),
                 actual_as_of: machine.actual_as_of,
             };
@@ -273,14 +277,14 @@
             } if now >= ends_at => {
                 let machine = &mut self.machines[index];
                 if answered {
-                    machine.news.note_store_answer(due_at.min(now));
+                    machine.freshness.note_store_answer(due_at.min(now));
                     machine.actual_as_of = ends_at - DELAY;
                     machine.activity = Activity::Pause {
                         until: now + Duration::from_millis(40),
                     };
                 } else {
-                    machine.news.note_rejected(now);
-                    let until = now + machine.news.search_pause(now);
+                    machine.freshness.note_rejected(now);
+                    let until = now + machine.freshness.search_pause(now);
                     machine.activity = Activity::Pause { until };
                 }
             }
@@ -290,7 +294,7 @@
 
     fn begin(&mut self, index: usize) {
         let now = self.now;
-        let watches = self.machines[index].news.watches(now);
+        let watches = self.machines[index].freshness.watches(now);
         if watches && self.upstreams(index, true, true).is_empty() {
             return self.watch(index);
         }
@@ -306,8 +310,8 @@
         if asked.len() == ASKED_IN_A_ROUND {
             return None;
         }
-        let turned_away = self.machines[index].news.is_rejected(self.now);
-        let upstreams = self.upstreams(index, !turned_away, true);
+        let rejected = self.machines[index].freshness.is_rejected(self.now);
+        let upstreams = self.upstreams(index, !rejected, true);
         upstreams
             .into_iter()
             .find(|upstream| !asked.contains(upstream))
@@ -329,29 +333,31 @@
             asked.push(upstream);
             let query = Message::Query {
                 from: index,
-                age: machine.news.age(now),
-                hold: machine.news.upstream_timeout(now, NewsLimits::of(LIMIT)),
+                age: machine.freshness.age(now),
+                hold: machine
+                    .freshness
+                    .upstream_timeout(now, FreshnessLimits::of(LIMIT)),
             };
             self.wire.push((now + DELAY, upstream, query));
             return;
         }
         if asked.is_empty() {
-            machine.news.clear_excluded();
+            machine.freshness.clear_excluded();
         }
-        machine.news.note_no_update(now);
+        machine.freshness.note_no_update(now);
         let is_first = self.upstreams(index, true, false).is_empty();
         if is_first || self.own_try_is_due(index) {
             return self.watch(index);
         }
         let machine = &mut self.machines[index];
-        let until = now + machine.news.search_pause(now);
+        let until = now + machine.freshness.search_pause(now);
         machine.activity = Activity::Pause { until };
     }
 
     fn watch(&mut self, index: usize) {
         let now = self.now;
-        let longest = NewsLimits::of(LIMIT).watch;
-        let wait = self.machines[index].news.watch_wait(longest, now);
+        let longest = FreshnessLimits::of(LIMIT).watch;
+        let wait = self.machines[index].freshness.watch_wait(longest, now);
         let answered = !self.refused[index];
         let watch_time = match (answered, self.refusal) {
             (true, _) => wait + DELAY * 2,
@@ -404,7 +410,7 @@
         }
         fleet.tick();
         for machine in &fleet.machines {
-            outcome.too_new |= machine.news.known_at() > machine.actual_as_of;
+            outcome.too_new |= machine.freshness.known_at() > machine.actual_as_of;
             if fleet.now >= at(LOST_AT) {
                 outcome.oldest = outcome.oldest.max(fleet.now.since(machine.actual_as_of));
             }
--- a/crates/serving/src/cold_start.rs
+++ b/crates/serving/src/cold_start.rs
@@ -318,13 +318,13 @@
     let starts = node.cold.starts.borrow();
     let cold_for = starts.get(name).map(|warmth| millis(warmth.cold_for(now)));
     let started = node.database(name).and_then(|database| database.started);
-    let news_age = millis(now.since(node.feed.known_at()));
+    let store_age = millis(now.since(node.feed.known_at()));
     [
         ("database", name.as_str().into()),
         ("reason", reason.as_str().into()),
         ("started", started.map(|start| start.0).into()),
         ("cold_ms", cold_for.into()),
-        ("news_ms_ago", news_age.into()),
+        ("news_ms_ago", store_age.into()),
     ]
 }
 
--- a/crates/serving/src/connection.rs
+++ b/crates/serving/src/connection.rs
@@ -139,7 +139,7 @@
             .unwrap_or(Err(ConnectionError::TimedOut))
     }
 
-    /// Creates a connection that commands reach through the peer node that lends it.
+    /// Creates a connection that commands reach through the peer node that holds it.
     pub fn relayed(
         channel: RelayedChannel,
         database: &DatabaseName,
--- a/crates/serving/src/coordinator/handover.rs
+++ b/crates/serving/src/coordinator/handover.rs
@@ -25,7 +25,7 @@
 }
 
 /// Returns the move that is due for a group's primary, if the primary should not continue to lead
-/// and there is a better place for it.
+/// and there is a better location for it.
 pub(super) fn due(node: &Rc<Node>, group: &GroupName, leader: &DatabaseName) -> Option<Handover> {
     let wanted_for = time_wanted(node, group, leader)?;
     let present = drawbacks_of_leader(node, leader);
@@ -49,7 +49,7 @@
     })
 }
 
-/// Returns for how long a group's primary has been in a place that it should leave, or `None` if
+/// Returns for how long a group's primary has been in a location that it should leave, or `None` if
 /// it need not move.
 pub(super) fn time_wanted(
     node: &Rc<Node>,
@@ -70,7 +70,7 @@
 }
 
 /// Returns whether, in a group whose primary is not known, a database that states that it leads is
-/// in a place that a primary should leave.
+/// in a location that a primary should leave.
 pub(super) fn is_wanted_for_stated_primary(node: &Rc<Node>, group: &GroupName) -> bool {
     let directory = node.directory.borrow();
     let mut stated = directory
@@ -115,14 +115,14 @@
 
 fn assess_drawbacks(node: &Rc<Node>, listed: &DirectoryEntry, leaving: bool) -> Drawbacks {
     let zone = &listed.database.zone;
-    let place = PrimaryLocation {
+    let location = PrimaryLocation {
         leaving,
         zone: node.zone_availability(zone),
         region: node.changeable().regions.get(zone).map(RegionName::new),
         cold: node.is_cold(&listed.database.name),
     };
     let allowed = node.primary_regions(&listed.database.group);
-    Drawbacks::of(&place, allowed.as_ref())
+    Drawbacks::of(&location, allowed.as_ref())
 }
 
 /// Logs and counts the outcome of a planned move.
--- a/crates/serving/src/coordinator/mod.rs
+++ b/crates/serving/src/coordinator/mod.rs
@@ -86,7 +86,7 @@
 /// State of the coordinator's periodic check of all groups.
 #[derive(Default)]
 struct Survey {
-    pace: HandoverLimiter,
+    handover_limiter: HandoverLimiter,
     /// The last group of the previous round-robin batch.
     last: Option<GroupName>,
     /// Groups whose primaries should move.
@@ -109,7 +109,7 @@
             let starts = match reason(node, &group) {
                 None => false,
                 Some(Reason::Lost) => true,
-                Some(Reason::Planned(_)) => self.pace.take(rate, node.now()),
+                Some(Reason::Planned(_)) => self.handover_limiter.take(rate, node.now()),
             };
             if starts {
                 node.with_group(&group, |state| state.being_replaced = true);
@@ -195,7 +195,7 @@
         return;
     };
     let observations = observations_of(&views);
-    if !is_lost(&observations, node.witnesses(leader.as_ref())) {
+    if !is_lost(&observations, node.observer_counts(leader.as_ref())) {
         return;
     }
     log_loss(node, group, leader.as_ref(), &observations);
@@ -323,15 +323,15 @@
             .gather_views(node, group, Some(leader), &holders)
             .await;
         let observed = observations_of(&views);
-        let witnesses = node.witnesses(Some(leader));
-        let all_hold = witnesses.holders == witnesses.members;
+        let observer_counts = node.observer_counts(Some(leader));
+        let all_hold = observer_counts.holders == observer_counts.members;
         let reachable = observed.contains(&Observation::Reachable);
         let own_view = 1;
         let some_checking = observed
             .iter()
             .skip(own_view)
             .any(|observed| *observed == Observation::Unknown);
-        if all_hold || reachable || some_checking || is_lost(&observed, witnesses) {
+        if all_hold || reachable || some_checking || is_lost(&observed, observer_counts) {
             return views;
         }
     }
--- a/crates/serving/src/coordinator_record.rs
+++ b/crates/serving/src/coordinator_record.rs
@@ -92,10 +92,10 @@
 /// Returns how long this node leaves a free record to the nodes of a lower rank.
 fn claim_backoff(node: &Rc<Node>) -> Duration {
     let nodes = node.registered_nodes();
-    let place = claim_order(&nodes)
+    let rank = claim_order(&nodes)
         .iter()
         .position(|name| *name == node.settings.name);
-    let rank = place.unwrap_or(MAX_RANK).min(MAX_RANK);
+    let rank = rank.unwrap_or(MAX_RANK).min(MAX_RANK);
     RANK_DELAY * u32::try_from(rank).unwrap_or_default()
 }
 
--- a/crates/serving/src/evacuation.rs
+++ b/crates/serving/src/evacuation.rs
@@ -1,7 +1,7 @@
 //! Evacuation of zones: stops the use of a zone's databases on this node.
 //!
 //! As soon as a request is known, statements go to a database of the zone only if it leads its
-//! group. Once the request has been known for the configured limit, the zone's databases are shut:
+//! group. Once the request has been known for the configured limit, the zone counts as evacuated:
 //! nothing is sent to them any more, idle connections are closed, and transactions that are still
 //! open there are ended.
 
@@ -54,7 +54,7 @@
         known.availability(zone, limit, *return_time, self.now())
     }
 
-    /// Returns the standing of a database's zone.
+    /// Returns the availability of a database's zone.
     pub(crate) fn zone_availability_of(&self, name: &DatabaseName) -> ZoneAvailability {
         if self.evacuations.known.borrow().is_empty() {
             return ZoneAvailability::Open;
@@ -216,7 +216,7 @@
     }
 }
 
-/// Closes idle connections in zones under evacuation, ends the remaining use once a zone is shut,
+/// Closes idle connections in zones under evacuation, ends the remaining use once a zone is evacuated,
 /// and logs the progress. Called periodically.
 pub(crate) fn clear_evacuated_zones(node: &Rc<Node>) {
     node.end_unlisted_evacuations();
@@ -230,19 +230,19 @@
 }
 
 fn clear_zone(node: &Rc<Node>, zone: &ZoneName) {
-    let shut = node.zone_availability(zone) == ZoneAvailability::Evacuated;
+    let evacuated = node.zone_availability(zone) == ZoneAvailability::Evacuated;
     let pools = pools_in(node, zone);
     for pool in &pools {
-        if shut || !node.leads(pool.database()) {
+        if evacuated || !node.leads(pool.database()) {
             let closed = pool.close_idle();
             node.note_connections_closed(zone, closed);
         }
-        if shut {
+        if evacuated {
             pool.fail_waiters();
         }
     }
     let connections = pools.iter().map(|pool| pool.in_use()).sum();
-    if shut && connections > 0 {
+    if evacuated && connections > 0 {
         // Wakes sessions that are idle in a transaction, so that they end it.
         node.stop_advanced.notify_waiters();
     }
@@ -252,7 +252,7 @@
             connections,
             primaries,
         };
-        log_progress(node, zone, shut, &used);
+        log_progress(node, zone, evacuated, &used);
     }
 }
 
@@ -288,9 +288,9 @@
     groups.into_iter().filter(in_zone).collect()
 }
 
-/// Logs once that this node uses nothing in the zone any more, or, while the zone is shut,
+/// Logs once that this node uses nothing in the zone any more, or, while the zone counts as evacuated,
 /// periodically what it still uses.
-fn log_progress(node: &Rc<Node>, zone: &ZoneName, shut: bool, used: &ZoneUse) {
+fn log_progress(node: &Rc<Node>, zone: &ZoneName, evacuated: bool, used: &ZoneUse) {
     let now = node.now();
     let age = node.evacuation_age(zone).map(millis);
     let mut all = node.evacuations.progress.borrow_mut();
@@ -310,7 +310,7 @@
     let logged_lately = progress
         .in_use_logged_at
         .is_some_and(|logged_at| now.since(logged_at) < IN_USE_LOG_INTERVAL);
-    if !shut || used.is_empty() || logged_lately {
+    if !evacuated || used.is_empty() || logged_lately {
         return;
     }
     progress.in_use_logged_at = Some(now);
--- a/crates/serving/src/feed/answering.rs
+++ b/crates/serving/src/feed/answering.rs
@@ -91,10 +91,10 @@
             // era.
             Ordering::Greater => (false, now),
         };
-        match feed.news.borrow().reply(known_at, changed, until, now) {
-            Reply::News => return new_changes_answer(node, request, changes, asked_at),
+        match feed.freshness.borrow().reply(known_at, changed, until, now) {
+            Reply::Update => return new_changes_answer(node, request, changes, asked_at),
             Reply::StoreLost => return FeedAnswer::StoreLost,
-            Reply::NothingNew => return FeedAnswer::NothingNew,
+            Reply::NoUpdate => return FeedAnswer::NothingNew,
             Reply::Wait => {}
         }
         let _ = timeout(until.since(now), advanced).await;
--- a/crates/serving/src/feed/following.rs
+++ b/crates/serving/src/feed/following.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::feed::{is_small_region, store_upstreams, try_order};
-use hookpoint_coordination::serving::store_freshness::{MAX_WATCH_WAIT, NewsLimits};
+use hookpoint_coordination::serving::store_freshness::{FreshnessLimits, MAX_WATCH_WAIT};
 use hookpoint_state::StoreRevision;
 
 use super::answering::{FeedAnswer, FollowRequest};
@@ -65,15 +65,15 @@
             Ok(followed) => return followed,
             Err(reason) => note_unhelpful_upstream(node, &upstream, reason),
         }
-        node.feed.news.borrow_mut().note_no_update(node.now());
+        node.feed.freshness.borrow_mut().note_no_update(node.now());
         if is_own_turn(node) {
             return Followed::Nothing;
         }
     }
-    let mut news = node.feed.news.borrow_mut();
-    news.note_no_update(node.now());
+    let mut freshness = node.feed.freshness.borrow_mut();
+    freshness.note_no_update(node.now());
     if asked.is_empty() {
-        news.clear_excluded();
+        freshness.clear_excluded();
     }
     Followed::Nothing
 }
@@ -88,7 +88,7 @@
             "peer_failed"
         }
         NoChangesReason::RefusedByStore => {
-            feed.news.borrow_mut().exclude(&upstream.name, now);
+            feed.freshness.borrow_mut().exclude(&upstream.name, now);
             "peer_turned_away"
         }
         NoChangesReason::Behind => "peer_behind",
@@ -184,8 +184,11 @@
 async fn call(node: &Rc<Node>, upstream: &Peer, revision: StoreRevision) -> Option<FeedAnswer> {
     let now = node.now();
     let (age, hold) = {
-        let news = node.feed.news.borrow();
-        (news.age(now), news.upstream_timeout(now, limits(node)))
+        let freshness = node.feed.freshness.borrow();
+        (
+            freshness.age(now),
+            freshness.upstream_timeout(now, limits(node)),
+        )
     };
     let request = LinkRequest::Follow(FollowRequest {
         revision,
@@ -228,22 +231,22 @@
     node.store_steady_since.set(own.max(since));
 }
 
-fn limits(node: &Node) -> NewsLimits {
-    NewsLimits::of(node.changeable().configuration_limit)
+fn limits(node: &Node) -> FreshnessLimits {
+    FreshnessLimits::of(node.changeable().configuration_limit)
 }
 
 /// Returns whether this node's information may be used as the store's present state.
 pub fn is_fresh(node: &Node) -> bool {
-    let news = node.feed.news.borrow();
-    news.is_fresh(node.now(), limits(node))
+    let freshness = node.feed.freshness.borrow();
+    freshness.is_fresh(node.now(), limits(node))
 }
 
 /// Returns whether this node watches the store itself at the moment.
 pub fn watches_store(node: &Rc<Node>) -> bool {
     let names = upstream_names(node, |name| {
-        node.is_responsive(name) && node.feed.news.borrow().may_forward(name, node.now())
+        node.is_responsive(name) && node.feed.freshness.borrow().may_forward(name, node.now())
     });
-    names.is_empty() && node.feed.news.borrow().watches(node.now())
+    names.is_empty() && node.feed.freshness.borrow().watches(node.now())
 }
 
 /// Returns whether this node should try the store itself because its upstreams reported nothing
@@ -255,7 +258,7 @@
 fn is_own_turn(node: &Rc<Node>) -> bool {
     let regions = &node.changeable().regions;
     let order = try_order(&node.as_candidate(), &node.registered_nodes(), regions);
-    node.feed.news.borrow().try_is_due(order, node.now())
+    node.feed.freshness.borrow().try_is_due(order, node.now())
 }
 
 /// Returns how long the next watch of the store waits for a change.
@@ -267,19 +270,19 @@
     } else {
         limits(node).watch
     };
-    node.feed.news.borrow().watch_wait(longest, node.now())
+    node.feed.freshness.borrow().watch_wait(longest, node.now())
 }
 
 /// Returns the nodes that this node follows; empty if it watches the store itself. While the store
 /// refuses its calls, this node follows others even if it is the region's watcher.
 fn upstreams(node: &Rc<Node>) -> Vec<Peer> {
     let now = node.now();
-    let turned_away = node.feed.news.borrow().is_rejected(now);
+    let rejected = node.feed.freshness.borrow().is_rejected(now);
     let names = upstream_names(node, |name| {
         if name == node.settings.name {
-            return !turned_away;
+            return !rejected;
         }
-        node.is_responsive(name) && node.feed.news.borrow().may_forward(name, now)
+        node.is_responsive(name) && node.feed.freshness.borrow().may_forward(name, now)
     });
     names.iter().filter_map(|name| node.peer(name)).collect()
 }
--- a/crates/serving/src/feed/mod.rs
+++ b/crates/serving/src/feed/mod.rs
@@ -33,7 +33,7 @@
     /// Store revision up to which this node has applied all changes.
     revision: Cell<StoreRevision>,
     /// Age of this node's information, and the state of the search for newer.
-    news: RefCell<StoreFreshness>,
+    freshness: RefCell<StoreFreshness>,
     /// The time up to which every change is known here.
     coverage: RefCell<Coverage>,
     caught_up: Cell<bool>,
@@ -99,13 +99,13 @@
         self.failures.set(0);
         self.caught_up.set(true);
         self.coverage.borrow_mut().extend(covered);
-        self.news.borrow_mut().note_store_answer(when);
+        self.freshness.borrow_mut().note_store_answer(when);
         self.advanced.notify_waiters();
     }
 
     /// Records that the store answered a call of this node, possibly with an old state.
     pub(crate) fn note_answered(&self) {
-        self.news.borrow_mut().note_answered();
+        self.freshness.borrow_mut().note_answered();
     }
 
     /// Records that the store's era has changed, or that this node has learnt of it for the first
@@ -124,7 +124,7 @@
         self.failures.set(0);
         self.caught_up.set(true);
         self.coverage.borrow_mut().extend(covered);
-        self.news.borrow_mut().note_upstream_answer(when);
+        self.freshness.borrow_mut().note_upstream_answer(when);
         self.advanced.notify_waiters();
     }
 
@@ -132,7 +132,7 @@
     /// requests wait here are informed immediately.
     pub fn note_rejected(&self, now: Timestamp) {
         self.failures.set(self.failures.get().saturating_add(1));
-        self.news.borrow_mut().note_rejected(now);
+        self.freshness.borrow_mut().note_rejected(now);
         self.advanced.notify_waiters();
     }
 
@@ -154,7 +154,7 @@
 
     /// Returns when the store reported, directly or through other nodes, the state known here.
     pub fn known_at(&self) -> Timestamp {
-        self.news.borrow().known_at()
+        self.freshness.borrow().known_at()
     }
 
     /// Returns the time up to which every change was known before the most recently applied
@@ -165,7 +165,7 @@
 
     /// Returns the pause before upstreams that reported nothing newer are asked again.
     pub fn search_pause(&self, now: Timestamp) -> Duration {
-        self.news.borrow().search_pause(now)
+        self.freshness.borrow().search_pause(now)
     }
 
     fn is_skipped(&self, upstream: &str, now: Timestamp) -> bool {
--- a/crates/serving/src/homes.rs
+++ b/crates/serving/src/homes.rs
@@ -305,7 +305,7 @@
     }
 
     /// Returns the number of live nodes, and of those that hold connections to `leader`.
-    pub fn witnesses(&self, leader: Option<&DatabaseName>) -> ObserverCounts {
+    pub fn observer_counts(&self, leader: Option<&DatabaseName>) -> ObserverCounts {
         let members = self.live_members();
         let holders = leader.map_or(members, |leader| {
             let view = self.home_view(leader);
--- a/crates/serving/src/isolation.rs
+++ b/crates/serving/src/isolation.rs
@@ -66,7 +66,7 @@
 
     /// Collects what this node observes of the fleet. Peers are probed only if primaries are
     /// missing or the node already counts as isolated.
-    fn surroundings(&self) -> ReachabilityCounts {
+    fn reachability_counts(&self) -> ReachabilityCounts {
         let (groups, groups_without_primary) = self.groups_in_use();
         let mut seen = ReachabilityCounts {
             groups,
@@ -88,7 +88,7 @@
 
 /// Updates whether this node is isolated. Called periodically.
 pub(crate) fn update(node: &Rc<Node>) {
-    let seen = node.surroundings();
+    let seen = node.reachability_counts();
     let now = node.now();
     let change = update_cell(&node.isolation, |isolation| isolation.note(seen, now));
     match change {
--- a/crates/serving/src/monitored_groups.rs
+++ b/crates/serving/src/monitored_groups.rs
@@ -58,7 +58,7 @@
 
     /// Records that a peer runs a statement on one of this node's connections to a database. A
     /// database that does not lead provides no information about the primary.
-    pub(crate) fn note_lent_statement(&self, name: &DatabaseName) {
+    pub(crate) fn note_relayed_statement(&self, name: &DatabaseName) {
         let Some(database) = self.database(name) else {
             return;
         };
--- a/crates/serving/src/node.rs
+++ b/crates/serving/src/node.rs
@@ -221,7 +221,7 @@
     /// Number of open caller sessions.
     pub sessions: Cell<usize>,
     /// Number of this node's connections that peers currently use.
-    pub lent_connections: Cell<usize>,
+    pub connections_leased_to_peers: Cell<usize>,
     /// Notified when the known primary or the usable databases of a group change.
     pub leader_changed: Notify,
     /// Notified when the task that maintains the lease on primaries has something to do.
@@ -298,7 +298,7 @@
             store_steady_since: Cell::default(),
             stopping_since: Cell::new(None),
             sessions: Cell::new(0),
-            lent_connections: Cell::new(0),
+            connections_leased_to_peers: Cell::new(0),
             leader_changed: Notify::new(),
             lease_due: Notify::new(),
             configuration_changed: Notify::new(),
--- a/crates/serving/src/pool/mod.rs
+++ b/crates/serving/src/pool/mod.rs
@@ -430,7 +430,7 @@
 
     /// Makes all requests that wait for a connection fail.
     pub(crate) fn fail_waiters(&self) {
-        self.waiters.borrow_mut().dismiss_all();
+        self.waiters.borrow_mut().fail_all();
     }
 }
 
--- a/crates/serving/src/pool/waiters.rs
+++ b/crates/serving/src/pool/waiters.rs
@@ -80,7 +80,7 @@
     }
 
     /// Removes all requests without giving them a connection.
-    pub(super) fn dismiss_all(&mut self) {
+    pub(super) fn fail_all(&mut self) {
         self.queue.clear();
     }
 
--- a/crates/serving/src/primary_lease.rs
+++ b/crates/serving/src/primary_lease.rs
@@ -144,12 +144,12 @@
     let coordinator = view.newest();
     match grantor {
         Grantor::Coordinator => coordinator.map(str::to_owned),
-        Grantor::StandIn(place) => {
+        Grantor::StandIn(index) => {
             let nodes = node.registered_nodes();
             let mut order = claim_order(&nodes);
             order.retain(|name| Some(*name) != coordinator);
-            let place = place.checked_rem(order.len())?;
-            Some(order[place].to_owned())
+            let index = index.checked_rem(order.len())?;
+            Some(order[index].to_owned())
         }
     }
 }
--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -325,14 +325,15 @@
 }
 
 /// A connection of this node that a peer uses. A shutdown waits until it is returned.
-struct LentConnection {
+struct ConnectionForPeer {
     node: Rc<Node>,
     lease: Lease,
 }
 
-impl LentConnection {
+impl ConnectionForPeer {
     fn new(node: &Rc<Node>, lease: Lease) -> Self {
-        node.lent_connections.set(node.lent_connections.get() + 1);
+        node.connections_leased_to_peers
+            .set(node.connections_leased_to_peers.get() + 1);
         Self {
             node: Rc::clone(node),
             lease,
@@ -340,26 +341,26 @@
     }
 }
 
-impl Drop for LentConnection {
+impl Drop for ConnectionForPeer {
     fn drop(&mut self) {
         self.node
-            .lent_connections
-            .set(self.node.lent_connections.get() - 1);
+            .connections_leased_to_peers
+            .set(self.node.connections_leased_to_peers.get() - 1);
     }
 }
 
-/// Takes a connection for a peer. A node that is shutting down lends no more connections once
+/// Takes a connection for a peer. A node that is shutting down leases out no more connections once
 /// callers have had time to move to other nodes.
-async fn lend(
+async fn lease_to_peer(
     node: &Rc<Node>,
     database: &DatabaseName,
     request: ConnectionRequest<'_>,
-) -> Result<LentConnection, AcquireError> {
+) -> Result<ConnectionForPeer, AcquireError> {
     if node.stop_stage() >= StopStage::CloseIdle {
         return Err(AcquireError::Unreachable);
     }
     // A peer that does not know yet that the database is leaving turns to another holder. If the
-    // connection were lent, its statements would be refused only when they are sent, again and
+    // connection were leased to it, its statements would be refused only when they are sent, again and
     // again.
     if request.principal.is_some() && !node.accepts_new_work(database) {
         return Err(AcquireError::Unreachable);
@@ -368,17 +369,17 @@
     let lease = pool.acquire_direct(node, request).await?;
     let label = match request.principal {
         Some(_) => {
-            node.note_lent_statement(database);
+            node.note_relayed_statement(database);
             "for_statement"
         }
         None => "for_question",
     };
     node.counters.count("lent_leases", label);
-    Ok(LentConnection::new(node, lease))
+    Ok(ConnectionForPeer::new(node, lease))
 }
 
 async fn serve_link(node: Rc<Node>, mut stream: LinkStream) {
-    let mut held: Option<LentConnection> = None;
+    let mut held: Option<ConnectionForPeer> = None;
     loop {
         let limit = if held.is_some() {
             node.transaction_idle() + REVOCATION_SLACK
@@ -415,8 +416,8 @@
                     placement: &Placement::unrestricted(),
                     limits,
                 };
-                match lend(&node, &database, request).await {
-                    Ok(lent) => granted(&mut held.insert(lent).lease),
+                match lease_to_peer(&node, &database, request).await {
+                    Ok(for_peer) => granted(&mut held.insert(for_peer).lease),
                     Err(AcquireError::Overloaded | AcquireError::TimedOut) => LinkReply::Overloaded,
                     Err(AcquireError::Cold { retry_after }) => LinkReply::Cold {
                         retry_after_ms: millis(retry_after),
@@ -427,7 +428,9 @@
             LinkRequest::Exchange { commands, limit_ms } => {
                 let limit = Duration::from_millis(limit_ms);
                 match &mut held {
-                    Some(lent) => run_commands(&node, &mut lent.lease, &commands, limit).await,
+                    Some(for_peer) => {
+                        run_commands(&node, &mut for_peer.lease, &commands, limit).await
+                    }
                     None => LinkReply::Broken { timed_out: false },
                 }
             }
@@ -437,8 +440,8 @@
             }
             LinkRequest::Snapshot => LinkReply::Snapshot(packed_snapshot(&node)),
             LinkRequest::Departures => LinkReply::Departures(node.announced_departures()),
-            LinkRequest::Follow(question) => {
-                LinkReply::Followed(feed::answer(&node, &question).await)
+            LinkRequest::Follow(follow_request) => {
+                LinkReply::Followed(feed::answer(&node, &follow_request).await)
             }
         };
         if send(&mut stream, &reply).await.is_err() {
--- a/crates/serving/src/shutdown.rs
+++ b/crates/serving/src/shutdown.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Shuts the node down. Returns when no session is open and no connection is lent, or when the
+/// Shuts the node down. Returns when no session is open and no connection is leased to a peer, or when the
 /// grace period is about to end.
 pub async fn stop(node: &Rc<Node>) {
     if node.stopping_since.get().is_some() {
@@ -61,7 +61,7 @@
         node.stop_advanced.notify_waiters();
         let elapsed = node.now().since(began);
         let idle_closed = node.stop_stage() >= StopStage::CloseIdle;
-        let unused = node.sessions.get() == 0 && node.lent_connections.get() == 0;
+        let unused = node.sessions.get() == 0 && node.connections_leased_to_peers.get() == 0;
         if elapsed >= limit || (idle_closed && unused) {
             break;
         }
--- a/crates/serving/src/statement/mod.rs
+++ b/crates/serving/src/statement/mod.rs
@@ -248,7 +248,9 @@
                     }
                     continue;
                 }
-                Err(obstacle) => return Err(self.refuse_for_region(work, summary, obstacle)),
+                Err(placement_error) => {
+                    return Err(self.refuse_for_region(work, summary, placement_error));
+                }
             };
             summary.attempts += 1;
             summary.database = Some(target.database().clone());
--- a/crates/serving/src/statement/outcome.rs
+++ b/crates/serving/src/statement/outcome.rs
@@ -102,9 +102,9 @@
         &self,
         work: &Work,
         mut summary: AttemptSummary,
-        obstacle: PlacementError,
+        placement_error: PlacementError,
     ) -> Failure {
-        summary.refusal_reason = Some(obstacle.as_str());
+        summary.refusal_reason = Some(placement_error.as_str());
         self.log_outcome(work, &summary, "refused");
         self.node.counters.count("refused", "region");
         Failure::new(FailureCode::Overloaded, NO_ALLOWED_DATABASE)
--- a/crates/serving/src/statement/region_restriction.rs
+++ b/crates/serving/src/statement/region_restriction.rs
@@ -38,9 +38,9 @@
     ) -> Result<(), Failure> {
         let placement = self.placement();
         let need = self.need(work, read_write_transaction, &placement);
-        match self.obstacle(&placement, need) {
-            Some(obstacle) => {
-                Err(self.refuse_for_region(work, AttemptSummary::default(), obstacle))
+        match self.placement_error(&placement, need) {
+            Some(placement_error) => {
+                Err(self.refuse_for_region(work, AttemptSummary::default(), placement_error))
             }
             None => Ok(()),
         }
@@ -66,8 +66,8 @@
     ) -> Result<(Option<Target>, RequiredDatabase), PlacementError> {
         let placement = self.placement();
         let need = self.need(work, read_write_transaction, &placement);
-        if let Some(obstacle) = self.obstacle(&placement, need) {
-            return Err(obstacle);
+        if let Some(placement_error) = self.placement_error(&placement, need) {
+            return Err(placement_error);
         }
         let target = match need {
             RequiredDatabase::Primary => self.leader_target(&placement),
@@ -90,7 +90,7 @@
             return RequiredDatabase::Primary;
         }
         let outside = || {
-            self.obstacle(placement, RequiredDatabase::Primary)
+            self.placement_error(placement, RequiredDatabase::Primary)
                 == Some(PlacementError::PrimaryOutside)
         };
         if read_write_transaction && !outside() {
@@ -102,7 +102,11 @@
 
     /// Returns why no allowed database can run the statement however long it waits, or `None` if
     /// one may become usable.
-    fn obstacle(&self, placement: &Placement, need: RequiredDatabase) -> Option<PlacementError> {
+    fn placement_error(
+        &self,
+        placement: &Placement,
+        need: RequiredDatabase,
+    ) -> Option<PlacementError> {
         if !placement.is_restricted() {
             return None;
         }
@@ -118,7 +122,7 @@
             leader: leader.as_ref(),
             successor: successor.as_ref(),
         };
-        placement.obstacle(need, group, &self.node.changeable().regions)
+        placement.placement_error(need, group, &self.node.changeable().regions)
     }
 
     /// Returns the primary, unless it does not answer and may be replaced, and the database whose
--- a/crates/transport/src/backend/ledger.rs
+++ b/crates/transport/src/backend/ledger.rs
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Handles the start of a COPY from the client. The database ignores every `Sync` up
+    /// Handles the start of a COPY from the caller. The database ignores every `Sync` up
     /// to the end of the data.
     fn copy_in(&mut self) -> MessageAction {
         let end = self
--- a/crates/transport/src/caller/active.rs
+++ b/crates/transport/src/caller/active.rs
@@ -40,9 +40,9 @@
     Refused(Refusal),
     /// It is not known whether the request ran.
     Unknown(UnknownCause),
-    /// The client cancelled the request before it was sent.
+    /// The caller cancelled the request before it was sent.
     Cancelled,
-    /// An error was already sent to the client.
+    /// An error was already sent to the caller.
     AlreadyReported,
 }
 
@@ -186,7 +186,7 @@
         }
     }
 
-    /// Queues a client message unchanged.
+    /// Queues a caller message unchanged.
     pub fn queue_frame(&mut self, frame: &Frame) {
         let command = BackendCommand::Frames(vec![frame.clone()]);
         self.pipeline.outgoing.push_back(command);
@@ -207,7 +207,7 @@
     }
 
     /// Returns whether a read whose connection broke may be restarted: nothing of its
-    /// answer has been sent to the client.
+    /// answer has been sent to the caller.
     pub fn can_restart(&self) -> bool {
         let unit = self.plan.unit(false, self.ledger_id.is_some());
         unit.access == Access::Read
@@ -248,7 +248,7 @@
             || self.timer.is_some()
     }
 
-    /// Returns whether further client messages belong to the current unit.
+    /// Returns whether further caller messages belong to the current unit.
     pub fn takes_input(&self) -> bool {
         self.lease.is_some()
             && self.answer.ending().is_none()
--- a/crates/transport/src/caller/answer.rs
+++ b/crates/transport/src/caller/answer.rs
@@ -1,4 +1,4 @@
-//! The answer to one unit on its way to the client: which messages are held back, which
+//! The answer to one unit on its way to the caller: which messages are held back, which
 //! may be sent, and where messages that the proxy generates are inserted.
 
 use std::collections::VecDeque;
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Records that the client has ended its COPY data.
+    /// Records that the caller has ended its COPY data.
     pub fn copy_ended(&mut self) {
         self.copying = false;
     }
@@ -112,7 +112,7 @@
         self.copying
     }
 
-    /// Allows the answer to be sent to the client.
+    /// Allows the answer to be sent to the caller.
     pub fn deliver(&mut self) {
         self.delivering = true;
     }
--- a/crates/transport/src/caller/authentication.rs
+++ b/crates/transport/src/caller/authentication.rs
@@ -1,4 +1,4 @@
-//! Authentication of clients: SCRAM-SHA-256, or none where every client on loopback is
+//! Authentication of callers: SCRAM-SHA-256, or none where every caller on loopback is
 //! trusted.
 
 use std::collections::BTreeMap;
@@ -23,10 +23,10 @@
 /// Type of the authentication message that ends a SASL exchange.
 const SASL_FINAL: u32 = 12;
 
-/// Why a client was not authenticated.
+/// Why a caller was not authenticated.
 #[derive(Debug, Error)]
 pub enum AuthenticationError {
-    /// The client has disconnected.
+    /// The caller has disconnected.
     #[error(transparent)]
     Gone(#[from] CallerGone),
     /// A message is malformed or not allowed during authentication.
@@ -35,12 +35,12 @@
     /// The user or the password is wrong; the error does not reveal which.
     #[error("password authentication failed for user \"{user}\"")]
     Failed {
-        /// User name as given by the client.
+        /// User name as given by the caller.
         user: String,
     },
 }
 
-/// Verifies the credentials of clients.
+/// Verifies the credentials of callers.
 pub struct Authenticator {
     verifiers: BTreeMap<String, Verifier>,
     secret: [u8; 32],
@@ -59,11 +59,11 @@
         }
     }
 
-    /// Runs the SCRAM exchange that proves the client to be `user`; does nothing if no
+    /// Runs the SCRAM exchange that proves the caller to be `user`; does nothing if no
     /// credentials are configured.
     ///
     /// # Errors
-    /// When the client disconnects, sends a malformed message or fails to prove its
+    /// When the caller disconnects, sends a malformed message or fails to prove its
     /// identity.
     pub async fn authenticate(
         &self,
--- a/crates/transport/src/caller/context.rs
+++ b/crates/transport/src/caller/context.rs
@@ -14,9 +14,9 @@
 use crate::lease::{LeaseSource, TermVerifier};
 use crate::shared::Shared;
 
-/// Shared state of the client side of a node.
+/// Shared state of the caller side of a node.
 pub struct Context {
-    /// Settings of the client listener.
+    /// Settings of the caller listener.
     pub settings: CallerSettings,
     /// Shared tables of the node.
     pub shared: Arc<Shared>,
@@ -28,7 +28,7 @@
     pub registry: Arc<Registry>,
     /// Classifier of statements.
     pub classifier: Classifier,
-    /// Verifies the credentials of clients.
+    /// Verifies the credentials of callers.
     pub authenticator: Authenticator,
     /// TLS acceptor; `None` if TLS is not offered.
     pub tls: Option<TlsAcceptance>,
--- a/crates/transport/src/caller/counters.rs
+++ b/crates/transport/src/caller/counters.rs
@@ -2,7 +2,7 @@
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Outcomes of the units of a node's clients since its start.
+/// Outcomes of the units of a node's callers since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UnitCounts {
     /// Units answered by a primary, including answers with database errors.
--- a/crates/transport/src/caller/drive.rs
+++ b/crates/transport/src/caller/drive.rs
@@ -90,7 +90,7 @@
     }
 
     /// Restarts a read whose connection broke before any of its answer was sent to the
-    /// client.
+    /// caller.
     fn restart_read(&mut self) -> RequestEvent {
         let unit = self
             .transaction
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Handles a client message that belongs to the unit in progress: COPY data, or
+    /// Handles a caller message that belongs to the unit in progress: COPY data, or
     /// further messages of a unit that was flushed before its `Sync`.
     fn handle_message(&mut self, frame: &Frame) -> Result<(), SessionEnd> {
         let Some(active) = &mut self.transaction else {
--- a/crates/transport/src/caller/error.rs
+++ b/crates/transport/src/caller/error.rs
@@ -1,4 +1,4 @@
-//! Errors as clients see them, and the reasons why sessions end.
+//! Errors as callers see them, and the reasons why sessions end.
 
 use hookpoint_protocol::errors::{BackendError, ErrorReport, Severity};
 use hookpoint_protocol::extended::MalformedMessage;
@@ -29,16 +29,16 @@
 /// Why a session ended.
 #[derive(Debug, Error)]
 pub enum SessionEnd {
-    /// The client sent `Terminate`.
+    /// The caller sent `Terminate`.
     #[error("the caller ended it")]
     Terminated,
-    /// The client has disconnected.
+    /// The caller has disconnected.
     #[error(transparent)]
     Gone(#[from] CallerGone),
-    /// The client violated the protocol.
+    /// The caller violated the protocol.
     #[error(transparent)]
     Malformed(#[from] MalformedMessage),
-    /// The client's messages up to `Sync` exceed the size limit.
+    /// The caller's messages up to `Sync` exceed the size limit.
     #[error("a unit of messages is over the limit")]
     UnitTooLarge,
     /// The proxy is stopping.
@@ -54,7 +54,7 @@
 }
 
 impl SessionEnd {
-    /// Returns the last message to the client, if one can still be sent.
+    /// Returns the last message to the caller, if one can still be sent.
     pub fn final_message(&self) -> Option<Frame> {
         let sqlstate = match self {
             SessionEnd::Terminated => return None,
@@ -102,7 +102,7 @@
     ErrorReport::unknown(cause).to_frame()
 }
 
-/// Returns the error message for a request that the client cancelled before it was sent.
+/// Returns the error message for a request that the caller cancelled before it was sent.
 pub fn cancelled() -> Frame {
     error(QUERY_CANCELLED, "the request was cancelled before it ran")
 }
--- a/crates/transport/src/caller/finish.rs
+++ b/crates/transport/src/caller/finish.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Sends the client the error for a request that did not run, counts it and records
+    /// Sends the caller the error for a request that did not run, counts it and records
     /// it in the decision log.
     pub(super) fn report_refusal(&mut self, refusal: &Refusal) {
         self.context.counters.count_refused();
--- a/crates/transport/src/caller/input.rs
+++ b/crates/transport/src/caller/input.rs
@@ -31,13 +31,13 @@
     Reply(Option<BackendReply>),
     /// The connection's command channel has capacity again.
     HasCapacity,
-    /// The client sent a message of the unit.
+    /// The caller sent a message of the unit.
     Message(Frame),
-    /// The client has disconnected.
+    /// The caller has disconnected.
     Gone(CallerGone),
-    /// The client sent no further message of its unit within the idle limit.
+    /// The caller sent no further message of its unit within the idle limit.
     Idle,
-    /// The client cancelled the request before it was sent.
+    /// The caller cancelled the request before it was sent.
     Cancelled,
     /// No event is pending, although the unit is not complete.
     Stuck,
@@ -91,8 +91,8 @@
     }
 }
 
-/// Waits for the next client message where it belongs to the unit in progress, and
-/// otherwise only for the client's disconnect.
+/// Waits for the next caller message where it belongs to the unit in progress, and
+/// otherwise only for the caller's disconnect.
 async fn caller_input(stream: &mut CallerStream, takes_input: bool) -> Input {
     if !takes_input {
         return Input::Gone(stream.read_ahead().await);
--- a/crates/transport/src/caller/listener.rs
+++ b/crates/transport/src/caller/listener.rs
@@ -1,4 +1,4 @@
-//! The listener: accepts clients and distributes their sessions over a pool of arbiters.
+//! The listener: accepts callers and distributes their sessions over a pool of arbiters.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -48,7 +48,7 @@
 #[rtype(result = "Result<bool, CallerError>")]
 struct ReloadTls;
 
-/// Handle to a running client listener.
+/// Handle to a running caller listener.
 #[derive(Clone)]
 pub struct CallerHandle {
     address: SocketAddr,
@@ -215,7 +215,7 @@
         self.listener.send(ReloadTls).await.unwrap_or(Ok(false))
     }
 
-    /// Stops gracefully: no more clients are accepted, requests in flight are finished,
+    /// Stops gracefully: no more callers are accepted, requests in flight are finished,
     /// and idle sessions get their token and a final message. Resolves when all sessions
     /// have ended.
     pub async fn stop(&self) {
@@ -239,7 +239,7 @@
     }
 }
 
-/// Accepts clients until the task is aborted.
+/// Accepts callers until the task is aborted.
 async fn accept(socket: TcpListener, context: Arc<Context>, arbiters: Vec<ArbiterHandle>) {
     let mut next = 0;
     loop {
--- a/crates/transport/src/caller/local_answers.rs
+++ b/crates/transport/src/caller/local_answers.rs
@@ -122,7 +122,7 @@
         Some(token.seal(key))
     }
 
-    /// Reports the session's token to the client if it has changed.
+    /// Reports the session's token to the caller if it has changed.
     pub(super) fn report_token(&mut self) {
         if self.required == self.reported {
             return;
--- a/crates/transport/src/caller/mod.rs
+++ b/crates/transport/src/caller/mod.rs
@@ -1,4 +1,4 @@
-//! The client side of a proxy node: sessions of PostgreSQL clients, from start-up to end.
+//! The caller side of a proxy node: sessions of PostgreSQL clients, from start-up to end.
 //!
 //! A session reads a unit of messages, classifies it, and runs it through a
 //! [`hookpoint_coordination::request::RequestMachine`]: the machine decides, and the
--- a/crates/transport/src/caller/pipeline.rs
+++ b/crates/transport/src/caller/pipeline.rs
@@ -48,7 +48,7 @@
     pub ledger: Option<RequestId>,
     /// Whether the ledger row and the unit need a transaction block of their own.
     pub block: bool,
-    /// Whether the commands behind the unit have to wait until the client has sent all of
+    /// Whether the commands behind the unit have to wait until the caller has sent all of
     /// the unit, because it is open or takes COPY data.
     pub defer: bool,
 }
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Queues the commands behind the unit, once the client has sent all of it.
+    /// Queues the commands behind the unit, once the caller has sent all of it.
     pub fn push_trailer(&mut self) {
         for (section, command) in std::mem::take(&mut self.trailer) {
             self.push(section, command);
--- a/crates/transport/src/caller/registry.rs
+++ b/crates/transport/src/caller/registry.rs
@@ -29,9 +29,9 @@
 pub struct SessionEntry {
     /// Identifier of the session.
     pub id: SessionId,
-    /// Process number sent to the client in `BackendKeyData`.
+    /// Process number sent to the caller in `BackendKeyData`.
     pub process: u32,
-    /// Secret sent to the client in `BackendKeyData`.
+    /// Secret sent to the caller in `BackendKeyData`.
     pub secret: u32,
     running: Mutex<Running>,
     cancelled: Notify,
@@ -180,7 +180,7 @@
         *self.cancel_route.write() = Some(CancelRoute { tag, forward });
     }
 
-    /// Handles a cancel request from a client, for a session of this node or of another
+    /// Handles a cancel request from a caller, for a session of this node or of another
     /// one.
     pub fn route_cancel(&self, process: u32, secret: u32) {
         if self.cancel(process, secret) {
--- a/crates/transport/src/caller/session.rs
+++ b/crates/transport/src/caller/session.rs
@@ -1,4 +1,4 @@
-//! One client session: it reads units, answers them one after another, and sends a final
+//! One caller session: it reads units, answers them one after another, and sends a final
 //! message when it ends.
 
 use std::collections::BTreeMap;
@@ -34,7 +34,7 @@
     /// Position that the session's reads must have reached; `None` while the session's
     /// history is unknown.
     pub(super) required: Option<Position>,
-    /// Value of [`Session::required`] that was last reported to the client.
+    /// Value of [`Session::required`] that was last reported to the caller.
     pub(super) reported: Option<Position>,
     /// Request identifier for the next write.
     pub(super) next_request_id: Option<RequestId>,
--- a/crates/transport/src/caller/setting_checks.rs
+++ b/crates/transport/src/caller/setting_checks.rs
@@ -49,7 +49,7 @@
 
 impl Session {
     /// Checks on a database the start-up parameters that no database has accepted yet.
-    /// Returns false if the check could not be done; the client has then been sent the
+    /// Returns false if the check could not be done; the caller has then been sent the
     /// reason.
     ///
     /// # Errors
--- a/crates/transport/src/caller/settings.rs
+++ b/crates/transport/src/caller/settings.rs
@@ -1,4 +1,4 @@
-//! Settings and credentials of the client listener.
+//! Settings and credentials of the caller listener.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -10,7 +10,7 @@
 use hookpoint_protocol::scram::Verifier;
 use thiserror::Error;
 
-/// Settings of the client listener.
+/// Settings of the caller listener.
 #[derive(Clone, Debug)]
 pub struct CallerSettings {
     /// Address to listen on; port 0 lets the system choose.
@@ -26,7 +26,7 @@
     pub arbiters: usize,
     /// Longest time from the connection to the end of the authentication.
     pub startup_timeout: Duration,
-    /// Longest time in which a client may make almost no progress reading what is sent to
+    /// Longest time in which a caller may make almost no progress reading what is sent to
     /// it.
     pub write_timeout: Duration,
     /// Safety checks; only the lab switches one off.
@@ -81,7 +81,7 @@
     }
 }
 
-/// Credentials by user name. With an empty store every client is trusted, and then the
+/// Credentials by user name. With an empty store every caller is trusted, and then the
 /// listener must not be reachable from beyond loopback.
 #[derive(Clone, Debug, Default)]
 pub struct CredentialStore {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Returns whether the store is empty, so that every client is trusted.
+    /// Returns whether the store is empty, so that every caller is trusted.
     pub fn is_empty(&self) -> bool {
         self.users.is_empty()
     }
@@ -112,7 +112,7 @@
     }
 }
 
-/// Why the client listener did not start, or did not reload its TLS files.
+/// Why the caller listener did not start, or did not reload its TLS files.
 #[derive(Debug, Error)]
 pub enum CallerError {
     /// Without credentials the listener would be open to the network.
--- a/crates/transport/src/caller/startup.rs
+++ b/crates/transport/src/caller/startup.rs
@@ -20,27 +20,27 @@
 use crate::caller::session::{Identity, Session};
 use crate::caller::stream::{CallerGone, CallerStream};
 
-/// Largest message accepted before a client is authenticated, in bytes.
+/// Largest message accepted before a caller is authenticated, in bytes.
 const STARTUP_MESSAGE_LIMIT: usize = 16 * 1024;
 /// Maximum number of encryption requests answered on one connection.
 const ENCRYPTION_REQUESTS: usize = 4;
-/// Idle time after which TCP keepalive probes a client.
+/// Idle time after which TCP keepalive probes a caller.
 const KEEPALIVE_TIME: Duration = Duration::from_secs(60);
 /// Time between two TCP keepalive probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(15);
-/// Server version reported to clients.
+/// Server version reported to callers.
 const SERVER_VERSION: &str = "16.0";
 
 /// Why a connection did not become a session.
 #[derive(Debug, Error)]
 pub enum StartFailure {
-    /// The client has disconnected.
+    /// The caller has disconnected.
     #[error(transparent)]
     Gone(#[from] CallerGone),
     /// The start-up packet is malformed or not supported.
     #[error(transparent)]
     Packet(#[from] StartupError),
-    /// The client was not authenticated.
+    /// The caller was not authenticated.
     #[error(transparent)]
     Authentication(#[from] AuthenticationError),
     /// TLS is required and was not used.
@@ -49,10 +49,10 @@
     /// The TLS handshake failed.
     #[error("the TLS handshake failed")]
     TlsHandshake,
-    /// The client requested encryption too often.
+    /// The caller requested encryption too often.
     #[error("encryption was asked for too often")]
     TooManyEncryptionRequests,
-    /// The client requested a replication connection.
+    /// The caller requested a replication connection.
     #[error("replication connections are not supported")]
     Replication,
     /// A run-time parameter has an invalid name, or may not be changed.
@@ -143,7 +143,7 @@
     limits.message_bytes as usize
 }
 
-/// Answers encryption and cancel requests, until the client sends its start-up packet.
+/// Answers encryption and cancel requests, until the caller sends its start-up packet.
 /// Returns `None` after a cancel request.
 async fn encryption(
     stream: &mut CallerStream,
@@ -199,8 +199,8 @@
         .map_err(|_| StartFailure::TlsHandshake)
 }
 
-/// Authenticates the client, checks its request, registers the session and reports to the
-/// client that it has begun.
+/// Authenticates the caller, checks its request, registers the session and reports to the
+/// caller that it has begun.
 async fn open_session(
     stream: &mut CallerStream,
     context: &Arc<Context>,
--- a/crates/transport/src/caller/statements.rs
+++ b/crates/transport/src/caller/statements.rs
@@ -19,7 +19,7 @@
 /// Bytes counted for a statement in addition to its text.
 const STATEMENT_OVERHEAD: usize = 256;
 
-/// A statement as the client prepared it.
+/// A statement as the caller prepared it.
 #[derive(Debug)]
 pub struct Statement {
     /// Name of the statement on shared connections.
--- a/crates/transport/src/caller/stream.rs
+++ b/crates/transport/src/caller/stream.rs
@@ -1,4 +1,4 @@
-//! The byte stream of one client: reads and writes frames, both within limits.
+//! The byte stream of one caller: reads and writes frames, both within limits.
 
 use std::time::Duration;
 
@@ -10,19 +10,19 @@
 use tokio_rustls::TlsAcceptor;
 use tokio_util::codec::Decoder;
 
-/// Maximum bytes read ahead of the running unit. At this limit the client is no longer
+/// Maximum bytes read ahead of the running unit. At this limit the caller is no longer
 /// read.
 const READ_AHEAD: usize = 64 * 1024;
 /// Buffer space reserved for the next read of an idle session.
 const SHORT_READ: usize = 512;
 /// Buffer space reserved for a read once the beginning of a message has arrived.
 const LONG_READ: usize = 8 * 1024;
-/// Bytes that a client must accept within the write timeout.
+/// Bytes that a caller must accept within the write timeout.
 const MIN_WRITE_PROGRESS: usize = 4 * 1024;
 /// Capacity above which an empty output buffer is returned to the allocator.
 const RETAINED_BUFFER: usize = 16 * 1024;
 
-/// Longest wait for a client to close its side after the last message.
+/// Longest wait for a caller to close its side after the last message.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A connection with or without TLS.
@@ -30,16 +30,16 @@
 
 impl<T: AsyncRead + AsyncWrite + Unpin + Send> ByteStream for T {}
 
-/// The client can no longer be reached.
+/// The caller can no longer be reached.
 #[derive(Debug, Error)]
 pub enum CallerGone {
-    /// The client closed the connection.
+    /// The caller closed the connection.
     #[error("the caller closed the connection")]
     Closed,
-    /// The client accepted too few bytes for the given time.
+    /// The caller accepted too few bytes for the given time.
     #[error("the caller took no bytes for {0:?}")]
     Stalled(Duration),
-    /// The client sent malformed messages, or the connection failed.
+    /// The caller sent malformed messages, or the connection failed.
     #[error(transparent)]
     Frame(#[from] FrameError),
 }
@@ -50,7 +50,7 @@
     }
 }
 
-/// The connection of one client.
+/// The connection of one caller.
 pub struct CallerStream {
     io: Box<dyn ByteStream>,
     input: BytesMut,
@@ -137,7 +137,7 @@
         self.input.reserve(room);
     }
 
-    /// Reads ahead while a unit runs, to detect that the client has disconnected. Never
+    /// Reads ahead while a unit runs, to detect that the caller has disconnected. Never
     /// resolves once the read-ahead limit is reached. The future is cancel-safe.
     pub async fn read_ahead(&mut self) -> CallerGone {
         loop {
@@ -169,7 +169,7 @@
         self.output.len()
     }
 
-    /// Sends the output. A client that accepts almost nothing within the write timeout is
+    /// Sends the output. A caller that accepts almost nothing within the write timeout is
     /// given up, so that it no longer occupies a database connection.
     pub async fn flush(&mut self) -> Result<(), CallerGone> {
         let mut deadline = Instant::now() + self.write_timeout;
@@ -215,11 +215,11 @@
         }
         let _closed = timeout(self.write_timeout, self.io.shutdown()).await;
         // Closing with unread input would reset the connection, and a reset may discard
-        // the last message before the client has read it.
+        // the last message before the caller has read it.
         let _drained = timeout(CLOSE_TIMEOUT, self.drain()).await;
     }
 
-    /// Discards further input until the client closes its side.
+    /// Discards further input until the caller closes its side.
     async fn drain(&mut self) {
         let mut discarded = [0; 512];
         while matches!(self.io.read(&mut discarded).await, Ok(length) if length > 0) {}
--- a/crates/transport/src/caller/tls.rs
+++ b/crates/transport/src/caller/tls.rs
@@ -1,4 +1,4 @@
-//! TLS towards clients, with certificate files that are reloaded while the proxy runs.
+//! TLS towards callers, with certificate files that are reloaded while the proxy runs.
 
 use std::path::Path;
 use std::sync::Arc;
--- a/crates/transport/src/caller/traits.rs
+++ b/crates/transport/src/caller/traits.rs
@@ -30,7 +30,7 @@
     pub unsupported: Option<String>,
     /// Identifier of a request that is not repeatable.
     pub request_id: Option<RequestId>,
-    /// Whether the client has to send COPY data.
+    /// Whether the caller has to send COPY data.
     pub copies_in: bool,
     /// Whether it consists only of statements that end a transaction block.
     pub only_ends: bool,
--- a/crates/transport/src/caller/unit.rs
+++ b/crates/transport/src/caller/unit.rs
@@ -1,4 +1,4 @@
-//! One unit of a client's messages, prepared to run on any connection: the commands to
+//! One unit of a caller's messages, prepared to run on any connection: the commands to
 //! send, the parts of its answer, and what it may do.
 
 use std::collections::{BTreeSet, VecDeque};
@@ -19,7 +19,7 @@
 use crate::caller::statements::{Statement, StatementTable};
 use crate::caller::traits::UnitTraits;
 
-/// A unit as received from the client.
+/// A unit as received from the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerUnit {
     /// A simple query.
@@ -36,9 +36,9 @@
 /// What ends a series of extended messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnitEnd {
-    /// `Sync`: the client waits for `ReadyForQuery`.
+    /// `Sync`: the caller waits for `ReadyForQuery`.
     Sync,
-    /// `Flush`: the client waits for the answers so far; its `Sync` follows later.
+    /// `Flush`: the caller waits for the answers so far; its `Sync` follows later.
     Flush,
     /// A simple query: it ends the series as well, but has an answer of its own.
     Query,
@@ -64,7 +64,7 @@
     pub commands: Vec<BackendCommand>,
     /// Expected parts of the answer to extended messages.
     pub steps: VecDeque<Step>,
-    /// Whether further client messages belong to the unit, because its `Sync` is still to
+    /// Whether further caller messages belong to the unit, because its `Sync` is still to
     /// come.
     pub open: bool,
     /// Whether `ReadyForQuery` ends the answer.
@@ -89,7 +89,7 @@
 /// A part of an answer that needs no connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LocalStep {
-    /// A message to be sent to the client.
+    /// A message to be sent to the caller.
     Message(Frame),
     /// A local statement to be run at this point.
     Run(LocalStatement),
--- a/crates/transport/src/observe/status.rs
+++ b/crates/transport/src/observe/status.rs
@@ -19,8 +19,8 @@
 use crate::lease::{AcquireRequest, BackendLease, LeaseSource};
 use crate::shared::Shared;
 
-/// Session number of the proxy's own status queries; client sessions count from 1.
-/// Requests of this session take precedence over client requests.
+/// Session number of the proxy's own status queries; caller sessions count from 1.
+/// Requests of this session take precedence over caller requests.
 pub(crate) const OWN_SESSION: SessionId = SessionId(0);
 /// Tenant of the proxy's own status queries.
 const OWN_TENANT: &str = "hookpoint";
--- a/crates/transport/src/peer/actor.rs
+++ b/crates/transport/src/peer/actor.rs
@@ -110,7 +110,7 @@
                     log::info!("fleet: this node {duty} the home of {}.", change.database);
                     self.core.home_changes.send_modify(|count| *count += 1);
                 }
-                NodeAction::LeadershipLearned(news) => self.apply_leadership(&news),
+                NodeAction::LeadershipLearned(update) => self.apply_leadership(&update),
                 NodeAction::MemberChanged { info, state } => self.member_changed(&info, state),
                 NodeAction::ZoneRankChanged(rank) => {
                     self.core.notify_rollout(RolloutEvent::ZoneRank(rank));
@@ -165,8 +165,8 @@
         });
     }
 
-    fn apply_leadership(&self, news: &LeadershipUpdate) {
-        leadership::apply(&self.core.shared, news);
+    fn apply_leadership(&self, update: &LeadershipUpdate) {
+        leadership::apply(&self.core.shared, update);
     }
 
     fn member_changed(&self, info: &MemberInfo, state: MemberState) {
--- a/crates/transport/src/peer/forward.rs
+++ b/crates/transport/src/peer/forward.rs
@@ -197,7 +197,7 @@
 }
 
 /// Returns the reply for a lease that the home refused. A stopping home is no reason to
-/// refuse the client: the request is routed again, to the database's next home.
+/// refuse the caller: the request is routed again, to the database's next home.
 fn reply_of_refusal(refusal: Refusal) -> BackendReply {
     BackendReply::Refused(match refusal {
         Refusal::Stopping => Refusal::NoDatabase,
--- a/crates/transport/src/peer/handle.rs
+++ b/crates/transport/src/peer/handle.rs
@@ -33,7 +33,7 @@
 const LEAVE_PROPAGATION_TIME: Duration = Duration::from_millis(750);
 /// Interval at which the number of remaining streams is checked.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Bits of a node identifier that are put into process numbers sent to clients. One bit
+/// Bits of a node identifier that are put into process numbers sent to callers. One bit
 /// less than the upper half of a process number, so that drivers never read the number as
 /// negative.
 const TAG_BITS: u32 = 15;
@@ -226,7 +226,7 @@
     }
 
     /// Returns the part of this node's identifier that is put into process numbers sent
-    /// to clients, so that any node can route a cancel request to this node.
+    /// to callers, so that any node can route a cancel request to this node.
     pub fn cancel_tag(&self) -> u16 {
         tag_of(self.core.own.node)
     }
@@ -236,7 +236,7 @@
         *self.core.cancel.write() = Some(handler);
     }
 
-    /// Forwards a client's cancel request to the nodes whose tag the process number
+    /// Forwards a caller's cancel request to the nodes whose tag the process number
     /// begins with.
     pub async fn cancel_session(&self, process: u32, secret: u32) {
         let tag = (process >> u16::BITS) as u16;
--- a/crates/transport/src/peer/leadership.rs
+++ b/crates/transport/src/peer/leadership.rs
@@ -16,18 +16,18 @@
 
 /// Applies a leadership change from another node to the shared tables; older terms have
 /// no effect there.
-pub(super) fn apply(shared: &Shared, news: &LeadershipUpdate) {
-    shared.raise_term(&news.group, news.term);
-    let Some(primary) = &news.primary else {
+pub(super) fn apply(shared: &Shared, update: &LeadershipUpdate) {
+    shared.raise_term(&update.group, update.term);
+    let Some(primary) = &update.primary else {
         return;
     };
     let status = BackendStatus {
         role: Role::Primary,
-        term: news.term,
-        position: news.position.lsn,
+        term: update.term,
+        position: update.position.lsn,
         flushed: Vec::new(),
     };
-    shared.apply_status(&news.group, primary, &status);
+    shared.apply_status(&update.group, primary, &status);
 }
 
 /// Passes each leadership change that this node observes itself to the node machine.
@@ -35,11 +35,11 @@
     let mut changes = core.shared.view_changes();
     let mut reported: BTreeMap<GroupName, LeadershipUpdate> = BTreeMap::new();
     loop {
-        for news in core.shared.leaderships() {
-            let before = reported.get(&news.group);
-            if before.is_none_or(|before| news.is_newer_than(before)) {
-                reported.insert(news.group.clone(), news.clone());
-                core.handle_event(NodeEvent::LeadershipObserved(news));
+        for update in core.shared.leaderships() {
+            let before = reported.get(&update.group);
+            if before.is_none_or(|before| update.is_newer_than(before)) {
+                reported.insert(update.group.clone(), update.clone());
+                core.handle_event(NodeEvent::LeadershipObserved(update));
             }
         }
         tokio::time::sleep(POLL_INTERVAL).await;
--- a/crates/transport/src/peer/settings.rs
+++ b/crates/transport/src/peer/settings.rs
@@ -7,7 +7,7 @@
 use hookpoint_protocol::peer::FleetKey;
 use hookpoint_state::{RegionName, ZoneName};
 
-/// Called with process number and secret of the session when a peer forwards a client's
+/// Called with process number and secret of the session when a peer forwards a caller's
 /// cancel request.
 pub type CancelHandler = Arc<dyn Fn(u32, u32) + Send + Sync>;
 
--- a/crates/transport/src/retries.rs
+++ b/crates/transport/src/retries.rs
@@ -49,7 +49,7 @@
     /// ran.
     ///
     /// # Errors
-    /// The refusal to report to the client; the request did not run.
+    /// The refusal to report to the caller; the request did not run.
     pub fn next_attempt(
         &self,
         now: Timestamp,
--- a/crates/transport/tests/caller_ends.rs
+++ b/crates/transport/tests/caller_ends.rs
@@ -1,4 +1,4 @@
-//! Tests of how sessions end: graceful stop, abort, idle transactions, and clients that
+//! Tests of how sessions end: graceful stop, abort, idle transactions, and callers that
 //! disconnect or stop reading.
 
 mod caller_support;
--- a/crates/transport/tests/caller_faults.rs
+++ b/crates/transport/tests/caller_faults.rs
@@ -1,4 +1,4 @@
-//! Tests of the answers that clients get when connections break, leases are refused and
+//! Tests of the answers that callers get when connections break, leases are refused and
 //! primaries change.
 
 mod caller_support;
--- a/crates/transport/tests/caller_path.rs
+++ b/crates/transport/tests/caller_path.rs
@@ -1,4 +1,4 @@
-//! Tests of the client side with ordinary clients: routing, transactions, prepared
+//! Tests of the caller side with ordinary callers: routing, transactions, prepared
 //! statements, session parameters and tokens.
 
 mod caller_support;
--- a/crates/transport/tests/caller_protocol.rs
+++ b/crates/transport/tests/caller_protocol.rs
@@ -1,4 +1,4 @@
-//! Tests of the client side with raw messages: the extended query protocol, COPY,
+//! Tests of the caller side with raw messages: the extended query protocol, COPY,
 //! features that pooling does not support, and cancel requests.
 
 mod caller_support;
--- a/crates/transport/tests/caller_support/mod.rs
+++ b/crates/transport/tests/caller_support/mod.rs
@@ -1,5 +1,5 @@
-//! Support for the tests of the client side: a group of fake databases behind a fake
-//! lease source, and clients.
+//! Support for the tests of the caller side: a group of fake databases behind a fake
+//! lease source, and callers.
 #![allow(dead_code, reason = "each test file uses another part")]
 
 pub mod database;
@@ -215,7 +215,7 @@
     }
 }
 
-/// Returns settings of a loopback listener that trusts every client.
+/// Returns settings of a loopback listener that trusts every caller.
 pub fn settings() -> CallerSettings {
     CallerSettings {
         token_keys: vec![TOKEN_KEY.to_vec()],
@@ -225,12 +225,12 @@
     }
 }
 
-/// Starts a client listener over `group`.
+/// Starts a caller listener over `group`.
 pub async fn start(group: &Arc<FakeGroup>) -> CallerHandle {
     start_with(group, settings()).await
 }
 
-/// Starts a client listener over `group` with the given settings.
+/// Starts a caller listener over `group` with the given settings.
 pub async fn start_with(group: &Arc<FakeGroup>, settings: CallerSettings) -> CallerHandle {
     let leases: Arc<dyn LeaseSource> = Arc::clone(group) as _;
     let verifier: Arc<dyn TermVerifier> = Arc::clone(group) as _;
@@ -240,7 +240,7 @@
         .expect("the listener starts")
 }
 
-/// Returns the connection parameters of an ordinary client.
+/// Returns the connection parameters of an ordinary caller.
 pub fn config(handle: &CallerHandle) -> Config {
     let mut config = Config::new();
     config
@@ -251,12 +251,12 @@
     config
 }
 
-/// Connects an ordinary client.
+/// Connects an ordinary caller.
 pub async fn connect(handle: &CallerHandle) -> Client {
     connect_with(&config(handle)).await
 }
 
-/// Connects a client with the given parameters.
+/// Connects a caller with the given parameters.
 pub async fn connect_with(config: &Config) -> Client {
     let (client, connection) = config.connect(NoTls).await.expect("a session begins");
     actix_rt::spawn(async move {
--- a/crates/transport/tests/caller_support/raw.rs
+++ b/crates/transport/tests/caller_support/raw.rs
@@ -1,4 +1,4 @@
-//! A client that sends and receives raw messages.
+//! A caller that sends and receives raw messages.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 
 use super::{GROUP, TIMEOUT};
 
-/// A raw client connection.
+/// A raw caller connection.
 pub struct RawClient {
     pub socket: TcpStream,
     input: BytesMut,
--- a/crates/transport/tests/fake/mod.rs
+++ b/crates/transport/tests/fake/mod.rs
@@ -24,7 +24,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// How a client has to authenticate.
+/// How a caller has to authenticate.
 #[derive(Clone)]
 pub enum Authentication {
     Trust,
