--- a/crates/serving/src/statement/mod.rs
+++ b/crates/serving/src/statement/mod.rs
@@ -248,9 +248,7 @@
                     }
                     continue;
                 }
-                Err(placement_error) => {
-                    return Err(self.refuse_for_region(work, summary, placement_error));
-                }
+                Err(error) => return Err(self.refuse_for_region(work, summary, error)),
             };
             summary.attempts += 1;
             summary.database = Some(target.database().clone());
--- a/crates/transport/src/platform/rollout.rs
+++ b/crates/transport/src/platform/rollout.rs
@@ -32,7 +32,7 @@
     /// Sends `message` to all other members of this node's zone.
     fn send_to_zone(&self, message: RolloutMessage);
 
-    /// Sends `message` to `to`, or reports the failure as [`RolloutEvent::PeerGone`].
+    /// Sends `message` to `to`, or reports the failure as [`RolloutEvent::PeerLost`].
     fn send(&self, to: NodeId, message: RolloutMessage);
 }
 
