--- a/crates/coordination/src/serving/leadership.rs
+++ b/crates/coordination/src/serving/leadership.rs
@@ -2,8 +2,8 @@
 //!
 //! A leadership period is the time for which this node considers one database the primary.
 //! Positions of different periods are never compared: a promotion rolls back what the new primary
-//! had not received, so a position from an earlier period may no longer exist. The first sample of a
-//! period covers everything that survived from earlier ones.
+//! had not received, so a position from an earlier period may no longer exist. The first sample of
+//! a period covers everything that survived from earlier ones.
 
 use std::time::Duration;
 
@@ -211,9 +211,9 @@
     }
 
     /// Returns the period to which a position belongs that `database` reported in its answer to a
-    /// write. This is the current period also while `database` is being replaced and no other leader
-    /// is known, since until then its positions are the valid ones. Returns period 0 if another
-    /// database leads.
+    /// write. This is the current period also while `database` is being replaced and no other
+    /// leader is known, since until then its positions are the valid ones. Returns period 0 if
+    /// another database leads.
     pub fn leadership_period_of(&self, database: &DatabaseName) -> LeadershipPeriod {
         let led_last = self.leader.is_none() && self.previous.as_ref() == Some(database);
         if led_last || self.leader.as_ref() == Some(database) {
--- a/crates/coordination/src/serving/primary_lease.rs
+++ b/crates/coordination/src/serving/primary_lease.rs
@@ -7,8 +7,8 @@
 //! requested, on the node's own monotonic clock.
 //!
 //! The coordinator grants leases. Every request is also a vote for the node to which it is sent:
-//! for [`VOTE_DURATION`] the voter acknowledges no announcement of any other node. A coordinator that
-//! has lost the state store may therefore continue while a majority votes for it, and while no
+//! for [`VOTE_DURATION`] the voter acknowledges no announcement of any other node. A coordinator
+//! that has lost the state store may therefore continue while a majority votes for it, and while no
 //! coordinator answers, a stand-in may grant leases on the same basis. A stand-in cannot order
 //! promotions, so several of them do no harm.
 
--- a/crates/coordination/tests/serving_quota.rs
+++ b/crates/coordination/tests/serving_quota.rs
@@ -88,8 +88,8 @@
     }
 }
 
-/// Applies the steps and returns the times at which operations ran. A token is used at most `token_life`
-/// after it was granted.
+/// Applies the steps and returns the times at which operations ran. A token is used at most
+/// `token_life` after it was granted.
 fn run_steps(steps: &[Step], limit: GrantLimit, token_life: Duration) -> Vec<u64> {
     let tenant = TenantName::new("clinic");
     let holders = limit.holders(MAX_HOLDERS);
--- a/crates/serving/src/evacuation.rs
+++ b/crates/serving/src/evacuation.rs
@@ -216,8 +216,8 @@
     }
 }
 
-/// Closes idle connections in zones under evacuation, ends the remaining use once a zone is evacuated,
-/// and logs the progress. Called periodically.
+/// Closes idle connections in zones under evacuation, ends the remaining use once a zone is
+/// evacuated, and logs the progress. Called periodically.
 pub(crate) fn clear_evacuated_zones(node: &Rc<Node>) {
     node.end_unlisted_evacuations();
     let zones: Vec<ZoneName> = {
@@ -288,8 +288,8 @@
     groups.into_iter().filter(in_zone).collect()
 }
 
-/// Logs once that this node uses nothing in the zone any more, or, while the zone counts as evacuated,
-/// periodically what it still uses.
+/// Logs once that this node uses nothing in the zone any more, or, while the zone counts as
+/// evacuated, periodically what it still uses.
 fn log_progress(node: &Rc<Node>, zone: &ZoneName, evacuated: bool, used: &ZoneUse) {
     let now = node.now();
     let age = node.evacuation_age(zone).map(millis);
--- a/crates/serving/src/lease.rs
+++ b/crates/serving/src/lease.rs
@@ -60,9 +60,9 @@
     ///
     /// Both are checked here at the moment of sending, because statements on every path to a
     /// database pass through this function: a statement may have waited long for its connection
-    /// after its database was chosen, and a node that leases connections to peers sends statements of its
-    /// peers. Later statements of a transaction and control commands are still sent to a draining
-    /// database.
+    /// after its database was chosen, and a node that leases connections to peers sends statements
+    /// of its peers. Later statements of a transaction and control commands are still sent to a
+    /// draining database.
     pub async fn exchange(
         &mut self,
         node: &Rc<Node>,
--- a/crates/serving/src/monitor/mod.rs
+++ b/crates/serving/src/monitor/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A plain transaction opened on a database proves that it leads. Such a transaction is opened on
 //! the known primary if that was not confirmed lately, and on every database of a group whose
-//! primary is not known. Only the groups needed on this node are monitored (see `monitored_groups`); the
-//! coordinator checks all other groups in turn, a few in each round.
+//! primary is not known. Only the groups needed on this node are monitored (see
+//! `monitored_groups`); the coordinator checks all other groups in turn, a few in each round.
 
 mod queries;
 
--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -360,8 +360,8 @@
         return Err(AcquireError::Unreachable);
     }
     // A peer that does not know yet that the database is leaving turns to another holder. If the
-    // connection were leased to it, its statements would be refused only when they are sent, again and
-    // again.
+    // connection were leased to it, its statements would be refused only when they are sent, again
+    // and again.
     if request.principal.is_some() && !node.accepts_new_work(database) {
         return Err(AcquireError::Unreachable);
     }
--- a/crates/serving/src/shutdown.rs
+++ b/crates/serving/src/shutdown.rs
@@ -43,8 +43,8 @@
     }
 }
 
-/// Shuts the node down. Returns when no session is open and no connection is leased to a peer, or when the
-/// grace period is about to end.
+/// Shuts the node down. Returns when no session is open and no connection is leased to a peer, or
+/// when the grace period is about to end.
 pub async fn stop(node: &Rc<Node>) {
     if node.stopping_since.get().is_some() {
         return;
--- a/crates/serving/src/statement/mod.rs
+++ b/crates/serving/src/statement/mod.rs
@@ -146,9 +146,9 @@
 
     /// Returns the time until which the request waits for a database that may serve it.
     ///
-    /// A request waits up to its deadline while a lost primary is being replaced. It is refused
-    /// at once when the replacement has taken longer than `EXPECTED_FAILOVER_TIME`, when this
-    /// node's primary lease lapsed `LEASE_RECOVERY_LIMIT` ago or earlier, and when this node is isolated.
+    /// A request waits up to its deadline while a lost primary is being replaced. It is refused at
+    /// once when the replacement has taken longer than `EXPECTED_FAILOVER_TIME`, when this node's
+    /// primary lease lapsed `LEASE_RECOVERY_LIMIT` ago or earlier, and when this node is isolated.
     fn wait_deadline(&self) -> Timestamp {
         let now = self.node.now();
         let lapsed = self.node.lease_lapsed_since();
