--- a/crates/serving/src/coordinator/handover.rs
+++ b/crates/serving/src/coordinator/handover.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hookpoint_coordination::serving::directory::{Listed, StatedRole};
+use hookpoint_coordination::serving::directory::{DirectoryEntry, StatedRole};
 use hookpoint_coordination::serving::handover::{
-    Drawbacks, Place, PlannedMove, plan_move, reason_to_move,
+    Drawbacks, PlannedMove, PrimaryLocation, plan_move, reason_to_move,
 };
 use hookpoint_state::{DatabaseName, GroupName, Position, RegionName};
 
@@ -25,7 +25,7 @@
 }
 
 /// Returns the move that is due for a group's primary, if the primary should not continue to lead
-/// and there is a better place for it.
+/// and there is a better location for it.
 pub(super) fn due(node: &Rc<Node>, group: &GroupName, leader: &DatabaseName) -> Option<Handover> {
     let wanted_for = time_wanted(node, group, leader)?;
     let present = drawbacks_of_leader(node, leader);
@@ -49,7 +49,7 @@
     })
 }
 
-/// Returns for how long a group's primary has been in a place that it should leave, or `None` if
+/// Returns for how long a group's primary has been in a location that it should leave, or `None` if
 /// it need not move.
 pub(super) fn time_wanted(
     node: &Rc<Node>,
@@ -70,7 +70,7 @@
 }
 
 /// Returns whether, in a group whose primary is not known, a database that states that it leads is
-/// in a place that a primary should leave.
+/// in a location that a primary should leave.
 pub(super) fn is_wanted_for_stated_primary(node: &Rc<Node>, group: &GroupName) -> bool {
     let directory = node.directory.borrow();
     let mut stated = directory
@@ -109,20 +109,20 @@
 
 /// Returns the drawbacks of another database of the group, which counts as leaving at the first
 /// sign.
-pub(super) fn drawbacks_of(node: &Rc<Node>, listed: &Listed) -> Drawbacks {
+pub(super) fn drawbacks_of(node: &Rc<Node>, listed: &DirectoryEntry) -> Drawbacks {
     assess_drawbacks(node, listed, listed.departure.is_some())
 }
 
-fn assess_drawbacks(node: &Rc<Node>, listed: &Listed, leaving: bool) -> Drawbacks {
+fn assess_drawbacks(node: &Rc<Node>, listed: &DirectoryEntry, leaving: bool) -> Drawbacks {
     let zone = &listed.database.zone;
-    let place = Place {
+    let location = PrimaryLocation {
         leaving,
-        zone: node.zone_standing(zone),
+        zone: node.zone_availability(zone),
         region: node.changeable().regions.get(zone).map(RegionName::new),
         cold: node.is_cold(&listed.database.name),
     };
     let allowed = node.primary_regions(&listed.database.group);
-    Drawbacks::of(&place, allowed.as_ref())
+    Drawbacks::of(&location, allowed.as_ref())
 }
 
 /// Logs and counts the outcome of a planned move.
--- a/crates/serving/src/evacuation.rs
+++ b/crates/serving/src/evacuation.rs
@@ -1,15 +1,15 @@
 //! Evacuation of zones: stops the use of a zone's databases on this node.
 //!
 //! As soon as a request is known, statements go to a database of the zone only if it leads its
-//! group. Once the request has been known for the configured limit, the zone's databases are shut:
+//! group. Once the request has been known for the configured limit, the zone counts as evacuated:
 //! nothing is sent to them any more, idle connections are closed, and transactions that are still
 //! open there are ended.
 
 use std::rc::Rc;
 use std::time::Duration;
 
-use hookpoint_coordination::serving::evacuation::ZoneStanding;
-use hookpoint_coordination::serving::feed::share_of;
+use hookpoint_coordination::serving::evacuation::ZoneAvailability;
+use hookpoint_coordination::serving::feed::staggered_delay;
 use hookpoint_state::{DatabaseName, GroupName, StoreRevision, Timestamp, ZoneName};
 
 use crate::node::Node;
@@ -43,41 +43,45 @@
 
 impl Node {
     /// Returns what the databases of a zone may be used for at the moment.
-    pub(crate) fn zone_standing(&self, zone: &ZoneName) -> ZoneStanding {
+    pub(crate) fn zone_availability(&self, zone: &ZoneName) -> ZoneAvailability {
         let known = self.evacuations.known.borrow();
         if known.is_empty() {
-            return ZoneStanding::Open;
+            return ZoneAvailability::Open;
         }
         let limit = self.changeable().evacuation_limit;
-        let own_share = || share_of(&self.settings.name, RETURN_SPREAD);
+        let own_share = || staggered_delay(&self.settings.name, RETURN_SPREAD);
         let return_time = self.evacuations.return_time.get_or_init(own_share);
-        known.standing(zone, limit, *return_time, self.now())
+        known.availability(zone, limit, *return_time, self.now())
     }
 
-    /// Returns the standing of a database's zone.
-    pub(crate) fn zone_standing_of(&self, name: &DatabaseName) -> ZoneStanding {
+    /// Returns the availability of a database's zone.
+    pub(crate) fn zone_availability_of(&self, name: &DatabaseName) -> ZoneAvailability {
         if self.evacuations.known.borrow().is_empty() {
-            return ZoneStanding::Open;
+            return ZoneAvailability::Open;
         }
         let directory = self.directory.borrow();
-        directory.get(name).map_or(ZoneStanding::Open, |listed| {
-            self.zone_standing(&listed.database.zone)
-        })
+        directory
+            .get(name)
+            .map_or(ZoneAvailability::Open, |listed| {
+                self.zone_availability(&listed.database.zone)
+            })
     }
 
     /// Returns whether nothing may be sent to a database because its zone is evacuated.
-    pub(crate) fn is_shut(&self, name: &DatabaseName) -> bool {
-        self.zone_standing_of(name) == ZoneStanding::Evacuated
+    pub(crate) fn is_in_evacuated_zone(&self, name: &DatabaseName) -> bool {
+        self.zone_availability_of(name) == ZoneAvailability::Evacuated
     }
 
     /// Returns whether all databases of a group are in evacuated zones.
-    pub(crate) fn all_shut(&self, group: &GroupName) -> bool {
+    pub(crate) fn all_in_evacuated_zones(&self, group: &GroupName) -> bool {
         if self.evacuations.known.borrow().is_empty() {
             return false;
         }
         let directory = self.directory.borrow();
         let mut databases = directory.of_group(group);
-        databases.all(|listed| self.zone_standing(&listed.database.zone) == ZoneStanding::Evacuated)
+        databases.all(|listed| {
+            self.zone_availability(&listed.database.zone) == ZoneAvailability::Evacuated
+        })
     }
 
     /// Returns whether statements may still be sent to a database. In a zone under evacuation only
@@ -87,17 +91,18 @@
         let Some(listed) = directory.get(name) else {
             return false;
         };
-        let zone_allows = match self.zone_standing(&listed.database.zone) {
-            ZoneStanding::Open | ZoneStanding::Returning => true,
-            ZoneStanding::Evacuating => self.leads(name),
-            ZoneStanding::Evacuated => false,
+        let zone_allows = match self.zone_availability(&listed.database.zone) {
+            ZoneAvailability::Open | ZoneAvailability::Returning => true,
+            ZoneAvailability::Evacuating => self.leads(name),
+            ZoneAvailability::Evacuated => false,
         };
-        zone_allows && self.takes_new_work(listed)
+        zone_allows && self.listed_accepts_new_work(listed)
     }
 
     /// Returns the known primary of a group if its zone is evacuated.
-    pub(crate) fn shut_leader(&self, group: &GroupName) -> Option<DatabaseName> {
-        self.leader(group).filter(|leader| self.is_shut(leader))
+    pub(crate) fn evacuated_leader(&self, group: &GroupName) -> Option<DatabaseName> {
+        self.leader(group)
+            .filter(|leader| self.is_in_evacuated_zone(leader))
     }
 
     /// Returns the known evacuations: each zone, whether its evacuation is requested, and the
@@ -124,7 +129,7 @@
     ) {
         let since = self.evacuation_counted_from();
         let mut known = self.evacuations.known.borrow_mut();
-        let changed = known.take(zone, requested, revision, since);
+        let changed = known.apply(zone, requested, revision, since);
         drop(known);
         if changed {
             self.note_evacuation(zone, requested, revision);
@@ -211,8 +216,8 @@
     }
 }
 
-/// Closes idle connections in zones under evacuation, ends the remaining use once a zone is shut,
-/// and logs the progress. Called periodically.
+/// Closes idle connections in zones under evacuation, ends the remaining use once a zone is
+/// evacuated, and logs the progress. Called periodically.
 pub(crate) fn clear_evacuated_zones(node: &Rc<Node>) {
     node.end_unlisted_evacuations();
     let zones: Vec<ZoneName> = {
@@ -225,19 +230,19 @@
 }
 
 fn clear_zone(node: &Rc<Node>, zone: &ZoneName) {
-    let shut = node.zone_standing(zone) == ZoneStanding::Evacuated;
+    let evacuated = node.zone_availability(zone) == ZoneAvailability::Evacuated;
     let pools = pools_in(node, zone);
     for pool in &pools {
-        if shut || !node.leads(pool.database()) {
+        if evacuated || !node.leads(pool.database()) {
             let closed = pool.close_idle();
             node.note_connections_closed(zone, closed);
         }
-        if shut {
-            pool.dismiss_waiters();
+        if evacuated {
+            pool.fail_waiters();
         }
     }
     let connections = pools.iter().map(|pool| pool.in_use()).sum();
-    if shut && connections > 0 {
+    if evacuated && connections > 0 {
         // Wakes sessions that are idle in a transaction, so that they end it.
         node.stop_advanced.notify_waiters();
     }
@@ -247,7 +252,7 @@
             connections,
             primaries,
         };
-        log_progress(node, zone, shut, &used);
+        log_progress(node, zone, evacuated, &used);
     }
 }
 
@@ -283,9 +288,9 @@
     groups.into_iter().filter(in_zone).collect()
 }
 
-/// Logs once that this node uses nothing in the zone any more, or, while the zone is shut,
-/// periodically what it still uses.
-fn log_progress(node: &Rc<Node>, zone: &ZoneName, shut: bool, used: &ZoneUse) {
+/// Logs once that this node uses nothing in the zone any more, or, while the zone counts as
+/// evacuated, periodically what it still uses.
+fn log_progress(node: &Rc<Node>, zone: &ZoneName, evacuated: bool, used: &ZoneUse) {
     let now = node.now();
     let age = node.evacuation_age(zone).map(millis);
     let mut all = node.evacuations.progress.borrow_mut();
@@ -305,7 +310,7 @@
     let logged_lately = progress
         .in_use_logged_at
         .is_some_and(|logged_at| now.since(logged_at) < IN_USE_LOG_INTERVAL);
-    if !shut || used.is_empty() || logged_lately {
+    if !evacuated || used.is_empty() || logged_lately {
         return;
     }
     progress.in_use_logged_at = Some(now);
--- a/crates/serving/src/session/admission.rs
+++ b/crates/serving/src/session/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a session's caller may use its route, as of now.
+//! Checks whether a session's caller may use its route under the current configuration.
 
 use std::rc::Rc;
 
@@ -10,13 +10,14 @@
 use crate::statement::rolled_back;
 
 impl Session {
-    /// The session's route and on whose behalf it is used, by the configuration in force.
+    /// Returns the session's route and the principal that its key identifies, by the current
+    /// configuration, or the failure to answer with.
     pub(super) fn admission(&self) -> Result<(Rc<Route>, Principal), Failure> {
         let configuration = self.node.configuration().ok_or_else(not_configured)?;
         let route = configuration.routes.get(&self.database);
         let route = route.ok_or_else(no_such_database)?;
-        let keys_pass = self.node.keys_pass();
-        let identified = identify(&configuration.tenants, route, &self.key, keys_pass);
+        let accepts_keys = self.node.accepts_keys();
+        let identified = identify(&configuration.tenants, route, &self.key, accepts_keys);
         match identified {
             Ok(principal) => Ok((Rc::clone(route), principal)),
             Err(denial) => Err(self.denied(denial)),
@@ -40,16 +41,16 @@
         Failure::new(FailureCode::Denied, "the key is not valid here")
     }
 
-    /// Whether the caller may no longer go on with its transaction: its key was withdrawn or
-    /// has become another tenant's since, or its database is shut.
-    pub(super) fn denial_of(&self, transaction: &Transaction) -> Option<Failure> {
-        if transaction.ended {
+    /// Returns the failure that ends the caller's transaction, if it may not continue: its key was
+    /// revoked or now belongs to another tenant, or its database was evacuated.
+    pub(super) fn transaction_failure(&self, transaction: &Transaction) -> Option<Failure> {
+        if transaction.evacuated {
             return Some(rolled_back());
         }
         let configuration = self.node.configuration()?;
         let route = &transaction.route;
-        let keys_pass = self.node.keys_pass();
-        match identify(&configuration.tenants, route, &self.key, keys_pass) {
+        let accepts_keys = self.node.accepts_keys();
+        match identify(&configuration.tenants, route, &self.key, accepts_keys) {
             Ok(principal) if principal == transaction.principal => None,
             Ok(_) => Some(rolled_back()),
             Err(denial) => Some(self.denied(denial)),
--- a/crates/transport/src/admin/metrics.rs
+++ b/crates/transport/src/admin/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics read from the shared tables when they are asked for.
+//! Metrics that are read from the shared tables on each scrape.
 
 use std::sync::Arc;
 
@@ -8,7 +8,8 @@
 
 use crate::shared::Shared;
 
-/// Bundle version, terms, positions and reachability of the databases.
+/// Collector of bundle version, terms, positions and reachability of the databases, and
+/// decision counts.
 pub struct SharedCollector {
     shared: Arc<Shared>,
     bundle: IntGauge,
@@ -20,10 +21,10 @@
 }
 
 impl SharedCollector {
-    /// A collector over `shared`.
+    /// Creates a collector over `shared`.
     ///
     /// # Errors
-    /// When the library refuses a name.
+    /// When the metrics library rejects a name.
     pub fn new(shared: Arc<Shared>) -> prometheus::Result<Self> {
         let by_database = |name: &str, help: &str| {
             IntGaugeVec::new(Opts::new(name, help), &["group", "database"])
@@ -85,7 +86,7 @@
                 self.reachable.with_label_values(&labels).set(reachable);
                 let draining = i64::from(database.draining);
                 self.draining.with_label_values(&labels).set(draining);
-                let position = to_gauge(database.place.lsn.0);
+                let position = to_gauge(database.position.lsn.0);
                 self.position.with_label_values(&labels).set(position);
             }
         }
--- a/crates/transport/src/caller/mod.rs
+++ b/crates/transport/src/caller/mod.rs
@@ -1,9 +1,8 @@
-//! The caller side of a proxy: sessions of PostgreSQL clients, from their start-up to
-//! their end.
+//! The caller side of a proxy node: sessions of PostgreSQL clients, from start-up to end.
 //!
-//! A session reads a unit of messages, has it classified, and carries it through a
-//! [`hookpoint_coordination::request::RequestMachine`]: the machine decides, the
-//! session waits, sends, holds back and delivers.
+//! A session reads a unit of messages, classifies it, and runs it through a
+//! [`hookpoint_coordination::request::RequestMachine`]: the machine decides, and the
+//! session waits, sends, holds answers back and delivers them.
 
 mod actions;
 mod active;
@@ -15,14 +14,13 @@
 mod drive;
 mod error;
 mod finish;
-mod flight;
 mod input;
 mod listener;
 mod local;
-mod marks;
-mod own_answers;
-mod refusals;
+mod local_answers;
+mod pipeline;
 mod registry;
+mod request_ids;
 mod session;
 mod setting_checks;
 mod settings;
@@ -32,6 +30,7 @@
 mod tls;
 mod traits;
 mod unit;
+mod unit_refusals;
 
 pub use counters::UnitCounts;
 pub use listener::{CallerHandle, CallerListener};
--- a/crates/transport/tests/caller_support/server.rs
+++ b/crates/transport/tests/caller_support/server.rs
@@ -1,4 +1,4 @@
-//! What the fake databases of one group share: their roles and logs, and faults.
+//! State shared by the fake databases of one group: roles, logs and injected faults.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,37 +9,40 @@
 #[derive(Debug)]
 pub struct Node {
     pub role: Role,
-    pub place: Position,
+    pub position: Position,
 }
 
-/// What all fake databases of a group share.
+/// State shared by all fake databases of a group.
 pub struct Server {
     pub nodes: BTreeMap<String, Node>,
-    /// Whether replicas confirm what the primary writes.
+    /// Whether replicas confirm the primary's writes.
     pub replicas_confirm: bool,
-    /// Whether replicas follow the primary at once.
+    /// Whether replicas apply the primary's writes at once.
     pub replicas_follow: bool,
-    /// Statements that ran: database, text.
+    /// Statements that ran, as pairs of database and text.
     pub log: Vec<(String, String)>,
     /// Identifiers in the request ledger.
     pub ledger: BTreeSet<String>,
-    /// Whether the ledger's table exists.
+    /// Whether the ledger table exists.
     pub has_ledger: bool,
-    /// A connection breaks when a statement holding this text arrives, that often.
+    /// Breaks the connection when a statement containing this text arrives, this many
+    /// times.
     pub break_before: Option<(String, usize)>,
-    /// A connection breaks after a statement holding this text ran, before its answer.
+    /// Breaks the connection after a statement containing this text ran, before its
+    /// answer.
     pub break_after: Option<String>,
     /// COPY data received.
     pub copied: Vec<u8>,
-    /// Settings put on connections before their first statement.
+    /// Run-time parameters set on connections before their first statement.
     pub settings: Vec<BTreeMap<String, String>>,
-    /// Statements a `Parse` was put on a connection for.
+    /// Statements that were prepared on a connection.
     pub prepared: Vec<String>,
-    /// Status queries behind a statement that fail, as if a late cancel had hit them.
+    /// Number of status queries behind a statement that fail, as if a late cancel request
+    /// had hit them.
     pub failing_probes: usize,
-    /// Databases that say nothing at all, as if cut off.
+    /// Databases that send nothing, as if partitioned.
     pub silent: BTreeSet<String>,
-    /// Cancel commands that reached a connection.
+    /// Number of cancel commands that reached a connection.
     pub cancels: usize,
 }
 
@@ -51,8 +54,8 @@
             } else {
                 Role::Replica
             };
-            let place = Position::new(1, 100);
-            ((*name).to_owned(), Node { role, place })
+            let position = Position::new(1, 100);
+            ((*name).to_owned(), Node { role, position })
         });
         Self {
             nodes: nodes.collect(),
@@ -81,15 +84,15 @@
         let flushed = replicas.map(|(name, _)| FlushedReplica {
             name: name.clone(),
             position: if self.replicas_confirm {
-                node.place.lsn
+                node.position.lsn
             } else {
                 Lsn(0)
             },
         });
         BackendStatus {
             role: node.role,
-            term: node.place.term,
-            position: node.place.lsn,
+            term: node.position.term,
+            position: node.position.lsn,
             flushed: match node.role {
                 Role::Primary => flushed.collect(),
                 Role::Replica => Vec::new(),
@@ -97,9 +100,9 @@
         }
     }
 
-    /// Another database leads from now on.
+    /// Makes another database the primary of a new term.
     pub fn promote(&mut self, name: &str) {
-        let term = self.nodes.values().map(|node| node.place.term.0).max();
+        let term = self.nodes.values().map(|node| node.position.term.0).max();
         let term = Term(term.unwrap_or_default() + 1);
         for (other, node) in &mut self.nodes {
             node.role = if other == name {
@@ -107,15 +110,15 @@
             } else {
                 Role::Replica
             };
-            node.place.term = term;
+            node.position.term = term;
         }
     }
 
     pub fn advance(&mut self, name: &str) {
-        let lsn = self.nodes[name].place.lsn.0 + 1;
+        let lsn = self.nodes[name].position.lsn.0 + 1;
         for (other, node) in &mut self.nodes {
             if other == name || self.replicas_follow {
-                node.place.lsn = Lsn(lsn);
+                node.position.lsn = Lsn(lsn);
             }
         }
     }
--- a/hookpoint/src/command/explain.rs
+++ b/hookpoint/src/command/explain.rs
@@ -5,7 +5,7 @@
 
 use anyhow::{Context, Result, bail};
 use hookpoint_coordination::explain::Entry;
-use hookpoint_serving::explanation::{Event, Subject, select, tell};
+use hookpoint_serving::explanation::{Event, Subject, format_lines, select};
 use hookpoint_state::NodeId;
 use serde_json::Value;
 
@@ -46,7 +46,7 @@
             events.len()
         );
     }
-    for line in tell(&selected) {
+    for line in format_lines(&selected) {
         println!("{line}");
     }
     Ok(())
--- a/hookpoint/src/command/fleet.rs
+++ b/hookpoint/src/command/fleet.rs
@@ -27,7 +27,7 @@
             node.node, node.state, node.zone, node.region, node.address, node.bundle.0
         );
     }
-    let outdated = fleet.behind().count();
+    let outdated = fleet.outdated().count();
     println!(
         "newest bundle {}; {} nodes; {outdated} not yet there",
         fleet.newest.0,
--- a/hookpoint/src/operator/roll.rs
+++ b/hookpoint/src/operator/roll.rs
@@ -78,7 +78,7 @@
                     let outcome = error.outcome();
                     machine.handle(RollEvent::Failed { outcome });
                     if !attempts.wait_after(&error).await {
-                        machine.handle(RollEvent::GaveUp);
+                        machine.handle(RollEvent::TimedOut);
                     }
                     failure = Some(error);
                 }
@@ -113,7 +113,7 @@
         }
         Ok(Ok(RollEvent::NotMoved {
             pointer: decode_view(ACTIVE_KEY, key_read_by(&answer.responses, 0))?,
-            past: decode_view(
+            historical: decode_view(
                 &history_key(pointer.version),
                 key_read_by(&answer.responses, 1),
             )?,
@@ -131,8 +131,8 @@
             pointer,
             superseded: *superseded,
         }),
-        RollResult::Conflict { winner } => Err(OperatorError::Conflict {
-            winner: Winner::of(winner.as_ref()),
+        RollResult::Conflict { conflicting } => Err(OperatorError::Conflict {
+            winner: Winner::of(conflicting.as_ref()),
         }),
         RollResult::NotNewer { active } => Err(OperatorError::NotNewer {
             version: pointer.version,
--- a/hookpoint/src/proxy/mod.rs
+++ b/hookpoint/src/proxy/mod.rs
@@ -54,7 +54,7 @@
     /// Breaks the reference cycle between the pools, whose home filter holds the fleet,
     /// and the fleet, which holds the pools.
     fn clear_home_filter(&self) {
-        self.pools.set_home(Arc::new(|_| false));
+        self.pools.set_home_filter(Arc::new(|_| false));
     }
 }
 
--- a/hookpoint/src/proxy/parts.rs
+++ b/hookpoint/src/proxy/parts.rs
@@ -69,7 +69,7 @@
         Arc::clone(&pools) as _,
     )?;
     let home_fleet = fleet.clone();
-    pools.set_home(Arc::new(move |database| home_fleet.is_home(database)));
+    pools.set_home_filter(Arc::new(move |database| home_fleet.is_home(database)));
     refresh_pools_on_home_changes(&fleet, Arc::clone(&pools));
     let probe_arbiter = arbiters.backends[0].handle();
     let statuses = FleetStatuses::new(
@@ -216,7 +216,7 @@
     }));
     let fleet = fleet.clone();
     callers.set_cancel_route(
-        fleet.tag(),
+        fleet.cancel_tag(),
         Arc::new(move |process, secret| {
             let fleet = fleet.clone();
             actix_rt::spawn(async move { fleet.cancel_session(process, secret).await });
--- a/lab/sim/src/world/nodes.rs
+++ b/lab/sim/src/world/nodes.rs
@@ -7,7 +7,7 @@
 
 use hookpoint_coordination::home::HomeChange;
 use hookpoint_coordination::membership::{Datagram, MemberState};
-use hookpoint_coordination::node::{LeadershipNews, NodeAction, NodeEvent};
+use hookpoint_coordination::node::{LeadershipUpdate, NodeAction, NodeEvent};
 use hookpoint_coordination::rollout::{RolloutAction, RolloutEvent};
 use hookpoint_coordination::slots::SlotEvent;
 use hookpoint_coordination::status::{BackendStatus, Role};
@@ -129,12 +129,12 @@
     /// Notifies the machines of a proxy that its link to a node broke.
     pub(crate) fn peer_lost(&mut self, proxy: ProxyIndex, node: NodeId) {
         self.node_event(proxy, NodeEvent::PeerLost(node));
-        self.rollout_event(proxy, RolloutEvent::PeerGone(node));
+        self.rollout_event(proxy, RolloutEvent::PeerLost(node));
     }
 
     fn member_changed(&mut self, proxy: ProxyIndex, node: NodeId, state: MemberState) {
         if state == MemberState::Dead {
-            self.rollout_event(proxy, RolloutEvent::PeerGone(node));
+            self.rollout_event(proxy, RolloutEvent::PeerLost(node));
         }
     }
 
@@ -147,12 +147,12 @@
         let view = self.proxies[proxy].terms.view(&change.group);
         let place = view
             .and_then(|view| view.primary())
-            .map(|primary| primary.place);
-        let leadership = LeadershipNews {
+            .map(|primary| primary.position);
+        let leadership = LeadershipUpdate {
             group: change.group,
             term: change.term,
             primary: change.primary,
-            place: place.unwrap_or(Position {
+            position: place.unwrap_or(Position {
                 term: change.term,
                 ..Position::default()
             }),
@@ -160,7 +160,7 @@
         self.node_event(proxy, NodeEvent::LeadershipObserved(leadership));
     }
 
-    fn leadership_learned(&mut self, proxy: ProxyIndex, leadership: &LeadershipNews) {
+    fn leadership_learned(&mut self, proxy: ProxyIndex, leadership: &LeadershipUpdate) {
         let Some(group) = self
             .groups
             .iter()
@@ -170,7 +170,7 @@
         };
         if self.proxies[proxy]
             .terms
-            .learn_term(&leadership.group, leadership.term)
+            .raise_term(&leadership.group, leadership.term)
         {
             self.view_changed(proxy);
         }
@@ -181,7 +181,7 @@
             let status = BackendStatus {
                 role: Role::Primary,
                 term: leadership.term,
-                position: leadership.place.lsn,
+                position: leadership.position.lsn,
                 flushed: Vec::new(),
             };
             self.observe(proxy, group, database, &status);
@@ -234,7 +234,7 @@
             RolloutAction::Install(_) => self.install(proxy),
             // The simulated platform keeps no list of machines from which a database could be
             // removed.
-            RolloutAction::TellZone(_) | RolloutAction::DrainLeaving(_) => {}
+            RolloutAction::BroadcastToZone(_) | RolloutAction::DrainDatabases(_) => {}
             RolloutAction::Rejected { .. } => {}
         }
     }
