--- a/crates/coordination/src/serving/coordinator.rs
+++ b/crates/coordination/src/serving/coordinator.rs
@@ -103,8 +103,9 @@
         self.holder = None;
     }
 
-    /// Records a coordinator that has announced an order. For a node that has lost the store this
-    /// is the only way to learn of a new coordinator.
+    /// Records that the coordinator whose record has this `revision` is `node`, as known from the
+    /// record or from an announcement. For a node that has lost the store, announcements are the
+    /// only way to learn of a new coordinator.
     pub fn note_announcement(&mut self, revision: StoreRevision, node: &str) {
         if self
             .newest
--- a/crates/coordination/src/serving/departure.rs
+++ b/crates/coordination/src/serving/departure.rs
@@ -12,9 +12,9 @@
 use hookpoint_state::Timestamp;
 use serde::{Deserialize, Serialize};
 
-/// How long an entry has to be absent from a store without gaps before the database is known to
-/// have left: more than two heartbeats, since an entry that expired in an outage is written again
-/// with the next heartbeat.
+/// How long an entry has to be absent, while this node follows the store without a gap, before the
+/// database is known to have left: more than two heartbeats, since an entry that expired in an
+/// outage is written again with the next heartbeat.
 pub const ABSENCE_CONFIRMED_AFTER: Duration = Duration::from_millis(3_500);
 
 /// Time within which databases and operators rewrite what was lost when the store was restored from
--- a/crates/coordination/src/serving/directory.rs
+++ b/crates/coordination/src/serving/directory.rs
@@ -77,7 +77,8 @@
     relisted_at: Option<Timestamp>,
     /// When this node learned of its current incarnation.
     pub incarnation_since: Timestamp,
-    /// Start time of the previous incarnation, if this node knew one.
+    /// Start time of the previous incarnation, or `None` if this node knew no previous one. The
+    /// inner value is `None` if that incarnation reported no start time.
     previous_start: Option<Option<DatabaseStart>>,
 }
 
@@ -93,15 +94,15 @@
     fn is_ended_incarnation(
         &self,
         started: Option<DatabaseStart>,
-        listed_at: StoreRevision,
+        revision: StoreRevision,
     ) -> bool {
-        let is_later = listed_at.era() > self.revision.era();
+        let is_later = revision.era() > self.revision.era();
         is_later && self.previous_start == Some(started) && started != self.database.started
     }
 
     /// Returns whether a registration is the removed one, restored with a copy of the store.
-    fn is_restored_entry(&self, listed_at: StoreRevision) -> bool {
-        self.missing && listed_at.may_be_copy_of(self.registration_revision)
+    fn is_restored_entry(&self, revision: StoreRevision) -> bool {
+        self.missing && revision.may_be_copy_of(self.registration_revision)
     }
 
     /// Returns the announced departure if it remains in force after a registration of the same
@@ -296,12 +297,12 @@
             let since = listed.relisted_at;
             since.is_some_and(|since| now.since(since) >= RESTORED_ENTRY_EXPIRY)
         };
-        let retained: Vec<DatabaseName> = self
+        let confirmed: Vec<DatabaseName> = self
             .leaving()
             .filter(has_lasted)
             .map(|listed| listed.database.name.clone())
             .collect();
-        for name in retained {
+        for name in confirmed {
             if let Some(listed) = self.databases.get_mut(&name) {
                 listed.relisted_at = None;
                 listed.missing = false;
--- a/crates/coordination/src/serving/evacuation.rs
+++ b/crates/coordination/src/serving/evacuation.rs
@@ -44,7 +44,7 @@
 
 impl Evacuations {
     /// Applies a request, or its end, as of `revision`. A revision that is not newer than the known
-    /// one is ignored. Returns whether the request's state changed.
+    /// one is ignored. Returns whether a request for the zone came into force or ended.
     pub fn apply(
         &mut self,
         zone: &ZoneName,
--- a/crates/coordination/src/serving/failover.rs
+++ b/crates/coordination/src/serving/failover.rs
@@ -158,9 +158,10 @@
     Ok(())
 }
 
-/// Selects the replica with the fewest drawbacks and, among equals, the one that has received most.
-/// A replica that restarted empty and has received nothing is the last choice. A replica being cold
-/// only decides between replicas that have received the same position.
+/// Selects the replica with the least severe drawbacks, in the order of [`Drawbacks`], and among
+/// equals the one that has received most. A replica that restarted empty and has received nothing
+/// is the last choice. A replica being cold only decides between replicas that have received the
+/// same position.
 ///
 /// `replicas` is the number of replicas of the group. If `sync_replicas` is above zero, a commit
 /// may be held by only that many replicas. Then at most `sync_replicas - 1` replicas may be missing
--- a/crates/coordination/src/serving/feed.rs
+++ b/crates/coordination/src/serving/feed.rs
@@ -44,22 +44,22 @@
 /// All nodes of a small region watch the store themselves. In a large region the first node follows
 /// the fleet's watcher or its substitute, and every other node follows its parent or grandparent in
 /// the region's tree. Nodes with the same view of the membership agree on all of this without
-/// exchanging messages. Nodes for which `helps` returns false are left out, so nodes that are
-/// partitioned together find one among them to follow. A node that excludes itself, because the
-/// store rejects its calls, follows other nodes wherever they are.
+/// exchanging messages. Nodes for which `may_forward` returns false are left out, so nodes that are
+/// partitioned together find one among them to follow. If it returns false for `own`, because the
+/// store rejects the calls of `own`, that node follows other nodes wherever they are.
 pub fn store_upstreams<'a>(
     own: &HomeCandidate,
     nodes: &'a [HomeCandidate],
     regions: &'a Regions,
-    helps: impl Fn(&str) -> bool,
+    may_forward: impl Fn(&str) -> bool,
 ) -> Vec<&'a str> {
-    let mut large = large_regions(nodes, regions, &helps);
+    let mut large = large_regions(nodes, regions, &may_forward);
     let own_region = region_of(&own.zone, regions);
     let Some(in_region) = large.remove(own_region) else {
-        if helps(&own.node) {
+        if may_forward(&own.node) {
             return Vec::new();
         }
-        return remote_upstreams(own, nodes, regions, helps);
+        return remote_upstreams(own, nodes, regions, may_forward);
     };
     let mut first_nodes = vec![in_region[0]];
     first_nodes.extend(large.values().map(|members| members[0]));
@@ -92,17 +92,17 @@
     own: &HomeCandidate,
     nodes: &'a [HomeCandidate],
     regions: &'a Regions,
-    helps: impl Fn(&str) -> bool,
+    may_forward: impl Fn(&str) -> bool,
 ) -> Vec<&'a str> {
     let own_region = region_of(&own.zone, regions);
-    let helping = || nodes.iter().filter(|node| helps(&node.node));
+    let forwarding = || nodes.iter().filter(|node| may_forward(&node.node));
     let is_near = |node: &&HomeCandidate| region_of(&node.zone, regions) == own_region;
-    let large = large_regions(nodes, regions, &helps);
+    let large = large_regions(nodes, regions, &may_forward);
     let first_nodes = large.values().map(|members| members[0]).collect();
-    let upstreams = ranked(WATCH_SUBJECT, helping().filter(is_near).collect())
+    let upstreams = ranked(WATCH_SUBJECT, forwarding().filter(is_near).collect())
         .into_iter()
         .chain(ranked(WATCH_SUBJECT, first_nodes))
-        .chain(ranked(WATCH_SUBJECT, helping().collect()));
+        .chain(ranked(WATCH_SUBJECT, forwarding().collect()));
     first_distinct(upstreams.map(|node| node.node.as_str()), &own.node)
 }
 
@@ -179,11 +179,12 @@
     nodes.iter().filter(in_region).count() <= SMALL_REGION_SIZE
 }
 
-/// Returns, for each region that is not small, the nodes for which `helps` is true, in rank order.
+/// Returns, for each region that is not small, the nodes for which `may_forward` returns true, in
+/// rank order.
 fn large_regions<'a>(
     nodes: &'a [HomeCandidate],
     regions: &'a Regions,
-    helps: impl Fn(&str) -> bool,
+    may_forward: impl Fn(&str) -> bool,
 ) -> BTreeMap<&'a str, Vec<&'a HomeCandidate>> {
     let mut by_region: BTreeMap<&str, Vec<&HomeCandidate>> = BTreeMap::new();
     for candidate in nodes {
@@ -194,7 +195,7 @@
         .into_iter()
         .filter(|(_, members)| members.len() > SMALL_REGION_SIZE)
         .map(|(region, mut members)| {
-            members.retain(|candidate| helps(&candidate.node));
+            members.retain(|candidate| may_forward(&candidate.node));
             (region, ranked(region, members))
         })
         .filter(|(_, members)| !members.is_empty())
@@ -267,7 +268,8 @@
     ///
     /// A listing of another era resets the log, because followers may know changes of the earlier
     /// era that are not known here. So does a listing whose revision is lower than that of the
-    /// listing with which the log began: that first listing was outdated, from an earlier era.
+    /// listing with which the log began: the content of that first listing was outdated and
+    /// belonged to an earlier era.
     pub fn take_listing(
         &mut self,
         revision: StoreRevision,
--- a/crates/coordination/src/serving/group_use.rs
+++ b/crates/coordination/src/serving/group_use.rs
@@ -17,8 +17,8 @@
 const MAX_REUSE_INTERVAL: Duration = Duration::from_secs(15);
 /// The next use is expected within this multiple of the interval between the last two.
 const EXPECTED_INTERVALS: u32 = 2;
-/// Number of status queries to a primary that one use allows: one that detects that it is silent,
-/// and one to make up for a lost answer.
+/// Number of status queries to a primary that one use allows: one that detects that the primary is
+/// silent, and one to make up for a lost answer.
 const QUERIES_PER_USE: u32 = 2;
 /// Maximum number of accumulated status queries: four per second, the rate for a primary in use,
 /// for as long as a group counts as in use.
--- a/crates/coordination/src/serving/handover.rs
+++ b/crates/coordination/src/serving/handover.rs
@@ -1,9 +1,9 @@
 //! Planned moves of a group's primary: whether it has to move, and to which databases.
 //!
 //! The reasons against a database as the location of a primary have a single defined order,
-//! [`Drawbacks`]. A primary only moves to a database that ranks lower in that order. Each move thus
-//! lowers the rank as long as the facts stay the same, and no two reasons can move a primary back
-//! and forth.
+//! [`Drawbacks`]. A primary only moves to a database with less severe drawbacks by that order. As
+//! long as the facts stay the same, each move therefore reduces the drawbacks, and no two reasons
+//! can move a primary back and forth.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/coordination/src/serving/leadership.rs
+++ b/crates/coordination/src/serving/leadership.rs
@@ -55,11 +55,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Leadership {
     leader: Option<DatabaseName>,
+    /// The last known leader, kept while no database is known to lead; `None` once its incarnation
+    /// has ended.
     previous: Option<DatabaseName>,
     leadership_period: LeadershipPeriod,
     confirmed_at: Timestamp,
     /// The database last found not to lead, and when the query was sent.
     refuted: Option<(DatabaseName, Timestamp)>,
+    /// Highest position reported in the current period, and when that answer arrived.
     highest: Option<(Timestamp, Position)>,
     freshness: FreshnessLog,
     /// Set if the last leader restarted without the commits that it had acknowledged.
--- a/crates/coordination/src/serving/lease_grantor.rs
+++ b/crates/coordination/src/serving/lease_grantor.rs
@@ -45,7 +45,7 @@
 pub struct Electorate {
     /// Number of nodes that may hold a lease, including the granting node.
     pub voters: usize,
-    /// Time as of which the store's state was last known.
+    /// Time as of which the granting node knows the store's state.
     pub store_known_at: Timestamp,
 }
 
--- a/crates/coordination/src/serving/primary_lease.rs
+++ b/crates/coordination/src/serving/primary_lease.rs
@@ -85,12 +85,17 @@
     /// The newest coordinator known to this node.
     coordinator: StoreRevision,
     grantor: Grantor,
+    /// When the request that still awaits an answer was sent.
     unanswered: Option<Timestamp>,
+    /// Consecutive requests to the grantor that timed out.
     failures: u32,
+    /// Consecutive answers of the grantor without a grant.
     refusals: u32,
+    /// When the next request is due.
     next_at: Timestamp,
     last_request: Timestamp,
-    last_answered_at: Option<ProcessTime>,
+    /// Timestamp in the grantor's last answer, by the grantor's clock; the next request echoes it.
+    time_to_echo: Option<ProcessTime>,
     /// When this node last voted for a node other than the current coordinator.
     other_vote_at: Timestamp,
     /// Start and end of the latest period throughout which a lease was in force.
@@ -110,7 +115,7 @@
             refusals: 0,
             next_at: now,
             last_request: Timestamp::default(),
-            last_answered_at: None,
+            time_to_echo: None,
             other_vote_at: now,
             covered: None,
         }
@@ -136,7 +141,7 @@
         self.unanswered = None;
         self.failures = 0;
         self.refusals = 0;
-        self.last_answered_at = None;
+        self.time_to_echo = None;
         self.next_at = now;
     }
 
@@ -157,7 +162,7 @@
                 process: self.process,
                 time: now,
             },
-            echoed_time: self.last_answered_at,
+            echoed_time: self.time_to_echo,
         };
         Some((self.grantor, request))
     }
@@ -196,15 +201,18 @@
         }
         self.unanswered = None;
         self.failures = 0;
-        let first = self.last_answered_at.replace(answer.answered_at).is_none();
+        let first = self.time_to_echo.replace(answer.answered_at).is_none();
         if answer.granted || !first {
             self.next_at = answer.asked_at.time + RENEWAL_PERIOD;
         }
-        self.note_refusal(answer.granted || first, now);
+        // The request before the first answer echoed no timestamp and was no vote, so an answer
+        // without a grant is no refusal then.
+        self.note_answer(answer.granted || first, now);
         true
     }
 
-    fn note_refusal(&mut self, accepted: bool, now: Timestamp) {
+    /// Counts consecutive refusals, and switches to another grantor after too many.
+    fn note_answer(&mut self, accepted: bool, now: Timestamp) {
         if accepted {
             self.refusals = 0;
             return;
--- a/crates/coordination/tests/serving_handover.rs
+++ b/crates/coordination/tests/serving_handover.rs
@@ -173,24 +173,24 @@
     /// Whatever the drawbacks of each database, a primary that always moves to any of the targets
     /// stops moving after at most as many moves as there are other databases.
     fn reasons_never_move_a_primary_back_and_forth(all: Vec<u8>, choices: Vec<usize>) -> bool {
-        let places: Vec<(DatabaseName, Drawbacks)> = all
+        let databases: Vec<(DatabaseName, Drawbacks)> = all
             .iter()
             .take(8)
             .enumerate()
             .map(|(number, bits)| (name(&format!("d{number}")), drawbacks_from_bits(*bits)))
             .collect();
         let mut leader = 0;
-        for moves in 0..=places.len() {
-            let Some((leading, present)) = places.get(leader) else {
+        for moves in 0..=databases.len() {
+            let Some((leading, present)) = databases.get(leader) else {
                 return true;
             };
-            let others: Vec<_> = places.iter().filter(|(other, _)| other != leading).cloned().collect();
+            let others: Vec<_> = databases.iter().filter(|(other, _)| other != leading).cloned().collect();
             let Some(planned) = plan_move(*present, None, &others) else {
                 return true;
             };
             let choice = choices.get(moves).copied().unwrap_or_default();
             let target = &planned.targets[choice % planned.targets.len()];
-            leader = places.iter().position(|(location, _)| location == target).unwrap();
+            leader = databases.iter().position(|(other, _)| other == target).unwrap();
         }
         false
     }
@@ -237,7 +237,7 @@
 }
 
 #[test]
-fn the_candidate_has_the_fewest_drawbacks_and_is_never_empty_if_another_holds_commits() {
+fn the_candidate_has_the_least_severe_drawbacks_and_is_never_empty_if_another_holds_commits() {
     let rows = [
         (replica("a", 9, EVACUATED), replica("b", 5, NONE), 0, "b"),
         (replica("a", 9, EVACUATED), replica("b", 5, NONE), 1, "a"),
--- a/crates/coordination/tests/serving_store_freshness_fleet.rs
+++ b/crates/coordination/tests/serving_store_freshness_fleet.rs
@@ -83,7 +83,8 @@
 
 struct Machine {
     freshness: StoreFreshness,
-    /// Time of the store's actual state that is known here.
+    /// Time at which the store really had the state that this node knows. The simulation compares
+    /// it with the node's own estimate in `freshness`.
     actual_as_of: Timestamp,
     activity: Activity,
     held: Vec<Query>,
@@ -133,15 +134,15 @@
         }
     }
 
-    fn upstreams(&self, own: usize, own_helps: bool, use_exclusions: bool) -> Vec<usize> {
-        let helps = |name: &str| {
+    fn upstreams(&self, own: usize, own_may_forward: bool, use_exclusions: bool) -> Vec<usize> {
+        let may_forward = |name: &str| {
             if name == self.nodes[own].node {
-                own_helps
+                own_may_forward
             } else {
                 !use_exclusions || self.machines[own].freshness.may_forward(name, self.now)
             }
         };
-        store_upstreams(&self.nodes[own], &self.nodes, &self.regions, helps)
+        store_upstreams(&self.nodes[own], &self.nodes, &self.regions, may_forward)
             .into_iter()
             .map(|name| {
                 self.nodes
