--- a/crates/coordination/tests/serving_placement.rs
+++ b/crates/coordination/tests/serving_placement.rs
@@ -94,8 +94,8 @@
     let mut found = BTreeSet::new();
     for region in REGIONS {
         let permitted = placement.permit(&database(region), &known);
-        let carries = placement.may_forward(&zone(region, 1), &known);
-        assert_eq!(permitted.is_some(), carries, "{region}");
+        let may_forward = placement.may_forward(&zone(region, 1), &known);
+        assert_eq!(permitted.is_some(), may_forward, "{region}");
         if permitted.is_some_and(|permitted| permitted.name().as_str() == region) {
             found.insert(RegionName::new(region));
         }
