--- a/crates/serving/src/cold_start.rs
+++ b/crates/serving/src/cold_start.rs
@@ -51,7 +51,7 @@
 
     /// Records for how much longer a database registers as cold. `before` is its earlier entry in
     /// the directory.
-    pub(crate) fn note_registered_warmth(
+    pub(crate) fn note_registered_warm_up(
         &self,
         name: &DatabaseName,
         before: Option<&DirectoryEntry>,
@@ -137,10 +137,10 @@
         self.empty_buckets_if_suspended();
         let now = self.now();
         let mut starts = self.cold.starts.borrow_mut();
-        let warmth = starts.entry(name);
+        let warm_up = starts.entry(name);
         match request.principal {
-            Some(_) => warmth.admit(cold.share, now),
-            None => warmth.admit_query(cold.share, now),
+            Some(_) => warm_up.admit(cold.share, now),
+            None => warm_up.admit_query(cold.share, now),
         }
     }
 
@@ -316,7 +316,9 @@
 ) -> [(&'static str, Value); 5] {
     let now = node.now();
     let starts = node.cold.starts.borrow();
-    let cold_for = starts.get(name).map(|warmth| millis(warmth.cold_for(now)));
+    let cold_for = starts
+        .get(name)
+        .map(|warm_up| millis(warm_up.cold_for(now)));
     let started = node.database(name).and_then(|database| database.started);
     let store_age = millis(now.since(node.feed.known_at()));
     [
--- a/crates/serving/src/coordinator/mod.rs
+++ b/crates/serving/src/coordinator/mod.rs
@@ -27,8 +27,9 @@
 
 /// Pause between two rounds of the coordinator.
 const ROUND_INTERVAL: Duration = Duration::from_millis(100);
-/// Number of groups checked per round in addition to those that need attention: 640 a second. The
-/// bound keeps the cost of a round independent of the number of groups.
+/// Number of groups checked per round in addition to the monitored groups and those that wait for a
+/// planned move: 640 a second. The bound keeps the cost of a round independent of the number of
+/// groups.
 const GROUPS_PER_ROUND: usize = 64;
 /// After a promotion that may still take effect, no other promotion of the group is ordered for
 /// this long.
@@ -96,8 +97,8 @@
 impl Survey {
     /// Returns the groups whose primary may need replacing and marks them as being replaced: all
     /// groups that may have lost their primary, and as many planned moves as the rate allows. Each
-    /// round checks the groups that need attention, those waiting for a move, and the next batch
-    /// of all groups.
+    /// round checks the monitored groups, those waiting for a planned move, and the next batch of
+    /// all groups.
     fn due_groups(&mut self, node: &Rc<Node>) -> Vec<GroupName> {
         let rate = node.changeable().promotions_per_second;
         let mut due = Vec::new();
@@ -123,9 +124,9 @@
     }
 
     fn next_groups(&mut self, node: &Rc<Node>) -> BTreeSet<GroupName> {
-        let in_turn = node.groups_after(self.last.as_ref(), GROUPS_PER_ROUND);
-        self.last = in_turn.last().cloned();
-        let mut groups: BTreeSet<GroupName> = in_turn.into_iter().collect();
+        let next_batch = node.groups_after(self.last.as_ref(), GROUPS_PER_ROUND);
+        self.last = next_batch.last().cloned();
+        let mut groups: BTreeSet<GroupName> = next_batch.into_iter().collect();
         groups.extend(node.monitored_groups.groups());
         groups.extend(self.to_move.iter().cloned());
         groups
--- a/crates/serving/src/coordinator/replicas.rs
+++ b/crates/serving/src/coordinator/replicas.rs
@@ -155,8 +155,8 @@
 }
 
 /// Returns whether a database counts as a replica. A database that is missing from the store
-/// because of a crash or an outage may be the only one that holds a commit, so it counts until the
-/// others have certainly received all commits.
+/// because of a crash or an outage may be the only one that holds a commit, so it counts for
+/// [`MISSING_REPLICA_COUNTS_FOR`], by which time the others have long received all commits.
 fn is_candidate(node: &Rc<Node>, name: &DatabaseName) -> bool {
     let now = node.now();
     let directory = node.directory.borrow();
@@ -276,7 +276,7 @@
         priority: STATUS_PRIORITY,
         values: &values,
         placement: &Placement::unrestricted(),
-        limits: WaitLimits::patient(STATUS_TIMEOUT),
+        limits: WaitLimits::any_queue(STATUS_TIMEOUT),
     };
     if node.is_cold(pool.database()) {
         let leased = cold_start::lease_for_query(node, pool, query).await;
--- a/crates/serving/src/coordinator/step_down.rs
+++ b/crates/serving/src/coordinator/step_down.rs
@@ -23,9 +23,11 @@
     tokio::task::spawn_local(stepping_down);
 }
 
-/// Continues after this node's tenure as coordinator, which may end at any time, until another
-/// promotion is announced. This is safe because a database is only ordered to step down from a
-/// term below the newest.
+/// Orders replaced primaries to step down for [`STEP_DOWN_TIME`], or until another promotion is
+/// announced.
+///
+/// Continues after this node's tenure as coordinator, which may end at any time. This is safe
+/// because a database is only ordered to step down from a term below the newest.
 async fn step_down_until_replaced(node: Rc<Node>, order: PromotionOrder) {
     let began = node.now();
     let is_newest = || {
--- a/crates/serving/src/database_incarnation.rs
+++ b/crates/serving/src/database_incarnation.rs
@@ -1,5 +1,5 @@
-//! Discards the state that belongs to an earlier process of a database when the database restarts:
-//! see [`hookpoint_coordination::serving::database_incarnation`].
+//! Discards the state that belongs to an earlier incarnation of a database when the database
+//! restarts: see [`hookpoint_coordination::serving::database_incarnation`].
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -19,10 +19,10 @@
             self.directory
                 .borrow_mut()
                 .put(database, revision, self.learned_times());
-        self.note_registered_warmth(&name, before.as_ref(), registration);
+        self.note_registered_warm_up(&name, before.as_ref(), registration);
         self.log_departure(&name, before.as_ref());
         if registration == RegistrationOutcome::NewIncarnation {
-            self.discard_earlier_process(&name);
+            self.discard_earlier_incarnation(&name);
         }
     }
 
@@ -54,7 +54,7 @@
     }
 
     /// Returns a listed database, unless it has restarted since `asked_at`: an answer to a request
-    /// sent before the restart is not valid for the present process.
+    /// sent before the restart is not valid for the current incarnation.
     pub(crate) fn database_unless_restarted(
         &self,
         name: &DatabaseName,
@@ -70,7 +70,7 @@
     }
 
     /// Discards all state of `name` from before the restart that this node has just learnt of.
-    fn discard_earlier_process(&self, name: &DatabaseName) {
+    fn discard_earlier_incarnation(&self, name: &DatabaseName) {
         let Some(database) = self.database(name) else {
             return;
         };
@@ -110,7 +110,7 @@
         self.leader_changed.notify_waiters();
     }
 
-    /// Returns the connection pool of a database's present process, created on first use.
+    /// Returns the connection pool of a database's current incarnation, created on first use.
     pub fn pool(self: &Rc<Self>, name: &DatabaseName) -> Rc<Pool> {
         let mut pools = self.pools.borrow_mut();
         let pool = pools
--- a/crates/serving/src/departures.rs
+++ b/crates/serving/src/departures.rs
@@ -1,4 +1,5 @@
-//! Databases that are leaving the fleet: what this node knows of them and shares with peers.
+//! Databases that are leaving the fleet (draining): what this node knows of them and shares with
+//! peers.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::rc::Rc;
@@ -21,7 +22,7 @@
 /// departure in time have a more accurate start.
 const LATE_THRESHOLD: Duration = Duration::from_secs(3);
 /// Number of peers asked at once. Even if half of the fleet learnt of the departure late, at least
-/// one of four peers knows better in fifteen of sixteen cases.
+/// one of four peers has a more accurate start in fifteen of sixteen cases.
 const PEERS_ASKED: usize = 4;
 /// Timeout for the peers' answers: a few round trips. The database gets no new work meanwhile.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
--- a/crates/serving/src/evacuation.rs
+++ b/crates/serving/src/evacuation.rs
@@ -2,8 +2,8 @@
 //!
 //! As soon as a request is known, statements go to a database of the zone only if it leads its
 //! group. Once the request has been known for the configured limit, the zone counts as evacuated:
-//! nothing is sent to them any more, idle connections are closed, and transactions that are still
-//! open there are ended.
+//! nothing is sent to its databases any more, idle connections are closed, and transactions that
+//! are still open there are ended.
 
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/serving/src/feed/answering.rs
+++ b/crates/serving/src/feed/answering.rs
@@ -119,8 +119,8 @@
     }
 }
 
-/// Returns the configuration in force unless the follower or `changes` already have one as new:
-/// the store may have been restored without it.
+/// Returns the configuration in force unless the follower or `changes` already have one that is at
+/// least as new: the store may have been restored without it.
 fn unlisted_configuration(
     node: &Node,
     request: &FollowRequest,
--- a/crates/serving/src/follower.rs
+++ b/crates/serving/src/follower.rs
@@ -500,7 +500,7 @@
             }
         }
         StoreRecord::Fleet { key, value, lease } => {
-            apply_own(node, &key, value.as_deref(), lease, change.revision);
+            apply_fleet_record(node, &key, value.as_deref(), lease, change.revision);
         }
     }
 }
@@ -521,7 +521,7 @@
     node.log("database_missing", &[("database", name.as_str().into())]);
 }
 
-fn apply_own(
+fn apply_fleet_record(
     node: &Rc<Node>,
     key: &str,
     value: Option<&[u8]>,
--- a/crates/serving/src/homes.rs
+++ b/crates/serving/src/homes.rs
@@ -78,7 +78,7 @@
     fn join(&mut self, node: HomeCandidate) {
         let nodes = self.fleet.len();
         self.views.retain(|database, view| {
-            // While every node is a home, there may be room for one more.
+            // While every node is a home, the database may accept one more home.
             view.homes.len() < nodes && !wins_place(database, &view.zone, &view.homes, &node)
         });
         self.token_views.clear();
@@ -129,8 +129,8 @@
         }
     }
 
-    /// Returns whether another record of the node has the same content.
-    fn is_same_process_as(&self, other: &Self) -> bool {
+    /// Returns whether `other` has the same record content as this member; `gone_at` is ignored.
+    fn has_same_record_as(&self, other: &Self) -> bool {
         let gone_at = other.gone_at;
         *other
             == Self {
@@ -174,7 +174,7 @@
             homes.leaving.remove(&(until, name.clone()));
         }
         let still_counts = counts_until.is_none_or(|until| self.now() < until);
-        let returned = before.is_some_and(|before| before.is_same_process_as(&member));
+        let returned = before.is_some_and(|before| before.has_same_record_as(&member));
         if returned && still_counts {
             return;
         }
--- a/crates/serving/src/link.rs
+++ b/crates/serving/src/link.rs
@@ -181,7 +181,7 @@
     }
 
     /// Allows all peers to be asked for a restarted database again: earlier failures concern its
-    /// previous process.
+    /// previous incarnation.
     pub(crate) fn unskip_database(&self, database: &DatabaseName) {
         let mut skipped = self.skipped.borrow_mut();
         skipped.retain(|(_, other), _| other != database);
--- a/crates/serving/src/monitor/mod.rs
+++ b/crates/serving/src/monitor/mod.rs
@@ -104,7 +104,7 @@
 }
 
 /// A snapshot of a group's state at the beginning of a check.
-struct GroupView {
+struct GroupSnapshot {
     leader: Option<DatabaseName>,
     confirmed_at: Timestamp,
     is_lost: bool,
@@ -113,7 +113,7 @@
     in_use: bool,
 }
 
-impl GroupView {
+impl GroupSnapshot {
     fn of(node: &Node, group: &GroupName) -> Self {
         let now = node.now();
         node.with_group(group, |state| Self {
@@ -131,7 +131,7 @@
     fn check_group(&self, group: &GroupName) {
         let node = &self.node;
         let now = node.now();
-        let view = GroupView::of(node, group);
+        let view = GroupSnapshot::of(node, group);
         if !view.in_use && !node.membership_is_complete() {
             return;
         }
@@ -166,7 +166,7 @@
     /// Queries the primary of a group, or requests a peer's sample, if the primary was not
     /// confirmed lately. A node that holds connections to the primary queries it as often as the
     /// group's use permits: often enough to notice the loss of a primary in use.
-    fn keep_confirmed(&self, group: &GroupName, leader: &DatabaseName, view: &GroupView) {
+    fn keep_confirmed(&self, group: &GroupName, leader: &DatabaseName, view: &GroupSnapshot) {
         let node = &self.node;
         let unconfirmed = node.now().since(view.confirmed_at);
         if node.connection_cap(leader) > 0 {
@@ -190,7 +190,7 @@
         &self,
         group: &GroupName,
         leader: &DatabaseName,
-        view: &GroupView,
+        view: &GroupSnapshot,
         period: Duration,
     ) {
         let unconfirmed = self.node.now().since(view.confirmed_at);
@@ -205,7 +205,7 @@
     /// or not.
     fn sweep(&self, group: &GroupName) {
         let node = &self.node;
-        let view = GroupView::of(node, group);
+        let view = GroupSnapshot::of(node, group);
         if node.evacuated_leader(group).is_some() || !node.membership_is_complete() {
             return;
         }
@@ -278,7 +278,7 @@
 
     /// Asks the databases of a group which of them leads: those to which this node holds
     /// connections, and after [`PEER_ANSWER_TIME`] the others as well.
-    fn search(&self, group: &GroupName, view: &GroupView) {
+    fn search(&self, group: &GroupName, view: &GroupSnapshot) {
         let node = &self.node;
         let now = node.now();
         let leaderless_since = node.with_group(group, |state| state.leaderless_since);
--- a/crates/serving/src/monitor/queries.rs
+++ b/crates/serving/src/monitor/queries.rs
@@ -91,7 +91,7 @@
         priority: QUERY_PRIORITY,
         values: &values,
         placement: &Placement::unrestricted(),
-        limits: WaitLimits::patient(CONTROL_LIMIT),
+        limits: WaitLimits::any_queue(CONTROL_LIMIT),
     };
     if node.is_cold(pool.database()) {
         return cold_start::lease_for_query(node, pool, query).await;
--- a/crates/serving/src/node.rs
+++ b/crates/serving/src/node.rs
@@ -99,8 +99,8 @@
     /// The database that last proved that it leads although another one was announced, and when
     /// the proof was requested.
     pub overruled_proof: Option<(DatabaseName, Timestamp)>,
-    /// Token of the newest announcement whose replaced primary this node no longer accepts
-    /// acknowledgements from.
+    /// Token of the newest announcement up to which this node no longer acknowledges writes that
+    /// the replaced primary answers.
     pub closed_up_to: Option<FencingToken>,
     /// Number of writes and commits that were sent and have not been answered.
     pub writes_in_flight: usize,
@@ -231,7 +231,7 @@
     /// Notified when sessions must check whether to end: a shutdown was requested or advanced, or
     /// the node or a zone stopped serving.
     pub stop_advanced: Notify,
-    /// Streams to peers.
+    /// Idle links to peers, and the peers that are not asked for connections at the moment.
     pub links: Links,
     /// Which peers respond.
     pub reachability: Reachability,
--- a/crates/serving/src/pool/mod.rs
+++ b/crates/serving/src/pool/mod.rs
@@ -64,7 +64,7 @@
     }
 
     /// Returns limits of a request that joins any queue and leaves it after `limit`.
-    pub fn patient(limit: Duration) -> Self {
+    pub fn any_queue(limit: Duration) -> Self {
         Self {
             max_expected_wait: Duration::MAX,
             purpose: ConnectionUse::Statement,
@@ -181,8 +181,9 @@
         }
     }
 
-    /// Returns whether the pool can be dropped without losing more than a new pool would have: it
-    /// has no connections, no waiting requests and no recent statistics.
+    /// Returns whether the pool holds nothing that a new pool would lack: it has no connections and
+    /// no waiting requests, the database counts as reachable and not as failing, and the pool has
+    /// been unused for so long that its statistics no longer count.
     pub(crate) fn can_be_dropped(&self, now: Timestamp) -> bool {
         self.open.get() == 0
             && self.in_flight() == 0
--- a/crates/serving/src/primary_lease.rs
+++ b/crates/serving/src/primary_lease.rs
@@ -48,8 +48,8 @@
 /// Time without a lease after which requests that need a primary are refused immediately: the
 /// callers reach other nodes sooner than this one gets a lease again.
 pub(crate) const LEASE_RECOVERY_LIMIT: Duration = Duration::from_millis(300);
-/// Time without a lease after which idle sessions are closed. By then callers are no longer routed
-/// to this node.
+/// Idle sessions are closed when this node has been unable to serve callers for this long. By then
+/// callers are no longer routed to it.
 const SESSIONS_MOVE_AFTER: Duration = Duration::from_millis(2_200);
 
 /// Requests, renews and monitors the lease until the node shuts down.
--- a/crates/serving/src/relay.rs
+++ b/crates/serving/src/relay.rs
@@ -359,7 +359,7 @@
     if node.stop_stage() >= StopStage::CloseIdle {
         return Err(AcquireError::Unreachable);
     }
-    // A peer that does not know yet that the database is leaving turns to another holder. If the
+    // A refused peer that still considers the database usable turns to another holder. If the
     // connection were leased to it, its statements would be refused only when they are sent, again
     // and again.
     if request.principal.is_some() && !node.accepts_new_work(database) {
@@ -408,7 +408,7 @@
                     max_expected_wait: Duration::from_millis(patience_ms),
                     limit: Duration::from_millis(limit_ms),
                 };
-                let request = ConnectionRequest {
+                let connection_request = ConnectionRequest {
                     principal: principal.as_ref(),
                     priority,
                     values: &values,
@@ -416,7 +416,7 @@
                     placement: &Placement::unrestricted(),
                     limits,
                 };
-                match lease_to_peer(&node, &database, request).await {
+                match lease_to_peer(&node, &database, connection_request).await {
                     Ok(for_peer) => granted(&mut held.insert(for_peer).lease),
                     Err(AcquireError::Overloaded | AcquireError::TimedOut) => LinkReply::Overloaded,
                     Err(AcquireError::Cold { retry_after }) => LinkReply::Cold {
--- a/crates/serving/src/start.rs
+++ b/crates/serving/src/start.rs
@@ -56,7 +56,8 @@
 }
 
 /// Returns the registered nodes in this node's part of its zone. When the whole fleet starts for
-/// the first time, waits until this node is among them, as the others have registered by then.
+/// the first time, reads up to [`MAX_FIRST_START_READS`] times until this node is among them, as
+/// the others have registered by then.
 async fn read_nearby_members(node: &Rc<Node>) -> Result<Vec<MemberRecord>, StoreError> {
     let part = member_part_prefix(&node.settings.zone, &node.settings.name);
     let mut reads = 0;
--- a/crates/serving/src/statement/evacuated.rs
+++ b/crates/serving/src/statement/evacuated.rs
@@ -22,7 +22,7 @@
 impl Request<'_> {
     /// Returns whether to wait if an evacuation is why no database can run a statement, or `None`
     /// if it is not. `only_leader`: whether only the primary may run the statement.
-    pub(super) fn evacuated(&self, only_leader: bool) -> Option<EvacuationWait> {
+    pub(super) fn evacuation_wait(&self, only_leader: bool) -> Option<EvacuationWait> {
         let leader = self.node.evacuated_leader(&self.route.group)?;
         if !only_leader && self.any_database_serves() {
             return None;
--- a/crates/serving/src/statement/mod.rs
+++ b/crates/serving/src/statement/mod.rs
@@ -186,7 +186,7 @@
 
     /// Waits until a database may have become usable; fails at once if none is expected to.
     async fn await_target(&self, only_leader: bool) -> Result<(), NoTarget> {
-        let limit = match self.evacuated(only_leader) {
+        let limit = match self.evacuation_wait(only_leader) {
             Some(EvacuationWait::FailoverExpectedBy(limit)) => limit.min(self.wait_deadline()),
             Some(EvacuationWait::NoFailover) => return Err(NoTarget::ZoneEvacuated),
             None => self.wait_deadline(),
--- a/crates/serving/src/statement/region_restriction.rs
+++ b/crates/serving/src/statement/region_restriction.rs
@@ -37,7 +37,7 @@
         read_write_transaction: bool,
     ) -> Result<(), Failure> {
         let placement = self.placement();
-        let need = self.need(work, read_write_transaction, &placement);
+        let need = self.required_database(work, read_write_transaction, &placement);
         match self.placement_error(&placement, need) {
             Some(placement_error) => {
                 Err(self.refuse_for_region(work, AttemptSummary::default(), placement_error))
@@ -65,7 +65,7 @@
         excluded: &BTreeSet<DatabaseName>,
     ) -> Result<(Option<Target>, RequiredDatabase), PlacementError> {
         let placement = self.placement();
-        let need = self.need(work, read_write_transaction, &placement);
+        let need = self.required_database(work, read_write_transaction, &placement);
         if let Some(placement_error) = self.placement_error(&placement, need) {
             return Err(placement_error);
         }
@@ -79,7 +79,7 @@
     /// Returns which database the statement needs. A transaction that may write and begins with a
     /// read gets the primary. If the primary is outside the allowed regions, the transaction runs
     /// read-only on another database, because the caller may only want to read.
-    fn need(
+    fn required_database(
         &self,
         work: &Work,
         read_write_transaction: bool,
