--- a/crates/serving/src/cold_start.rs
+++ b/crates/serving/src/cold_start.rs
@@ -209,11 +209,11 @@
 
     fn cold_reason_of(&self, name: &DatabaseName, start: ColdStart) -> Option<ColdReason> {
         let starts = self.cold.starts.borrow();
-        let known = self.circumstances(name);
+        let known = self.cold_start_facts(name);
         starts.get(name)?.cold_reason(start, known, self.now())
     }
 
-    fn circumstances(&self, name: &DatabaseName) -> ColdStartFacts {
+    fn cold_start_facts(&self, name: &DatabaseName) -> ColdStartFacts {
         let directory = self.directory.borrow();
         let listed = directory.get(name);
         ColdStartFacts {
--- a/crates/serving/src/link.rs
+++ b/crates/serving/src/link.rs
@@ -76,7 +76,9 @@
         values: SessionValues,
         /// What the connection is to be used for.
         wanted: ConnectionUse,
+        /// Longest expected wait of a queue that the request may join.
         patience_ms: u64,
+        /// Time after which the request leaves the queue.
         limit_ms: u64,
     },
     Exchange {
--- a/crates/serving/src/pool/release.rs
+++ b/crates/serving/src/pool/release.rs
@@ -38,7 +38,7 @@
             self.open.set(self.open.get() - 1);
             return;
         }
-        let Some(connection) = self.hand_over(&node, connection) else {
+        let Some(connection) = self.hand_to_waiter(&node, connection) else {
             return;
         };
         if connection.in_transaction {
@@ -71,7 +71,7 @@
     }
 
     /// Hands a connection to the next waiting request. Returns it if no request is waiting.
-    fn hand_over(
+    fn hand_to_waiter(
         self: &Rc<Self>,
         node: &Rc<Node>,
         mut connection: Connection,
