--- a/crates/serving/src/link.rs
+++ b/crates/serving/src/link.rs
@@ -76,7 +76,9 @@
         values: SessionValues,
         /// What the connection is to be used for.
         wanted: ConnectionUse,
+        /// Longest expected wait of a queue that the request may join.
         patience_ms: u64,
+        /// Time after which the request leaves the queue.
         limit_ms: u64,
     },
     Exchange {
@@ -181,7 +183,7 @@
     }
 
     /// Allows all peers to be asked for a restarted database again: earlier failures concern its
-    /// previous process.
+    /// previous incarnation.
     pub(crate) fn unskip_database(&self, database: &DatabaseName) {
         let mut skipped = self.skipped.borrow_mut();
         skipped.retain(|(_, other), _| other != database);
