--- a/crates/coordination/src/explain.rs
+++ b/crates/coordination/src/explain.rs
@@ -22,7 +22,9 @@
         /// Position that the request's reads must see, if any.
         required: Option<Position>,
     },
-    /// The check of a replica's position failed, and the read is routed elsewhere.
+    /// The position that a database reported did not include the one that the request
+    /// must see. The request is routed elsewhere, or, if it may have committed, ends with
+    /// an unknown outcome.
     CheckFailed {
         /// Database whose position was too old.
         database: DatabaseName,
--- a/crates/coordination/src/membership/gossip.rs
+++ b/crates/coordination/src/membership/gossip.rs
@@ -97,8 +97,9 @@
         });
     }
 
-    /// Collects claims for `to`, up to `room` bytes: first the suspicion or death of
-    /// `to` itself, if any, so that it can refute it, and then queued claims.
+    /// Collects claims for `to`: first the suspicion or death of `to` itself, if any, so
+    /// that it can refute it, and then queued claims while all of them fit into `room`
+    /// bytes. The claim about `to` is included even if it does not fit.
     pub(super) fn collect_updates(&mut self, to: NodeId, room: usize) -> Vec<MemberUpdate> {
         let mut updates = Vec::new();
         let mut used = 0;
--- a/crates/coordination/src/observer/tests.rs
+++ b/crates/coordination/src/observer/tests.rs
@@ -281,7 +281,7 @@
         ("primary and replica", vec![primary(1), replica(1)], at(1)),
         ("replicas alone", vec![replica(1), replica(1)], Open),
         (
-            "replicas and a silent primary",
+            "replicas and an unresponsive primary",
             vec![replica(1), replica(1), None],
             Failed,
         ),
@@ -296,12 +296,16 @@
             at(2),
         ),
         (
-            "a deposed primary and a silent new one",
+            "a deposed primary and an unresponsive new one",
             vec![primary(1), replica(2), None],
             Failed,
         ),
-        ("two silent", vec![primary(1), None, None], Failed),
-        ("one silent", vec![None, replica(3), primary(3)], at(3)),
+        ("two unresponsive", vec![primary(1), None, None], Failed),
+        (
+            "one unresponsive",
+            vec![None, replica(3), primary(3)],
+            at(3),
+        ),
     ];
     for (name, answers, expected) in cases {
         let mut verification = Verification::new(3);
--- a/crates/coordination/src/observer/verification.rs
+++ b/crates/coordination/src/observer/verification.rs
@@ -14,7 +14,7 @@
     /// A majority answered after the round had started, and the primary of the highest
     /// term among the answers was one of them. Holds the position it reported.
     Verified(Position),
-    /// All databases were asked and the term could not be verified.
+    /// Every database has answered or failed to answer, and the term is not verified.
     Failed,
 }
 
--- a/crates/coordination/src/request/acknowledge.rs
+++ b/crates/coordination/src/request/acknowledge.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// Enough databases have flushed the commit; acknowledge it.
-    Held {
+    Confirmed {
         /// Position that the session's later reads must see.
         position: Position,
         /// Number of databases known to have flushed the commit.
@@ -100,7 +100,7 @@
         let target = *self.target.get_or_insert(status.position());
         let holders = view.holders(status, target.lsn);
         if holders >= view.majority() {
-            return Verdict::Held {
+            return Verdict::Confirmed {
                 position: target,
                 holders,
             };
--- a/crates/coordination/src/request/machine.rs
+++ b/crates/coordination/src/request/machine.rs
@@ -125,7 +125,7 @@
         use RequestEvent as Event;
         match (&self.stage, event) {
             (Stage::Finished, _) => {}
-            (_, Event::CallerDisconnected) => self.caller_gone(actions),
+            (_, Event::CallerDisconnected) => self.caller_disconnected(actions),
             (_, Event::Begin) => self.begin(now, view, actions),
             (Stage::Verifying, Event::TermVerified { position }) => {
                 self.term_verified(now, view, position, actions);
@@ -191,11 +191,11 @@
     }
 
     /// A session without a known history must not read before the group's term is
-    /// verified. A single-statement write need not wait, as its acknowledgement proves
-    /// the term.
+    /// verified. A write that may commit with its first unit need not wait, as its
+    /// acknowledgement proves the term.
     fn needs_verification(&self) -> bool {
-        let single_statement_write = self.unit.access == Access::Write && self.unit.may_commit;
-        self.required.is_none() && !single_statement_write
+        let single_unit_write = self.unit.access == Access::Write && self.unit.may_commit;
+        self.required.is_none() && !single_unit_write
     }
 
     fn term_verified(
@@ -309,7 +309,7 @@
             self.stage = Stage::AwaitingRefusal;
             return;
         }
-        if self.covers(status) {
+        if self.is_fresh_enough(status) {
             self.stage = Stage::Running;
             actions.push(RequestAction::Deliver);
             return;
@@ -325,7 +325,7 @@
         self.try_another_database(now, view, actions);
     }
 
-    fn covers(&self, status: &BackendStatus) -> bool {
+    fn is_fresh_enough(&self, status: &BackendStatus) -> bool {
         if !self.checks.position {
             return true;
         }
@@ -418,13 +418,13 @@
         let verdict = if self.checks.majority {
             evidence.evaluate(now, view, status)
         } else {
-            Verdict::Held {
+            Verdict::Confirmed {
                 position: status.position(),
                 holders: 0,
             }
         };
         match verdict {
-            Verdict::Held { position, holders } => {
+            Verdict::Confirmed { position, holders } => {
                 self.evidence = None;
                 actions.push(RequestAction::Record(Decision::Acknowledged {
                     position,
@@ -503,7 +503,7 @@
             Stage::Checking | Stage::AwaitingRefusal | Stage::AwaitingEvidence => {
                 self.give_up(UnknownCause::ConnectionLost, actions);
             }
-            Stage::Running if self.unit.may_commit || self.is_single_read() => {
+            Stage::Running if self.unit.may_commit || self.is_first_unit_of_read() => {
                 self.give_up(UnknownCause::ConnectionLost, actions);
             }
             Stage::Running | Stage::Idle => {
@@ -514,13 +514,13 @@
         }
     }
 
-    /// A single-statement read whose answer is already being forwarded can't be reported
-    /// as not run.
-    fn is_single_read(&self) -> bool {
+    /// Returns whether the current unit is the first one of a read. Once its answer is
+    /// being forwarded, the read can't be reported as not run.
+    fn is_first_unit_of_read(&self) -> bool {
         self.profile.unit.access == Access::Read && self.first_unit
     }
 
-    fn caller_gone(&mut self, actions: &mut Vec<RequestAction>) {
+    fn caller_disconnected(&mut self, actions: &mut Vec<RequestAction>) {
         self.release(false, actions);
         self.finish(actions);
     }
--- a/crates/coordination/src/request/tests/mod.rs
+++ b/crates/coordination/src/request/tests/mod.rs
@@ -187,7 +187,7 @@
         ("no replica is expected to be fresh", READ, at(1, 500), "a"),
         ("write", WRITE, at(1, 10), "a"),
         ("transaction", BEGIN, at(1, 10), "a"),
-        ("single-statement write without a history", WRITE, None, "a"),
+        ("single-unit write without a history", WRITE, None, "a"),
     ];
     for (case, unit, required, expected) in cases {
         let mut harness = Harness::new(unit, required);
--- a/crates/coordination/src/retry/budget.rs
+++ b/crates/coordination/src/retry/budget.rs
@@ -5,7 +5,7 @@
 
 use hookpoint_state::TenantName;
 
-/// Cost of one retry, in hundredths of a request.
+/// Cost of one retry, in hundredths of a retry, which is the unit of [`RetryBudget`].
 const RETRY_COST: u32 = 100;
 /// Retries available to a tenant that has not sent any requests yet.
 const INITIAL_RETRIES: u32 = 10;
--- a/crates/coordination/src/rollout/fetching.rs
+++ b/crates/coordination/src/rollout/fetching.rs
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Schedules another fetch from the platform, unless no version newer than the one
-    /// in force is known.
+    /// Schedules another fetch from the platform, unless a bundle is in force and no newer
+    /// version is known.
     pub(super) fn schedule_fetch_retry(&mut self, now: Timestamp) {
         let current = self.store.version();
         let known = self.platform_version.max(self.highest_peer_version);
--- a/crates/coordination/src/rollout/roll.rs
+++ b/crates/coordination/src/rollout/roll.rs
@@ -74,10 +74,10 @@
         /// Whether another version has been rolled since.
         superseded: bool,
     },
-    /// Another roll came first. This roll changed nothing and will not take effect
-    /// later.
+    /// Another roll came first, or the expected version was not in force. This roll
+    /// changed nothing and will not take effect later.
     Conflict {
-        /// Pointer set by the other roll.
+        /// Pointer set by the other roll; `None` if there is no pointer.
         conflicting: Option<PointerView<Attempt>>,
     },
     /// The version is not newer than the one in force; nothing was changed.
--- a/crates/coordination/src/slots/table.rs
+++ b/crates/coordination/src/slots/table.rs
@@ -81,7 +81,7 @@
                 self.queue.push_front(request);
             }
             SlotEvent::PolicyChanged(policy) => self.policy = policy,
-            SlotEvent::ReplaceConnections => self.renew(),
+            SlotEvent::ReplaceConnections => self.replace_connections(),
             SlotEvent::Drain => self.draining = true,
             SlotEvent::Undrain => self.draining = false,
             SlotEvent::Reroute => self.refuse_work(actions),
@@ -215,7 +215,7 @@
         }
     }
 
-    fn renew(&mut self) {
+    fn replace_connections(&mut self) {
         self.connections.mark_all_outdated();
         self.hold = None;
     }
