--- a/crates/protocol/src/platform/kv.rs
+++ b/crates/protocol/src/platform/kv.rs
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct KeyValue {
-    /// The key.
+    /// Name of the key, as bytes.
     pub key: Base64Bytes,
     /// Revision in which the key was created.
     #[serde(with = "int64")]
@@ -28,7 +28,7 @@
     /// Number of changes since the key was created, including its creation.
     #[serde(with = "int64")]
     pub version: i64,
-    /// The value.
+    /// Value of the key; empty in a response that omits values and in a deletion event.
     pub value: Base64Bytes,
     /// Identifier of the lease that the key is attached to; 0 for none.
     #[serde(with = "int64", skip_serializing_if = "is_zero")]
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeRequest {
-    /// First key.
+    /// First key of the range, or the single key to read.
     pub key: Base64Bytes,
     /// First key past the range; empty for the single key `key`.
     #[serde(skip_serializing_if = "Base64Bytes::is_empty")]
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PutRequest {
-    /// The key.
+    /// Key to write.
     pub key: Base64Bytes,
     /// The new value.
     pub value: Base64Bytes,
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DeleteRangeRequest {
-    /// First key.
+    /// First key of the range, or the single key to delete.
     pub key: Base64Bytes,
     /// First key past the range; empty for the single key `key`.
     #[serde(skip_serializing_if = "Base64Bytes::is_empty")]
@@ -136,7 +136,7 @@
     Create,
     /// Revision of the latest change; 0 for a key that does not exist.
     Mod,
-    /// The value.
+    /// Value of the key.
     Value,
 }
 
@@ -148,7 +148,7 @@
     pub result: CompareResult,
     /// Property of the key that is checked.
     pub target: CompareTarget,
-    /// The key.
+    /// Key whose property is checked.
     pub key: Base64Bytes,
     /// Value to compare with when `target` is [`CompareTarget::Version`].
     #[serde(with = "int64", skip_serializing_if = "is_zero")]
@@ -222,7 +222,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TransactionRequest {
-    /// The comparisons.
+    /// Comparisons that decide which operations run.
     pub compare: Vec<Compare>,
     /// Operations to run when all comparisons hold.
     pub success: Vec<RequestOperation>,
--- a/crates/protocol/src/platform/watch.rs
+++ b/crates/protocol/src/platform/watch.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchCreateRequest {
-    /// First key.
+    /// First key of the range, or the single key to watch.
     pub key: Base64Bytes,
     /// First key past the range; empty for the single key `key`.
     #[serde(skip_serializing_if = "Base64Bytes::is_empty")]
--- a/crates/transport/src/backend/connection.rs
+++ b/crates/transport/src/backend/connection.rs
@@ -59,7 +59,7 @@
     pub writer: OwnedWriteHalf,
     /// Bytes not yet written.
     pub outgoing: BytesMut,
-    pub ledger: OutstandingAnswers,
+    pub outstanding: OutstandingAnswers,
     pub prepared: PreparedStatements,
     /// Run-time parameters set by the proxy.
     pub parameters: BTreeMap<String, String>,
@@ -84,7 +84,7 @@
             reader,
             writer,
             outgoing: BytesMut::new(),
-            ledger: OutstandingAnswers::default(),
+            outstanding: OutstandingAnswers::default(),
             prepared: PreparedStatements::new(prepared_statements),
             parameters: BTreeMap::new(),
             status: STATUS_IDLE,
@@ -109,15 +109,15 @@
 
     /// Returns whether another session may use the connection as it is.
     pub fn is_clean(&self) -> bool {
-        self.ledger.is_complete()
-            && !self.ledger.is_out_of_sync()
+        self.outstanding.is_complete()
+            && !self.outstanding.is_out_of_sync()
             && self.outgoing.is_empty()
             && self.status == STATUS_IDLE
     }
 
     /// Sends a cancel request for the running query, if there is one.
     pub fn cancel(&mut self, limit: Duration) {
-        if self.ledger.is_complete() {
+        if self.outstanding.is_complete() {
             return;
         }
         if let Some(key) = self.key {
@@ -128,8 +128,8 @@
 
     /// Matches a message with the messages sent and updates the connection state from it.
     pub fn receive(&mut self, frame: &Frame) -> MessageAction {
-        let action = self.ledger.received(frame.tag);
-        for outcome in self.ledger.take_outcomes() {
+        let action = self.outstanding.received(frame.tag);
+        for outcome in self.outstanding.take_outcomes() {
             self.prepared.apply_outcome(outcome);
         }
         if frame.tag == backend::READY_FOR_QUERY {
@@ -148,7 +148,7 @@
         on_frame: impl FnMut(&Frame),
     ) -> Result<bool, ConnectError> {
         extended::query(text).write_to(&mut self.outgoing);
-        self.ledger.own_query();
+        self.outstanding.own_query();
         self.mark_used();
         tokio::time::timeout(limit, self.run_query(on_frame))
             .await
@@ -170,7 +170,7 @@
     /// Writes the remaining output and discards messages until no answer is outstanding.
     async fn drain(&mut self) -> Result<(), ConnectError> {
         self.writer.write_all_buf(&mut self.outgoing).await?;
-        while !self.ledger.is_complete() {
+        while !self.outstanding.is_complete() {
             let frame = self.reader.next().await.ok_or(ConnectError::Closed)??;
             self.receive(&frame);
         }
@@ -231,7 +231,7 @@
             return false;
         };
         self.receive(&frame);
-        frame.tag != backend::ERROR && !self.ledger.is_out_of_sync()
+        frame.tag != backend::ERROR && !self.outstanding.is_out_of_sync()
     }
 
     /// Closes the connection and waits until the database has closed it too, so that its
--- a/crates/transport/src/backend/ledger/tests.rs
+++ b/crates/transport/src/backend/ledger/tests.rs
@@ -9,23 +9,23 @@
 /// Records the sent messages, one for each letter: `p`, `x` and `q` are the proxy's own
 /// `Parse`, `Close` and query; `D` to `S` are the session's messages, as is `c`
 /// (`CopyDone`).
-fn send(ledger: &mut OutstandingAnswers, letters: &str) {
+fn send(outstanding: &mut OutstandingAnswers, letters: &str) {
     for letter in letters.chars() {
         match letter {
-            'p' => ledger.own_parse("s".to_owned()),
-            'x' => ledger.own_close("s".to_owned()),
-            'q' => ledger.own_query(),
-            tag => ledger.sent(&Frame::new(tag as u8, Vec::new())),
+            'p' => outstanding.own_parse("s".to_owned()),
+            'x' => outstanding.own_close("s".to_owned()),
+            'q' => outstanding.own_query(),
+            tag => outstanding.sent(&Frame::new(tag as u8, Vec::new())),
         }
     }
 }
 
 /// Returns the tags of `answer` that are relayed, with `!` where a query of the proxy
 /// itself failed.
-fn receive(ledger: &mut OutstandingAnswers, answer: &str) -> String {
+fn receive(outstanding: &mut OutstandingAnswers, answer: &str) -> String {
     let mut relayed = String::new();
     for tag in answer.chars() {
-        match ledger.received(tag as u8) {
+        match outstanding.received(tag as u8) {
             MessageAction::Relay => relayed.push(tag),
             MessageAction::OwnQueryEnded { succeeded: false } => relayed.push('!'),
             MessageAction::Discard | MessageAction::OwnQueryEnded { succeeded: true } => {}
@@ -34,6 +34,10 @@
     relayed
 }
 
+/// Each case names the sent messages, the tags that the database answers with and the tags
+/// that must reach the session. Fails if an answer to a message of the proxy itself is
+/// relayed, an answer to the session is lost, or the answers count as complete too early
+/// or never.
 #[test]
 fn answers_are_matched_with_what_was_sent() {
     let cases = [
@@ -64,16 +68,19 @@
         ("old function call", "F", "VZ", "VZ"),
     ];
     for (name, sent, answer, relayed) in cases {
-        let mut ledger = OutstandingAnswers::default();
-        send(&mut ledger, sent);
+        let mut outstanding = OutstandingAnswers::default();
+        send(&mut outstanding, sent);
         for (index, _) in answer.char_indices().skip(1) {
             let mut partial = OutstandingAnswers::default();
             send(&mut partial, sent);
             receive(&mut partial, &answer[..index]);
             assert!(!partial.is_complete(), "{name} is complete too early");
         }
-        assert_eq!(receive(&mut ledger, answer), relayed, "{name}");
-        assert!(ledger.is_complete() && !ledger.is_out_of_sync(), "{name}");
+        assert_eq!(receive(&mut outstanding, answer), relayed, "{name}");
+        assert!(
+            outstanding.is_complete() && !outstanding.is_out_of_sync(),
+            "{name}"
+        );
     }
 }
 
@@ -92,17 +99,19 @@
         ("it fails before any data", &[("PBES", "12EZ")]),
     ];
     for (name, steps) in cases {
-        let mut ledger = OutstandingAnswers::default();
+        let mut outstanding = OutstandingAnswers::default();
         for (index, (sent, answer)) in steps.iter().enumerate() {
-            send(&mut ledger, sent);
-            assert_eq!(receive(&mut ledger, answer), *answer, "{name}");
+            send(&mut outstanding, sent);
+            assert_eq!(receive(&mut outstanding, answer), *answer, "{name}");
             let ended = index + 1 == steps.len();
-            assert_eq!(ledger.is_complete(), ended, "{name}, step {index}");
+            assert_eq!(outstanding.is_complete(), ended, "{name}, step {index}");
         }
-        assert!(!ledger.is_out_of_sync(), "{name}");
+        assert!(!outstanding.is_out_of_sync(), "{name}");
     }
 }
 
+/// A wrong outcome would make the proxy use a statement that the connection does not have,
+/// or prepare one again under a name that is in use.
 #[test]
 fn the_outcome_of_each_own_statement_is_reported() {
     let parsed = StatementOutcome::Parsed("s".to_owned());
@@ -115,29 +124,31 @@
         ("pBSpBS", "EZ12Z", vec![not_parsed, parsed]),
     ];
     for (sent, answer, outcomes) in cases {
-        let mut ledger = OutstandingAnswers::default();
-        send(&mut ledger, sent);
-        receive(&mut ledger, answer);
-        assert_eq!(ledger.take_outcomes(), outcomes, "{sent} {answer}");
+        let mut outstanding = OutstandingAnswers::default();
+        send(&mut outstanding, sent);
+        receive(&mut outstanding, answer);
+        assert_eq!(outstanding.take_outcomes(), outcomes, "{sent} {answer}");
     }
 }
 
+/// A connection whose answers match no message sent must not serve another session. The
+/// random messages check that no sequence of tags makes the tracking panic.
 #[test]
 fn unexpected_answers_are_detected_and_none_panics() {
     for (sent, answer) in [("", "CZ"), ("Q", "CZZ"), ("BS", "2Z1"), ("S", "C")] {
-        let mut ledger = OutstandingAnswers::default();
-        send(&mut ledger, sent);
-        receive(&mut ledger, answer);
-        assert!(ledger.is_out_of_sync(), "{sent} {answer}");
+        let mut outstanding = OutstandingAnswers::default();
+        send(&mut outstanding, sent);
+        receive(&mut outstanding, answer);
+        assert!(outstanding.is_out_of_sync(), "{sent} {answer}");
     }
     for seed in 0..2_000 {
         let mut random = Gen::from_size_and_seed(40, seed);
-        let mut ledger = OutstandingAnswers::default();
+        let mut outstanding = OutstandingAnswers::default();
         for byte in Vec::<u8>::arbitrary(&mut random) {
             if bool::arbitrary(&mut random) {
-                ledger.sent(&Frame::new(byte, Vec::new()));
+                outstanding.sent(&Frame::new(byte, Vec::new()));
             } else {
-                ledger.received(byte);
+                outstanding.received(byte);
             }
         }
     }
--- a/crates/transport/src/backend/serve.rs
+++ b/crates/transport/src/backend/serve.rs
@@ -157,7 +157,7 @@
             }
             Step::Delivered => self.batch_bytes = 0,
             Step::AbortIfSilent => {
-                let waits = !self.connection.ledger.is_complete();
+                let waits = !self.connection.outstanding.is_complete();
                 self.abort_at = waits.then(|| Instant::now() + MAX_SILENCE);
             }
             Step::AbortDue => {
@@ -215,7 +215,7 @@
         match command {
             BackendCommand::Frames(frames) => {
                 for frame in frames {
-                    self.connection.ledger.sent(&frame);
+                    self.connection.outstanding.sent(&frame);
                     frame.write_to(&mut self.connection.outgoing);
                 }
             }
@@ -248,12 +248,12 @@
 
     fn own_query(&mut self, text: &str) {
         extended::query(text).write_to(&mut self.connection.outgoing);
-        self.connection.ledger.own_query();
+        self.connection.outstanding.own_query();
     }
 
     fn ensure_prepared(&mut self, name: &str, query: &str, types: &[u32]) {
         let connection = &mut *self.connection;
-        let section = connection.ledger.sections();
+        let section = connection.outstanding.sections();
         let preparation = connection.prepared.ensure(name, section);
         if preparation == Preparation::None {
             return;
@@ -265,7 +265,7 @@
             close_statement(&evicted, connection);
         }
         outgoing::parse(name, query, types).write_to(&mut connection.outgoing);
-        connection.ledger.own_parse(name.to_owned());
+        connection.outstanding.own_parse(name.to_owned());
     }
 
     /// Processes a message and all further messages that have already arrived. Returns
@@ -342,7 +342,7 @@
 
 fn close_statement(name: &str, connection: &mut Connection) {
     outgoing::close_statement(name).write_to(&mut connection.outgoing);
-    connection.ledger.own_close(name.to_owned());
+    connection.outstanding.own_close(name.to_owned());
 }
 
 /// Sleeps until `time`; never resolves without one.
--- a/crates/transport/src/caller/actions.rs
+++ b/crates/transport/src/caller/actions.rs
@@ -69,7 +69,9 @@
                     .shared
                     .mark_unconfirmed(&self.group, &database, position);
             }
-            RequestAction::QueryStatus { database, after } => self.ask_status(database, after),
+            RequestAction::QueryStatus { database, after } => {
+                self.start_status_query(database, after)
+            }
             RequestAction::Acknowledge { .. } => active.answer.release_end(),
             RequestAction::Release { reusable } => active.release(reusable),
             RequestAction::Wait { until } => active.timer = Some(until),
@@ -90,7 +92,7 @@
 
     /// Queries, on another connection, the status of a database whose connection was
     /// released.
-    fn ask_status(&mut self, database: DatabaseName, after: Duration) {
+    fn start_status_query(&mut self, database: DatabaseName, after: Duration) {
         let verifier = Arc::clone(&self.context.verifier);
         let group = self.group.clone();
         if let Some(active) = &mut self.transaction {
@@ -145,6 +147,8 @@
         Ok(Some(next.since(now)))
     }
 
+    /// Sends the current unit with the statements around it: with `check` a status query
+    /// ahead of the unit, with `probe` one behind it.
     fn send(&mut self, check: bool, probe: bool) {
         let Some(active) = &mut self.transaction else {
             return;
--- a/crates/transport/src/caller/error.rs
+++ b/crates/transport/src/caller/error.rs
@@ -30,7 +30,7 @@
 #[derive(Debug, Error)]
 pub enum SessionEnd {
     /// The caller sent `Terminate`.
-    #[error("the caller ended it")]
+    #[error("the caller sent Terminate")]
     Terminated,
     /// The caller has disconnected.
     #[error(transparent)]
--- a/crates/transport/src/caller/listener.rs
+++ b/crates/transport/src/caller/listener.rs
@@ -89,7 +89,7 @@
             stop: watch::Sender::new(StopMode::Running),
             settings,
         });
-        let listener = Self::push_unit(Arc::clone(&context), socket);
+        let listener = Self::start_actor(Arc::clone(&context), socket);
         log::info!("caller: listening on {address}.");
         Ok(CallerHandle {
             address,
@@ -98,7 +98,7 @@
         })
     }
 
-    fn push_unit(context: Arc<Context>, socket: TcpListener) -> Addr<Self> {
+    fn start_actor(context: Arc<Context>, socket: TcpListener) -> Addr<Self> {
         let count = context.settings.arbiters.max(1);
         let arbiters: Vec<Arbiter> = (0..count).map(|_| Arbiter::new()).collect();
         let handles = arbiters.iter().map(Arbiter::handle).collect();
@@ -245,7 +245,7 @@
     loop {
         match socket.accept().await {
             Ok((stream, _)) => {
-                if let Some(guard) = try_connect(&context) {
+                if let Some(guard) = count_connection(&context) {
                     next = (next + 1) % arbiters.len();
                     spawn_session(&arbiters[next], stream, guard, Arc::clone(&context));
                 }
@@ -259,10 +259,10 @@
 }
 
 /// Counts a connection, or returns `None` if the connection limit is reached.
-fn try_connect(context: &Context) -> Option<ConnectionGuard> {
+fn count_connection(context: &Context) -> Option<ConnectionGuard> {
     let limit = startup::session_limit(context).saturating_add(STARTING_CONNECTIONS);
     let count = *context.registry.connections().borrow();
-    (count < limit).then(|| context.registry.connect())
+    (count < limit).then(|| context.registry.count_connection())
 }
 
 fn spawn_session(
--- a/crates/transport/src/caller/mod.rs
+++ b/crates/transport/src/caller/mod.rs
@@ -1,6 +1,8 @@
 //! The caller side of a proxy node: sessions of PostgreSQL clients, from start-up to end.
+//! A caller is the client application's connection.
 //!
-//! A session reads a unit of messages, classifies it, and runs it through a
+//! A unit is one simple query, or a series of extended messages up to a `Sync`, a `Flush`
+//! or a simple query. A session reads a unit, classifies it, and runs it through a
 //! [`hookpoint_coordination::request::RequestMachine`]: the machine decides, and the
 //! session waits, sends, holds answers back and delivers them.
 
--- a/crates/transport/src/caller/registry.rs
+++ b/crates/transport/src/caller/registry.rs
@@ -140,7 +140,7 @@
 
 impl Registry {
     /// Counts a connection until the guard is dropped.
-    pub fn connect(self: &Arc<Self>) -> ConnectionGuard {
+    pub fn count_connection(self: &Arc<Self>) -> ConnectionGuard {
         self.connections.send_modify(|count| *count += 1);
         ConnectionGuard {
             registry: Arc::clone(self),
--- a/crates/transport/src/caller/stream.rs
+++ b/crates/transport/src/caller/stream.rs
@@ -36,8 +36,8 @@
     /// The caller closed the connection.
     #[error("the caller closed the connection")]
     Closed,
-    /// The caller accepted too few bytes for the given time.
-    #[error("the caller took no bytes for {0:?}")]
+    /// The caller accepted too few bytes within the write timeout, which is given here.
+    #[error("the caller accepted too few bytes within {0:?}")]
     Stalled(Duration),
     /// The caller sent malformed messages, or the connection failed.
     #[error(transparent)]
--- a/crates/transport/src/observe/verifier.rs
+++ b/crates/transport/src/observe/verifier.rs
@@ -18,8 +18,8 @@
 
 /// Longest duration of a round.
 const ROUND_TIMEOUT: Duration = Duration::from_secs(1);
-/// A round delayed by a slow database delays the next one by at most 60 ms; up to 4
-/// rounds run at once.
+/// A round that waits for a slow database delays the next one by at most 60 ms, unless
+/// 4 rounds, which is the maximum, are running already.
 const ROUND_POLICY: RoundPolicy = RoundPolicy {
     overlap_delay: Duration::from_millis(60),
     maximum: 4,
--- a/crates/transport/src/peer/handle.rs
+++ b/crates/transport/src/peer/handle.rs
@@ -190,8 +190,8 @@
         self.update_platform_machines(machines.collect());
     }
 
-    /// Connects the rollout driver to the fleet: it receives versions, messages and the
-    /// zone rank from now on, and those already known at once.
+    /// Connects the rollout driver to the fleet: it receives the current zone rank and
+    /// the known versions of the members at once, and all later changes and messages.
     pub fn set_rollout(&self, rollout: RolloutHandle) {
         *self.core.rollout.write() = Some(rollout);
         let (rank, versions) = self.core.with_machine(|machine| {
