--- a/crates/transport/src/backend/serve.rs
+++ b/crates/transport/src/backend/serve.rs
@@ -27,7 +27,7 @@
 const BATCH_LIMIT: usize = 64 * 1024;
 /// How long a request may still run without any message from a database that is no longer
 /// the primary.
-const MAX_SILENCE: Duration = Duration::from_millis(500);
+const MAXIMUM_SILENCE: Duration = Duration::from_millis(500);
 /// Command tags of statements that leave state on the connection.
 const TAINTING_TAGS: [&[u8]; 7] = [
     b"SET\0",
@@ -158,7 +158,7 @@
             Step::Delivered => self.batch_bytes = 0,
             Step::AbortIfSilent => {
                 let waits = !self.connection.outstanding.is_complete();
-                self.abort_at = waits.then(|| Instant::now() + MAX_SILENCE);
+                self.abort_at = waits.then(|| Instant::now() + MAXIMUM_SILENCE);
             }
             Step::AbortDue => {
                 log::info!(
--- a/crates/transport/src/caller/listener.rs
+++ b/crates/transport/src/caller/listener.rs
@@ -245,7 +245,7 @@
     loop {
         match socket.accept().await {
             Ok((stream, _)) => {
-                if let Some(guard) = count_connection(&context) {
+                if let Some(guard) = try_count_connection(&context) {
                     next = (next + 1) % arbiters.len();
                     spawn_session(&arbiters[next], stream, guard, Arc::clone(&context));
                 }
@@ -259,7 +259,7 @@
 }
 
 /// Counts a connection, or returns `None` if the connection limit is reached.
-fn count_connection(context: &Context) -> Option<ConnectionGuard> {
+fn try_count_connection(context: &Context) -> Option<ConnectionGuard> {
     let limit = startup::session_limit(context).saturating_add(STARTING_CONNECTIONS);
     let count = *context.registry.connections().borrow();
     (count < limit).then(|| context.registry.count_connection())
--- a/crates/transport/src/caller/request_ids.rs
+++ b/crates/transport/src/caller/request_ids.rs
@@ -65,9 +65,9 @@
     /// continues.
     fn is_behind_savepoint(&self, plan: &UnitPlan, request: &RequestId) -> bool {
         let active = self.transaction.as_ref();
-        let entered = active.is_some_and(|active| active.recorded_ids.contains(request));
+        let recorded = active.is_some_and(|active| active.recorded_ids.contains(request));
         let savepoints = active.is_some_and(|active| active.savepoints);
-        !entered && (savepoints || plan.traits.savepoints)
+        !recorded && (savepoints || plan.traits.savepoints)
     }
 
     /// Clears the request identifier for the next write, because that request is known to
--- a/crates/transport/src/caller/setting_checks.rs
+++ b/crates/transport/src/caller/setting_checks.rs
@@ -17,7 +17,7 @@
 use crate::caller::unit::UnitPlan;
 
 /// Maximum number of accepted parameters that a node remembers.
-const MAX_ACCEPTED: usize = 4_096;
+const MAXIMUM_ACCEPTED_SETTINGS: usize = 4_096;
 
 /// Names and values of parameters that databases have accepted. All of them are forgotten
 /// when the limit is reached.
@@ -40,10 +40,10 @@
 
     fn accept(&self, settings: Vec<(String, String)>) {
         let mut accepted = self.accepted.lock();
-        if accepted.len() + settings.len() > MAX_ACCEPTED {
+        if accepted.len() + settings.len() > MAXIMUM_ACCEPTED_SETTINGS {
             accepted.clear();
         }
-        accepted.extend(settings.into_iter().take(MAX_ACCEPTED));
+        accepted.extend(settings.into_iter().take(MAXIMUM_ACCEPTED_SETTINGS));
     }
 }
 
--- a/crates/transport/src/caller/statements.rs
+++ b/crates/transport/src/caller/statements.rs
@@ -13,9 +13,9 @@
 use crate::caller::local::LocalStatement;
 
 /// Maximum bytes of statement text that one session may keep.
-const MAX_STATEMENT_BYTES: usize = 4 * 1024 * 1024;
+const MAXIMUM_STATEMENT_BYTES: usize = 4 * 1024 * 1024;
 /// Maximum number of portals that one transaction may have at a time.
-const MAX_PORTALS: usize = 10_000;
+const MAXIMUM_PORTALS: usize = 10_000;
 /// Bytes counted for a statement in addition to its text.
 const STATEMENT_OVERHEAD: usize = 256;
 
@@ -89,7 +89,7 @@
             return Ok(());
         }
         self.remove(name);
-        if self.bytes + statement.weight() > MAX_STATEMENT_BYTES {
+        if self.bytes + statement.weight() > MAXIMUM_STATEMENT_BYTES {
             return Err(TooManyStatements);
         }
         self.bytes += statement.weight();
@@ -136,7 +136,7 @@
         portal: &str,
         statement: Arc<Statement>,
     ) -> Result<(), TooManyStatements> {
-        if self.portals.len() >= MAX_PORTALS {
+        if self.portals.len() >= MAXIMUM_PORTALS {
             return Err(TooManyStatements);
         }
         self.portals.insert(portal.to_owned(), statement);
--- a/crates/transport/src/caller/stream.rs
+++ b/crates/transport/src/caller/stream.rs
@@ -18,7 +18,7 @@
 /// Buffer space reserved for a read once the beginning of a message has arrived.
 const LONG_READ: usize = 8 * 1024;
 /// Bytes that a caller must accept within the write timeout.
-const MIN_WRITE_PROGRESS: usize = 4 * 1024;
+const MINIMUM_WRITE_PROGRESS: usize = 4 * 1024;
 /// Capacity above which an empty output buffer is returned to the allocator.
 const RETAINED_BUFFER: usize = 16 * 1024;
 
@@ -184,7 +184,7 @@
                 }
                 Ok(Err(error)) => return Err(error.into()),
             }
-            if progress >= MIN_WRITE_PROGRESS {
+            if progress >= MINIMUM_WRITE_PROGRESS {
                 deadline = Instant::now() + self.write_timeout;
                 progress = 0;
             }
