--- a/crates/transport/src/peer/link/mod.rs
+++ b/crates/transport/src/peer/link/mod.rs
@@ -94,11 +94,11 @@
 
     /// Sends a message to the peer's node machine. Returns false if the link is lost.
     pub async fn send_control(&self, message: &PeerMessage) -> bool {
-        let Ok(pieces) = fragments(message) else {
+        let Ok(message_fragments) = fragments(message) else {
             return false;
         };
         let _sending = self.control.lock().await;
-        for (last, bytes) in pieces {
+        for (last, bytes) in message_fragments {
             if !self.send(LinkFrame::Control { last, bytes }).await {
                 return false;
             }
--- a/crates/transport/src/peer/link/stream.rs
+++ b/crates/transport/src/peer/link/stream.rs
@@ -196,8 +196,8 @@
 
     /// Sends a command or a reply, waiting for credit from the peer.
     pub async fn send_message<M: Serialize>(&self, message: &M) -> Result<(), StreamLost> {
-        let pieces = fragments(message).map_err(|_| StreamLost)?;
-        for (last, bytes) in pieces {
+        let message_fragments = fragments(message).map_err(|_| StreamLost)?;
+        for (last, bytes) in message_fragments {
             self.acquire_credit(bytes.len()).await?;
             let stream = self.shared.number;
             self.send(LinkFrame::Data {
--- a/crates/transport/src/peer/serve.rs
+++ b/crates/transport/src/peer/serve.rs
@@ -24,20 +24,20 @@
 /// credit, which is not returned before the lease is granted.
 #[derive(Default)]
 struct EarlyCommands {
-    pieces: VecDeque<(bool, Bytes)>,
+    fragments: VecDeque<(bool, Bytes)>,
 }
 
 impl EarlyCommands {
     /// Collects commands until the stream ends.
     async fn collect(&mut self, receiver: &mut StreamReceiver) {
         while let Some(StreamEvent::Data { last, bytes }) = receiver.next_unacknowledged().await {
-            self.pieces.push_back((last, bytes));
+            self.fragments.push_back((last, bytes));
         }
     }
 
     /// Returns the next fragment, early ones first.
     async fn next(&mut self, receiver: &mut StreamReceiver) -> Option<(bool, Bytes)> {
-        if let Some((last, bytes)) = self.pieces.pop_front() {
+        if let Some((last, bytes)) = self.fragments.pop_front() {
             receiver.acknowledge(&bytes).await;
             return Some((last, bytes));
         }
