--- a/crates/transport/src/caller/stream.rs
+++ b/crates/transport/src/caller/stream.rs
@@ -18,7 +18,7 @@
 /// Buffer space reserved for a read once the beginning of a message has arrived.
 const LONG_READ: usize = 8 * 1024;
 /// Bytes that a caller must accept within the write timeout.
-const MIN_WRITE_PROGRESS: usize = 4 * 1024;
+const MINIMUM_WRITE_PROGRESS: usize = 4 * 1024;
 /// Capacity above which an empty output buffer is returned to the allocator.
 const RETAINED_BUFFER: usize = 16 * 1024;
 
@@ -36,8 +36,8 @@
     /// The caller closed the connection.
     #[error("the caller closed the connection")]
     Closed,
-    /// The caller accepted too few bytes for the given time.
-    #[error("the caller took no bytes for {0:?}")]
+    /// The caller accepted too few bytes within the write timeout, which is given here.
+    #[error("the caller accepted too few bytes within {0:?}")]
     Stalled(Duration),
     /// The caller sent malformed messages, or the connection failed.
     #[error(transparent)]
@@ -184,7 +184,7 @@
                 }
                 Ok(Err(error)) => return Err(error.into()),
             }
-            if progress >= MIN_WRITE_PROGRESS {
+            if progress >= MINIMUM_WRITE_PROGRESS {
                 deadline = Instant::now() + self.write_timeout;
                 progress = 0;
             }
