--- a/crates/protocol/src/classify/mod.rs
+++ b/crates/protocol/src/classify/mod.rs
@@ -176,7 +176,7 @@
 
     /// Returns the unit in the form that the request state machine uses. `in_block` states
     /// whether a transaction block is open before the unit.
-    pub fn unit(&self, in_block: bool) -> Unit {
+    pub fn to_unit(&self, in_block: bool) -> Unit {
         Unit {
             access: self.access,
             may_commit: if in_block {
--- a/crates/protocol/src/errors/report.rs
+++ b/crates/protocol/src/errors/report.rs
@@ -77,7 +77,7 @@
     }
 
     /// Creates the error for a request whose outcome cannot be determined.
-    pub fn unknown(cause: UnknownCause) -> Self {
+    pub fn unknown_outcome(cause: UnknownCause) -> Self {
         Self {
             outcome: Some(Outcome::Unknown),
             reason: Some(unknown_reason(cause).to_owned()),
@@ -159,7 +159,7 @@
 
 impl From<UnknownCause> for ErrorReport {
     fn from(cause: UnknownCause) -> Self {
-        Self::unknown(cause)
+        Self::unknown_outcome(cause)
     }
 }
 
--- a/crates/protocol/src/extended.rs
+++ b/crates/protocol/src/extended.rs
@@ -17,7 +17,7 @@
 
 /// Kind of object that a `Describe` or `Close` message refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Target {
+pub enum DescribeTarget {
     /// A prepared statement.
     Statement,
     /// A portal.
@@ -43,14 +43,14 @@
     /// Name of the statement; empty for the unnamed statement.
     pub statement: String,
     /// Parameter formats, parameter values and result formats, as received.
-    pub rest: Bytes,
+    pub parameters_and_formats: Bytes,
 }
 
 /// A `Describe` or `Close` message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Named {
+pub struct DescribeOrClose {
     /// Whether `name` names a statement or a portal.
-    pub target: Target,
+    pub target: DescribeTarget,
     /// Name of the statement or portal; empty for the unnamed one.
     pub name: String,
 }
@@ -141,22 +141,22 @@
         Ok(Self {
             portal,
             statement,
-            rest,
+            parameters_and_formats: rest,
         })
     }
 
     /// Builds the message with the statement name replaced by `statement`.
     pub fn with_statement(&self, statement: &str) -> Frame {
-        let length = self.portal.len() + statement.len() + 2 + self.rest.len();
+        let length = self.portal.len() + statement.len() + 2 + self.parameters_and_formats.len();
         let mut body = BytesMut::with_capacity(length);
         put_string(&mut body, &self.portal);
         put_string(&mut body, statement);
-        body.put_slice(&self.rest);
+        body.put_slice(&self.parameters_and_formats);
         Frame::new(frontend::BIND, body.freeze())
     }
 }
 
-impl Named {
+impl DescribeOrClose {
     /// Parses the body of a `Describe` or `Close` message.
     ///
     /// # Errors
@@ -164,8 +164,8 @@
     pub fn read(frame: &Frame) -> Result<Self, MalformedMessage> {
         let malformed = MalformedMessage { tag: frame.tag };
         let target = match frame.body.first() {
-            Some(b'S') => Target::Statement,
-            Some(b'P') => Target::Portal,
+            Some(b'S') => DescribeTarget::Statement,
+            Some(b'P') => DescribeTarget::Portal,
             _ => return Err(malformed),
         };
         let mut rest = frame.body.slice(1..);
@@ -178,11 +178,11 @@
     }
 
     /// Builds a message of `tag` for the same target, with the name replaced by `name`.
-    pub fn renamed(&self, tag: u8, name: &str) -> Frame {
+    pub fn with_name(&self, tag: u8, name: &str) -> Frame {
         let mut body = BytesMut::with_capacity(name.len() + 2);
         body.put_u8(match self.target {
-            Target::Statement => b'S',
-            Target::Portal => b'P',
+            DescribeTarget::Statement => b'S',
+            DescribeTarget::Portal => b'P',
         });
         put_string(&mut body, name);
         Frame::new(tag, body.freeze())
--- a/crates/protocol/src/peer/datagram.rs
+++ b/crates/protocol/src/peer/datagram.rs
@@ -37,7 +37,7 @@
     UnknownKey,
     /// The datagram was not encrypted with the key that it names, or was changed in transit.
     #[error("the datagram is not authentic")]
-    Forged,
+    NotAuthentic,
 }
 
 /// Encrypts datagrams and gives them ascending sequence numbers, starting at 1.
@@ -104,7 +104,7 @@
     };
     let plain = XChaCha20Poly1305::new(key.datagram_key().into())
         .decrypt(XNonce::from_slice(nonce), payload)
-        .map_err(|_| DatagramError::Forged)?;
+        .map_err(|_| DatagramError::NotAuthentic)?;
     let (sequence, message) = plain.split_at(SEQUENCE_BYTES);
     let sequence = sequence
         .iter()
--- a/crates/protocol/src/peer/handshake.rs
+++ b/crates/protocol/src/peer/handshake.rs
@@ -26,7 +26,7 @@
 /// Length of the first message of the dialling node, in bytes.
 pub const HANDSHAKE_BYTES: usize = PREAMBLE_BYTES + NOISE_MESSAGE_BYTES;
 /// Length of the accepting node's response, in bytes.
-pub const HANDSHAKE_ANSWER_BYTES: usize = NOISE_MESSAGE_BYTES;
+pub const HANDSHAKE_RESPONSE_BYTES: usize = NOISE_MESSAGE_BYTES;
 /// Largest plaintext of one record, in bytes.
 pub const MAXIMUM_RECORD_BYTES: usize = 65_535 - TAG_BYTES;
 
@@ -41,7 +41,7 @@
     UnknownKey,
     /// The peer does not have the key, or data was changed, lost or reordered in transit.
     #[error("the link is not authentic")]
-    Forged,
+    NotAuthentic,
     /// A record is larger than [`MAXIMUM_RECORD_BYTES`].
     #[error("the record is too large")]
     TooLarge,
@@ -68,36 +68,36 @@
 }
 
 /// State of a handshake on the dialling node.
-pub struct Dialler {
+pub struct HandshakeInitiator {
     state: HandshakeState,
 }
 
-impl Dialler {
+impl HandshakeInitiator {
     /// Starts a handshake and returns the message to send.
     ///
     /// # Errors
-    /// [`LinkError::Forged`] if the cryptography fails.
+    /// [`LinkError::NotAuthentic`] if the cryptography fails.
     pub fn start(key: &FleetKey) -> Result<(Self, [u8; HANDSHAKE_BYTES]), LinkError> {
-        let mut state = build_handshake(key, true).map_err(|_| LinkError::Forged)?;
+        let mut state = build_handshake(key, true).map_err(|_| LinkError::NotAuthentic)?;
         let mut message = [0; HANDSHAKE_BYTES];
         message[..PREAMBLE_BYTES].copy_from_slice(&preamble(key));
         state
             .write_message(&[], &mut message[PREAMBLE_BYTES..])
-            .map_err(|_| LinkError::Forged)?;
+            .map_err(|_| LinkError::NotAuthentic)?;
         Ok((Self { state }, message))
     }
 
     /// Processes the response of the accepting node and completes the handshake.
     ///
     /// # Errors
-    /// [`LinkError::Forged`] if the peer does not have the key.
+    /// [`LinkError::NotAuthentic`] if the peer does not have the key.
     pub fn finish(
         mut self,
-        response: &[u8; HANDSHAKE_ANSWER_BYTES],
+        response: &[u8; HANDSHAKE_RESPONSE_BYTES],
     ) -> Result<LinkCipher, LinkError> {
         self.state
             .read_message(response, &mut [])
-            .map_err(|_| LinkError::Forged)?;
+            .map_err(|_| LinkError::NotAuthentic)?;
         LinkCipher::new(self.state)
     }
 }
@@ -110,20 +110,20 @@
 pub fn accept_handshake(
     keys: &FleetKeys,
     message: &[u8; HANDSHAKE_BYTES],
-) -> Result<(LinkCipher, [u8; HANDSHAKE_ANSWER_BYTES]), LinkError> {
+) -> Result<(LinkCipher, [u8; HANDSHAKE_RESPONSE_BYTES]), LinkError> {
     if &message[..4] != MAGIC || message[4] != FORMAT {
         return Err(LinkError::Malformed);
     }
     let number = u32::from_be_bytes([message[5], message[6], message[7], message[8]]);
     let key = keys.find(number).ok_or(LinkError::UnknownKey)?;
-    let mut state = build_handshake(key, false).map_err(|_| LinkError::Forged)?;
+    let mut state = build_handshake(key, false).map_err(|_| LinkError::NotAuthentic)?;
     state
         .read_message(&message[PREAMBLE_BYTES..], &mut [])
-        .map_err(|_| LinkError::Forged)?;
-    let mut response = [0; HANDSHAKE_ANSWER_BYTES];
+        .map_err(|_| LinkError::NotAuthentic)?;
+    let mut response = [0; HANDSHAKE_RESPONSE_BYTES];
     state
         .write_message(&[], &mut response)
-        .map_err(|_| LinkError::Forged)?;
+        .map_err(|_| LinkError::NotAuthentic)?;
     Ok((LinkCipher::new(state)?, response))
 }
 
@@ -137,7 +137,7 @@
     fn new(state: HandshakeState) -> Result<Self, LinkError> {
         let state = state
             .into_stateless_transport_mode()
-            .map_err(|_| LinkError::Forged)?;
+            .map_err(|_| LinkError::NotAuthentic)?;
         Ok(Self { state })
     }
 
@@ -161,16 +161,16 @@
     /// Decrypts record `number`, given without its length field.
     ///
     /// # Errors
-    /// [`LinkError::Forged`] when the record is not authentic or has another number.
+    /// [`LinkError::NotAuthentic`] when the record is not authentic or has another number.
     pub fn open(&self, number: u64, sealed: &[u8]) -> Result<Vec<u8>, LinkError> {
         let length = sealed
             .len()
             .checked_sub(TAG_BYTES)
-            .ok_or(LinkError::Forged)?;
+            .ok_or(LinkError::NotAuthentic)?;
         let mut content = vec![0; length];
         self.state
             .read_message(number, sealed, &mut content)
-            .map_err(|_| LinkError::Forged)?;
+            .map_err(|_| LinkError::NotAuthentic)?;
         Ok(content)
     }
 }
--- a/crates/protocol/src/peer/mod.rs
+++ b/crates/protocol/src/peer/mod.rs
@@ -14,11 +14,12 @@
 pub use datagram::{DatagramError, DatagramSealer, MAXIMUM_DATAGRAM_BYTES, open_datagram};
 pub use frame::{FrameDecodeError, LinkFrame, OpenRequest, decode_frames, encode_frame};
 pub use handshake::{
-    Dialler, HANDSHAKE_ANSWER_BYTES, HANDSHAKE_BYTES, LinkCipher, LinkError, MAXIMUM_RECORD_BYTES,
-    accept_handshake,
+    HANDSHAKE_BYTES, HANDSHAKE_RESPONSE_BYTES, HandshakeInitiator, LinkCipher, LinkError,
+    MAXIMUM_RECORD_BYTES, accept_handshake,
 };
 pub use key::{FleetKey, FleetKeyError, FleetKeys};
 pub use replay::ReplayGuard;
 pub use stream::{
-    Assembler, CREDIT_STEP, INITIAL_CREDIT, MAXIMUM_FRAGMENT_BYTES, StreamError, fragments,
+    Assembler, CREDIT_GRANT_THRESHOLD, INITIAL_CREDIT, MAXIMUM_FRAGMENT_BYTES, StreamError,
+    fragments,
 };
--- a/crates/protocol/src/peer/stream.rs
+++ b/crates/protocol/src/peer/stream.rs
@@ -8,7 +8,7 @@
 /// Bytes that may be sent on a new stream before the first credit arrives.
 pub const INITIAL_CREDIT: u32 = 256 * 1024;
 /// Bytes that a receiver consumes before it grants credit for them.
-pub const CREDIT_STEP: u32 = 64 * 1024;
+pub const CREDIT_GRANT_THRESHOLD: u32 = 64 * 1024;
 /// Largest fragment in one frame, in bytes.
 pub const MAXIMUM_FRAGMENT_BYTES: usize = 16 * 1024;
 /// Largest command or reply, in bytes: the largest message that a bundle may allow, with
@@ -27,8 +27,8 @@
     #[error("the message is malformed")]
     Malformed,
     /// The peer sent more bytes than it had credit for.
-    #[error("the stream was overrun")]
-    Overrun,
+    #[error("the credit of the stream was exceeded")]
+    CreditExceeded,
 }
 
 /// Encodes a message and splits it into fragments of at most [`MAXIMUM_FRAGMENT_BYTES`].
--- a/crates/protocol/src/platform/error.rs
+++ b/crates/protocol/src/platform/error.rs
@@ -53,7 +53,7 @@
     }
 
     /// Returns whether the call certainly had no effect.
-    pub fn is_not_run(self) -> bool {
+    pub fn is_certainly_not_applied(self) -> bool {
         !matches!(
             self,
             Self::DeadlineExceeded | Self::Unavailable | Self::Other
--- a/crates/protocol/src/platform/records.rs
+++ b/crates/protocol/src/platform/records.rs
@@ -56,7 +56,7 @@
 
 /// Records by whom, when and in which attempt a change was made.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Stamp {
+pub struct ChangeStamp {
     /// Name of the operator.
     pub by: String,
     /// Milliseconds since 1970-01-01 UTC by the clock of the operator's machine. For display
@@ -74,7 +74,7 @@
     /// Digest of the bundle.
     pub digest: BundleDigest,
     /// By whom and when the bundle was prepared.
-    pub prepared: Stamp,
+    pub prepared: ChangeStamp,
     /// Signatures of the operators who approved the bundle.
     #[serde(default)]
     pub signatures: Vec<BundleSignature>,
@@ -100,7 +100,7 @@
     /// Version that was active before; 0 for the first activation.
     pub previous: BundleVersion,
     /// By whom and when the bundle was activated.
-    pub rolled: Stamp,
+    pub rolled: ChangeStamp,
 }
 
 /// The counter of bundle versions.
--- a/crates/protocol/src/settings_tracking.rs
+++ b/crates/protocol/src/settings_tracking.rs
@@ -32,7 +32,7 @@
 
     /// Records changes made inside a transaction; they take effect with
     /// [`commit`](Self::commit).
-    pub fn note(&mut self, changes: &[SettingChange]) {
+    pub fn record_pending(&mut self, changes: &[SettingChange]) {
         self.pending.extend_from_slice(changes);
     }
 
--- a/crates/protocol/tests/caller_messages.rs
+++ b/crates/protocol/tests/caller_messages.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use hookpoint_protocol::classify::SettingChange;
-use hookpoint_protocol::extended::{self, Bind, Named, Parse};
+use hookpoint_protocol::extended::{self, Bind, DescribeOrClose, Parse};
 use hookpoint_protocol::frame::Frame;
 use hookpoint_protocol::prepared::shared_name;
 use hookpoint_protocol::settings_tracking::SettingsTracker;
@@ -88,7 +88,9 @@
         (frontend::QUERY, |frame| extended::query_text(frame).is_ok()),
         (frontend::PARSE, |frame| Parse::read(frame).is_ok()),
         (frontend::BIND, |frame| Bind::read(frame).is_ok()),
-        (frontend::DESCRIBE, |frame| Named::read(frame).is_ok()),
+        (frontend::DESCRIBE, |frame| {
+            DescribeOrClose::read(frame).is_ok()
+        }),
         (frontend::EXECUTE, |frame| {
             extended::execute_portal(frame).is_ok()
         }),
@@ -117,11 +119,11 @@
         body.extend(&rest);
         let bind =
             Bind::read(&Frame::new(frontend::BIND, body)).expect("the Bind message is well-formed");
-        let renamed =
+        let read_back =
             Bind::read(&bind.with_statement("other")).expect("the Bind message is well-formed");
-        assert_eq!(renamed.portal, "portal");
-        assert_eq!(renamed.statement, "other");
-        assert_eq!(renamed.rest, rest);
+        assert_eq!(read_back.portal, "portal");
+        assert_eq!(read_back.statement, "other");
+        assert_eq!(read_back.parameters_and_formats, rest);
     }
 }
 
@@ -201,7 +203,7 @@
         let initial = [("a", "1"), ("b", "1")];
         let initial = initial.map(|(name, value)| (name.to_owned(), value.to_owned()));
         let mut tracker = SettingsTracker::new(initial.into_iter().collect());
-        tracker.note(&changes);
+        tracker.record_pending(&changes);
         if committed {
             tracker.commit();
         } else {
--- a/crates/protocol/tests/classify.rs
+++ b/crates/protocol/tests/classify.rs
@@ -134,8 +134,8 @@
     ];
     for (sql, outside, inside) in table {
         let class = classify(sql);
-        assert_eq!(class.unit(false).may_commit, outside, "{sql} outside");
-        assert_eq!(class.unit(true).may_commit, inside, "{sql} inside");
+        assert_eq!(class.to_unit(false).may_commit, outside, "{sql} outside");
+        assert_eq!(class.to_unit(true).may_commit, inside, "{sql} inside");
     }
 }
 
--- a/crates/protocol/tests/messages.rs
+++ b/crates/protocol/tests/messages.rs
@@ -66,7 +66,7 @@
 
 #[test]
 fn unknown_outcomes_and_fatal_errors_have_their_sqlstates() {
-    let fields = fields_of(&ErrorReport::unknown(UnknownCause::NoMajority));
+    let fields = fields_of(&ErrorReport::unknown_outcome(UnknownCause::NoMajority));
     assert_eq!(field(&fields, b'C'), Some("08007"));
     let detail = "hookpoint.outcome=unknown hookpoint.reason=no_majority";
     assert_eq!(field(&fields, b'D'), Some(detail));
--- a/crates/protocol/tests/peer.rs
+++ b/crates/protocol/tests/peer.rs
@@ -11,8 +11,8 @@
 use hookpoint_protocol::backend_command::BackendCommand;
 use hookpoint_protocol::frame::Frame;
 use hookpoint_protocol::peer::{
-    Assembler, DatagramError, DatagramSealer, Dialler, FleetKey, FleetKeyError, FleetKeys,
-    HANDSHAKE_BYTES, LinkCipher, LinkError, LinkFrame, MAXIMUM_DATAGRAM_BYTES,
+    Assembler, DatagramError, DatagramSealer, FleetKey, FleetKeyError, FleetKeys, HANDSHAKE_BYTES,
+    HandshakeInitiator, LinkCipher, LinkError, LinkFrame, MAXIMUM_DATAGRAM_BYTES,
     MAXIMUM_FRAGMENT_BYTES, ReplayGuard, StreamError, accept_handshake, decode_frames,
     encode_frame, fragments, open_datagram,
 };
@@ -87,7 +87,7 @@
         (
             "cut",
             good[..good.len() - 1].to_vec(),
-            DatagramError::Forged,
+            DatagramError::NotAuthentic,
         ),
         ("of another format", changed(0, 2), DatagramError::Malformed),
         (
@@ -95,7 +95,11 @@
             changed(4, 9),
             DatagramError::UnknownKey,
         ),
-        ("of the wrong key", changed(4, 2), DatagramError::Forged),
+        (
+            "of the wrong key",
+            changed(4, 2),
+            DatagramError::NotAuthentic,
+        ),
         ("too large", too_large, DatagramError::TooLarge),
     ];
     let accepted = keys(&[key(1, 1), key(2, 2)]);
@@ -175,17 +179,17 @@
 
 /// Performs a handshake; returns the ciphers of the dialling and the accepting node.
 fn link(dialling: &FleetKey, accepting: &FleetKeys) -> Result<(LinkCipher, LinkCipher), LinkError> {
-    let (dialler, message) = Dialler::start(dialling)?;
+    let (initiator, message) = HandshakeInitiator::start(dialling)?;
     let (accepted, response) = accept_handshake(accepting, &message)?;
-    Ok((dialler.finish(&response)?, accepted))
+    Ok((initiator.finish(&response)?, accepted))
 }
 
 #[test]
 fn both_ends_of_a_link_can_exchange_records() {
-    let (dialler_cipher, acceptor_cipher) =
+    let (initiator_cipher, acceptor_cipher) =
         link(&key(2, 2), &keys(&[key(1, 1), key(2, 2)])).expect("the handshake succeeds");
     for number in 0..3 {
-        let record = dialler_cipher
+        let record = initiator_cipher
             .seal(number, b"there")
             .expect("the size is within the limit");
         assert_eq!(
@@ -196,7 +200,7 @@
             .seal(number, b"back")
             .expect("the size is within the limit");
         assert_eq!(
-            dialler_cipher.open(number, &record[2..]),
+            initiator_cipher.open(number, &record[2..]),
             Ok(b"back".to_vec())
         );
     }
@@ -209,10 +213,13 @@
         link(&key(2, 1), &accepting).err(),
         Some(LinkError::UnknownKey)
     );
-    assert_eq!(link(&key(1, 2), &accepting).err(), Some(LinkError::Forged));
+    assert_eq!(
+        link(&key(1, 2), &accepting).err(),
+        Some(LinkError::NotAuthentic)
+    );
     let without_magic = accept_handshake(&accepting, &[7; HANDSHAKE_BYTES]);
     assert_eq!(without_magic.err(), Some(LinkError::Malformed));
-    let (_, message) = Dialler::start(&key(1, 1)).expect("the handshake starts");
+    let (_, message) = HandshakeInitiator::start(&key(1, 1)).expect("the handshake starts");
     for place in 0..HANDSHAKE_BYTES {
         let mut garbled = message;
         garbled[place] ^= 1;
@@ -225,21 +232,24 @@
 
 #[test]
 fn response_to_another_handshake_is_refused() {
-    let (dialler, _) = Dialler::start(&key(1, 1)).expect("the handshake starts");
-    let (_, message) = Dialler::start(&key(1, 1)).expect("the handshake starts");
+    let (initiator, _) = HandshakeInitiator::start(&key(1, 1)).expect("the handshake starts");
+    let (_, message) = HandshakeInitiator::start(&key(1, 1)).expect("the handshake starts");
     let (_, response) =
         accept_handshake(&keys(&[key(1, 1)]), &message).expect("the handshake is accepted");
-    assert_eq!(dialler.finish(&response).err(), Some(LinkError::Forged));
+    assert_eq!(
+        initiator.finish(&response).err(),
+        Some(LinkError::NotAuthentic)
+    );
 }
 
 #[test]
 fn repeated_reordered_or_changed_records_are_refused() {
-    let (dialler_cipher, acceptor_cipher) =
+    let (initiator_cipher, acceptor_cipher) =
         link(&key(1, 1), &keys(&[key(1, 1)])).expect("the handshake succeeds");
-    let first = dialler_cipher
+    let first = initiator_cipher
         .seal(0, b"first")
         .expect("the size is within the limit");
-    let second = dialler_cipher
+    let second = initiator_cipher
         .seal(1, b"second")
         .expect("the size is within the limit");
     let mut changed = first.clone();
@@ -254,12 +264,12 @@
     for (name, number, record) in cases {
         assert_eq!(
             acceptor_cipher.open(number, record),
-            Err(LinkError::Forged),
+            Err(LinkError::NotAuthentic),
             "{name}"
         );
     }
     assert_eq!(
-        dialler_cipher.seal(2, &[0; 70_000]),
+        initiator_cipher.seal(2, &[0; 70_000]),
         Err(LinkError::TooLarge)
     );
 }
--- a/crates/protocol/tests/platform_json.rs
+++ b/crates/protocol/tests/platform_json.rs
@@ -192,7 +192,7 @@
     ];
     for (number, not_run) in cases {
         let code = StatusCode::from_number(number);
-        assert_eq!(code.is_not_run(), not_run, "status {number}");
+        assert_eq!(code.is_certainly_not_applied(), not_run, "status {number}");
     }
 }
 
--- a/crates/transport/src/caller/error.rs
+++ b/crates/transport/src/caller/error.rs
@@ -99,7 +99,7 @@
 
 /// Returns the error message for a request that may have run.
 pub fn unknown(cause: UnknownCause) -> Frame {
-    ErrorReport::unknown(cause).to_frame()
+    ErrorReport::unknown_outcome(cause).to_frame()
 }
 
 /// Returns the error message for a request that the caller cancelled before it was sent.
--- a/crates/transport/src/caller/finish.rs
+++ b/crates/transport/src/caller/finish.rs
@@ -82,7 +82,7 @@
         let ending = active.answer.ending().cloned().unwrap_or_default();
         let failed = refused || ending.sqlstate.is_some();
         if !failed {
-            self.settings.note(&active.plan.traits.settings);
+            self.settings.record_pending(&active.plan.traits.settings);
         }
         self.status = ending.status;
         if self.status.is_open() {
--- a/crates/transport/src/caller/unit.rs
+++ b/crates/transport/src/caller/unit.rs
@@ -7,7 +7,9 @@
 use hookpoint_coordination::request::{Access, Unit};
 use hookpoint_protocol::backend_command::BackendCommand;
 use hookpoint_protocol::classify::{Classifier, UnitClass};
-use hookpoint_protocol::extended::{self, Bind, MalformedMessage, Named, Parse, Target};
+use hookpoint_protocol::extended::{
+    self, Bind, DescribeOrClose, DescribeTarget, MalformedMessage, Parse,
+};
 use hookpoint_protocol::frame::Frame;
 use hookpoint_protocol::prepared::MISSING_STATEMENT;
 use hookpoint_protocol::reply;
@@ -294,15 +296,15 @@
         message: &Frame,
         statements: &StatementTable,
     ) -> Result<Translation, UnitError> {
-        let named = Named::read(message)?;
-        if named.target == Target::Portal {
+        let request = DescribeOrClose::read(message)?;
+        if request.target == DescribeTarget::Portal {
             self.uses_portals = true;
-            let statement = statements.portal(&named.name);
+            let statement = statements.portal(&request.name);
             self.needs_connection |= is_relayed(statement);
             self.describe_locally(statement);
             return Ok(relayed(message.clone(), Step::Description));
         }
-        let statement = statements.get(&named.name);
+        let statement = statements.get(&request.name);
         if let Some(statement) = statement {
             if statement.local.is_none() {
                 self.traits.add_prepared(&statement.class);
@@ -310,8 +312,8 @@
             self.answer_locally(reply::no_parameters());
         }
         self.describe_locally(statement);
-        let (mut commands, name) = self.resolve_statement(&named.name, statement);
-        commands.push(frames(vec![named.renamed(frontend::DESCRIBE, &name)]));
+        let (mut commands, name) = self.resolve_statement(&request.name, statement);
+        commands.push(frames(vec![request.with_name(frontend::DESCRIBE, &name)]));
         Ok(Translation {
             commands,
             step: Some(Step::Description),
@@ -323,11 +325,11 @@
         message: &Frame,
         statements: &mut StatementTable,
     ) -> Result<Translation, UnitError> {
-        let named = Named::read(message)?;
+        let request = DescribeOrClose::read(message)?;
         self.answer_locally(reply::empty(backend::CLOSE_COMPLETE));
-        match named.target {
-            Target::Statement => {
-                statements.remove(&named.name);
+        match request.target {
+            DescribeTarget::Statement => {
+                statements.remove(&request.name);
                 Ok(Translation {
                     commands: Vec::new(),
                     step: Some(Step::Synthesised {
@@ -336,10 +338,10 @@
                     }),
                 })
             }
-            Target::Portal => {
+            DescribeTarget::Portal => {
                 self.uses_portals = true;
-                self.needs_connection |= is_relayed(statements.portal(&named.name));
-                statements.close_portal(&named.name);
+                self.needs_connection |= is_relayed(statements.portal(&request.name));
+                statements.close_portal(&request.name);
                 Ok(relayed(message.clone(), Step::Single))
             }
         }
--- a/crates/transport/src/peer/link/connect.rs
+++ b/crates/transport/src/peer/link/connect.rs
@@ -7,8 +7,8 @@
 use hookpoint_coordination::membership::MemberInfo;
 use hookpoint_coordination::node::NodeEvent;
 use hookpoint_protocol::peer::{
-    Dialler, HANDSHAKE_ANSWER_BYTES, HANDSHAKE_BYTES, LinkCipher, LinkFrame, accept_handshake,
-    encode_frame,
+    HANDSHAKE_BYTES, HANDSHAKE_RESPONSE_BYTES, HandshakeInitiator, LinkCipher, LinkFrame,
+    accept_handshake, encode_frame,
 };
 use hookpoint_state::NodeId;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -71,7 +71,7 @@
     address: SocketAddr,
 ) -> Result<Arc<Link>, ConnectError> {
     let address = core.shared.addresses.resolve(address);
-    let handshake = handshake_as_dialler(core, address);
+    let handshake = handshake_as_initiator(core, address);
     let connection = tokio::time::timeout(CONNECT_TIMEOUT, handshake)
         .await
         .map_err(|_| ConnectError::Timeout)??;
@@ -97,17 +97,17 @@
     Ok(())
 }
 
-async fn handshake_as_dialler(
+async fn handshake_as_initiator(
     core: &Core,
     address: SocketAddr,
 ) -> Result<EstablishedConnection, ConnectError> {
     let mut socket = TcpStream::connect(address).await?;
     socket.set_nodelay(true)?;
-    let (dialler, message) = Dialler::start(core.keys.read().current())?;
+    let (initiator, message) = HandshakeInitiator::start(core.keys.read().current())?;
     socket.write_all(&message).await?;
-    let mut answer = [0; HANDSHAKE_ANSWER_BYTES];
-    socket.read_exact(&mut answer).await?;
-    let cipher = Arc::new(dialler.finish(&answer)?);
+    let mut response = [0; HANDSHAKE_RESPONSE_BYTES];
+    socket.read_exact(&mut response).await?;
+    let cipher = Arc::new(initiator.finish(&response)?);
     let (mut reader, mut writer) = socket.into_split();
     send_hello(core, &cipher, &mut writer).await?;
     let peer = read_hello(&cipher, &mut reader).await?;
@@ -126,11 +126,11 @@
     socket.set_nodelay(true)?;
     let mut message = [0; HANDSHAKE_BYTES];
     socket.read_exact(&mut message).await?;
-    let (cipher, answer) = accept_handshake(&core.keys.read(), &message)?;
-    socket.write_all(&answer).await?;
+    let (cipher, response) = accept_handshake(&core.keys.read(), &message)?;
+    socket.write_all(&response).await?;
     let cipher = Arc::new(cipher);
     let (mut reader, mut writer) = socket.into_split();
-    // A dialler that replays recorded messages cannot seal a record.
+    // An initiator that replays recorded messages cannot seal a record.
     let peer = read_hello(&cipher, &mut reader).await?;
     send_hello(core, &cipher, &mut writer).await?;
     Ok(EstablishedConnection {
--- a/crates/transport/src/peer/link/stream.rs
+++ b/crates/transport/src/peer/link/stream.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use hookpoint_protocol::peer::{
-    CREDIT_STEP, INITIAL_CREDIT, LinkFrame, OpenRequest, StreamError, fragments,
+    CREDIT_GRANT_THRESHOLD, INITIAL_CREDIT, LinkFrame, OpenRequest, StreamError, fragments,
 };
 use hookpoint_state::Refusal;
 use serde::Serialize;
@@ -95,10 +95,10 @@
             return Ok(());
         };
         if let StreamEvent::Data { bytes, .. } = &event {
-            let length = u32::try_from(bytes.len()).map_err(|_| StreamError::Overrun)?;
+            let length = u32::try_from(bytes.len()).map_err(|_| StreamError::CreditExceeded)?;
             let before = slot.flow.received.fetch_add(length, Ordering::AcqRel);
             if before.saturating_add(length) > INITIAL_CREDIT {
-                return Err(StreamError::Overrun);
+                return Err(StreamError::CreditExceeded);
             }
         }
         // The user may be about to end the stream.
@@ -113,7 +113,7 @@
         };
         let held = slot.flow.credit.available_permits();
         if held + bytes as usize > INITIAL_CREDIT as usize {
-            return Err(StreamError::Overrun);
+            return Err(StreamError::CreditExceeded);
         }
         slot.flow.credit.add_permits(bytes as usize);
         Ok(())
@@ -256,10 +256,11 @@
         self.consume(bytes.len() as u32).await;
     }
 
-    /// Counts consumed bytes, and returns credit to the peer in steps of `CREDIT_STEP`.
+    /// Counts consumed bytes, and grants the peer credit for them once they reach
+    /// `CREDIT_GRANT_THRESHOLD`.
     async fn consume(&mut self, bytes: u32) {
         self.consumed += bytes;
-        if self.consumed < CREDIT_STEP {
+        if self.consumed < CREDIT_GRANT_THRESHOLD {
             return;
         }
         let bytes = std::mem::take(&mut self.consumed);
--- a/crates/transport/src/platform/client.rs
+++ b/crates/transport/src/platform/client.rs
@@ -286,7 +286,7 @@
     if code == StatusCode::ResourceExhausted {
         return PlatformError::RateLimited { retry_after: None };
     }
-    if code.is_not_run() {
+    if code.is_certainly_not_applied() {
         return PlatformError::Refused {
             code: error.code,
             message,
--- a/crates/transport/tests/caller_support/database.rs
+++ b/crates/transport/tests/caller_support/database.rs
@@ -7,7 +7,7 @@
 use hookpoint_coordination::status::Role;
 use hookpoint_protocol::backend_command::{BackendCommand, BackendReply};
 use hookpoint_protocol::errors::{ErrorReport, Severity};
-use hookpoint_protocol::extended::{self, Bind, Named, Parse, Target};
+use hookpoint_protocol::extended::{self, Bind, DescribeOrClose, DescribeTarget, Parse};
 use hookpoint_protocol::frame::Frame;
 use hookpoint_protocol::reply::{self, TransactionStatus};
 use hookpoint_protocol::status_query::STATUS_QUERY;
@@ -197,21 +197,29 @@
         let Some(statement) = self.statements.get(&bind.statement) else {
             return self.report_missing(&bind.statement);
         };
-        let portal = (statement.query.clone(), parameters(&bind.rest));
+        let portal = (
+            statement.query.clone(),
+            parameters(&bind.parameters_and_formats),
+        );
         self.portals.insert(bind.portal, portal);
         self.emit(reply::empty(backend::BIND_COMPLETE));
     }
 
     fn describe(&mut self, frame: &Frame) {
-        let named = Named::read(frame).expect("a describe");
-        let query = match named.target {
-            Target::Portal => self.portals.get(&named.name).map(|portal| portal.0.clone()),
-            Target::Statement => self.statements.get(&named.name).map(|s| s.query.clone()),
+        let request = DescribeOrClose::read(frame).expect("a describe");
+        let query = match request.target {
+            DescribeTarget::Portal => self
+                .portals
+                .get(&request.name)
+                .map(|portal| portal.0.clone()),
+            DescribeTarget::Statement => {
+                self.statements.get(&request.name).map(|s| s.query.clone())
+            }
         };
         let Some(query) = query else {
-            return self.report_missing(&named.name);
+            return self.report_missing(&request.name);
         };
-        if named.target == Target::Statement {
+        if request.target == DescribeTarget::Statement {
             let count = query.matches('$').count() as u16;
             let mut body = count.to_be_bytes().to_vec();
             for _ in 0..count {
--- a/hookpoint/src/operator/error.rs
+++ b/hookpoint/src/operator/error.rs
@@ -1,7 +1,7 @@
 //! Errors of the operators' commands.
 
 use hookpoint_coordination::rollout::PointerView;
-use hookpoint_protocol::platform::records::Stamp;
+use hookpoint_protocol::platform::records::ChangeStamp;
 use hookpoint_state::BundleVersion;
 use hookpoint_state::bundle::{BundleProblem, SignatureError};
 use hookpoint_transport::platform::PlatformError;
@@ -17,7 +17,7 @@
 }
 
 impl Winner {
-    pub(super) fn of(pointer: Option<&PointerView<Stamp>>) -> Self {
+    pub(super) fn of(pointer: Option<&PointerView<ChangeStamp>>) -> Self {
         Self {
             version: pointer.map(|pointer| pointer.version).unwrap_or_default(),
             by: pointer.map_or_else(String::new, |pointer| pointer.attempt.by.clone()),
--- a/hookpoint/src/operator/history.rs
+++ b/hookpoint/src/operator/history.rs
@@ -1,7 +1,8 @@
 //! Reads the bundle in force, the prepared bundles and the history of rolls.
 
 use hookpoint_protocol::platform::records::{
-    ActivePointer, BUNDLE_PREFIX, BundleRecord, HISTORY_PREFIX, Stamp, bundle_key, history_key,
+    ActivePointer, BUNDLE_PREFIX, BundleRecord, ChangeStamp, HISTORY_PREFIX, bundle_key,
+    history_key,
 };
 use hookpoint_protocol::platform::{KeyValue, RangeRequest, prefix_end};
 use hookpoint_state::BundleVersion;
@@ -19,7 +20,7 @@
     /// Digest of the bundle.
     pub digest: BundleDigest,
     /// Operator, time and attempt of its preparation.
-    pub prepared: Stamp,
+    pub prepared: ChangeStamp,
     /// Identifiers of the keys that signed it.
     pub approved_by: Vec<KeyId>,
     /// Description given in the bundle.
--- a/hookpoint/src/operator/mod.rs
+++ b/hookpoint/src/operator/mod.rs
@@ -15,7 +15,7 @@
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use hookpoint_protocol::platform::records::{AttemptId, Stamp};
+use hookpoint_protocol::platform::records::{AttemptId, ChangeStamp};
 use hookpoint_transport::platform::PlatformClient;
 
 pub use approve::Approval;
@@ -40,10 +40,10 @@
         }
     }
 
-    fn stamp(&self) -> Stamp {
+    fn stamp(&self) -> ChangeStamp {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
         let at_ms = since_epoch.unwrap_or_default().as_millis();
-        Stamp {
+        ChangeStamp {
             by: self.name.clone(),
             at_ms: u64::try_from(at_ms).unwrap_or(u64::MAX),
             attempt: AttemptId::new(rand::random()),
--- a/hookpoint/src/operator/roll.rs
+++ b/hookpoint/src/operator/roll.rs
@@ -2,7 +2,7 @@
 
 use hookpoint_coordination::rollout::{PointerView, RollEvent, RollMachine, RollResult, RollStep};
 use hookpoint_protocol::platform::records::{
-    ACTIVE_KEY, ActivePointer, BundleRecord, Stamp, history_key,
+    ACTIVE_KEY, ActivePointer, BundleRecord, ChangeStamp, history_key,
 };
 use hookpoint_protocol::platform::{Compare, KeyValue, RequestOperation, TransactionRequest};
 use hookpoint_state::BundleVersion;
@@ -14,7 +14,7 @@
 use super::{Operator, OperatorError};
 
 /// Event for the roll machine, or the error of the request that should have produced it.
-type StepResult = Result<RollEvent<Stamp>, PlatformError>;
+type StepResult = Result<RollEvent<ChangeStamp>, PlatformError>;
 
 /// A roll that was applied.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -55,7 +55,7 @@
     /// Carries out the machine's steps until it has finished.
     async fn run_machine(
         &self,
-        mut machine: RollMachine<Stamp>,
+        mut machine: RollMachine<ChangeStamp>,
         mut pointer: ActivePointer,
         attempts: &mut Attempts,
     ) -> Result<Rolled, OperatorError> {
@@ -123,7 +123,7 @@
 
 fn finish(
     pointer: ActivePointer,
-    result: &RollResult<Stamp>,
+    result: &RollResult<ChangeStamp>,
     failure: Option<PlatformError>,
 ) -> Result<Rolled, OperatorError> {
     match result {
@@ -177,7 +177,7 @@
     })
 }
 
-fn view(pointer: ActivePointer) -> PointerView<Stamp> {
+fn view(pointer: ActivePointer) -> PointerView<ChangeStamp> {
     PointerView {
         version: pointer.version,
         attempt: pointer.rolled,
@@ -187,7 +187,7 @@
 fn decode_view(
     key: &str,
     entry: Option<KeyValue>,
-) -> Result<Option<PointerView<Stamp>>, OperatorError> {
+) -> Result<Option<PointerView<ChangeStamp>>, OperatorError> {
     let found: Versioned<ActivePointer> = decode(key, entry)?;
     Ok(found.value.map(view))
 }
--- a/lab/measure/src/experiment/run.rs
+++ b/lab/measure/src/experiment/run.rs
@@ -185,7 +185,7 @@
         zones: description.zones.unwrap_or(5),
         databases: size * variant.databases_per_node.unwrap_or(2),
         groups_per_node: variant.groups.unwrap_or(1),
-        quiet: description.duration(),
+        quiet_period: description.duration(),
         seed: description.seed + round as u64,
     };
     let point = tokio::task::spawn_blocking(move || scale::run(&settings)).await;
--- a/lab/measure/src/scale/mod.rs
+++ b/lab/measure/src/scale/mod.rs
@@ -28,7 +28,7 @@
     /// Number of groups that each node uses.
     pub groups_per_node: usize,
     /// Duration of the quiet period, in which the steady-state cost is measured.
-    pub quiet: Duration,
+    pub quiet_period: Duration,
     /// Seed of the random assignment of groups to nodes.
     pub seed: u64,
 }
--- a/lab/measure/src/scale/phases.rs
+++ b/lab/measure/src/scale/phases.rs
@@ -177,7 +177,7 @@
 ) -> Result<ScalePoint, ScaleError> {
     let (traffic, reading, began) = (fleet.traffic(), Process::Own.read()?, Instant::now());
     let requests = fleet.platform.requests();
-    sleep(settings.quiet).await;
+    sleep(settings.quiet_period).await;
     let (after, reading_after) = (fleet.traffic(), Process::Own.read()?);
     let seconds = began.elapsed().as_secs_f64();
     let nodes = fleet.nodes.len() as f64;
--- a/lab/sim/src/report.rs
+++ b/lab/sim/src/report.rs
@@ -65,7 +65,8 @@
     /// Requests of unknown outcome.
     pub unknown: u64,
     /// Requests whose session ended before the answer.
-    pub broken: u64,
+    #[serde(rename = "broken")]
+    pub interrupted: u64,
     /// Changes of primary.
     pub elections: u64,
 }
@@ -80,7 +81,7 @@
         self.acknowledged += other.acknowledged;
         self.not_run += other.not_run;
         self.unknown += other.unknown;
-        self.broken += other.broken;
+        self.interrupted += other.interrupted;
         self.elections += other.elections;
     }
 }
--- a/lab/sim/src/settings.rs
+++ b/lab/sim/src/settings.rs
@@ -134,13 +134,13 @@
 
 impl Default for SimSettings {
     fn default() -> Self {
-        Self::today(SimDeployment::CostaRica)
+        Self::standard(SimDeployment::CostaRica)
     }
 }
 
 impl SimSettings {
     /// Returns the standard settings of `deployment`: one group and one proxy per zone.
-    pub fn today(deployment: SimDeployment) -> Self {
+    pub fn standard(deployment: SimDeployment) -> Self {
         Self {
             deployment,
             groups: 1,
--- a/lab/sim/src/world/client.rs
+++ b/lab/sim/src/world/client.rs
@@ -245,7 +245,7 @@
                 self.end_request(client, false);
             }
             ClientMessage::SessionClosed | ClientMessage::ConnectionBroken => {
-                self.counts.broken += u64::from(self.clients[client].request.is_some());
+                self.counts.interrupted += u64::from(self.clients[client].request.is_some());
                 self.clients[client].session = None;
                 self.end_request(client, false);
             }
--- a/lab/sim/src/world/mod.rs
+++ b/lab/sim/src/world/mod.rs
@@ -5,13 +5,13 @@
 mod databases;
 mod event;
 mod evidence;
+mod fault_injection;
 mod lease;
 mod nodes;
 mod pool;
 mod proxy;
 mod session;
 mod session_lease;
-mod upheaval;
 mod verify;
 
 use std::collections::{BTreeMap, BTreeSet};
--- a/lab/sim/tests/request_path.rs
+++ b/lab/sim/tests/request_path.rs
@@ -15,7 +15,7 @@
         sessions_per_group: 24,
         load_ms: 6_000,
         think_ms: 250,
-        ..SimSettings::today(deployment)
+        ..SimSettings::standard(deployment)
     }
 }
 
@@ -65,7 +65,10 @@
     let report = run_seed(&settings, 1);
     assert!(report.violations.is_empty(), "{report:#?}");
     let counts = report.counts;
-    assert_eq!((counts.not_run, counts.unknown, counts.broken), (0, 0, 0));
+    assert_eq!(
+        (counts.not_run, counts.unknown, counts.interrupted),
+        (0, 0, 0)
+    );
 }
 
 #[test]
--- a/lab/src/bundles.rs
+++ b/lab/src/bundles.rs
@@ -75,7 +75,7 @@
                     group: group.name.clone(),
                     zone: zone.clone(),
                     address: address.to_string(),
-                    slots: deployment.slots,
+                    slots: deployment.max_connections,
                 };
                 databases.insert(name.clone(), settings);
             }
--- a/lab/src/commands/measure.rs
+++ b/lab/src/commands/measure.rs
@@ -41,7 +41,7 @@
             zones: arguments.zones.unwrap_or(5),
             databases: arguments.databases.unwrap_or(nodes * DATABASES_PER_NODE),
             groups_per_node: arguments.groups.unwrap_or(1),
-            quiet: Duration::from_secs(arguments.seconds.unwrap_or(20)),
+            quiet_period: Duration::from_secs(arguments.seconds.unwrap_or(20)),
             seed: arguments.seed.unwrap_or(1),
         })?;
         points.push(point);
--- a/lab/src/commands/sim.rs
+++ b/lab/src/commands/sim.rs
@@ -73,7 +73,7 @@
     Ok(SimSettings {
         faults,
         mutation,
-        ..SimSettings::today(deployment)
+        ..SimSettings::standard(deployment)
     })
 }
 
@@ -130,7 +130,7 @@
         counts.replica_reads,
         counts.not_run,
         counts.unknown,
-        counts.broken,
+        counts.interrupted,
         counts.elections,
         counts.events
     );
--- a/lab/src/demo/sessions.rs
+++ b/lab/src/demo/sessions.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hookpoint_state::GroupName;
-use hookpoint_workload::application::{Role, Run, run};
+use hookpoint_workload::application::{RequestLoop, Role, run_session};
 use hookpoint_workload::connection::Credentials;
 use hookpoint_workload::deployment::{Application, Deployment};
 use hookpoint_workload::history::{ProxyIndex, Recorder, SessionNumber};
@@ -57,13 +57,13 @@
             for (index, number) in numbers.into_iter().enumerate() {
                 let role = Role::of(self.deployment.application, index, count);
                 let session = self.session(&group.name, number, index);
-                let plan = Run {
+                let request_loop = RequestLoop {
                     role,
                     mean_pause: mean_pause(self.deployment.application, role),
                     subjects: subjects.clone(),
                     stop: stop.clone(),
                 };
-                tasks.spawn(run(session, plan));
+                tasks.spawn(run_session(session, request_loop));
             }
         }
         Sessions {
@@ -79,10 +79,10 @@
             group: group.clone(),
             credentials: caller_credentials(group, index % TENANTS),
             proxies: self.proxies.clone(),
-            home: ProxyIndex(index % self.deployment.zones.len()),
+            initial_proxy: ProxyIndex(index % self.deployment.zones.len()),
             application: self.deployment.application,
             seed: self.seed,
-            patience: REQUEST_TIMEOUT,
+            request_timeout: REQUEST_TIMEOUT,
             protocol: match number.0 % 2 {
                 0 => Protocol::Simple,
                 _ => Protocol::Extended,
--- a/lab/src/stack/databases.rs
+++ b/lab/src/stack/databases.rs
@@ -156,7 +156,7 @@
         .map(|database| DatabaseSettings {
             name: database.name.to_string(),
             zone: database.zone.to_string(),
-            slots: deployment.slots,
+            slots: deployment.max_connections,
             replay_lag: lag,
             password: None,
         })
--- a/lab/src/stack/mod.rs
+++ b/lab/src/stack/mod.rs
@@ -69,5 +69,5 @@
         between_regions: deployment.latencies.between_regions,
         to_clients: deployment.latencies.to_clients,
     };
-    ZoneLinks::new(&zones, latencies, RegionSpacing::Apart)
+    ZoneLinks::new(&zones, latencies, RegionSpacing::UseRegionLatency)
 }
--- a/lab/standin/examples/commit_latency.rs
+++ b/lab/standin/examples/commit_latency.rs
@@ -16,10 +16,10 @@
 async fn main() -> Result<(), Box<dyn Error>> {
     println!("round trip between zones | commit: p50, p99 | read: p50, p99");
     for links in [
-        ZoneLinks::greece(RegionSpacing::Near),
-        ZoneLinks::costa_rica(RegionSpacing::Near),
-        ZoneLinks::greece(RegionSpacing::Apart),
-        ZoneLinks::costa_rica(RegionSpacing::Apart),
+        ZoneLinks::greece(RegionSpacing::UseZoneLatency),
+        ZoneLinks::costa_rica(RegionSpacing::UseZoneLatency),
+        ZoneLinks::greece(RegionSpacing::UseRegionLatency),
+        ZoneLinks::costa_rica(RegionSpacing::UseRegionLatency),
     ] {
         let group = start(&links).await?;
         let client = connect(&group, "db-0").await?;
--- a/lab/standin/examples/link_accuracy.rs
+++ b/lab/standin/examples/link_accuracy.rs
@@ -34,7 +34,11 @@
         between_regions: latency,
         to_clients: latency,
     };
-    let links = ZoneLinks::new(&[("a", "r"), ("b", "r")], latencies, RegionSpacing::Near);
+    let links = ZoneLinks::new(
+        &[("a", "r"), ("b", "r")],
+        latencies,
+        RegionSpacing::UseZoneLatency,
+    );
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let settings = LinkSettings::new("a", "b", Some(listener.local_addr()?));
     let proxy = LinkProxy::start(&links, settings)?;
--- a/lab/standin/src/database/execute.rs
+++ b/lab/standin/src/database/execute.rs
@@ -17,7 +17,7 @@
 use super::store::{RowSet, Store};
 use super::transaction::Stage;
 use super::view;
-use super::working::{WorkingRows, WriteTransaction};
+use super::working_rows::{WorkingRows, WriteTransaction};
 
 /// Maximum time for which one statement may hold the rows exclusively.
 const MAXIMUM_STATEMENT_TIME: Duration = Duration::from_secs(10);
--- a/lab/standin/src/database/mod.rs
+++ b/lab/standin/src/database/mod.rs
@@ -67,7 +67,7 @@
 mod value;
 mod view;
 mod wire;
-mod working;
+mod working_rows;
 
 pub use error::{DatabaseError, SqlError, SqlState};
 pub use group::{CommittedEntry, DatabaseGroup, DatabaseRole, DatabaseStatus};
--- a/lab/standin/src/database/node.rs
+++ b/lab/standin/src/database/node.rs
@@ -20,9 +20,9 @@
 use super::store::Store;
 use super::timestamp;
 use super::view::{ReplicaView, SystemView};
-use super::working::{WorkingRows, WriteTransaction};
+use super::working_rows::{WorkingRows, WriteTransaction};
 
-mod agreement;
+mod consensus;
 mod control;
 mod replay;
 
--- a/lab/standin/src/database/node/agreement.rs
+++ b/lab/standin/src/database/node/consensus.rs
@@ -7,7 +7,7 @@
 use super::{Inner, Node};
 use crate::database::consensus::{Action, Consensus, Member, Message};
 use crate::database::store::Store;
-use crate::database::working::WorkingRows;
+use crate::database::working_rows::WorkingRows;
 
 impl Node {
     /// Runs one step of the consensus state machine and executes the resulting
--- a/lab/standin/src/database/session.rs
+++ b/lab/standin/src/database/session.rs
@@ -19,7 +19,7 @@
 use super::statement::Statement;
 use super::transaction::{Stage, Transaction};
 use super::wire::{Wire, WireError};
-use super::working::WriteTransaction;
+use super::working_rows::WriteTransaction;
 
 /// Identity and initial settings of a session.
 pub struct Identity {
--- a/lab/standin/src/database/transaction.rs
+++ b/lab/standin/src/database/transaction.rs
@@ -6,7 +6,7 @@
 use super::session_settings::SessionSettings;
 use super::store::Store;
 use super::timestamp;
-use super::working::WriteTransaction;
+use super::working_rows::WriteTransaction;
 
 /// Transaction stage of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/lab/standin/src/database/working.rs
+++ b/lab/standin/src/database/working_rows.rs
@@ -247,8 +247,8 @@
         let write_permit = self.write_permit.take();
         let executed = std::mem::take(&mut self.executed);
         drop(write_permit);
-        let logged = executed.into_iter().filter(|statement| statement.logged);
-        Ok(logged.map(|executed| executed.statement).collect())
+        let logged = executed.into_iter().filter(|entry| entry.logged);
+        Ok(logged.map(|entry| entry.statement).collect())
     }
 }
 
--- a/lab/standin/src/links/mod.rs
+++ b/lab/standin/src/links/mod.rs
@@ -1,12 +1,12 @@
 //! Links between zones: latencies, cuts, and relays that apply them to real
 //! sockets on the loopback interface.
 
-mod carry;
 mod datagram;
 mod network;
 mod proxy;
 mod route;
 mod runtime;
+mod stream;
 mod timer;
 mod zones;
 
--- a/lab/standin/src/links/proxy.rs
+++ b/lab/standin/src/links/proxy.rs
@@ -1,8 +1,8 @@
 //! A relay of TCP connections that applies the latency and cuts of a link.
 
-use super::carry::{RelayError, relay_direction};
 use super::route::Route;
 use super::runtime::next_handle;
+use super::stream::{RelayError, relay_direction};
 use super::timer::Timer;
 use super::zones::ZoneLinks;
 use super::{LinkCounters, LinkError, listen_address};
--- a/lab/standin/src/links/zones.rs
+++ b/lab/standin/src/links/zones.rs
@@ -31,9 +31,9 @@
 pub enum RegionSpacing {
     /// The zones of a deployment are close to each other: the latency between zones
     /// applies to all of them, and region names are only labels.
-    Near,
+    UseZoneLatency,
     /// The latency between regions applies whenever the region names differ.
-    Apart,
+    UseRegionLatency,
 }
 
 #[derive(Debug, Default)]
@@ -128,7 +128,9 @@
         }
         match (self.region(from), self.region(to)) {
             (Some(first), Some(second)) if first == second => latencies.between_zones,
-            (Some(_), Some(_)) if self.0.spacing == RegionSpacing::Near => latencies.between_zones,
+            (Some(_), Some(_)) if self.0.spacing == RegionSpacing::UseZoneLatency => {
+                latencies.between_zones
+            }
             _ => latencies.between_regions,
         }
     }
--- a/lab/standin/src/platform/faults.rs
+++ b/lab/standin/src/platform/faults.rs
@@ -120,7 +120,7 @@
 
     /// Closes the connection instead of sending the next `count` responses to
     /// requests that changed something; the changes persist.
-    pub fn lose_next_answers(&self, count: u64) {
+    pub fn drop_next_responses(&self, count: u64) {
         self.state.lock().responses_to_drop = count;
     }
 
--- a/lab/standin/tests/links_databases.rs
+++ b/lab/standin/tests/links_databases.rs
@@ -51,7 +51,10 @@
 
 #[tokio::test]
 async fn primary_in_a_cut_zone_is_replaced_and_steps_down_after_healing() {
-    for spacing in [RegionSpacing::Near, RegionSpacing::Apart] {
+    for spacing in [
+        RegionSpacing::UseZoneLatency,
+        RegionSpacing::UseRegionLatency,
+    ] {
         let links = ZoneLinks::costa_rica(spacing);
         let group = group(&links).await;
         assert_eq!(group.primary().as_deref(), Some(ZONES[0]));
--- a/lab/standin/tests/links_datagrams.rs
+++ b/lab/standin/tests/links_datagrams.rs
@@ -22,7 +22,11 @@
         between_regions: LATENCY,
         to_clients: LATENCY,
     };
-    let links = ZoneLinks::new(&[("a", "r"), ("b", "r")], latencies, RegionSpacing::Near);
+    let links = ZoneLinks::new(
+        &[("a", "r"), ("b", "r")],
+        latencies,
+        RegionSpacing::UseZoneLatency,
+    );
     let target = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let settings = UdpLinkSettings {
         from: "a".to_owned(),
--- a/lab/standin/tests/links_platform.rs
+++ b/lab/standin/tests/links_platform.rs
@@ -13,7 +13,7 @@
 const TARGET_ZONE: &str = "sj-sala-a";
 
 fn link(platform: &Platform) -> (ZoneLinks, LinkProxy) {
-    let links = ZoneLinks::costa_rica(RegionSpacing::Apart);
+    let links = ZoneLinks::costa_rica(RegionSpacing::UseRegionLatency);
     let settings = LinkSettings::new(CALLER_ZONE, TARGET_ZONE, Some(platform.address()));
     let proxy = LinkProxy::start(&links, settings).expect("a link");
     (links, proxy)
--- a/lab/standin/tests/links_streams.rs
+++ b/lab/standin/tests/links_streams.rs
@@ -26,7 +26,11 @@
         between_regions: latency,
         to_clients: latency,
     };
-    ZoneLinks::new(&[("a", "r"), ("b", "r")], latencies, RegionSpacing::Near)
+    ZoneLinks::new(
+        &[("a", "r"), ("b", "r")],
+        latencies,
+        RegionSpacing::UseZoneLatency,
+    )
 }
 
 async fn listener() -> (TcpListener, SocketAddr) {
--- a/lab/standin/tests/links_zones.rs
+++ b/lab/standin/tests/links_zones.rs
@@ -6,14 +6,27 @@
 
 #[test]
 fn delays_match_the_deployment_and_the_region_spacing() {
-    let (near, apart) = (RegionSpacing::Near, RegionSpacing::Apart);
+    let (zone_latency, region_latency) = (
+        RegionSpacing::UseZoneLatency,
+        RegionSpacing::UseRegionLatency,
+    );
     let costa_rica = ["sj-sala-a", "al-sala-b", "lb-sala-c"];
     let greece = ["ath-hall", "thes-hall", "her-hall"];
     let cases = [
-        (ZoneLinks::costa_rica(near), costa_rica, 1_500, 20_000),
-        (ZoneLinks::costa_rica(apart), costa_rica, 20_000, 20_000),
-        (ZoneLinks::greece(near), greece, 500, 10_000),
-        (ZoneLinks::greece(apart), greece, 10_000, 10_000),
+        (
+            ZoneLinks::costa_rica(zone_latency),
+            costa_rica,
+            1_500,
+            20_000,
+        ),
+        (
+            ZoneLinks::costa_rica(region_latency),
+            costa_rica,
+            20_000,
+            20_000,
+        ),
+        (ZoneLinks::greece(zone_latency), greece, 500, 10_000),
+        (ZoneLinks::greece(region_latency), greece, 10_000, 10_000),
     ];
     for (links, zones, between, unknown) in cases {
         let micros = |from: &str, to: &str| links.delay(from, to).as_micros();
@@ -33,7 +46,7 @@
 
 #[test]
 fn zones_of_one_region_use_the_latency_between_zones() {
-    let template = ZoneLinks::greece(RegionSpacing::Apart);
+    let template = ZoneLinks::greece(RegionSpacing::UseRegionLatency);
     assert_eq!(template.region("her-hall"), Some("crete"));
     let zones = [("a", "north"), ("b", "north"), ("c", "south")];
     let latencies = hookpoint_standin::links::Latencies {
@@ -42,7 +55,7 @@
         between_regions: Duration::from_millis(9),
         to_clients: Duration::from_millis(3),
     };
-    let links = ZoneLinks::new(&zones, latencies, RegionSpacing::Apart);
+    let links = ZoneLinks::new(&zones, latencies, RegionSpacing::UseRegionLatency);
     assert_eq!(links.delay("a", "a"), Duration::from_micros(100));
     assert_eq!(links.delay("a", "b"), Duration::from_millis(1));
     assert_eq!(links.delay("b", "c"), Duration::from_millis(9));
@@ -114,7 +127,7 @@
         ),
     ];
     for (name, changes, expected) in cases {
-        let links = ZoneLinks::greece(RegionSpacing::Near);
+        let links = ZoneLinks::greece(RegionSpacing::UseZoneLatency);
         changes.iter().for_each(|change| change(&links));
         let cuts = links.cuts();
         let cuts: Vec<(&str, &str)> = cuts.iter().map(|(from, to)| (&**from, &**to)).collect();
@@ -133,7 +146,7 @@
 
 #[test]
 fn databases_use_the_same_links() {
-    let links = ZoneLinks::greece(RegionSpacing::Near);
+    let links = ZoneLinks::greece(RegionSpacing::UseZoneLatency);
     let network: &dyn ZoneNetwork = &links;
     assert_eq!(
         network.delay("ath-hall", "her-hall"),
--- a/lab/standin/tests/platform_faults.rs
+++ b/lab/standin/tests/platform_faults.rs
@@ -47,7 +47,7 @@
         ("/v3/lease/revoke", json!({"ID": "7"})),
     ];
     for (path, request) in cases {
-        platform.faults().lose_next_answers(1);
+        platform.faults().drop_next_responses(1);
         call_ok(&platform, "/v3/kv/range", read("k")).await;
         let lost = try_call(&platform, path, request).await;
         assert!(lost.is_err(), "{path}: {lost:?}");
--- a/lab/standin/tests/platform_product_client.rs
+++ b/lab/standin/tests/platform_product_client.rs
@@ -46,7 +46,7 @@
         (
             "dropped response",
             LONG_TIMEOUT,
-            |platform| platform.faults().lose_next_answers(1),
+            |platform| platform.faults().drop_next_responses(1),
             0,
             |error| matches!(error, PlatformError::AnswerLost { .. }),
             true,
@@ -135,7 +135,7 @@
         success: vec![RequestOperation::put("pointer", name)],
         failure: vec![RequestOperation::get("pointer")],
     };
-    platform.faults().lose_next_answers(1);
+    platform.faults().drop_next_responses(1);
     let lost = client.transaction(&attempt("first")).await;
     assert!(
         matches!(lost, Err(PlatformError::AnswerLost { .. })),
--- a/lab/tests/common/mod.rs
+++ b/lab/tests/common/mod.rs
@@ -55,7 +55,7 @@
                 group: group.clone(),
                 zone: zone.clone(),
                 address: running.group.address(name.as_str()).to_string(),
-                slots: stack.deployment.slots,
+                slots: stack.deployment.max_connections,
             };
             bundle.databases.insert(name.clone(), entry);
         }
--- a/lab/tests/direct.rs
+++ b/lab/tests/direct.rs
@@ -37,10 +37,10 @@
         group: group.clone(),
         credentials: database_credentials(&group),
         proxies: Arc::new(parking_lot::RwLock::new(vec![address])),
-        home: ProxyIndex(0),
+        initial_proxy: ProxyIndex(0),
         application: deployment.application,
         seed: 1,
-        patience: Duration::from_secs(20),
+        request_timeout: Duration::from_secs(20),
         protocol,
     };
     let mut session = ClientSession::new(settings, recorder.clone());
--- a/lab/tests/operator.rs
+++ b/lab/tests/operator.rs
@@ -184,15 +184,15 @@
     for lost in [1, 2, 5] {
         let platform = platform().await;
         let operator = operator(&platform.url(), "ana", COMMAND_TIMEOUT);
-        platform.faults().lose_next_answers(lost);
+        platform.faults().drop_next_responses(lost);
         let record = operator.prepare(small_bundle()).await.expect("prepared");
-        platform.faults().lose_next_answers(lost);
+        platform.faults().drop_next_responses(lost);
         let version = record.bundle.version;
         let approval = operator
             .approve(&operator_key(), version)
             .await
             .expect("approved");
-        platform.faults().lose_next_answers(lost);
+        platform.faults().drop_next_responses(lost);
         let rolled = operator
             .roll(version, Some(BundleVersion(0)), None)
             .await
--- a/lab/tests/platform_client.rs
+++ b/lab/tests/platform_client.rs
@@ -125,7 +125,7 @@
         ),
         (
             "answer lost",
-            |platform| platform.faults().lose_next_answers(1),
+            |platform| platform.faults().drop_next_responses(1),
             Outcome::Unknown,
             |error| matches!(error, PlatformError::AnswerLost { .. }),
         ),
--- a/lab/tests/running/mod.rs
+++ b/lab/tests/running/mod.rs
@@ -39,12 +39,12 @@
     ))
 }
 
-/// Creates a client session on the first group, connected to proxy `home` first.
+/// Creates a client session on the first group, connected to proxy `initial_proxy` first.
 pub fn session(
     laboratory: &Laboratory,
     recorder: &Recorder,
     number: u32,
-    home: usize,
+    initial_proxy: usize,
     protocol: Protocol,
 ) -> ClientSession {
     let deployment = &laboratory.stack.deployment;
@@ -54,10 +54,10 @@
         credentials: caller_credentials(&group, 0),
         group,
         proxies: Arc::new(parking_lot::RwLock::new(laboratory.fleet.entries())),
-        home: ProxyIndex(home),
+        initial_proxy: ProxyIndex(initial_proxy),
         application: deployment.application,
         seed: 1,
-        patience: REQUEST_TIMEOUT,
+        request_timeout: REQUEST_TIMEOUT,
         protocol,
     };
     ClientSession::new(settings, recorder.clone())
--- a/lab/workload/src/application.rs
+++ b/lab/workload/src/application.rs
@@ -71,7 +71,7 @@
 
 /// Settings of the request loop of a session.
 #[derive(Clone, Debug)]
-pub struct Run {
+pub struct RequestLoop {
     /// Role of the session.
     pub role: Role,
     /// Mean pause between two actions.
@@ -82,33 +82,35 @@
     pub stop: Arc<AtomicBool>,
 }
 
-/// Runs `session` until `run.stop` is set.
-pub async fn run(mut session: ClientSession, run: Run) {
-    let first = draw_pause(session.random(), run.mean_pause);
+/// Runs `session` until `request_loop.stop` is set.
+pub async fn run_session(mut session: ClientSession, request_loop: RequestLoop) {
+    let first = draw_pause(session.random(), request_loop.mean_pause);
     tokio::time::sleep(first).await;
-    while !run.stop.load(Ordering::Relaxed) {
-        run_action(&mut session, &run).await;
-        let mean = match run.role {
-            Role::Billing => run.mean_pause * BILLING_PAUSE_FACTOR,
-            _ => run.mean_pause,
+    while !request_loop.stop.load(Ordering::Relaxed) {
+        run_action(&mut session, &request_loop).await;
+        let mean = match request_loop.role {
+            Role::Billing => request_loop.mean_pause * BILLING_PAUSE_FACTOR,
+            _ => request_loop.mean_pause,
         };
-        let pause = match run.role {
-            Role::SteadyWriter => run.mean_pause,
+        let pause = match request_loop.role {
+            Role::SteadyWriter => request_loop.mean_pause,
             _ => draw_pause(session.random(), mean),
         };
         tokio::time::sleep(pause).await;
     }
 }
 
-async fn run_action(session: &mut ClientSession, run: &Run) {
-    match choose_action(session.random(), run.role) {
+async fn run_action(session: &mut ClientSession, request_loop: &RequestLoop) {
+    match choose_action(session.random(), request_loop.role) {
         Action::Write(kind) => {
             session.write(kind).await;
         }
         Action::ReadOwn => session.read_own().await,
         Action::ReadOther => {
-            let index = session.random().random_range(0..run.subjects.len().max(1));
-            if let Some(subject) = run.subjects.get(index) {
+            let index = session
+                .random()
+                .random_range(0..request_loop.subjects.len().max(1));
+            if let Some(subject) = request_loop.subjects.get(index) {
                 session.read_other(*subject).await;
             }
         }
--- a/lab/workload/src/deployment.rs
+++ b/lab/workload/src/deployment.rs
@@ -68,7 +68,7 @@
     /// One-way network latencies.
     pub latencies: Latencies,
     /// Maximum number of connections to each database.
-    pub slots: u32,
+    pub max_connections: u32,
     /// Number of client sessions per database.
     pub clients_per_database: usize,
     /// Time taken to open a database connection.
@@ -98,7 +98,7 @@
             between_regions: Duration::from_millis(20),
             to_clients: Duration::from_millis(3),
         },
-        slots: 5,
+        max_connections: 5,
         clients_per_database: 40,
         connect_delay: Duration::from_millis(10),
         replica_lag: Duration::from_millis(200),
@@ -123,7 +123,7 @@
             between_regions: Duration::from_millis(10),
             to_clients: Duration::from_millis(3),
         },
-        slots: 10,
+        max_connections: 10,
         clients_per_database: 100,
         connect_delay: Duration::from_millis(10),
         replica_lag: Duration::from_millis(200),
--- a/lab/workload/src/session.rs
+++ b/lab/workload/src/session.rs
@@ -50,13 +50,13 @@
     /// Addresses of the proxies.
     pub proxies: ProxyAddresses,
     /// Proxy that the session connects to first.
-    pub home: ProxyIndex,
+    pub initial_proxy: ProxyIndex,
     /// Application whose tables the session uses.
     pub application: Application,
     /// Seed of the run. Each session uses its own random stream of it.
     pub seed: u64,
     /// Timeout of connecting and of each request.
-    pub patience: Duration,
+    pub request_timeout: Duration,
     /// Protocol of single statements. Transactions always use the simple query protocol.
     pub protocol: Protocol,
 }
@@ -89,7 +89,7 @@
         let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
         random.set_stream(u64::from(settings.number.0));
         Self {
-            proxy: settings.home,
+            proxy: settings.initial_proxy,
             settings,
             recorder,
             random,
@@ -344,7 +344,7 @@
     }
 
     async fn simple(&mut self, statement: &str) -> Result<Vec<SimpleQueryMessage>, Failure> {
-        self.simple_with_timeout(statement, self.settings.patience)
+        self.simple_with_timeout(statement, self.settings.request_timeout)
             .await
     }
 
@@ -369,7 +369,7 @@
                     .random_range(1_000..MAXIMUM_EARLY_TIMEOUT_MICROS),
             );
         }
-        self.settings.patience
+        self.settings.request_timeout
     }
 
     /// Prepares for another attempt after `failure`. Returns whether a retry is allowed: a
@@ -416,7 +416,7 @@
                 continue;
             };
             let credentials = &self.settings.credentials;
-            let timeout = self.settings.patience;
+            let timeout = self.settings.request_timeout;
             let opened = ClientConnection::open(address, credentials, &delivery, timeout).await;
             match opened {
                 Ok(connection) => self.connection = Some(connection),
