--- a/crates/coordination/src/membership/member.rs
+++ b/crates/coordination/src/membership/member.rs
@@ -36,7 +36,7 @@
 impl MemberState {
     /// Returns whether the member accepts new work, such as becoming the home of a
     /// database.
-    pub fn takes_work(self) -> bool {
+    pub fn is_available(self) -> bool {
         self == MemberState::Alive
     }
 
--- a/crates/coordination/src/node/machine.rs
+++ b/crates/coordination/src/node/machine.rs
@@ -211,7 +211,7 @@
         actions: &mut Vec<NodeAction>,
     ) {
         self.update_candidate(&info, state, actions);
-        if !state.takes_work() {
+        if !state.is_available() {
             for group in self.subscriptions.subscribed_to(info.node) {
                 self.renew(now, &group, actions);
             }
@@ -225,8 +225,8 @@
         state: MemberState,
         actions: &mut Vec<NodeAction>,
     ) {
-        let takes_work = state.takes_work() && !self.leaving_machines.contains(&info.address);
-        let changes = if takes_work {
+        let can_be_home = state.is_available() && !self.leaving_machines.contains(&info.address);
+        let changes = if can_be_home {
             self.homes.add(info.node, &info.zone, &info.region)
         } else {
             self.homes.remove(info.node)
--- a/crates/coordination/src/serving/primary_lease.rs
+++ b/crates/coordination/src/serving/primary_lease.rs
@@ -9,8 +9,8 @@
 //! The coordinator grants leases. Every request is also a vote for the node to which it is sent:
 //! for [`VOTE_DURATION`] the voter acknowledges no announcement of any other node. A coordinator
 //! that has lost the state store may therefore continue while a majority votes for it, and while no
-//! coordinator answers, a stand-in may grant leases on the same basis. A stand-in cannot order
-//! promotions, so several of them do no harm.
+//! coordinator answers, a substitute coordinator may grant leases on the same basis. A substitute
+//! cannot order promotions, so several of them do no harm.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 /// Duration of a lease, counted from when it was requested. It is longer than switching to a
-/// stand-in takes, so the loss of a coordinator fails no statement.
+/// substitute coordinator takes, so the loss of a coordinator fails no statement.
 pub const LEASE_DURATION: Duration = Duration::from_millis(2_000);
 /// Interval between two requests.
 pub const RENEWAL_PERIOD: Duration = Duration::from_millis(350);
@@ -74,8 +74,8 @@
 pub enum Grantor {
     /// The coordinator.
     Coordinator,
-    /// The node at this index in the order of stand-ins.
-    StandIn(usize),
+    /// The substitute coordinator at this index in the order of substitutes.
+    Substitute(usize),
 }
 
 /// The lease of one node, from the requesting side.
@@ -173,9 +173,9 @@
         if self.failures >= FAILURES_BEFORE_NEXT {
             let next = match self.grantor {
                 Grantor::Coordinator => 0,
-                Grantor::StandIn(index) => index + 1,
+                Grantor::Substitute(index) => index + 1,
             };
-            self.switch_to(Grantor::StandIn(next), now);
+            self.switch_to(Grantor::Substitute(next), now);
         }
     }
 
@@ -212,8 +212,8 @@
         self.refusals += 1;
         if self.refusals >= REFUSALS_BEFORE_SWITCH {
             let other = match self.grantor {
-                Grantor::Coordinator => Grantor::StandIn(0),
-                Grantor::StandIn(_) => Grantor::Coordinator,
+                Grantor::Coordinator => Grantor::Substitute(0),
+                Grantor::Substitute(_) => Grantor::Coordinator,
             };
             self.switch_to(other, now);
         }
@@ -244,7 +244,7 @@
 
     /// Returns whether an announcement of `coordinator` may be acknowledged now, that is, whether
     /// no vote for another node binds this node. From now on earlier coordinators are ignored, and
-    /// the current coordinator, which is reachable, is asked again instead of a stand-in.
+    /// the current coordinator, which is reachable, is asked again instead of a substitute.
     pub fn acknowledge(&mut self, coordinator: StoreRevision, now: Timestamp) -> bool {
         self.follow(coordinator, now);
         if coordinator == self.coordinator && self.grantor != Grantor::Coordinator {
--- a/crates/coordination/tests/serving_primary_lease.rs
+++ b/crates/coordination/tests/serving_primary_lease.rs
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_stand_in_is_asked_if_the_coordinator_does_not_answer() {
+fn a_substitute_is_asked_if_the_coordinator_does_not_answer() {
     let mut lease = PrimaryLease::new(1, at(0));
     lease.follow(COORDINATOR, at(0));
     let mut asked = Vec::new();
@@ -106,14 +106,14 @@
         }
     }
     assert_eq!(&asked[..2], [Grantor::Coordinator, Grantor::Coordinator]);
-    assert_eq!(asked[2], Grantor::StandIn(0));
-    assert!(asked.contains(&Grantor::StandIn(1)));
+    assert_eq!(asked[2], Grantor::Substitute(0));
+    assert!(asked.contains(&Grantor::Substitute(1)));
 }
 
 /// A coordinator that has lost the store requests leases from itself without success, while the
-/// other nodes vote for a stand-in.
+/// other nodes vote for a substitute coordinator.
 #[test]
-fn a_refused_node_asks_the_stand_in_that_others_may_vote_for() {
+fn a_refused_node_asks_the_substitute_that_others_may_vote_for() {
     let mut lease = PrimaryLease::new(1, at(0));
     lease.follow(COORDINATOR, at(0));
     let mut alone = LeaseGrantor::new(PROCESS);
@@ -126,7 +126,7 @@
             lease.take(&answer, now);
         }
     }
-    assert!(asked.contains(&Grantor::StandIn(0)), "{asked:?}");
+    assert!(asked.contains(&Grantor::Substitute(0)), "{asked:?}");
     let switched = asked
         .iter()
         .position(|grantor| *grantor != Grantor::Coordinator);
@@ -212,7 +212,7 @@
     }
     assert!(
         !lease.acknowledge(COORDINATOR, now),
-        "just voted for a stand-in"
+        "just voted for a substitute"
     );
     assert!(!lease.acknowledge(COORDINATOR, now + VOTE_DURATION - ONE_MILLISECOND));
     assert!(lease.acknowledge(COORDINATOR, now + VOTE_DURATION));
--- a/crates/serving/src/node.rs
+++ b/crates/serving/src/node.rs
@@ -199,7 +199,7 @@
     pub promotions_known_up_to: Cell<StoreRevision>,
     /// This node's lease on the use of primaries, needed where promotions are not fenced.
     pub primary_lease: RefCell<PrimaryLease>,
-    /// Leases on primaries that this node has granted, as the coordinator or a stand-in.
+    /// Leases on primaries that this node has granted, as the coordinator or a substitute.
     pub grantor: RefCell<LeaseGrantor>,
     /// Store revision up to which the node that grants this node's lease knows all promotions.
     pub grantor_known_revision: Cell<StoreRevision>,
--- a/crates/serving/src/primary_lease.rs
+++ b/crates/serving/src/primary_lease.rs
@@ -1,5 +1,6 @@
 //! Renews this node's lease on the use of primaries, and grants leases to other nodes, as the
-//! coordinator or a stand-in. Needed only where the promotion service does not fence promotions.
+//! coordinator or a substitute coordinator. Needed only where the promotion service does not fence
+//! promotions.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -144,7 +145,7 @@
     let coordinator = view.newest();
     match grantor {
         Grantor::Coordinator => coordinator.map(str::to_owned),
-        Grantor::StandIn(index) => {
+        Grantor::Substitute(index) => {
             let nodes = node.registered_nodes();
             let mut order = claim_order(&nodes);
             order.retain(|name| Some(*name) != coordinator);
--- a/crates/transport/src/backend/pools.rs
+++ b/crates/transport/src/backend/pools.rs
@@ -81,12 +81,12 @@
     /// Replaces the filter that determines which databases this node is home for.
     pub fn set_home_filter(&self, filter: HomeFilter) {
         *self.home.write() = filter;
-        self.refresh_homes();
+        self.release_moved_connections();
     }
 
     /// Evaluates the filter again for each pool after a membership change. Pools of
     /// databases that have moved to another home release their idle connections.
-    pub fn refresh_homes(&self) {
+    pub fn release_moved_connections(&self) {
         for (database, entry) in &*self.pools.lock() {
             let home = self.is_home(database);
             entry.address.do_send(SetHome(home));
--- a/hookpoint/src/operator/error.rs
+++ b/hookpoint/src/operator/error.rs
@@ -9,14 +9,14 @@
 
 /// The roll that moved the active pointer first.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Winner {
+pub struct AppliedRoll {
     /// Version in force.
     pub version: BundleVersion,
     /// Name of the operator who rolled it; empty if nothing was ever rolled.
     pub by: String,
 }
 
-impl Winner {
+impl AppliedRoll {
     pub(super) fn of(pointer: Option<&PointerView<ChangeStamp>>) -> Self {
         Self {
             version: pointer.map(|pointer| pointer.version).unwrap_or_default(),
@@ -37,11 +37,11 @@
     /// Another roll was applied first. Nothing was changed.
     #[error(
         "conflict: version {} was rolled by {} in the meantime; nothing was changed",
-        winner.version.0, winner.by
+        conflicting.version.0, conflicting.by
     )]
     Conflict {
         /// The roll that was applied.
-        winner: Winner,
+        conflicting: AppliedRoll,
     },
     /// The version is not above the one in force. Nothing was changed.
     #[error(
--- a/hookpoint/src/operator/mod.rs
+++ b/hookpoint/src/operator/mod.rs
@@ -19,7 +19,7 @@
 use hookpoint_transport::platform::PlatformClient;
 
 pub use approve::Approval;
-pub use error::{OperatorError, Winner};
+pub use error::{AppliedRoll, OperatorError};
 pub use history::{BundleStatus, PreparedBundle};
 pub use roll::Rolled;
 
--- a/hookpoint/src/operator/roll.rs
+++ b/hookpoint/src/operator/roll.rs
@@ -9,7 +9,7 @@
 use hookpoint_state::bundle::{SignatureError, TrustedKeys};
 use hookpoint_transport::platform::PlatformError;
 
-use super::error::Winner;
+use super::error::AppliedRoll;
 use super::store::{Attempts, Versioned, decode, encode, key_read_by};
 use super::{Operator, OperatorError};
 
@@ -132,7 +132,7 @@
             superseded: *superseded,
         }),
         RollResult::Conflict { conflicting } => Err(OperatorError::Conflict {
-            winner: Winner::of(conflicting.as_ref()),
+            conflicting: AppliedRoll::of(conflicting.as_ref()),
         }),
         RollResult::NotNewer { active } => Err(OperatorError::NotNewer {
             version: pointer.version,
--- a/hookpoint/src/proxy/parts.rs
+++ b/hookpoint/src/proxy/components.rs
@@ -230,7 +230,7 @@
     let mut changes = fleet.home_changes();
     actix_rt::spawn(async move {
         while changes.changed().await.is_ok() {
-            pools.refresh_homes();
+            pools.release_moved_connections();
         }
     });
 }
--- a/hookpoint/src/proxy/mod.rs
+++ b/hookpoint/src/proxy/mod.rs
@@ -2,10 +2,10 @@
 //!
 //! Several proxies may run in one process; they share only the process's logging.
 
+mod components;
 mod error;
 mod fleet_source;
 mod metrics;
-mod parts;
 mod rollout;
 
 use std::net::SocketAddr;
@@ -20,9 +20,9 @@
 use hookpoint_transport::peer::FleetHandle;
 use hookpoint_transport::shared::Shared;
 
+pub use components::fleet_key;
+use components::{Arbiters, PlatformTasks};
 pub use error::ProxyError;
-pub use parts::fleet_key;
-use parts::{Arbiters, PlatformTasks};
 
 use crate::settings::ProxySettings;
 
@@ -66,7 +66,7 @@
     /// Returns a [`ProxyError`] if an address cannot be listened on or a setting is
     /// invalid. An unreachable platform is not an error.
     pub async fn start(settings: ProxySettings) -> Result<ProxyHandle, ProxyError> {
-        let inner = parts::start(settings).await?;
+        let inner = components::start(settings).await?;
         Ok(ProxyHandle {
             inner: Arc::new(inner),
         })
--- a/lab/measure/src/scale/fleet.rs
+++ b/lab/measure/src/scale/fleet.rs
@@ -122,7 +122,7 @@
             let members = node.fleet.members();
             members
                 .iter()
-                .filter(|member| member.state.takes_work())
+                .filter(|member| member.state.is_available())
                 .count()
         });
         counts.min().unwrap_or(0)
--- a/lab/measure/src/scale/phases.rs
+++ b/lab/measure/src/scale/phases.rs
@@ -262,7 +262,7 @@
     let has_detected = |node: &HollowNode| {
         let members = node.fleet.members();
         let member = members.iter().find(|member| member.node == killed);
-        member.is_none_or(|member| !member.state.takes_work())
+        member.is_none_or(|member| !member.state.is_available())
     };
     let times = wait_for(
         fleet,
--- a/lab/sim/src/models/primary_lease.rs
+++ b/lab/sim/src/models/primary_lease.rs
@@ -28,8 +28,8 @@
 ];
 /// Names of the nodes, under which they vote.
 const NAMES: [&str; NODES] = ["first", "second", "third"];
-/// Order in which the nodes stand in for a coordinator that does not answer.
-const STAND_IN_ORDER: [usize; NODES] = [0, 2, 1];
+/// Order in which the nodes substitute for a coordinator that does not answer.
+const SUBSTITUTE_ORDER: [usize; NODES] = [0, 2, 1];
 /// Time by which one `Tick` advances the clock.
 const TICK: Duration = Duration::from_millis(500);
 /// Maximum number of ticks; the clock stops after them.
@@ -126,7 +126,7 @@
             let to = match grantor {
                 Grantor::Coordinator if own.lease.coordinator() == REVISIONS[1] => SECOND,
                 Grantor::Coordinator => FIRST,
-                Grantor::StandIn(place) => STAND_IN_ORDER[place % NODES],
+                Grantor::Substitute(index) => SUBSTITUTE_ORDER[index % NODES],
             };
             own.request = Some((to, request, own.informed));
         }
--- a/lab/tests/callers.rs
+++ b/lab/tests/caller_sessions.rs
@@ -1,14 +1,14 @@
 //! PostgreSQL clients on two proxies in front of a group of databases: statements,
 //! transactions, session tokens and request ids, over real connection pools.
 
-mod common;
+mod operator_support;
 
 use std::sync::Arc;
 
-use common::{bundle_of, connect, roll, settings, wait_until_in_force};
 use hookpoint::proxy::{Proxy, ProxyHandle};
 use hookpoint_lab::stack::{DatabaseOptions, Stack};
 use hookpoint_workload::deployment::costa_rica;
+use operator_support::{bundle_of, connect, roll, settings, wait_until_in_force};
 use tokio_postgres::SimpleQueryMessage;
 
 const LEDGER: &str = "CREATE SCHEMA IF NOT EXISTS hookpoint; \
--- a/lab/tests/end_to_end.rs
+++ b/lab/tests/end_to_end.rs
@@ -1,7 +1,7 @@
 //! One proxy in front of one group of three databases: a write and a read on a replica
 //! through a PostgreSQL client library, with a bundle from the platform.
 
-mod running;
+mod laboratory_support;
 
 use hookpoint_lab::stack::database_credentials;
 use hookpoint_workload::audit::final_state;
@@ -23,9 +23,9 @@
 }
 
 async fn check_write_and_replica_read(protocol: Protocol) -> anyhow::Result<()> {
-    let laboratory = running::laboratory(1).await?;
+    let laboratory = laboratory_support::laboratory(1).await?;
     let recorder = Recorder::new();
-    let mut session = running::session(&laboratory, &recorder, 1, 0, protocol);
+    let mut session = laboratory_support::session(&laboratory, &recorder, 1, 0, protocol);
     assert!(
         session.write(WriteKind::Reminder).await,
         "{:?}",
@@ -33,12 +33,12 @@
     );
     for _ in 0..MAX_READS {
         session.read_own().await;
-        if running::last_read_on_replica(&recorder) {
+        if laboratory_support::last_read_on_replica(&recorder) {
             break;
         }
     }
     assert!(
-        running::last_read_on_replica(&recorder),
+        laboratory_support::last_read_on_replica(&recorder),
         "{:?}",
         recorder.snapshot()
     );
--- a/lab/tests/operator.rs
+++ b/lab/tests/operator.rs
@@ -1,13 +1,12 @@
 //! Operators' commands on bundles, against the platform stand-in and its faults.
 
-mod common;
+mod operator_support;
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use common::{operator_key, small_bundle};
-use hookpoint::operator::{Operator, OperatorError, Winner};
+use hookpoint::operator::{AppliedRoll, Operator, OperatorError};
 use hookpoint_protocol::platform::records::{
     ACTIVE_KEY, ActivePointer, BUNDLE_PREFIX, BundleRecord, HISTORY_PREFIX, bundle_key,
 };
@@ -15,6 +14,7 @@
 use hookpoint_state::BundleVersion;
 use hookpoint_state::bundle::{OperatorKey, SignatureError, TrustedKeys};
 use hookpoint_transport::platform::PlatformClient;
+use operator_support::{operator_key, small_bundle};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
@@ -164,10 +164,13 @@
             other => panic!("exactly one roll must succeed: {other:?}"),
         };
         assert_eq!(won.pointer, winner);
-        let OperatorError::Conflict { winner: reported } = lost else {
+        let OperatorError::Conflict {
+            conflicting: reported,
+        } = lost
+        else {
             panic!("the other roll must report a conflict: {lost}");
         };
-        let expected = Winner {
+        let expected = AppliedRoll {
             version: winner.version,
             by: winner.rolled.by.clone(),
         };
--- a/lab/tests/proxy.rs
+++ b/lab/tests/proxy.rs
@@ -1,12 +1,11 @@
 //! One proxy with a client, a group of databases and the platform, in one process.
 
-mod common;
+mod operator_support;
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{STEP_TIMEOUT, bundle_of, connect, operator_key, roll, settings, wait_until_in_force};
 use hookpoint::proxy::{Proxy, ProxyHandle};
 use hookpoint_coordination::explain::{Decision, Entry};
 use hookpoint_lab::stack::{DatabaseOptions, Stack};
@@ -15,6 +14,9 @@
 use hookpoint_state::{SessionId, ZoneName};
 use hookpoint_transport::admin::{FleetStatus, Health, Readiness};
 use hookpoint_workload::deployment::costa_rica;
+use operator_support::{
+    STEP_TIMEOUT, bundle_of, connect, operator_key, roll, settings, wait_until_in_force,
+};
 
 #[actix_rt::test]
 async fn a_write_and_its_read_pass_through_a_proxy_with_a_rolled_bundle() {
@@ -135,7 +137,7 @@
     let proxy = Proxy::start(settings(&stack, 0)).await.expect("a proxy");
     let first = roll(&stack, bundle_of(&stack)).await;
     wait_until_in_force(&proxy, first).await;
-    let operator = common::operator(&stack);
+    let operator = operator_support::operator(&stack);
     let untrusted_key = OperatorKey::from_secret([66; 32]);
     let record = operator.prepare(bundle_of(&stack)).await.expect("prepared");
     let untrusted = record.bundle.version;
@@ -174,7 +176,7 @@
     // force.
     let reassigned = roll(&stack, bundle_of(&stack)).await;
     assert_eq!(reassigned, second);
-    let operator = common::operator(&stack);
+    let operator = operator_support::operator(&stack);
     let record = operator
         .prepare_above(bundle_of(&stack), BundleVersion(40))
         .await;
--- a/lab/tests/resubmission.rs
+++ b/lab/tests/request_ledger.rs
@@ -1,7 +1,7 @@
 //! A request that must not run twice is submitted again to another proxy: with the request
 //! ledger it runs once; without it, as a negative control, the checker finds it doubled.
 
-mod running;
+mod laboratory_support;
 
 use std::sync::Arc;
 
@@ -27,7 +27,7 @@
         ..LaboratoryOptions::default()
     };
     let laboratory =
-        Arc::new(Laboratory::start(running::single_group_deployment(), options).await?);
+        Arc::new(Laboratory::start(laboratory_support::single_group_deployment(), options).await?);
     let deployment = laboratory.stack.deployment.clone();
     let group = deployment.groups[0].name.clone();
     let mut history = History::default();
@@ -43,8 +43,13 @@
         .statement(deployment.application);
         let credentials = caller_credentials(&group, 0);
         let none = TokenDelivery::None;
-        let mut connection =
-            ClientConnection::open(address, &credentials, &none, running::REQUEST_TIMEOUT).await?;
+        let mut connection = ClientConnection::open(
+            address,
+            &credentials,
+            &none,
+            laboratory_support::REQUEST_TIMEOUT,
+        )
+        .await?;
         let result = match connection.simple(&statement).await {
             Ok(messages) => OperationResult::Written {
                 rows: affected(&messages).unwrap_or(0),
--- a/lab/tests/rollout.rs
+++ b/lab/tests/rollout.rs
@@ -1,11 +1,10 @@
 //! Distribution of bundles between proxies, also during an outage of the platform.
 
-mod common;
+mod operator_support;
 
 use std::sync::Arc;
 use std::time::Duration;
 
-use common::{STEP_TIMEOUT, bundle_of, connect, operator_key, roll, settings, wait_until_in_force};
 use hookpoint::proxy::{Proxy, ProxyHandle};
 use hookpoint::settings::HexKey;
 use hookpoint_coordination::rollout::WATCHERS_PER_ZONE;
@@ -13,6 +12,9 @@
 use hookpoint_standin::platform::{OutageMode, RequestKind};
 use hookpoint_state::BundleVersion;
 use hookpoint_workload::deployment::costa_rica;
+use operator_support::{
+    STEP_TIMEOUT, bundle_of, connect, operator_key, roll, settings, wait_until_in_force,
+};
 
 async fn stack() -> Stack {
     Stack::start(Arc::new(costa_rica()), DatabaseOptions::default())
@@ -35,7 +37,7 @@
             .fleet()
             .members()
             .iter()
-            .filter(|member| member.state.takes_work())
+            .filter(|member| member.state.is_available())
             .count()
             != count
         {
@@ -145,7 +147,7 @@
     settings.bundles.trusted_keys = vec![other.public_text()];
     let other_trust_proxy = Proxy::start(settings).await.expect("a proxy");
     wait_for_members(&other_trust_proxy, 1).await;
-    let operator = common::operator(&stack);
+    let operator = operator_support::operator(&stack);
     let record = operator.prepare(bundle_of(&stack)).await.expect("prepared");
     let second = record.bundle.version;
     operator
--- a/lab/tests/scenarios.rs
+++ b/lab/tests/scenarios.rs
@@ -1,7 +1,7 @@
 //! Faults under load on one group. The checker decides on the result; no timing is
 //! asserted.
 
-mod running;
+mod laboratory_support;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -40,7 +40,11 @@
 }
 
 async fn run_scenario(steps: &[(f64, &str)]) -> anyhow::Result<DemoOutcome> {
-    demo::run(&settings(running::single_group_deployment(), steps)).await
+    demo::run(&settings(
+        laboratory_support::single_group_deployment(),
+        steps,
+    ))
+    .await
 }
 
 async fn assert_no_violations(steps: &[(f64, &str)]) -> anyhow::Result<DemoOutcome> {
@@ -138,7 +142,7 @@
         (0.2, "isolate primary mensajes-1"),
         (0.7, "rejoin mensajes-1-a"),
     ];
-    let mut settings = settings(running::single_group_deployment(), &steps);
+    let mut settings = settings(laboratory_support::single_group_deployment(), &steps);
     settings.without = Some(Protection::Term);
     let outcome = demo::run(&settings).await?;
     let lost = |found: &Violation| matches!(found, Violation::WriteLost { .. });
