--- a/crates/coordination/tests/serving_coordinator.rs
+++ b/crates/coordination/tests/serving_coordinator.rs
@@ -19,8 +19,8 @@
 }
 
 /// Guards against a node without leases after a store outage: the coordinator's record had expired,
-/// and only one node received that change. It asked substitute coordinators without success, because
-/// all other nodes still voted for the coordinator.
+/// and only one node received that change. It asked substitute coordinators without success,
+/// because all other nodes still voted for the coordinator.
 #[test]
 fn a_coordinator_without_a_record_is_still_the_newest_known() {
     let mut view = CoordinatorView::default();
--- a/lab/src/commands/load.rs
+++ b/lab/src/commands/load.rs
@@ -136,7 +136,7 @@
         .map(|address| {
             address
                 .parse()
-                .with_context(|| format!("{address} is not of the form ip:port"))
+                .with_context(|| format!("{address} is not an ip:port address"))
         })
         .collect::<anyhow::Result<Vec<SocketAddr>>>()?;
     if addresses.is_empty() {
--- a/lab/src/commands/measure.rs
+++ b/lab/src/commands/measure.rs
@@ -121,7 +121,7 @@
 
 fn address(text: &str) -> anyhow::Result<SocketAddr> {
     text.parse()
-        .with_context(|| format!("{text} is not of the form ip:port"))
+        .with_context(|| format!("{text} is not an ip:port address"))
 }
 
 fn numbers(text: &str) -> anyhow::Result<Vec<usize>> {
--- a/lab/standin/src/links/zones.rs
+++ b/lab/standin/src/links/zones.rs
@@ -29,8 +29,8 @@
 /// latency between zones would never be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RegionSpacing {
-    /// The zones of a deployment are close to each other: the latency between zones
-    /// applies to all of them, and region names are only labels.
+    /// The latency between zones applies to all zones of a deployment; region names are
+    /// only labels.
     UseZoneLatency,
     /// The latency between regions applies whenever the region names differ.
     UseRegionLatency,
