--- a/lab/measure/src/scale/phases.rs
+++ b/lab/measure/src/scale/phases.rs
@@ -177,7 +177,7 @@
 ) -> Result<ScalePoint, ScaleError> {
     let (traffic, reading, began) = (fleet.traffic(), Process::Own.read()?, Instant::now());
     let requests = fleet.platform.requests();
-    sleep(settings.quiet).await;
+    sleep(settings.quiet_period).await;
     let (after, reading_after) = (fleet.traffic(), Process::Own.read()?);
     let seconds = began.elapsed().as_secs_f64();
     let nodes = fleet.nodes.len() as f64;
@@ -262,7 +262,7 @@
     let has_detected = |node: &HollowNode| {
         let members = node.fleet.members();
         let member = members.iter().find(|member| member.node == killed);
-        member.is_none_or(|member| !member.state.takes_work())
+        member.is_none_or(|member| !member.state.is_available())
     };
     let times = wait_for(
         fleet,
