--- a/crates/coordination/benches/decisions.rs
+++ b/crates/coordination/benches/decisions.rs
@@ -16,7 +16,7 @@
     Lane, RequestNumber, SlotAction, SlotEvent, SlotPolicy, SlotTable, WaitingRequest,
 };
 use hookpoint_coordination::status::{BackendStatus, FlushedReplica, Role};
-use hookpoint_coordination::terms::{Member, Proximity, TermTable};
+use hookpoint_coordination::terms::{GroupMember, Proximity, TermTable};
 use hookpoint_state::bundle::ReadPreference;
 use hookpoint_state::{
     BundleVersion, DatabaseName, GroupName, Lsn, NodeId, Position, RegionName, SessionId,
@@ -54,7 +54,7 @@
 fn term_table() -> TermTable {
     let mut table = TermTable::new();
     for index in 0..GROUPS {
-        let members = (0..3).map(|member| Member {
+        let members = (0..3).map(|member| GroupMember {
             name: database(index, member),
             proximity: Proximity::SameRegion,
             draining: false,
--- a/crates/coordination/src/home/table.rs
+++ b/crates/coordination/src/home/table.rs
@@ -235,7 +235,7 @@
 
     /// Returns the candidates for `database` in descending order of score, at most
     /// `count`.
-    pub fn choices(&self, database: &DatabaseName, count: usize) -> Vec<NodeId> {
+    pub fn candidates_by_score(&self, database: &DatabaseName, count: usize) -> Vec<NodeId> {
         let Some(entry) = self.databases.get(database) else {
             return Vec::new();
         };
--- a/crates/coordination/src/node/machine.rs
+++ b/crates/coordination/src/node/machine.rs
@@ -158,8 +158,8 @@
         if !self.homes.is_configured(database) {
             return None;
         }
-        let choices = self.homes.choices(database, failed.len() + 1);
-        let next = choices.into_iter().find(|node| !failed.contains(node));
+        let candidates = self.homes.candidates_by_score(database, failed.len() + 1);
+        let next = candidates.into_iter().find(|node| !failed.contains(node));
         next.and_then(|node| self.route_to(node))
             .or(Some(Route::Here))
     }
--- a/crates/coordination/src/observer/tests.rs
+++ b/crates/coordination/src/observer/tests.rs
@@ -9,7 +9,7 @@
 
 use super::*;
 use crate::status::{BackendStatus, Role};
-use crate::terms::{Member, Proximity, TermTable};
+use crate::terms::{GroupMember, Proximity, TermTable};
 
 fn status(role: Role, term: u32) -> BackendStatus {
     BackendStatus {
@@ -36,7 +36,7 @@
     fn new(seed: u64, homes: &[&str]) -> Self {
         let group = GroupName::from("books");
         let mut terms = TermTable::new();
-        let members = NAMES.map(|name| Member {
+        let members = NAMES.map(|name| GroupMember {
             name: name.into(),
             proximity: Proximity::SameZone,
             draining: false,
@@ -310,7 +310,7 @@
     for (name, answers, expected) in cases {
         let mut verification = Verification::new(3);
         for (index, answer) in answers.into_iter().enumerate() {
-            verification.answered(NAMES[index].into(), answer);
+            verification.record_answer(NAMES[index].into(), answer);
         }
         assert_eq!(verification.state(), expected, "{name}");
     }
--- a/crates/coordination/src/observer/verification.rs
+++ b/crates/coordination/src/observer/verification.rs
@@ -39,7 +39,7 @@
     }
 
     /// Records the answer of `database`, or `None` if it did not answer.
-    pub fn answered(&mut self, database: DatabaseName, status: Option<BackendStatus>) {
+    pub fn record_answer(&mut self, database: DatabaseName, status: Option<BackendStatus>) {
         self.answers.insert(database, status);
     }
 
@@ -61,7 +61,7 @@
         let statuses = self.answers.values().flatten();
         statuses
             .filter(|status| status.term == term && status.role == Role::Primary)
-            .map(BackendStatus::position)
+            .map(BackendStatus::log_position)
             .next()
     }
 }
--- a/crates/coordination/src/request/acknowledge.rs
+++ b/crates/coordination/src/request/acknowledge.rs
@@ -97,7 +97,7 @@
         if term_changed {
             return Verdict::OutcomeUnknown(UnknownCause::TermChanged);
         }
-        let target = *self.target.get_or_insert(status.position());
+        let target = *self.target.get_or_insert(status.log_position());
         let holders = view.holders(status, target.lsn);
         if holders >= view.majority() {
             return Verdict::Confirmed {
--- a/crates/coordination/src/request/machine.rs
+++ b/crates/coordination/src/request/machine.rs
@@ -316,7 +316,7 @@
         }
         actions.push(RequestAction::Record(Decision::CheckFailed {
             database: self.database.clone().unwrap_or_default(),
-            position: status.position(),
+            position: status.log_position(),
         }));
         if self.needs_evidence() {
             return self.give_up(UnknownCause::TermChanged, actions);
@@ -330,7 +330,7 @@
             return true;
         }
         self.required
-            .is_none_or(|required| status.position().includes(required))
+            .is_none_or(|required| status.log_position().includes(required))
     }
 
     /// Drops the connection and its answer and tries another database. Only called while
@@ -419,7 +419,7 @@
             evidence.evaluate(now, view, status)
         } else {
             Verdict::Confirmed {
-                position: status.position(),
+                position: status.log_position(),
                 holders: 0,
             }
         };
--- a/crates/coordination/src/request/mod.rs
+++ b/crates/coordination/src/request/mod.rs
@@ -20,4 +20,4 @@
 pub use event::{RequestEvent, UnitResult};
 pub use machine::RequestMachine;
 pub use profile::{Access, RequestProfile, Unit};
-pub use route::{Route, RouteQuery, choose};
+pub use route::{RouteChoice, RouteQuery, choose};
--- a/crates/coordination/src/request/route.rs
+++ b/crates/coordination/src/request/route.rs
@@ -30,7 +30,7 @@
 
 /// A routing decision and its reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Route {
+pub struct RouteChoice {
     /// Database chosen.
     pub database: DatabaseName,
     /// Why it was chosen.
@@ -41,7 +41,7 @@
 ///
 /// Writes go to the primary. Reads go to the nearest, least loaded replica that is
 /// expected to have replayed `required`, and to the primary when there is none.
-pub fn choose(view: &GroupView, query: RouteQuery<'_>) -> Option<Route> {
+pub fn choose(view: &GroupView, query: RouteQuery<'_>) -> Option<RouteChoice> {
     if query.access == Access::Write {
         return primary(view, query, RouteReason::Write);
     }
@@ -54,7 +54,7 @@
         return Some(route);
     }
     if let Some(replica) = fresh_replica(view, query) {
-        return Some(Route {
+        return Some(RouteChoice {
             database: replica.name.clone(),
             reason: RouteReason::FreshReplica,
         });
@@ -62,13 +62,13 @@
     primary(view, query, RouteReason::NoFreshReplica)
 }
 
-fn primary(view: &GroupView, query: RouteQuery<'_>, reason: RouteReason) -> Option<Route> {
+fn primary(view: &GroupView, query: RouteQuery<'_>, reason: RouteReason) -> Option<RouteChoice> {
     let primary = view.primary()?;
     let known_term = query
         .required
         .is_none_or(|required| primary.position.term >= required.term);
     let confirmed = query.access == Access::Read || primary.unconfirmed.is_none();
-    (is_usable(primary, query) && known_term && confirmed).then(|| Route {
+    (is_usable(primary, query) && known_term && confirmed).then(|| RouteChoice {
         database: primary.name.clone(),
         reason,
     })
--- a/crates/coordination/src/request/tests/mod.rs
+++ b/crates/coordination/src/request/tests/mod.rs
@@ -14,7 +14,7 @@
     Access, RequestAction, RequestEvent, RequestMachine, RequestProfile, Unit, UnitResult,
 };
 use crate::status::{BackendStatus, FlushedReplica, Role};
-use crate::terms::{GroupView, Member, Proximity, TermTable};
+use crate::terms::{GroupMember, GroupView, Proximity, TermTable};
 
 const READ: Unit = Unit {
     access: Access::Read,
@@ -55,7 +55,7 @@
 /// replica `c` at 40.
 fn table() -> TermTable {
     let mut table = TermTable::new();
-    let member = |name: &str, proximity| Member {
+    let member = |name: &str, proximity| GroupMember {
         name: DatabaseName::new(name),
         proximity,
         draining: false,
@@ -549,7 +549,7 @@
     harness.table.configure(
         &group(),
         ReadPreference::Replica,
-        ["a", "b", "c"].map(|name| Member {
+        ["a", "b", "c"].map(|name| GroupMember {
             name: DatabaseName::new(name),
             proximity: Proximity::SameZone,
             draining: name == "a",
--- a/crates/coordination/src/serving/coordinator.rs
+++ b/crates/coordination/src/serving/coordinator.rs
@@ -88,7 +88,7 @@
             return;
         }
         if let Some(record) = &record {
-            self.note_announcement(revision, &record.node);
+            self.note_coordinator(revision, &record.node);
         }
         self.revision = match record {
             Some(_) => revision,
@@ -106,7 +106,7 @@
     /// Records that the coordinator whose record has this `revision` is `node`, as known from the
     /// record or from an announcement. For a node that has lost the store, announcements are the
     /// only way to learn of a new coordinator.
-    pub fn note_announcement(&mut self, revision: StoreRevision, node: &str) {
+    pub fn note_coordinator(&mut self, revision: StoreRevision, node: &str) {
         if self
             .newest
             .as_ref()
--- a/crates/coordination/src/serving/fleet.rs
+++ b/crates/coordination/src/serving/fleet.rs
@@ -3,7 +3,7 @@
 //! The home nodes of a database are nodes of its own zone as long as that zone has enough of them,
 //! so choosing them only considers that zone. A node that joins changes the home nodes of just
 //! those databases where it ranks high enough, and one that leaves those of the databases that had
-//! it as a home node: see [`wins_place`].
+//! it as a home node: see [`becomes_home`].
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -94,7 +94,7 @@
 }
 
 /// Returns whether a node that joins replaces one of `homes`, the current home nodes of `database`.
-pub fn wins_place(
+pub fn becomes_home(
     database: &DatabaseName,
     zone: &ZoneName,
     homes: &[HomeCandidate],
--- a/crates/coordination/src/serving/homes.rs
+++ b/crates/coordination/src/serving/homes.rs
@@ -24,9 +24,7 @@
 
 impl ConnectionSharing {
     /// Returns the minimum number of connections per home node. If each connection serves a single
-    /// tenant, fewer home nodes with more connections each give shorter waits: with 8 instead of 4,
-    /// a fleet of 59 nodes and 72 tenants earned 0.885 instead of 0.873 of the achievable value, as
-    /// the mean of five days with faults.
+    /// tenant, fewer home nodes with more connections each give shorter waits.
     fn connections_per_home(self) -> usize {
         match self {
             ConnectionSharing::Shared => 4,
--- a/crates/coordination/src/serving/lease_grantor.rs
+++ b/crates/coordination/src/serving/lease_grantor.rs
@@ -18,7 +18,7 @@
 pub const OUTAGE_AUTHORITY_TIME: Duration = Duration::from_secs(12);
 /// How long a node that is no longer registered counts as a voter: until nodes that still count it,
 /// because they have lost the store, can no longer grant leases.
-pub const VOTER_MEMORY: Duration = Duration::from_secs(15);
+pub const VOTER_RETENTION: Duration = Duration::from_secs(15);
 
 /// This node's term as coordinator according to the store.
 #[derive(Clone, Copy, Debug)]
--- a/crates/coordination/src/serving/peer_contact.rs
+++ b/crates/coordination/src/serving/peer_contact.rs
@@ -57,7 +57,7 @@
 
 /// Whether a request may be sent to a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Approach {
+pub enum SendDecision {
     /// The request may be sent.
     Send,
     /// The peer is silent.
@@ -151,14 +151,14 @@
 
     /// Returns whether a request may be sent to a peer. The caller must send the probe that the
     /// result asks for.
-    pub fn check_send(&mut self, peer: &str, now: Timestamp) -> Approach {
+    pub fn check_send(&mut self, peer: &str, now: Timestamp) -> SendDecision {
         if !self.is_silent(peer, now) {
-            return Approach::Send;
+            return SendDecision::Send;
         }
         if self.probe_if_due(peer, ProbePurpose::Ahead, now) {
-            Approach::AvoidAndProbe
+            SendDecision::AvoidAndProbe
         } else {
-            Approach::Avoid
+            SendDecision::Avoid
         }
     }
 
--- a/crates/coordination/src/serving/quota.rs
+++ b/crates/coordination/src/serving/quota.rs
@@ -142,7 +142,7 @@
     }
 
     /// Returns the share of one of `holders` holders.
-    pub fn part(self, holders: usize) -> Self {
+    pub fn share(self, holders: usize) -> Self {
         let holders = u64::try_from(holders.max(1)).unwrap_or(u64::MAX);
         Self {
             rate: self.rate / holders,
--- a/crates/coordination/src/serving/selection.rs
+++ b/crates/coordination/src/serving/selection.rs
@@ -51,7 +51,7 @@
     /// [`reliability::WHOLE`]: super::reliability::WHOLE
     pub failure_share: u32,
     /// Whether it has announced its departure.
-    pub draining: bool,
+    pub leaving: bool,
     /// Whether another database is to be preferred because this one's zone is being evacuated, or
     /// was until recently.
     pub zone_avoided: bool,
@@ -92,7 +92,7 @@
         if self.lagging {
             cost += AVOIDED_COST / 4;
         }
-        if self.draining {
+        if self.leaving {
             cost += AVOIDED_COST;
         }
         if self.zone_avoided {
--- a/crates/coordination/src/serving/store_freshness.rs
+++ b/crates/coordination/src/serving/store_freshness.rs
@@ -118,7 +118,7 @@
     /// Wait of a watch on which other nodes depend.
     pub watch: Duration,
     /// Age at which a node switches to another source.
-    pub oldest: Duration,
+    pub max_age: Duration,
 }
 
 impl FreshnessLimits {
@@ -127,7 +127,7 @@
         let watch = MAX_WATCH_WAIT.min(limit / 2);
         Self {
             watch,
-            oldest: (watch + FORWARDING_TIME).min(limit * 3 / 4),
+            max_age: (watch + FORWARDING_TIME).min(limit * 3 / 4),
         }
     }
 }
@@ -244,7 +244,7 @@
 
     /// Returns whether the knowledge is recent enough to count as the store's current state.
     pub fn is_fresh(&self, now: Timestamp, limits: FreshnessLimits) -> bool {
-        self.age(now) < limits.oldest
+        self.age(now) < limits.max_age
     }
 
     /// Returns whether the store rejected a call of this node recently and has not answered one
@@ -300,7 +300,10 @@
         if self.searching_since.is_some() {
             return SEARCH_HOLD;
         }
-        limits.oldest.saturating_sub(self.age(now)).max(SEARCH_HOLD)
+        limits
+            .max_age
+            .saturating_sub(self.age(now))
+            .max(SEARCH_HOLD)
     }
 
     /// Returns the interval before upstreams that provided nothing newer are asked again.
--- a/crates/coordination/src/status.rs
+++ b/crates/coordination/src/status.rs
@@ -36,7 +36,7 @@
 
 impl BackendStatus {
     /// Returns the term and position together.
-    pub fn position(&self) -> Position {
+    pub fn log_position(&self) -> Position {
         Position {
             term: self.term,
             lsn: self.position,
--- a/crates/coordination/src/terms.rs
+++ b/crates/coordination/src/terms.rs
@@ -28,7 +28,7 @@
 
 /// A database of a group as configured by the bundle, relative to this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Member {
+pub struct GroupMember {
     /// Name of the database.
     pub name: DatabaseName,
     /// Network distance from this node.
@@ -251,7 +251,7 @@
         &mut self,
         group: &GroupName,
         reads: ReadPreference,
-        members: impl IntoIterator<Item = Member>,
+        members: impl IntoIterator<Item = GroupMember>,
     ) {
         let view = self.groups.entry(group.clone()).or_default();
         view.reads = reads;
--- a/crates/coordination/tests/serving.rs
+++ b/crates/coordination/tests/serving.rs
@@ -275,12 +275,12 @@
     assert_eq!(demand.connections_to_keep(at(30_000)), 1);
 }
 
-fn replica(text: &str, received: u64, draining: bool) -> ReplicaState {
+fn replica(text: &str, received: u64, leaving: bool) -> ReplicaState {
     ReplicaState {
         name: name(text),
         received: Position::new(1, received),
         drawbacks: Drawbacks {
-            leaving: draining,
+            leaving,
             ..Drawbacks::default()
         },
         preferred: false,
@@ -315,7 +315,7 @@
         wait: ms(0),
         service_time: ms(20),
         failure_share: 0,
-        draining: false,
+        leaving: false,
         zone_avoided: false,
         suspect: false,
         lagging: false,
@@ -364,11 +364,11 @@
         ..near.clone()
     };
     assert_eq!(rank(vec![avoided, far.clone()])[0], name("far"));
-    let draining = Candidate {
-        draining: true,
+    let leaving = Candidate {
+        leaving: true,
         ..near
     };
-    assert_eq!(rank(vec![draining, far])[0], name("far"));
+    assert_eq!(rank(vec![leaving, far])[0], name("far"));
 }
 
 fn database(text: &str, draining: bool) -> Database {
--- a/crates/coordination/tests/serving_cold_start.rs
+++ b/crates/coordination/tests/serving_cold_start.rs
@@ -198,7 +198,7 @@
         wait: ms(0),
         service_time: ms(20),
         failure_share: 0,
-        draining: false,
+        leaving: false,
         zone_avoided: false,
         suspect: false,
         lagging: false,
@@ -212,7 +212,7 @@
     };
     assert_eq!(rank(vec![cold.clone(), far.clone()])[0], far.name);
     let leaving = Candidate {
-        draining: true,
+        leaving: true,
         ..far
     };
     assert_eq!(rank(vec![cold.clone(), leaving])[0], cold.name);
--- a/crates/coordination/tests/serving_coordinator.rs
+++ b/crates/coordination/tests/serving_coordinator.rs
@@ -38,9 +38,9 @@
     let mut view = CoordinatorView::default();
     assert_eq!(view.newest(), None);
     view.take_record(revision(7), Some(record("first")));
-    view.note_announcement(revision(12), "second");
+    view.note_coordinator(revision(12), "second");
     assert_eq!(view.newest(), Some("second"));
-    view.note_announcement(revision(7), "first");
+    view.note_coordinator(revision(7), "first");
     assert_eq!(view.newest(), Some("second"));
     assert_eq!(view.holder(), Some(&record("first")));
     view.take_record(revision(15), Some(record("third")));
--- a/crates/coordination/tests/serving_database_incarnation.rs
+++ b/crates/coordination/tests/serving_database_incarnation.rs
@@ -193,12 +193,12 @@
     assert_eq!(leadership.newest_sample(), None);
 }
 
-fn replica(text: &str, received: u64, draining: bool, preferred: bool) -> ReplicaState {
+fn replica(text: &str, received: u64, leaving: bool, preferred: bool) -> ReplicaState {
     ReplicaState {
         name: name(text),
         received: Position::new(1, received),
         drawbacks: Drawbacks {
-            leaving: draining,
+            leaving,
             ..Drawbacks::default()
         },
         preferred,
--- a/crates/coordination/tests/serving_fleet.rs
+++ b/crates/coordination/tests/serving_fleet.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hookpoint_coordination::serving::fleet::{Fleet, wins_place};
+use hookpoint_coordination::serving::fleet::{Fleet, becomes_home};
 use hookpoint_coordination::serving::homes::{HomeCandidate, choose_homes};
 use hookpoint_state::{DatabaseName, ZoneName};
 use quickcheck::quickcheck;
@@ -67,8 +67,8 @@
             let (name, zone) = database(number);
             let known = homes(&before, number);
             let has_room = known.len() < HOMES;
-            let wins = has_room || wins_place(&name, &zone, &known, &joining);
-            wins == (homes(&after, number) != known)
+            let is_home = has_room || becomes_home(&name, &zone, &known, &joining);
+            is_home == (homes(&after, number) != known)
         })
     }
 
@@ -97,7 +97,7 @@
     (0..databases)
         .filter(|number| {
             let (name, zone) = database(*number);
-            wins_place(&name, &zone, &homes(&fleet, *number), &joining)
+            becomes_home(&name, &zone, &homes(&fleet, *number), &joining)
         })
         .count()
 }
--- a/crates/coordination/tests/serving_peer_contact.rs
+++ b/crates/coordination/tests/serving_peer_contact.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::peer_contact::{
-    Approach, LONGEST_ROUND_TRIP, PeerContacts, WaitAction,
+    LONGEST_ROUND_TRIP, PeerContacts, SendDecision, WaitAction,
 };
 use hookpoint_state::Timestamp;
 use quickcheck::quickcheck;
@@ -65,13 +65,13 @@
 fn nothing_is_sent_to_a_silent_peer_until_it_answers() {
     let mut contacts = PeerContacts::default();
     let (_, now) = wait_for_answer(&mut contacts, 0, None);
-    let approaches: Vec<Approach> = (0..40)
+    let decisions: Vec<SendDecision> = (0..40)
         .map(|step| contacts.check_send(PEER, at(now + step * 10)))
         .collect();
-    assert!(!approaches.contains(&Approach::Send));
-    let probes = approaches
+    assert!(!decisions.contains(&SendDecision::Send));
+    let probes = decisions
         .iter()
-        .filter(|approach| **approach == Approach::AvoidAndProbe)
+        .filter(|decision| **decision == SendDecision::AvoidAndProbe)
         .count();
     assert!((1..=3).contains(&probes), "{probes} probes in 400 ms");
     assert!(contacts.note_given_up(PEER), "reported once");
@@ -79,14 +79,17 @@
     let silent_for = contacts.note_received(PEER, at(now + 400)).unwrap();
     assert!(silent_for >= Duration::from_millis(400), "{silent_for:?}");
     assert_eq!(contacts.note_received(PEER, at(now + 401)), None);
-    assert_eq!(contacts.check_send(PEER, at(now + 410)), Approach::Send);
+    assert_eq!(contacts.check_send(PEER, at(now + 410)), SendDecision::Send);
 }
 
 #[test]
 fn an_old_silence_is_forgotten() {
     let mut contacts = PeerContacts::default();
     let (_, now) = wait_for_answer(&mut contacts, 0, None);
-    assert_eq!(contacts.check_send(PEER, at(now + 60_000)), Approach::Send);
+    assert_eq!(
+        contacts.check_send(PEER, at(now + 60_000)),
+        SendDecision::Send
+    );
     let (_, gave_up_after) = wait_for_answer(&mut contacts, now + 60_000, None);
     assert!(gave_up_after >= 120, "assessed again: {gave_up_after}");
 }
@@ -97,14 +100,14 @@
     assert!(contacts.probe_ahead(PEER, at(40)));
     assert!(!contacts.probe_ahead(PEER, at(50)));
     let later = at(40) + LONGEST_ROUND_TRIP;
-    assert_ne!(contacts.check_send(PEER, later), Approach::Send);
+    assert_ne!(contacts.check_send(PEER, later), SendDecision::Send);
 }
 
 #[test]
 fn a_peer_that_is_never_waited_for_is_never_probed() {
     let mut contacts = PeerContacts::default();
     for step in 0..1_000 {
-        assert_eq!(contacts.check_send(PEER, at(step)), Approach::Send);
+        assert_eq!(contacts.check_send(PEER, at(step)), SendDecision::Send);
     }
 }
 
--- a/crates/coordination/tests/serving_probe_budget.rs
+++ b/crates/coordination/tests/serving_probe_budget.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use hookpoint_coordination::serving::peer_contact::{Approach, PeerContacts, WaitAction};
+use hookpoint_coordination::serving::peer_contact::{PeerContacts, SendDecision, WaitAction};
 use hookpoint_coordination::serving::probe_budget::{
     PROBE_BURST, PROBES_PER_SECOND, ProbeBudget, ProbePurpose, silent_probe_interval,
 };
@@ -104,7 +104,7 @@
     for peer in &names[..3] {
         assert_ne!(
             contacts.check_send(peer, at(160)),
-            Approach::Send,
+            SendDecision::Send,
             "known by then"
         );
     }
--- a/crates/coordination/tests/serving_quota.rs
+++ b/crates/coordination/tests/serving_quota.rs
@@ -93,7 +93,7 @@
 fn run_steps(steps: &[Step], limit: GrantLimit, token_life: Duration) -> Vec<u64> {
     let tenant = TenantName::new("clinic");
     let holders = limit.holders(MAX_HOLDERS);
-    let part = limit.part(holders);
+    let share = limit.share(holders);
     let mut now = at(1_000);
     let mut granting: Vec<(TokenHolder, Timestamp)> = (0..holders)
         .map(|_| (TokenHolder::default(), at(0)))
@@ -115,7 +115,7 @@
                 let (tokens, from) = &mut granting[holder % holders];
                 let max_wait = Duration::from_millis(u64::from(*max_wait_ms));
                 for _ in 0..*times {
-                    let answer = tokens.take(&tenant, part, *from, now, max_wait);
+                    let answer = tokens.take(&tenant, share, *from, now, max_wait);
                     if let TokenAnswer::Granted { after_us } = answer {
                         let late = token_life * u32::from(*late_permille) / 1_000;
                         let used = now + Duration::from_micros(after_us) + late;
--- a/crates/coordination/tests/serving_store_freshness.rs
+++ b/crates/coordination/tests/serving_store_freshness.rs
@@ -21,9 +21,9 @@
         let limit = millis(limit_ms);
         let limits = FreshnessLimits::of(limit);
         assert!(limits.watch <= millis(2_000), "{limits:?}");
-        assert!(limits.oldest <= limit * 3 / 4, "{limits:?}");
+        assert!(limits.max_age <= limit * 3 / 4, "{limits:?}");
         // A watcher detects a silent store before its followers switch to other sources.
-        assert!(limits.oldest >= watch_timeout(limits.watch), "{limits:?}");
+        assert!(limits.max_age >= watch_timeout(limits.watch), "{limits:?}");
     }
 }
 
@@ -179,7 +179,7 @@
     for age in [0, 500, 2_000, 2_700] {
         assert_eq!(
             freshness.upstream_timeout(at(age), limits),
-            limits.oldest - millis(age)
+            limits.max_age - millis(age)
         );
     }
     let least = freshness.upstream_timeout(at(20_000), limits);
--- a/crates/coordination/tests/serving_store_freshness_fleet.rs
+++ b/crates/coordination/tests/serving_store_freshness_fleet.rs
@@ -22,7 +22,7 @@
 /// Time within which a configuration has to be in force.
 const LIMIT: Duration = Duration::from_millis(6_000);
 /// Maximum age of knowledge, which leaves time to forward a configuration and to apply it.
-const OLDEST: Duration = Duration::from_millis(4_000);
+const MAX_AGE: Duration = Duration::from_millis(4_000);
 /// When the store begins to reject nodes, and when a simulation ends.
 const LOST_AT: u64 = 10_000;
 const END_AT: u64 = 24_000;
@@ -399,7 +399,7 @@
     /// Whether a node took its knowledge for newer than it was.
     too_new: bool,
     /// Maximum age of a node's knowledge after the fleet had started.
-    oldest: Duration,
+    max_age: Duration,
 }
 
 fn simulate(sizes: &[usize], refused: &[bool], refusal: Refusal, control: Control) -> Outcome {
@@ -413,7 +413,7 @@
         for machine in &fleet.machines {
             outcome.too_new |= machine.freshness.known_at() > machine.actual_as_of;
             if fleet.now >= at(LOST_AT) {
-                outcome.oldest = outcome.oldest.max(fleet.now.since(machine.actual_as_of));
+                outcome.max_age = outcome.max_age.max(fleet.now.since(machine.actual_as_of));
             }
         }
     }
@@ -433,9 +433,9 @@
             let outcome = simulate(&[6], &refused, refusal, Control::None);
             assert!(!outcome.too_new, "{refused:?}");
             assert!(
-                outcome.oldest <= OLDEST,
+                outcome.max_age <= MAX_AGE,
                 "{refused:?}: {:?}",
-                outcome.oldest
+                outcome.max_age
             );
         }
     }
@@ -450,7 +450,7 @@
         let refused: Vec<bool> = (0..14).map(|node| bits >> node & 1 == 1).collect();
         let outcome = simulate(&[6, 5, 3], &refused, Refusal::NoAnswer, Control::None);
         assert!(
-            !outcome.too_new && outcome.oldest <= OLDEST,
+            !outcome.too_new && outcome.max_age <= MAX_AGE,
             "{bits}: {outcome:?}"
         );
     }
@@ -469,7 +469,7 @@
             Refusal::WithError
         };
         let outcome = simulate(&[6, 5, 3], &refused, refusal, Control::None);
-        TestResult::from_bool(!outcome.too_new && outcome.oldest <= OLDEST)
+        TestResult::from_bool(!outcome.too_new && outcome.max_age <= MAX_AGE)
     }
     QuickCheck::new()
         .tests(60)
@@ -482,7 +482,7 @@
 fn forwarding_anything_lets_nodes_follow_each_other_until_knowledge_is_too_old() {
     let breaks = sets(6).any(|refused| {
         let outcome = simulate(&[6], &refused, Refusal::WithError, Control::ForwardAnything);
-        outcome.oldest > OLDEST
+        outcome.max_age > MAX_AGE
     });
     assert!(breaks);
 }
--- a/crates/serving/src/feed/following.rs
+++ b/crates/serving/src/feed/following.rs
@@ -140,7 +140,7 @@
             node.counters.count("store_followed", "peer");
             let age = Duration::from_millis(age_ms);
             // A starting node may receive an old state, which says nothing about the present one.
-            if revision != StoreRevision::default() || age < limits(node).oldest {
+            if revision != StoreRevision::default() || age < limits(node).max_age {
                 let covered = known_at - Duration::from_millis(covered_ms);
                 node.feed.note_relayed_report(known_at - age, covered);
             }
@@ -287,10 +287,10 @@
     names.iter().filter_map(|name| node.peer(name)).collect()
 }
 
-fn upstream_names(node: &Rc<Node>, helps: impl Fn(&str) -> bool) -> Vec<String> {
+fn upstream_names(node: &Rc<Node>, may_forward: impl Fn(&str) -> bool) -> Vec<String> {
     let nodes = node.registered_nodes();
     let regions = &node.changeable().regions;
-    store_upstreams(&node.as_candidate(), &nodes, regions, helps)
+    store_upstreams(&node.as_candidate(), &nodes, regions, may_forward)
         .into_iter()
         .map(str::to_owned)
         .collect()
--- a/crates/serving/src/homes.rs
+++ b/crates/serving/src/homes.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use hookpoint_coordination::serving::failover::ObserverCounts;
-use hookpoint_coordination::serving::fleet::{Fleet, wins_place};
+use hookpoint_coordination::serving::fleet::{Fleet, becomes_home};
 use hookpoint_coordination::serving::homes::{
     ConnectionSharing, HomeCandidate, StartupProgress, home_count, rank_homes, tenant_weight,
     useful_connections,
@@ -79,7 +79,7 @@
         let nodes = self.fleet.len();
         self.views.retain(|database, view| {
             // While every node is a home, the database may accept one more home.
-            view.homes.len() < nodes && !wins_place(database, &view.zone, &view.homes, &node)
+            view.homes.len() < nodes && !becomes_home(database, &view.zone, &view.homes, &node)
         });
         self.token_views.clear();
         self.fleet.join(node);
--- a/crates/serving/src/primary_lease.rs
+++ b/crates/serving/src/primary_lease.rs
@@ -6,7 +6,7 @@
 
 use hookpoint_coordination::serving::fencing::FencingToken;
 use hookpoint_coordination::serving::homes::claim_order;
-use hookpoint_coordination::serving::lease_grantor::{Electorate, VOTER_MEMORY};
+use hookpoint_coordination::serving::lease_grantor::{Electorate, VOTER_RETENTION};
 use hookpoint_coordination::serving::primary_lease::{Grantor, LeaseAnswer, LeaseRequest};
 use hookpoint_state::{DatabaseName, GroupName, StoreRevision, Timestamp};
 use serde::{Deserialize, Serialize};
@@ -201,7 +201,7 @@
 pub(crate) fn learn_coordinator(node: &Node, revision: StoreRevision, name: &str) {
     node.coordinator
         .borrow_mut()
-        .note_announcement(revision, name);
+        .note_coordinator(revision, name);
     node.lease_due.notify_one();
 }
 
@@ -215,7 +215,7 @@
 ) -> bool {
     node.coordinator
         .borrow_mut()
-        .note_announcement(coordinator, coordinator_name);
+        .note_coordinator(coordinator, coordinator_name);
     node.learn_promotion(announcement);
     let now = node.now();
     let ended = node.with_group(&announcement.group, |state| {
@@ -256,15 +256,14 @@
     pub(crate) fn voters(&self) -> Vec<String> {
         let now = self.now();
         let members = self.members.borrow();
-        let remembered = members.iter().filter(|(name, member)| {
+        let retained = members.iter().filter(|(name, member)| {
             let gone = member
                 .gone_at
-                .is_some_and(|gone| now.since(gone) >= VOTER_MEMORY);
+                .is_some_and(|gone| now.since(gone) >= VOTER_RETENTION);
             !gone && **name != self.settings.name
         });
         let own = std::iter::once(self.settings.name.clone());
-        own.chain(remembered.map(|(name, _)| name.clone()))
-            .collect()
+        own.chain(retained.map(|(name, _)| name.clone())).collect()
     }
 
     /// Returns the promotions to report to a node that knows all of them up to `revision`.
--- a/crates/serving/src/reachability.rs
+++ b/crates/serving/src/reachability.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hookpoint_coordination::serving::peer_contact::{Approach, PeerContacts, WaitAction};
+use hookpoint_coordination::serving::peer_contact::{PeerContacts, SendDecision, WaitAction};
 use hookpoint_state::Timestamp;
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout};
@@ -38,11 +38,11 @@
 impl Reachability {
     /// Returns whether a request may be sent to a peer. A silent peer is probed from time to time.
     pub fn may_ask(&self, peer: &Peer, now: Timestamp) -> bool {
-        let approach = self.contacts.borrow_mut().check_send(&peer.name, now);
-        if approach == Approach::AvoidAndProbe {
+        let decision = self.contacts.borrow_mut().check_send(&peer.name, now);
+        if decision == SendDecision::AvoidAndProbe {
             self.probe(peer);
         }
-        approach == Approach::Send
+        decision == SendDecision::Send
     }
 
     /// Returns whether a peer answers neither requests nor probes.
--- a/crates/serving/src/statement/target.rs
+++ b/crates/serving/src/statement/target.rs
@@ -133,7 +133,7 @@
                     wait: pool.expected_wait(now),
                     service_time: pool.service_time(now),
                     failure_share: pool.failure_share(now),
-                    draining: listed.departure.is_some(),
+                    leaving: listed.departure.is_some(),
                     zone_avoided: self.node.zone_availability(&database.zone)
                         != ZoneAvailability::Open,
                     suspect: pool.is_suspect(now),
--- a/crates/serving/src/tokens.rs
+++ b/crates/serving/src/tokens.rs
@@ -191,7 +191,7 @@
     }
     let from = node.tokens.replenished_from(tenant, node.started_at());
     let mut granting = node.tokens.granting.borrow_mut();
-    granting.take(tenant, limit.part(holders), from, node.now(), max_wait)
+    granting.take(tenant, limit.share(holders), from, node.now(), max_wait)
 }
 
 /// Handles the answer to a request that may still be pending.
--- a/crates/transport/src/observe/verifier.rs
+++ b/crates/transport/src/observe/verifier.rs
@@ -101,7 +101,7 @@
         }
         drop(answers);
         while let Some((database, status)) = received.recv().await {
-            verification.answered(database, status);
+            verification.record_answer(database, status);
             match verification.state() {
                 VerificationState::Open => {}
                 VerificationState::Verified(position) => return Some(position),
--- a/crates/transport/src/shared.rs
+++ b/crates/transport/src/shared.rs
@@ -11,7 +11,7 @@
 use hookpoint_coordination::explain::{Decision, ExplainRing};
 use hookpoint_coordination::node::LeadershipUpdate;
 use hookpoint_coordination::status::BackendStatus;
-use hookpoint_coordination::terms::{GroupView, Member, Proximity, TermTable};
+use hookpoint_coordination::terms::{GroupMember, GroupView, Proximity, TermTable};
 use hookpoint_state::{
     Bundle, DatabaseName, GroupName, Position, SessionId, Term, Timestamp, ZoneName,
 };
@@ -157,9 +157,9 @@
     }
 
     fn configure_terms(&self, bundle: &Bundle) {
-        let mut members: BTreeMap<&GroupName, Vec<Member>> = BTreeMap::new();
+        let mut members: BTreeMap<&GroupName, Vec<GroupMember>> = BTreeMap::new();
         for (name, database) in &bundle.databases {
-            let member = Member {
+            let member = GroupMember {
                 name: name.clone(),
                 proximity: self.proximity(bundle, &database.zone),
                 draining: bundle.drain.contains(name),
--- a/crates/transport/tests/caller_support/mod.rs
+++ b/crates/transport/tests/caller_support/mod.rs
@@ -201,7 +201,7 @@
             .iter()
             .map(|name| server.status(name))
             .filter(|status| status.role == Role::Primary)
-            .map(|status| status.position())
+            .map(|status| status.log_position())
             .max_by_key(|place| place.term)
     }
 
--- a/lab/sim/src/models/acknowledge.rs
+++ b/lab/sim/src/models/acknowledge.rs
@@ -9,7 +9,7 @@
     UnitResult,
 };
 use hookpoint_coordination::status::{BackendStatus, FlushedReplica, Role};
-use hookpoint_coordination::terms::{Member, Proximity, TermTable};
+use hookpoint_coordination::terms::{GroupMember, Proximity, TermTable};
 use hookpoint_state::bundle::ReadPreference;
 use hookpoint_state::{
     DatabaseName, GroupName, Lsn, Position, SessionId, TenantName, Term, Timestamp, ZoneName,
@@ -311,7 +311,7 @@
 
     fn initial(&self) -> State {
         let mut table = TermTable::new();
-        let members = NAMES.map(|name| Member {
+        let members = NAMES.map(|name| GroupMember {
             name: DatabaseName::new(name),
             proximity: Proximity::SameZone,
             draining: false,
--- a/lab/sim/src/models/quota.rs
+++ b/lab/sim/src/models/quota.rs
@@ -98,7 +98,7 @@
         let whole = BOUNDS.grant_limit(LIMITS[limit]);
         match self.mutation {
             Some(Mutation::WholeLimitPerHolder) => whole,
-            _ => whole.part(HOLDERS),
+            _ => whole.share(HOLDERS),
         }
     }
 
--- a/lab/sim/src/world/nodes.rs
+++ b/lab/sim/src/world/nodes.rs
@@ -11,7 +11,7 @@
 use hookpoint_coordination::rollout::{RolloutAction, RolloutEvent};
 use hookpoint_coordination::slots::SlotEvent;
 use hookpoint_coordination::status::{BackendStatus, Role};
-use hookpoint_coordination::terms::{LeadershipChange, Member, Proximity};
+use hookpoint_coordination::terms::{GroupMember, LeadershipChange, Proximity};
 use hookpoint_state::bundle::{Bundle, Database, Group, ReadPreference};
 use hookpoint_state::{BundleVersion, NodeId, Position, RegionName, ZoneName};
 use rand::Rng as _;
@@ -145,14 +145,14 @@
 
     pub(crate) fn leadership_observed(&mut self, proxy: ProxyIndex, change: LeadershipChange) {
         let view = self.proxies[proxy].terms.view(&change.group);
-        let place = view
+        let position = view
             .and_then(|view| view.primary())
             .map(|primary| primary.position);
         let leadership = LeadershipUpdate {
             group: change.group,
             term: change.term,
             primary: change.primary,
-            position: place.unwrap_or(Position {
+            position: position.unwrap_or(Position {
                 term: change.term,
                 ..Position::default()
             }),
@@ -291,7 +291,7 @@
         let ignored = self.settings.mutated(Mutation::IgnoreDrain);
         let zone = self.proxies[proxy].zone;
         for group in &self.groups {
-            let members = group.members.iter().map(|id| Member {
+            let members = group.members.iter().map(|id| GroupMember {
                 name: self.database_names[*id].clone(),
                 proximity: if self.databases[*id].zone == zone {
                     Proximity::SameZone
@@ -300,7 +300,7 @@
                 },
                 draining: !ignored && bundle.drain.contains(&self.database_names[*id]),
             });
-            let members: Vec<Member> = members.collect();
+            let members: Vec<GroupMember> = members.collect();
             let terms = &mut self.proxies[proxy].terms;
             terms.configure(&group.name, ReadPreference::Replica, members);
         }
--- a/lab/sim/src/world/verify.rs
+++ b/lab/sim/src/world/verify.rs
@@ -99,7 +99,7 @@
             return;
         }
         let name = self.database_names[database].clone();
-        verification.round.answered(name, Some(status));
+        verification.round.record_answer(name, Some(status));
         let event = match verification.round.state() {
             VerificationState::Open => return,
             VerificationState::Verified(position) => RequestEvent::TermVerified { position },
