--- a/crates/coordination/src/explain.rs
+++ b/crates/coordination/src/explain.rs
@@ -65,7 +65,8 @@
         /// Primary of that term; `None` until it has been observed.
         primary: Option<DatabaseName>,
     },
-    /// A bundle came into force.
+    /// A bundle (a version of the configuration that is rolled out to all nodes) came into
+    /// force on this node.
     BundleInForce {
         /// Version of the bundle.
         version: BundleVersion,
@@ -85,7 +86,7 @@
 pub enum RouteReason {
     /// Writes are routed to the primary.
     Write,
-    /// The bundle routes the group's reads to the primary.
+    /// The configuration in force routes the group's reads to the primary.
     Preference,
     /// The nearest replica that is expected to be fresh enough.
     FreshReplica,
--- a/crates/coordination/src/node/machine.rs
+++ b/crates/coordination/src/node/machine.rs
@@ -1,4 +1,5 @@
-//! The node state machine.
+//! The state machine of one proxy node: membership in the fleet, home nodes of the databases
+//! and leadership subscriptions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -46,7 +47,8 @@
 }
 
 impl NodeMachine {
-    /// Creates a node that knows no other members and has no bundle.
+    /// Creates the state machine of a node that knows no other members and has no bundle
+    /// (configuration) yet.
     pub fn new(
         now: Timestamp,
         settings: MembershipSettings,
@@ -219,6 +221,8 @@
         actions.push(NodeAction::MemberChanged { info, state });
     }
 
+    /// Adds the node to the candidates for the home of a database if it takes work and its
+    /// machine is not leaving; removes it otherwise.
     fn update_candidate(
         &mut self,
         info: &MemberInfo,
@@ -248,6 +252,8 @@
         self.update_candidates(actions);
     }
 
+    /// Updates which nodes, including this one, are candidates for the home of a database,
+    /// from the state of every member.
     fn update_candidates(&mut self, actions: &mut Vec<NodeAction>) {
         let others = self.membership.members();
         let mut states: Vec<(Arc<MemberInfo>, MemberState)> = others
--- a/crates/coordination/src/request/event.rs
+++ b/crates/coordination/src/request/event.rs
@@ -1,11 +1,15 @@
 //! Events that a session sends to its request machine.
+//!
+//! A unit is one batch of a caller's messages, see [`Unit`]; a transaction consists of one
+//! or more units.
 
 use hookpoint_state::{DatabaseName, Position, Refusal};
 
 use crate::request::profile::Unit;
 use crate::status::BackendStatus;
 
-/// How a unit's answer ended.
+/// Whether the database reported an error in its answer to a unit: a simple query, or
+/// extended-protocol messages up to and including `Sync`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UnitResult {
     /// The unit ended without an error.
@@ -51,7 +55,7 @@
     },
     /// The current unit's answer has ended (`ReadyForQuery`).
     UnitFinished {
-        /// How the answer ended.
+        /// Whether the answer contained an error.
         result: UnitResult,
         /// Whether a transaction block is open after the unit.
         in_transaction: bool,
@@ -61,8 +65,8 @@
         /// The next unit.
         unit: Unit,
     },
-    /// The status query sent behind a unit that may commit, or a later probe, was
-    /// answered.
+    /// The status query sent directly after a unit that may commit, or a later probe for
+    /// whether a majority has flushed the commit, was answered.
     ProbeAnswered {
         /// Reported status.
         status: BackendStatus,
--- a/crates/coordination/src/request/machine.rs
+++ b/crates/coordination/src/request/machine.rs
@@ -43,8 +43,8 @@
     Finished,
 }
 
-/// Number of unanswered status queries for evidence after which the outcome counts as
-/// unknown.
+/// Number of unanswered status queries for evidence of a commit's flush by a majority
+/// after which the outcome counts as unknown.
 const PROBE_FAILURE_LIMIT: u32 = 3;
 
 /// State machine of one transaction.
@@ -59,8 +59,11 @@
     excluded: BTreeSet<DatabaseName>,
     database: Option<DatabaseName>,
     term: Option<Term>,
+    /// Evidence, from status queries to databases, that a majority of the group has flushed
+    /// the current unit's commit; `None` when no commit awaits acknowledgement.
     evidence: Option<Evidence>,
-    /// Database whose commit awaits evidence after its connection was released.
+    /// Database that ran a commit whose flush by a majority is still unproven after the
+    /// connection to that database was released; `None` while the connection is held.
     evidence_from: Option<DatabaseName>,
     failed_probes: u32,
     in_transaction: bool,
@@ -70,8 +73,8 @@
 }
 
 impl RequestMachine {
-    /// Creates a machine for a request that has just arrived. Evidence of a commit is
-    /// collected for at most `acknowledge_within`.
+    /// Creates a machine for a request that has just arrived. Evidence that a majority has
+    /// flushed a commit is collected for at most `acknowledge_within`.
     pub fn new(profile: RequestProfile, acknowledge_within: Duration) -> Self {
         Self::with_checks(profile, acknowledge_within, SafetyChecks::default())
     }
--- a/crates/coordination/src/serving/store_freshness.rs
+++ b/crates/coordination/src/serving/store_freshness.rs
@@ -1,6 +1,9 @@
 //! The age of a node's knowledge of the state store, and the sources from which it obtains newer
 //! updates.
 //!
+//! A source is either the store itself, which the node watches, or an upstream: a peer node that
+//! forwards the store's changes to this node, its follower.
+//!
 //! Only answers of the store itself make this knowledge newer. Each answer along the tree of
 //! followers states how long ago the store gave it, and the time in transit counts as age. Nodes
 //! that follow each other in a cycle therefore see their knowledge age together and switch to other
@@ -23,8 +26,8 @@
 /// How late an answer of the store may be before the call counts as rejected: a round trip plus the
 /// transfer of a large configuration over a link of some megabits per second.
 const ANSWER_SLACK: Duration = Duration::from_millis(400);
-/// The same for an answer that is wanted at once: two of the longest usual round trips. A later
-/// answer still counts, but other nodes are asked in the meantime.
+/// How late the store's answer to a short watch may be: two of the longest usual round trips. A
+/// later answer still counts, but other nodes are asked in the meantime.
 const SHORT_ANSWER_SLACK: Duration = Duration::from_millis(150);
 /// Wait of a watch that asks for the store's current revision, where an answer without changes is
 /// wanted immediately.
@@ -36,15 +39,17 @@
 /// only known to be within the round trip, and an answer that makes no knowledge newer is of no
 /// use.
 const MIN_NEWER_BY: Duration = Duration::from_millis(250);
-/// How long an upstream may take to answer a node that searches for a source: a few round trips.
+/// How long an upstream may hold the request of a follower that searches for a source of newer
+/// updates before it answers that it has none: a few round trips.
 const SEARCH_HOLD: Duration = Duration::from_millis(150);
-/// The same for a node that has received no update since it started. Its upstream may be starting
-/// as well, and has its first update once it has read a listing and registered.
+/// How long an upstream may hold the request of a follower that has received no update since it
+/// started. The upstream may be starting as well, and has its first update once it has read a
+/// listing and registered.
 const STARTING_HOLD: Duration = Duration::from_millis(800);
-/// Minimum interval between rounds of such a search. An outage that affects all nodes costs few
-/// messages, and one that does not ends after a few rounds.
+/// Minimum interval between rounds in which a searching node asks its upstreams. An outage that
+/// affects all nodes costs few messages, and any other outage ends after a few rounds.
 const MIN_SEARCH_PAUSE: Duration = Duration::from_millis(50);
-/// Maximum interval between rounds of such a search.
+/// Maximum interval between rounds in which a searching node asks its upstreams.
 const MAX_SEARCH_PAUSE: Duration = Duration::from_millis(500);
 /// The next interval is this fraction (one part in this many) of the duration of the search so far.
 const SEARCH_PAUSE_DIVISOR: u32 = 4;
@@ -135,7 +140,7 @@
 /// Rank of a node among those of its region that may try the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreTryOrder {
-    /// Number of nodes before it.
+    /// Number of nodes of the region that try the store before this node.
     pub rank: u32,
     /// Number of nodes in the region.
     pub nodes: u32,
@@ -147,7 +152,7 @@
         FIRST_TRY_SPACING.min(FIRST_TRY_TIME / self.nodes.max(1)) * self.rank
     }
 
-    /// Returns the time between two tries.
+    /// Returns the time between two tries of the store by this node.
     fn period(self) -> Duration {
         TRY_SPACING
             .saturating_mul(self.nodes)
@@ -155,14 +160,14 @@
     }
 }
 
-/// The reply to a follower.
+/// The reply to a follower that asked this node for newer knowledge of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// Newer knowledge of this node.
+    /// This node has changes or newer knowledge; they are sent.
     Update,
-    /// Nothing yet; newer knowledge may arrive soon.
+    /// This node has nothing newer yet, and holds the request.
     Wait,
-    /// Nothing newer arrived in time.
+    /// Nothing newer arrived within the time for which the request may be held.
     NoUpdate,
     /// The store rejects this node's calls.
     StoreLost,
@@ -176,7 +181,7 @@
     known_at: Timestamp,
     /// When a call of this node last failed; `None` after a call that succeeded.
     rejected_at: Option<Timestamp>,
-    /// Since when no upstream has provided anything newer.
+    /// Since when no upstream has provided anything newer; `None` while answers are newer.
     searching_since: Option<Timestamp>,
     /// Peers whose calls the store rejected, and until when they are left out.
     excluded: BTreeMap<String, Timestamp>,
@@ -237,7 +242,7 @@
         self.known_at
     }
 
-    /// Returns the age of that knowledge.
+    /// Returns the age of this node's knowledge of the store.
     pub fn age(&self, now: Timestamp) -> Duration {
         now.since(self.known_at)
     }
@@ -255,7 +260,7 @@
     }
 
     /// Returns whether the node, if it is chosen to watch the store, does so. A node whose call was
-    /// rejected leaves that to others, and retries from time to time.
+    /// rejected leaves the watch to other nodes, and retries from time to time.
     pub fn watches(&self, now: Timestamp) -> bool {
         match self.rejected_at {
             None => true,
@@ -292,7 +297,7 @@
         self.known_at == Timestamp::default()
     }
 
-    /// Returns how long an upstream may take to answer.
+    /// Returns how long an upstream may hold this node's request before it answers.
     pub fn upstream_timeout(&self, now: Timestamp, limits: FreshnessLimits) -> Duration {
         if self.has_just_started() {
             return STARTING_HOLD;
--- a/crates/coordination/src/slots/table.rs
+++ b/crates/coordination/src/slots/table.rs
@@ -1,4 +1,5 @@
-//! Slot table of one database.
+//! Slot table of one database: the connections that this proxy may open to the database, and
+//! the requests that wait for them.
 
 use std::time::Duration;
 
@@ -13,7 +14,7 @@
 use crate::limits::QueueState;
 use crate::retry::{Backoff, BackoffPolicy};
 
-/// Maximum number of observers that may wait for one database.
+/// Maximum number of requests in [`Lane::Observer`] that may wait for one database.
 const OBSERVER_QUEUE_LIMIT: usize = 8;
 /// Pauses after a failed attempt to open a connection.
 const OPEN_BACKOFF: BackoffPolicy = BackoffPolicy {
@@ -131,6 +132,8 @@
         self.queue.push(request, weight);
     }
 
+    /// Checks whether `request` may join the queue for a connection; otherwise returns the
+    /// reason why it is refused.
     fn admit(&self, now: Timestamp, request: &WaitingRequest) -> Result<(), Refusal> {
         if request.deadline <= now {
             return Err(Refusal::WaitDeadline);
--- a/crates/protocol/src/peer/key.rs
+++ b/crates/protocol/src/peer/key.rs
@@ -72,6 +72,7 @@
     }
 }
 
+/// Prints only the key's number, so that the derived keys do not appear in logs.
 impl fmt::Debug for FleetKey {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "FleetKey({})", self.number)
--- a/crates/serving/src/feed/following.rs
+++ b/crates/serving/src/feed/following.rs
@@ -231,6 +231,8 @@
     node.store_steady_since.set(own.max(since));
 }
 
+/// Returns the limits on the age of this node's knowledge of the store, derived from the time
+/// within which a configuration has to be in force.
 fn limits(node: &Node) -> FreshnessLimits {
     FreshnessLimits::of(node.changeable().configuration_limit)
 }
--- a/crates/serving/src/feed/mod.rs
+++ b/crates/serving/src/feed/mod.rs
@@ -141,13 +141,15 @@
         self.failures.get()
     }
 
-    /// Records that a peer's information has been applied.
+    /// Records that a peer's snapshot of the store's contents (configuration, databases and
+    /// registered nodes) has been applied. This counts as having caught up even though the store
+    /// itself has not reported to this node.
     pub fn note_caught_up(&self) {
         self.caught_up.set(true);
     }
 
-    /// Returns whether this node has had the store's present state, or a peer's information about
-    /// it, since it started.
+    /// Returns whether this node has applied the store's present state, or a peer's snapshot of it,
+    /// since it started.
     pub fn has_caught_up(&self) -> bool {
         self.caught_up.get()
     }
--- a/crates/transport/src/backend/settings.rs
+++ b/crates/transport/src/backend/settings.rs
@@ -6,7 +6,8 @@
 use actix::ArbiterHandle;
 use hookpoint_state::GroupName;
 
-/// Settings of the pools that are not part of the bundle.
+/// Settings of the connection pools that are not part of the bundle (the versioned
+/// configuration that is rolled out to all nodes).
 #[derive(Clone)]
 pub struct BackendSettings {
     /// Password of each group's user; absent where the databases need none.
@@ -14,7 +15,7 @@
     /// Longest time from the first packet to a usable connection.
     pub connect_timeout: Duration,
     /// Time without a query after which the database closes a connection, so that the
-    /// slots of a crashed holder are freed.
+    /// connection slots of a crashed proxy process are freed.
     pub idle_session_timeout: Duration,
     /// Longest wait for an answer to the proxy's own queries, and for the end of a
     /// connection that is being closed.
@@ -44,15 +45,17 @@
         }
     }
 
-    /// Returns how long a connection stays idle before its holder queries it. Well below
+    /// Returns how long a connection stays idle before the process that holds it sends a
+    /// status query, which restarts the database's idle timer. Well below
     /// [`BackendSettings::idle_session_timeout`].
     pub fn heartbeat_interval(&self) -> Duration {
         self.idle_session_timeout / 3
     }
 
-    /// Returns the time without a query after which a connection counts as closed by the
-    /// database, even if the holder has not noticed. A holder that was paused can exceed
-    /// it.
+    /// Returns the time without a query after which this process no longer uses a
+    /// connection, because the database may have closed it for being idle. Heartbeats keep
+    /// connections below this limit, unless the process was paused; it then discards the
+    /// connection instead of using it.
     pub fn assumed_closed_after(&self) -> Duration {
         self.idle_session_timeout * 4 / 5
     }
--- a/crates/transport/src/caller/drive.rs
+++ b/crates/transport/src/caller/drive.rs
@@ -15,8 +15,8 @@
 use crate::caller::session::Session;
 use crate::caller::unit::UnitPlan;
 
-/// Bytes of output from which it is flushed even if more of a short answer may still
-/// follow.
+/// Number of buffered output bytes from which output is flushed even after the end of an
+/// answer. Less output stays buffered then, because more output may follow.
 const FLUSH_THRESHOLD: usize = 8 * 1024;
 
 impl Session {
@@ -82,6 +82,8 @@
         RequestMachine::with_checks(profile, limits.acknowledge(), self.context.settings.checks)
     }
 
+    /// Counts a database connection that broke while it served the open transaction; the
+    /// count determines the pause before the next connection is acquired.
     fn count_lost_connection(&mut self) {
         if let Some(active) = &mut self.transaction {
             active.lost_since_acquire = true;
--- a/crates/transport/src/caller/traits.rs
+++ b/crates/transport/src/caller/traits.rs
@@ -1,4 +1,5 @@
-//! Properties of a unit, combined over all its statements.
+//! Properties of a unit (a simple query, or extended-protocol messages up to and including
+//! `Sync`), combined over all its statements.
 
 use hookpoint_coordination::request::Access;
 use hookpoint_protocol::classify::{
@@ -14,38 +15,38 @@
 pub struct UnitTraits {
     /// Whether every statement is proved to be a read.
     pub reads_only: bool,
-    /// Whether it may commit when it runs outside a transaction block.
+    /// Whether the unit may commit when it runs outside a transaction block.
     pub may_commit: bool,
-    /// Whether it may commit when it runs inside a transaction block.
+    /// Whether the unit may commit when it runs inside a transaction block.
     pub may_commit_in_block: bool,
-    /// Mode of the transaction block that it leaves open, if it does.
+    /// Mode of the transaction block that the unit opens; `None` if the unit opens none.
     pub opens_transaction: Option<TransactionMode>,
-    /// Whether it ends a transaction block.
+    /// Whether the unit ends a transaction block.
     pub ends_transaction: bool,
-    /// Whether it may leave session state on the connection.
+    /// Whether the unit may leave session state on the connection.
     pub leaves_state: bool,
-    /// Changes of run-time parameters.
+    /// Changes of run-time parameters by the unit's statements, in order.
     pub settings: Vec<SettingChange>,
     /// A feature in use that is not compatible with connection pooling.
     pub unsupported: Option<String>,
-    /// Identifier of a request that is not repeatable.
+    /// Identifier given by the caller for a request that must not be run twice.
     pub request_id: Option<RequestId>,
     /// Whether the caller has to send COPY data.
     pub copies_in: bool,
-    /// Whether it consists only of statements that end a transaction block.
+    /// Whether the unit consists only of statements that end a transaction block.
     pub only_ends: bool,
-    /// Whether it consists only of statements that open a transaction block.
+    /// Whether the unit consists only of statements that open a transaction block.
     pub only_opens: bool,
-    /// Whether it executes anything.
+    /// Whether the unit executes any statement, rather than only preparing or describing some.
     pub executes: bool,
-    /// Whether it may turn a read-only transaction into one that writes.
+    /// Whether the unit may turn a read-only transaction into one that writes.
     pub changes_mode: bool,
-    /// Whether it sets, rolls back to or releases a savepoint.
+    /// Whether the unit sets, rolls back to or releases a savepoint.
     pub savepoints: bool,
 }
 
 impl UnitTraits {
-    /// Returns whether it changes a parameter for longer than its transaction.
+    /// Returns whether the unit changes a run-time parameter for longer than its transaction.
     pub fn sets_beyond_transaction(&self) -> bool {
         let local =
             |change: &SettingChange| matches!(change, SettingChange::Set { local: true, .. });
--- a/crates/transport/src/peer/forward.rs
+++ b/crates/transport/src/peer/forward.rs
@@ -1,5 +1,6 @@
-//! Leases of connections on any node: local if this node is the database's home,
-//! forwarded to the home otherwise.
+//! Leases of connections on any node. The home of a database is the node that holds the
+//! fleet's connections to it. A lease is granted locally if this node is the home, and is
+//! requested from the home otherwise.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +23,8 @@
 
 /// Maximum number of other nodes tried for one request.
 const MAXIMUM_PEERS: usize = 2;
-/// How much longer than the request's own wait the home's refusal may take.
+/// How long this node waits for the home's answer beyond the time for which the home may
+/// queue the request, so that a refusal sent at the end of that time still arrives.
 const ANSWER_GRACE: Duration = Duration::from_millis(250);
 
 /// Grants leases of connections held by any node of the fleet.
@@ -114,7 +116,7 @@
     }
 }
 
-/// Relays one lease until either end finishes.
+/// Relays the commands and replies of one lease until the session or the home ends it.
 async fn relay(
     sender: StreamSender,
     receiver: StreamReceiver,
--- a/crates/transport/src/peer/leadership.rs
+++ b/crates/transport/src/peer/leadership.rs
@@ -1,4 +1,6 @@
-//! Exchange of leadership changes between the shared tables and the node machine.
+//! Leadership of database groups (the term and the primary of each group): applies updates
+//! from other nodes to the state shared by the workers of this proxy ([`Shared`]), and
+//! reports changes that this proxy observes itself to its node state machine.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,11 +13,11 @@
 use super::core::Core;
 use crate::shared::Shared;
 
-/// Shortest time between two reads of the tables.
+/// Minimum interval between two reads of the groups' leadership from [`Shared`].
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Applies a leadership change from another node to the shared tables; older terms have
-/// no effect there.
+/// Applies a leadership change of a database group, received from another node, to
+/// `shared`. An update with an older term than the known one has no effect.
 pub(super) fn apply(shared: &Shared, update: &LeadershipUpdate) {
     shared.raise_term(&update.group, update.term);
     let Some(primary) = &update.primary else {
@@ -30,7 +32,9 @@
     shared.apply_status(&update.group, primary, &status);
 }
 
-/// Passes each leadership change that this node observes itself to the node machine.
+/// Reports each change of a group's term or primary that this node observes to its node
+/// state machine as [`NodeEvent::LeadershipObserved`]. Runs until the senders of view
+/// changes are dropped.
 pub(super) async fn watch(core: Arc<Core>) {
     let mut changes = core.shared.view_changes();
     let mut reported: BTreeMap<GroupName, LeadershipUpdate> = BTreeMap::new();
--- a/lab/sim/src/checker.rs
+++ b/lab/sim/src/checker.rs
@@ -11,11 +11,12 @@
 /// Maximum number of violations kept per run.
 const MAXIMUM_VIOLATIONS: usize = 20;
 
-/// Writes of a client's attempt at a request, and the outcome reported to the client.
+/// One attempt of a client to run a request: its writes and the outcome reported to the client.
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) client: usize,
-    /// Identifier of the request, if it is not repeatable; several attempts may share it.
+    /// Identifier of the request if it must be committed at most once; `None` for other
+    /// requests. All attempts at the same request have the same identifier.
     pub(crate) non_repeatable_id: Option<u64>,
     /// Keys that the attempt appends to, one row each, in one transaction.
     pub(crate) appends: Vec<Key>,
--- a/lab/sim/src/world/event.rs
+++ b/lab/sim/src/world/event.rs
@@ -50,20 +50,20 @@
     Lost,
 }
 
-/// Command from a holder to a database.
+/// Command from the proxy that holds a connection to its database.
 #[derive(Clone, Debug)]
 pub(crate) enum BackendWork {
     /// Opens the connection.
     Open,
     /// Queries the status.
     Status,
-    /// Executes a unit.
+    /// Executes a unit (one batch of a client's statements).
     Unit(UnitCall),
     /// Closes the connection.
     Close,
 }
 
-/// Answer from a database to a holder.
+/// Answer from a database to the proxy that holds the connection.
 #[derive(Clone, Debug)]
 pub(crate) enum BackendAnswer {
     /// The connection is open.
@@ -139,7 +139,7 @@
         session: SessionNumber,
         message: ClientMessage,
     },
-    /// The next bundle is rolled out.
+    /// The next bundle (version of the fleet's configuration) is rolled out.
     RollOutBundle,
     /// The allowed time for putting a bundle in force on every proxy has passed.
     BundleDue {
@@ -181,13 +181,13 @@
         session: SessionNumber,
         request: u64,
     },
-    /// The delay before a status query for evidence is over.
+    /// The delay before a status query for evidence that a majority has flushed a commit is over.
     EvidenceDue {
         session: SessionNumber,
         query: u64,
         database: usize,
     },
-    /// A status query for evidence has timed out.
+    /// A status query for evidence that a majority has flushed a commit has timed out.
     EvidenceTimeout { session: SessionNumber, query: u64 },
     /// A client opens a session.
     SessionOpens {
@@ -202,24 +202,26 @@
     },
     /// A client has closed its session.
     ClientGone { session: SessionNumber },
-    /// A slot table's timer is due.
+    /// The timer of a slot table is due. The table assigns the limited connections (slots) that
+    /// the proxy may open to one database.
     SlotTimer {
-        /// Database of the slot table.
+        /// Index of the database to which the table's connections lead.
         database: usize,
     },
-    /// A message about bundles from another node.
+    /// A message about the rollout of bundles from another node.
     RolloutPeer {
         from: NodeId,
         message: RolloutMessage,
     },
     /// The rollout machine's timer is due.
     RolloutTimer,
-    /// A proxy that watches the platform polls its pointer.
+    /// A proxy that watches the platform polls the platform's pointer to the current bundle.
     PlatformPoll,
-    /// The platform's pointer arrives.
+    /// The platform's pointer arrives: the version of its current bundle.
     PlatformPointer { version: BundleVersion },
-    /// Answer to a fetch; `None` if the platform did not answer.
+    /// Answer to the fetch of a bundle; `None` if the platform did not answer.
     PlatformFetched { version: Option<BundleVersion> },
-    /// A message to a node could not be delivered.
+    /// A message that this proxy sent to `node` could not be delivered: `node` is down or
+    /// unreachable from this proxy.
     PeerLost { node: NodeId },
 }
--- a/lab/src/stack/databases.rs
+++ b/lab/src/stack/databases.rs
@@ -30,6 +30,8 @@
 }
 
 impl Default for DatabaseOptions {
+    /// Returns options with a fixed seed, acknowledgement without waiting for a majority, and
+    /// the deployment's replica lag.
     fn default() -> Self {
         Self {
             seed: 1,
--- a/lab/standin/src/database/session.rs
+++ b/lab/standin/src/database/session.rs
@@ -47,7 +47,7 @@
     Closed,
 }
 
-/// A client session.
+/// A client session on one connection to the database.
 pub struct Session {
     pub(super) node: Arc<Node>,
     pub(super) wire: Wire,
@@ -62,7 +62,10 @@
 }
 
 impl Session {
-    /// Creates a session that was opened in connection epoch `epoch`.
+    /// Creates a session whose connection was opened in epoch number `epoch`. The number
+    /// increases when the database closes all client connections (see [`Epoch`]); reads of
+    /// a session with an older number are rejected, so that a session whose connection is
+    /// about to be closed returns no rows.
     pub fn new(node: Arc<Node>, wire: Wire, identity: Identity, epoch: u64) -> Self {
         Self {
             reported: identity.settings.reported(),
@@ -78,8 +81,9 @@
         }
     }
 
-    /// Serves the client until it disconnects or the connections of its epoch are
-    /// closed.
+    /// Serves the client until it disconnects or the database closes all client
+    /// connections, which changes `epochs`. If the change is abrupt, as in a crash, the
+    /// connection is reset without an error message.
     pub async fn run_until(&mut self, mut epochs: watch::Receiver<Epoch>) {
         let end = tokio::select! {
             end = self.run() => end,
--- a/lab/workload/src/session.rs
+++ b/lab/workload/src/session.rs
@@ -475,6 +475,7 @@
 }
 
 impl FailedRun {
+    /// Creates the result of a run that failed before its `COMMIT` or `ROLLBACK` was sent.
     fn before_commit(failure: Failure) -> Self {
         Self {
             failure,
@@ -482,6 +483,7 @@
         }
     }
 
+    /// Creates the result of a run whose `COMMIT` or `ROLLBACK` statement failed.
     fn at_end(failure: Failure, ending: Ending) -> Self {
         Self {
             failure,
