--- a/crates/coordination/src/request/machine.rs
+++ b/crates/coordination/src/request/machine.rs
@@ -60,10 +60,10 @@
     database: Option<DatabaseName>,
     term: Option<Term>,
     /// Evidence, from status queries to databases, that a majority of the group has flushed
-    /// the current unit's commit; `None` when no commit awaits acknowledgement.
+    /// the current unit's commit; set while that commit awaits acknowledgement.
     evidence: Option<Evidence>,
     /// Database that ran a commit whose flush by a majority is still unproven after the
-    /// connection to that database was released; `None` while the connection is held.
+    /// connection to that database was released; `None` otherwise.
     evidence_from: Option<DatabaseName>,
     failed_probes: u32,
     in_transaction: bool,
--- a/crates/serving/src/feed/mod.rs
+++ b/crates/serving/src/feed/mod.rs
@@ -148,8 +148,8 @@
         self.caught_up.set(true);
     }
 
-    /// Returns whether this node has applied the store's present state, or a peer's snapshot of it,
-    /// since it started.
+    /// Returns whether, since it started, this node has received the store's present state (directly
+    /// or through an upstream) or has applied a peer's snapshot of it.
     pub fn has_caught_up(&self) -> bool {
         self.caught_up.get()
     }
--- a/crates/transport/src/backend/settings.rs
+++ b/crates/transport/src/backend/settings.rs
@@ -53,9 +53,9 @@
     }
 
     /// Returns the time without a query after which this process no longer uses a
-    /// connection, because the database may have closed it for being idle. Heartbeats keep
-    /// connections below this limit, unless the process was paused; it then discards the
-    /// connection instead of using it.
+    /// connection, because the database has closed it for being idle or will do so soon.
+    /// Heartbeats keep idle connections below this limit, unless the process was paused;
+    /// it then discards the connection instead of using it.
     pub fn assumed_closed_after(&self) -> Duration {
         self.idle_session_timeout * 4 / 5
     }
--- a/crates/transport/src/peer/forward.rs
+++ b/crates/transport/src/peer/forward.rs
@@ -23,8 +23,9 @@
 
 /// Maximum number of other nodes tried for one request.
 const MAXIMUM_PEERS: usize = 2;
-/// How long this node waits for the home's answer beyond the time for which the home may
-/// queue the request, so that a refusal sent at the end of that time still arrives.
+/// How long this node waits for a link to the home, or for the home's answer, beyond the
+/// time for which the request may wait for a connection, so that a refusal sent at the
+/// end of that time still arrives.
 const ANSWER_GRACE: Duration = Duration::from_millis(250);
 
 /// Grants leases of connections held by any node of the fleet.
--- a/lab/sim/src/checker.rs
+++ b/lab/sim/src/checker.rs
@@ -15,8 +15,8 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Attempt {
     pub(crate) client: usize,
-    /// Identifier of the request if it must be committed at most once; `None` for other
-    /// requests. All attempts at the same request have the same identifier.
+    /// Identifier of a request that must be committed at most once over all its attempts,
+    /// which share the identifier; `None` for attempts at other requests.
     pub(crate) non_repeatable_id: Option<u64>,
     /// Keys that the attempt appends to, one row each, in one transaction.
     pub(crate) appends: Vec<Key>,
