--- a/lab/sim/src/world/event.rs
+++ b/lab/sim/src/world/event.rs
@@ -57,7 +57,7 @@
     Open,
     /// Queries the status.
     Status,
-    /// Executes a unit (one batch of a client's statements).
+    /// Executes a unit (one step of a client's attempt, such as a read or a commit).
     Unit(UnitCall),
     /// Closes the connection.
     Close,
