--- a/crates/coordination/src/explain.rs
+++ b/crates/coordination/src/explain.rs
@@ -58,7 +58,7 @@
     },
     /// A group has a new term or primary.
     Leadership {
-        /// Group concerned.
+        /// Group whose term or primary changed.
         group: GroupName,
         /// Highest known term of the group.
         term: Term,
@@ -72,7 +72,7 @@
     },
     /// A node's state in the membership changed.
     Member {
-        /// Node concerned.
+        /// Node whose state changed.
         node: NodeId,
         /// New state, as returned by `MemberState::as_str`.
         state: String,
--- a/crates/coordination/src/home/table.rs
+++ b/crates/coordination/src/home/table.rs
@@ -10,7 +10,7 @@
 /// A database that this node became, or ceased to be, the home of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HomeChange {
-    /// Database concerned.
+    /// Database whose home this node became or ceased to be.
     pub database: DatabaseName,
     /// Whether this node is now the home of the database.
     pub is_home: bool,
--- a/crates/coordination/src/membership/datagram.rs
+++ b/crates/coordination/src/membership/datagram.rs
@@ -34,13 +34,13 @@
     pub sender: Sender,
     /// Intended receiver; `None` in a [`DatagramBody::Hello`].
     pub receiver: Option<NodeId>,
-    /// Kind and payload.
+    /// Kind of the datagram, with the payload of that kind.
     pub body: DatagramBody,
     /// Piggybacked claims about members.
     pub updates: Vec<MemberUpdate>,
 }
 
-/// Kinds of datagrams.
+/// Kind of a datagram, with its payload besides the piggybacked claims.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum DatagramBody {
     /// Asks the node at an address to introduce itself.
@@ -67,7 +67,7 @@
     PingRequest {
         /// Number of the sender's probe.
         probe: u32,
-        /// Node to probe.
+        /// Node that the receiver is to probe.
         target: NodeId,
         /// Address of that node.
         address: SocketAddr,
@@ -77,7 +77,7 @@
         /// Number of the receiver's probe.
         probe: u32,
     },
-    /// Carries updates only.
+    /// Has no payload of its own; carries only [`Datagram::updates`].
     Gossip,
     /// Asks for zone, region and address of these members.
     Lookup {
--- a/crates/coordination/src/membership/hints.rs
+++ b/crates/coordination/src/membership/hints.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Replaces the seeds.
+    /// Replaces the seeds, the addresses from the settings.
     pub fn set_seeds(&mut self, addresses: Vec<SocketAddr>) {
         self.seeds = addresses.into_iter().take(MAXIMUM_ADDRESSES).collect();
     }
--- a/crates/coordination/src/membership/machine.rs
+++ b/crates/coordination/src/membership/machine.rs
@@ -61,16 +61,16 @@
     },
     /// A member was added or its state changed.
     MemberChanged {
-        /// Member concerned.
+        /// Member that was added or whose state changed.
         info: Arc<MemberInfo>,
         /// New state of the member.
         state: MemberState,
     },
     /// A member reported a newer version of its bundle in force.
     VersionSeen {
-        /// Member concerned.
+        /// Member that reported the version.
         node: NodeId,
-        /// Reported version.
+        /// Version of the bundle that the member has in force.
         version: BundleVersion,
     },
 }
--- a/crates/coordination/src/membership/member.rs
+++ b/crates/coordination/src/membership/member.rs
@@ -58,7 +58,7 @@
     pub node: NodeId,
     /// Incarnation of the member that the claim refers to.
     pub incarnation: u32,
-    /// Claimed state.
+    /// State that the member is claimed to have at that incarnation.
     pub state: MemberState,
     /// Zone, region and address; omitted where the receiver is expected to know them.
     pub info: Option<Arc<MemberInfo>>,
@@ -84,7 +84,7 @@
 pub struct Member {
     /// Zone, region and address.
     pub info: Arc<MemberInfo>,
-    /// Highest known incarnation.
+    /// Highest incarnation of the member known to this node.
     pub incarnation: u32,
     /// State at that incarnation.
     pub state: MemberState,
--- a/crates/coordination/src/membership/probe.rs
+++ b/crates/coordination/src/membership/probe.rs
@@ -16,7 +16,7 @@
 /// Number of members pinged for their version in one step of a refresh.
 const REFRESH_BATCH: usize = 10;
 
-/// A running probe.
+/// A running probe of this node's own.
 #[derive(Clone, Debug)]
 pub struct Probe {
     /// Member that is probed.
--- a/crates/coordination/src/node/event.rs
+++ b/crates/coordination/src/node/event.rs
@@ -77,7 +77,7 @@
     LeadershipLearned(LeadershipUpdate),
     /// A member was added or its state changed.
     MemberChanged {
-        /// Member concerned.
+        /// Member that was added or whose state changed.
         info: Arc<MemberInfo>,
         /// New state of the member.
         state: MemberState,
@@ -95,7 +95,7 @@
     },
     /// A member reported the version of its bundle in force. For the rollout machine.
     PeerVersionSeen {
-        /// Member concerned.
+        /// Member that reported the version.
         node: NodeId,
         /// Version of its bundle.
         version: BundleVersion,
--- a/crates/coordination/src/node/message.rs
+++ b/crates/coordination/src/node/message.rs
@@ -8,7 +8,7 @@
 /// Leadership of a group as known to the sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeadershipUpdate {
-    /// Group concerned.
+    /// Group that the term and the primary belong to.
     pub group: GroupName,
     /// Highest known term of the group.
     pub term: Term,
--- a/crates/coordination/src/request/action.rs
+++ b/crates/coordination/src/request/action.rs
@@ -40,7 +40,7 @@
     /// Query the status of `database` after a pause, on any connection of the fleet. The
     /// answer is a probe event.
     QueryStatus {
-        /// Database concerned.
+        /// Database whose status is queried.
         database: DatabaseName,
         /// Pause before the query is sent.
         after: Duration,
@@ -48,7 +48,7 @@
     /// A commit at `position` of `database` has waited too long for its majority: route
     /// no more writes there until a majority has flushed it.
     MarkUnconfirmed {
-        /// Database concerned.
+        /// Database on which the commit waits for its majority.
         database: DatabaseName,
         /// Position of the commit.
         position: Position,
--- a/crates/coordination/src/request/event.rs
+++ b/crates/coordination/src/request/event.rs
@@ -46,7 +46,7 @@
     },
     /// The status query sent ahead of the unit was answered.
     CheckAnswered {
-        /// Reported status.
+        /// Status that the database reported.
         status: BackendStatus,
     },
     /// The current unit's answer has ended (`ReadyForQuery`).
@@ -64,7 +64,7 @@
     /// The status query sent behind a unit that may commit, or a later probe, was
     /// answered.
     ProbeAnswered {
-        /// Reported status.
+        /// Status that the database reported.
         status: BackendStatus,
     },
     /// [`super::RequestAction::QueryStatus`] got no answer.
--- a/crates/coordination/src/retry/policy.rs
+++ b/crates/coordination/src/retry/policy.rs
@@ -32,7 +32,7 @@
 pub enum RetryDecision {
     /// Retry at this time.
     At(Timestamp),
-    /// Refuse the request.
+    /// Do not retry: refuse the request for this reason.
     Stop(RetryStop),
 }
 
--- a/crates/coordination/src/rollout/event.rs
+++ b/crates/coordination/src/rollout/event.rs
@@ -29,7 +29,7 @@
     PlatformLeaving(LeavingList),
     /// A member reported that it has this version in force.
     PeerVersion {
-        /// Member concerned.
+        /// Member that reported the version.
         node: NodeId,
         /// Version that the member has in force.
         version: BundleVersion,
--- a/crates/coordination/src/serving/failover.rs
+++ b/crates/coordination/src/serving/failover.rs
@@ -44,7 +44,7 @@
 /// Number of nodes whose observations may count.
 #[derive(Clone, Copy, Debug)]
 pub struct ObserverCounts {
-    /// Live nodes.
+    /// All live nodes of the fleet.
     pub members: usize,
     /// Live nodes that hold connections to the primary.
     pub holders: usize,
--- a/crates/coordination/src/serving/queue_order.rs
+++ b/crates/coordination/src/serving/queue_order.rs
@@ -15,7 +15,7 @@
 /// compete.
 pub const MAX_PRINCIPAL_WAIT: Duration = Duration::from_millis(200);
 
-/// A waiting request.
+/// The properties of a waiting request that determine its place in the queue.
 #[derive(Clone, Copy, Debug)]
 pub struct QueuedRequest<'a> {
     /// Priority; 0 is served first.
--- a/crates/coordination/src/serving/quota.rs
+++ b/crates/coordination/src/serving/quota.rs
@@ -162,7 +162,7 @@
     /// The tenant is over its limit; a token would be available after this time.
     #[serde(rename = "Dry")]
     Exhausted {
-        /// Delay in microseconds.
+        /// Delay in microseconds; `u64::MAX` if the rate is 0 or the delay overflows.
         retry_after_us: u64,
     },
     /// The node does not hold tokens of this tenant.
--- a/crates/coordination/src/serving/response_time.rs
+++ b/crates/coordination/src/serving/response_time.rs
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Records one measurement.
+    /// Records a response time of `elapsed`, received at `now`.
     pub fn note(&mut self, now: Timestamp, elapsed: Duration) {
         let before = self.expected(now);
         self.mean = (before * (NEWEST_WEIGHT - 1) + elapsed) / NEWEST_WEIGHT;
--- a/crates/coordination/src/serving/topology.rs
+++ b/crates/coordination/src/serving/topology.rs
@@ -26,7 +26,7 @@
 pub struct Route {
     /// Group that serves the route.
     pub group: GroupName,
-    /// Guarantee about reads.
+    /// Guarantee about the freshness of reads.
     pub consistency: Consistency,
     /// Maximum duration of one statement.
     pub statement_timeout: Duration,
--- a/crates/coordination/src/slots/event.rs
+++ b/crates/coordination/src/slots/event.rs
@@ -62,14 +62,14 @@
     ConnectionOpened(ConnectionNumber),
     /// A connection could not be opened and occupies no slot.
     ConnectionFailed {
-        /// Connection concerned.
+        /// Number of the connection that failed to open.
         connection: ConnectionNumber,
         /// Reason for the failure.
         failure: OpenFailure,
     },
     /// A granted connection was returned.
     ConnectionReturned {
-        /// Connection concerned.
+        /// Number of the returned connection.
         connection: ConnectionNumber,
         /// Whether the connection may serve another session.
         reusable: bool,
@@ -110,14 +110,14 @@
     OpenConnection(ConnectionNumber),
     /// Grant a connection to a request.
     Grant {
-        /// Request concerned.
+        /// Number of the request that receives the connection.
         request: RequestNumber,
         /// Connection that is granted; it was idle.
         connection: ConnectionNumber,
     },
     /// Refuse a request; nothing was sent for it.
     Refuse {
-        /// Request concerned.
+        /// Number of the request that is refused.
         request: RequestNumber,
         /// Reason for the refusal.
         refusal: Refusal,
--- a/crates/coordination/src/terms.rs
+++ b/crates/coordination/src/terms.rs
@@ -219,7 +219,7 @@
 /// A change of a group's highest term or primary.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeadershipChange {
-    /// Group concerned.
+    /// Group whose term or primary changed.
     pub group: GroupName,
     /// New highest term of the group.
     pub term: Term,
--- a/crates/protocol/src/classify/statement.rs
+++ b/crates/protocol/src/classify/statement.rs
@@ -71,7 +71,7 @@
     }
 }
 
-/// Classifies one statement.
+/// Classifies a statement, including the unsupported feature that it uses, if any.
 pub(super) fn classify(statement: &StatementTokens) -> StatementClass {
     let mut class = classify_by_leading_word(statement);
     class.unsupported = unsupported_feature(statement);
--- a/crates/protocol/src/classify/text.rs
+++ b/crates/protocol/src/classify/text.rs
@@ -3,7 +3,7 @@
 use sqlparser::dialect::PostgreSqlDialect;
 use sqlparser::tokenizer::{Token, Tokenizer, TokenizerError, Whitespace};
 
-/// One statement.
+/// One statement, split into tokens.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StatementTokens {
     /// Tokens of the statement, without white space, comments and the semicolon.
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -59,7 +59,7 @@
         /// Largest body accepted, in bytes.
         limit: usize,
     },
-    /// The connection failed.
+    /// The connection failed; holds the error of the operating system.
     #[error("the connection failed: {0}")]
     Io(#[from] std::io::Error),
 }
--- a/crates/protocol/src/peer/frame.rs
+++ b/crates/protocol/src/peer/frame.rs
@@ -37,7 +37,7 @@
     Open {
         /// Number of the stream; it was not used before on this link.
         stream: u32,
-        /// The requested connection.
+        /// The connection that is requested, and for how long the request may wait.
         request: OpenRequest,
     },
     /// The connection is available. Commands on the stream are passed to it from now on,
--- a/crates/protocol/src/platform/kv.rs
+++ b/crates/protocol/src/platform/kv.rs
@@ -144,7 +144,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Compare {
-    /// Required relation.
+    /// Relation of the property to the value with which the comparison succeeds.
     pub result: CompareResult,
     /// Property of the key that is checked.
     pub target: CompareTarget,
--- a/crates/protocol/src/platform/watch.rs
+++ b/crates/protocol/src/platform/watch.rs
@@ -42,7 +42,7 @@
     Delete,
 }
 
-/// One change.
+/// One change of a watched key.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Event {
--- a/crates/serving/src/feed/mod.rs
+++ b/crates/serving/src/feed/mod.rs
@@ -72,7 +72,7 @@
         self.advance(all.revision);
     }
 
-    /// Records one change.
+    /// Records one change of the store in the log; [`Feed::advance`] makes it count as applied.
     pub fn record(&self, change: &StoreChange) {
         let subject = change.record.subject();
         let change = Rc::new(change.clone());
--- a/crates/serving/src/lease.rs
+++ b/crates/serving/src/lease.rs
@@ -47,7 +47,7 @@
         &self.pool
     }
 
-    /// Returns the connection.
+    /// Returns the leased connection. Panics if it has been taken out of the lease.
     pub fn connection(&mut self) -> &mut Connection {
         self.connection
             .as_mut()
--- a/crates/serving/src/node.rs
+++ b/crates/serving/src/node.rs
@@ -153,7 +153,7 @@
 
 /// The shared state of a node.
 pub struct Node {
-    /// Settings at startup.
+    /// Settings as of the start of the node.
     pub settings: NodeSettings,
     /// The settings that can be reloaded, as currently in force.
     changeable: RefCell<Rc<ChangeableSettings>>,
@@ -233,7 +233,7 @@
     pub stop_advanced: Notify,
     /// Idle links to peers, and the peers that are not asked for connections at the moment.
     pub links: Links,
-    /// Which peers respond.
+    /// Which peers respond, and which are due to be probed.
     pub reachability: Reachability,
     /// Whether this node is cut off from the fleet.
     pub(crate) isolation: Cell<Isolation>,
--- a/crates/serving/src/peer_message.rs
+++ b/crates/serving/src/peer_message.rs
@@ -21,7 +21,7 @@
     AskObservation {
         /// Number that the answer repeats.
         nonce: u64,
-        /// The group concerned.
+        /// Group whose primary is observed.
         group: GroupName,
         /// The database that the sender considers the primary, if any.
         leader: Option<DatabaseName>,
@@ -30,7 +30,7 @@
     AskSample {
         /// Number that the answer repeats.
         nonce: u64,
-        /// The group concerned.
+        /// Group whose primary and position are requested.
         group: GroupName,
     },
     /// Answers `AskSample`; sent only by a node that knows the primary.
@@ -84,7 +84,7 @@
     /// Reports that the sender lacks a group's primary, so that the coordinator checks whether it
     /// has to be replaced.
     ReportLoss {
-        /// The group concerned.
+        /// Group whose primary the sender lacks.
         group: GroupName,
         /// The primary that does not answer the sender, or `None` if the sender knows no primary.
         leader: Option<DatabaseName>,
--- a/crates/serving/src/pool/waiters.rs
+++ b/crates/serving/src/pool/waiters.rs
@@ -21,7 +21,7 @@
     OpenPermit(OpenPermit),
 }
 
-/// A waiting request.
+/// A request that waits for a connection or a permit to open one.
 pub(super) struct Waiter {
     /// `None` for a query of this node itself, which any connection can serve.
     pub(super) principal: Option<Principal>,
--- a/crates/serving/src/ports.rs
+++ b/crates/serving/src/ports.rs
@@ -70,7 +70,7 @@
     DatabaseRemoved(DatabaseName),
     /// The operator's request to stop using the databases of a zone, or the end of that request.
     Evacuation {
-        /// The zone concerned.
+        /// Zone whose databases the request applies to.
         zone: ZoneName,
         /// Whether the request is in force.
         requested: bool,
--- a/crates/serving/src/zone_evacuations.rs
+++ b/crates/serving/src/zone_evacuations.rs
@@ -10,7 +10,7 @@
 /// The zone evacuations known to this node and its progress in carrying them out.
 #[derive(Default)]
 pub(crate) struct ZoneEvacuations {
-    /// The evacuation requests.
+    /// The operator's evacuation requests known to this node, with those that have ended.
     pub(crate) known: RefCell<Evacuations>,
     /// This node's progress for each zone whose evacuation has changed.
     pub(crate) progress: RefCell<BTreeMap<ZoneName, Progress>>,
--- a/crates/state/src/bundle/validate.rs
+++ b/crates/state/src/bundle/validate.rs
@@ -65,7 +65,7 @@
     /// Two databases have the same address.
     #[error("database `{other}` has the same address")]
     DuplicateAddress {
-        /// The other database.
+        /// The other database with that address.
         other: DatabaseName,
     },
     /// A number is outside its range.
--- a/crates/state/src/store_revision.rs
+++ b/crates/state/src/store_revision.rs
@@ -59,7 +59,7 @@
         Self { era, number }
     }
 
-    /// Returns the era.
+    /// Returns the era of the store that the revision belongs to.
     pub const fn era(self) -> StoreEra {
         self.era
     }
--- a/crates/transport/src/admin/decisions.rs
+++ b/crates/transport/src/admin/decisions.rs
@@ -30,7 +30,7 @@
 pub struct DecisionCounts([AtomicU64; LABELS.len()]);
 
 impl DecisionCounts {
-    /// Counts a decision.
+    /// Increments the counter of the decision's kind and detail.
     pub fn count(&self, decision: &Decision) {
         self.0[index_of(decision)].fetch_add(1, Ordering::Relaxed);
     }
--- a/crates/transport/src/admin/server.rs
+++ b/crates/transport/src/admin/server.rs
@@ -24,7 +24,7 @@
     /// The address cannot be listened on.
     #[error("cannot listen on {address}: {source}")]
     Bind {
-        /// The requested address.
+        /// Address that the server was to listen on.
         address: SocketAddr,
         /// Error of the operating system.
         source: std::io::Error,
--- a/crates/transport/src/backend/ledger.rs
+++ b/crates/transport/src/backend/ledger.rs
@@ -13,7 +13,7 @@
 
 use hookpoint_protocol::tags::{backend, frontend};
 
-/// An outstanding answer.
+/// An answer that the database still has to send.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Expected {
     /// `ParseComplete`; with a name, of a statement that the proxy prepared itself.
--- a/crates/transport/src/backend/message.rs
+++ b/crates/transport/src/backend/message.rs
@@ -37,7 +37,7 @@
     pub draining: bool,
 }
 
-/// Requests a lease.
+/// Requests a lease of a connection; the result is sent to `reply`.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(super) struct Acquire {
@@ -106,7 +106,7 @@
 
 /// A command of a pool to a connection.
 pub(super) enum Order {
-    /// Serve the request.
+    /// Serve the granted request.
     Serve(Box<Grant>),
     /// Close the connection.
     Close,
--- a/crates/transport/src/backend/prepared.rs
+++ b/crates/transport/src/backend/prepared.rs
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Removes all statements.
+    /// Removes all statements; used after `DISCARD ALL`.
     pub fn clear(&mut self) {
         self.entries.clear();
         self.order.clear();
--- a/crates/transport/src/backend/serve.rs
+++ b/crates/transport/src/backend/serve.rs
@@ -48,7 +48,7 @@
     Unused,
     /// The session dropped the lease without a release.
     Abandoned,
-    /// The connection broke.
+    /// The connection can no longer be used; the session is notified.
     Lost,
 }
 
--- a/crates/transport/src/caller/context.rs
+++ b/crates/transport/src/caller/context.rs
@@ -22,7 +22,7 @@
     pub shared: Arc<Shared>,
     /// Source of leased backend connections.
     pub leases: Arc<dyn LeaseSource>,
-    /// Verifies leadership terms.
+    /// Verifies the terms of groups by querying a majority of their databases.
     pub verifier: Arc<dyn TermVerifier>,
     /// Table of the open sessions.
     pub registry: Arc<Registry>,
--- a/crates/transport/src/caller/listener.rs
+++ b/crates/transport/src/caller/listener.rs
@@ -33,7 +33,7 @@
     accepting: Option<actix_rt::task::JoinHandle<()>>,
 }
 
-/// Stops accepting connections.
+/// Stops accepting connections; open sessions continue.
 #[derive(Message)]
 #[rtype(result = "()")]
 struct StopAccepting;
--- a/crates/transport/src/caller/settings.rs
+++ b/crates/transport/src/caller/settings.rs
@@ -118,13 +118,13 @@
     /// Without credentials the listener would be open to the network.
     #[error("no credentials are set, so listening on {address} beyond loopback is refused")]
     TrustOutsideLoopback {
-        /// The requested address.
+        /// Address that the listener was to use.
         address: SocketAddr,
     },
     /// The address cannot be listened on.
     #[error("cannot listen on {address}: {source}")]
     Bind {
-        /// The requested address.
+        /// Address that the listener was to use.
         address: SocketAddr,
         /// Error of the operating system.
         source: std::io::Error,
--- a/crates/transport/src/caller/startup.rs
+++ b/crates/transport/src/caller/startup.rs
@@ -67,7 +67,7 @@
     /// The bundle does not contain the group.
     #[error("there is no database group `{group}`")]
     UnknownGroup {
-        /// The requested group.
+        /// Group that the caller requested.
         group: GroupName,
     },
 }
--- a/crates/transport/src/caller/statements.rs
+++ b/crates/transport/src/caller/statements.rs
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Removes all statements.
+    /// Removes all statements, including the unnamed one. Portals are kept.
     pub fn clear(&mut self) {
         self.named.clear();
         self.unnamed = None;
--- a/crates/transport/src/caller/tls.rs
+++ b/crates/transport/src/caller/tls.rs
@@ -34,7 +34,7 @@
         Ok(Self { settings, current })
     }
 
-    /// Returns the settings.
+    /// Returns the settings that name the certificate and key files.
     pub fn settings(&self) -> &TlsSettings {
         &self.settings
     }
--- a/crates/transport/src/caller/unit.rs
+++ b/crates/transport/src/caller/unit.rs
@@ -24,7 +24,7 @@
 /// A unit as received from the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallerUnit {
-    /// A simple query.
+    /// The `Query` message of a simple query.
     Simple(Frame),
     /// Messages of the extended query protocol, without the `Sync`.
     Extended {
--- a/crates/transport/src/observe/status.rs
+++ b/crates/transport/src/observe/status.rs
@@ -31,7 +31,7 @@
     /// No connection was granted.
     #[error("no connection: {0}")]
     Refused(#[from] Refusal),
-    /// The connection broke.
+    /// The connection broke before the answer was complete.
     #[error("the connection broke")]
     Lost,
     /// The answer did not arrive in time.
--- a/crates/transport/src/peer/error.rs
+++ b/crates/transport/src/peer/error.rs
@@ -18,7 +18,7 @@
 /// Why a link could not be established.
 #[derive(Debug, Error)]
 pub(super) enum ConnectError {
-    /// The connection failed.
+    /// The TCP connection could not be opened, or broke during the handshake.
     #[error("the connection failed: {0}")]
     Io(#[from] std::io::Error),
     /// The handshake failed.
--- a/crates/transport/src/peer/link/stream.rs
+++ b/crates/transport/src/peer/link/stream.rs
@@ -175,7 +175,7 @@
 }
 
 impl StreamSender {
-    /// Requests a lease.
+    /// Requests a lease from the peer, which opens the stream.
     pub async fn open(&self, request: OpenRequest) -> Result<(), StreamLost> {
         let stream = self.shared.number;
         self.send(LinkFrame::Open { stream, request }).await
--- a/crates/transport/src/peer/link/table.rs
+++ b/crates/transport/src/peer/link/table.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Closes every link.
+    /// Removes and closes every link, including those that are retiring.
     pub fn close_all(&self) {
         let peers = std::mem::take(&mut *self.peers.lock());
         let links = peers.into_values().filter_map(|peer| peer.link);
--- a/crates/transport/src/peer/sockets.rs
+++ b/crates/transport/src/peer/sockets.rs
@@ -11,7 +11,7 @@
 pub struct Sockets {
     /// Socket for datagrams.
     pub udp: UdpSocket,
-    /// Listener for links.
+    /// TCP listener that accepts links from peers.
     pub tcp: TcpListener,
     /// Address of both sockets.
     pub address: SocketAddr,
--- a/crates/transport/src/peer/status.rs
+++ b/crates/transport/src/peer/status.rs
@@ -45,7 +45,7 @@
 /// The fleet as one node sees it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetStatus {
-    /// The reporting node.
+    /// The node that reports this view.
     pub own: MemberStatus,
     /// The other nodes, including dead ones that are still remembered.
     pub members: Vec<MemberStatus>,
@@ -62,11 +62,11 @@
 /// Counters since the start of the node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetCounters {
-    /// Datagrams sent.
+    /// Datagrams accepted by the socket for sending.
     pub datagrams_sent: u64,
     /// Bytes of datagrams sent, without IP and UDP headers.
     pub datagram_bytes_sent: u64,
-    /// Datagrams accepted.
+    /// Received datagrams that were authentic, well-formed and not replayed.
     pub datagrams_received: u64,
     /// Datagrams dropped because they were not authentic, malformed or replayed.
     pub datagrams_dropped: u64,
