--- a/crates/coordination/src/request/event.rs
+++ b/crates/coordination/src/request/event.rs
@@ -50,7 +50,7 @@
     },
     /// The status query sent ahead of the unit was answered.
     CheckAnswered {
-        /// Reported status.
+        /// Status that the database reported.
         status: BackendStatus,
     },
     /// The current unit's answer has ended (`ReadyForQuery`).
@@ -68,7 +68,7 @@
     /// The status query sent directly after a unit that may commit, or a later probe for
     /// whether a majority has flushed the commit, was answered.
     ProbeAnswered {
-        /// Reported status.
+        /// Status that the database reported.
         status: BackendStatus,
     },
     /// [`super::RequestAction::QueryStatus`] got no answer.
