--- a/hookpoint/src/proxy/components.rs
+++ b/hookpoint/src/proxy/components.rs
@@ -141,7 +141,8 @@
     let mut keys = keys
         .map(|key| fleet_key(key.expose()))
         .collect::<Result<Vec<_>, _>>()?;
-    // Without configured keys, a random key makes the node a fleet of its own.
+    // Without configured keys, the node uses a random key, which no other node has, and so
+    // forms a fleet of its own.
     let own = fleet_key(&rand::random::<[u8; 32]>())?;
     if keys.is_empty() {
         keys.push(own.clone());
--- a/hookpoint/src/proxy/mod.rs
+++ b/hookpoint/src/proxy/mod.rs
@@ -117,7 +117,9 @@
 
     /// Stops the proxy as planned: marks it as leaving in the platform's list and in the
     /// fleet, finishes requests in flight, sends idle sessions their token and closes them
-    /// cleanly, then closes all listeners. Has no effect if the proxy is stopping already.
+    /// cleanly, and waits for the end of leases that it has lent, up to [`DRAIN_TIMEOUT`].
+    /// Then it removes itself from the platform's list and closes all listeners. Has no effect
+    /// if the proxy is stopping already.
     pub async fn stop(&self) {
         let running = &self.inner;
         if running.stopping.swap(true, Ordering::Relaxed) {
