--- a/lab/src/laboratory.rs
+++ b/lab/src/laboratory.rs
@@ -164,8 +164,8 @@
         }
     }
 
-    /// Ends all cuts, outages, pauses and isolations, restarts databases and restores the
-    /// replica lag. Proxies are not restarted.
+    /// Ends all cuts, outages, pauses and isolations, restarts databases and sets every
+    /// replay lag to the deployment's replica lag. Proxies are not restarted.
     fn heal(&self) -> String {
         self.stack.links.heal_all();
         self.stack.platform.faults().clear();
