--- a/crates/coordination/src/explain.rs
+++ b/crates/coordination/src/explain.rs
@@ -32,9 +32,11 @@
         #[serde(rename = "place")]
         position: Position,
     },
-    /// A request was held.
+    /// A request was not sent to a database yet, because no database could serve it or the
+    /// group's term was not verified.
     Held {
-        /// Condition that the request waits for.
+        /// What must become available before the request can be routed; if that does not
+        /// happen before the request's deadline, the request is refused.
         waiting_for: HoldReason,
     },
     /// A request was sent again because it provably did not run.
@@ -46,7 +48,7 @@
     Acknowledged {
         /// Position of the commit.
         position: Position,
-        /// Databases known to have flushed the commit.
+        /// Number of databases known to have flushed the commit.
         holders: u32,
     },
     /// A request ended without an answer from the database.
--- a/crates/coordination/src/request/action.rs
+++ b/crates/coordination/src/request/action.rs
@@ -1,4 +1,6 @@
-//! Actions that a request machine requests from its session.
+//! Actions that a request machine requests from its session. A unit is a simple query, or
+//! extended-protocol messages up to and including `Sync`. The status query returns a database's
+//! role, term, log position and the positions that its replicas have flushed.
 
 use std::time::Duration;
 
@@ -12,7 +14,8 @@
     /// Verify the group's term by a majority of its databases, with queries sent from
     /// now on.
     VerifyTerm,
-    /// Request a connection to `database`; the answer is a lease event.
+    /// Request a connection to `database`; the answer is
+    /// [`super::RequestEvent::LeaseGranted`] or [`super::RequestEvent::LeaseRefused`].
     Acquire {
         /// Database to connect to.
         database: DatabaseName,
@@ -21,10 +24,14 @@
     },
     /// Send the current unit on the held connection.
     Send {
-        /// Whether to send the status query ahead of the unit, in the same flight.
+        /// Whether to send the status query ahead of the unit, in the same write. Its answer
+        /// shows the database's role and term, and whether it has reached the position that
+        /// the request must see.
         check: bool,
-        /// Whether to send the status query behind the unit, in the same flight, and to
-        /// hold back the end of the answer until [`RequestAction::Acknowledge`].
+        /// Whether to send the status query behind the unit, in the same write, and to hold
+        /// back the end of the answer until [`RequestAction::Acknowledge`]. The end of the
+        /// answer tells the caller that its transaction is committed, so it may be sent only
+        /// once status answers show that a majority of the group has flushed the commit.
         probe: bool,
     },
     /// Forward the unit's answer to the caller. Until then the answer is held back; the
@@ -37,8 +44,9 @@
         /// Pause before the query is sent.
         after: Duration,
     },
-    /// Query the status of `database` after a pause, on any connection of the fleet. The
-    /// answer is a probe event.
+    /// Query the status of `database` after a pause, on a connection of any node of the
+    /// fleet. The answer is [`super::RequestEvent::ProbeAnswered`] or
+    /// [`super::RequestEvent::ProbeFailed`].
     QueryStatus {
         /// Database concerned.
         database: DatabaseName,
@@ -53,7 +61,8 @@
         /// Position of the commit.
         position: Position,
     },
-    /// Deliver the end of the answer that was held back.
+    /// Send the caller the end of the answer, which was held back because of `probe` in
+    /// [`RequestAction::Send`].
     Acknowledge {
         /// Position that the session's later reads must see; `None` if it is unchanged.
         position: Option<Position>,
--- a/crates/coordination/src/request/event.rs
+++ b/crates/coordination/src/request/event.rs
@@ -1,15 +1,14 @@
 //! Events that a session sends to its request machine.
 //!
-//! A unit is one batch of a caller's messages, see [`Unit`]; a transaction consists of one
-//! or more units.
+//! A unit (see [`Unit`]) is a simple query, or extended-protocol messages up to and including
+//! `Sync`. A transaction consists of one or more units.
 
 use hookpoint_state::{DatabaseName, Position, Refusal};
 
 use crate::request::profile::Unit;
 use crate::status::BackendStatus;
 
-/// Whether the database reported an error in its answer to a unit: a simple query, or
-/// extended-protocol messages up to and including `Sync`.
+/// Whether the database reported an error in its answer to a unit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UnitResult {
     /// The unit ended without an error.
@@ -48,7 +47,8 @@
         /// Reason for the refusal.
         refusal: Refusal,
     },
-    /// The status query sent ahead of the unit was answered.
+    /// The status query sent ahead of the unit was answered: `check` in
+    /// [`super::RequestAction::Send`].
     CheckAnswered {
         /// Reported status.
         status: BackendStatus,
--- a/crates/coordination/src/serving/evacuation.rs
+++ b/crates/coordination/src/serving/evacuation.rs
@@ -21,30 +21,34 @@
     Evacuated,
 }
 
-/// What is known about one zone's evacuation.
+/// The newest request to evacuate a zone, or the end of that request. A request ends when an
+/// operator withdraws it, or when it was lost with a restored store and not written again in time.
 #[derive(Clone, Copy, Debug)]
 struct Evacuation {
-    /// Revision of the evacuation request, or of its end.
+    /// Store revision of the request, or, if it has ended, the revision at which it was found to
+    /// have ended.
     revision: StoreRevision,
-    /// Whether the request is in force.
+    /// Whether the request is in force; false once it has ended.
     requested: bool,
-    /// When this node learned of the request or its end.
+    /// When this node first observed the request, or, if it has ended, its end.
     since: Timestamp,
-    /// Since when a store restored from a copy has not listed the request. Lost requests are
-    /// rewritten; a withdrawn one is not.
+    /// When this node first read, from a store restored from an older copy, a listing without the
+    /// request; `None` if no such listing was read since the request was recorded. A request that
+    /// was lost with the restored store is written again, a withdrawn one is not.
     unlisted_since: Option<Timestamp>,
 }
 
-/// The evacuations known to this node. A request that has ended is remembered, so that an older
-/// message does not bring it back.
+/// The evacuation requests known to this node, by zone. A request that has ended is remembered, so
+/// that an older message does not put it in force again.
 #[derive(Clone, Debug, Default)]
 pub struct Evacuations {
     zones: BTreeMap<ZoneName, Evacuation>,
 }
 
 impl Evacuations {
-    /// Applies a request, or its end, as of `revision`. A revision that is not newer than the known
-    /// one is ignored. Returns whether a request for the zone came into force or ended.
+    /// Records that the evacuation of `zone` is requested as of `revision`, or, if `requested` is
+    /// false, that the request has ended. Has no effect if `revision` is not newer than the recorded
+    /// one. Returns whether a request for the zone came into force or ended.
     pub fn apply(
         &mut self,
         zone: &ZoneName,
@@ -72,8 +76,9 @@
     }
 
     /// Applies a complete listing of the requests in force, read at `revision`: a request that is
-    /// absent has ended. A listing of a later era may lack requests that the store has lost; those
-    /// remain in force for a while. Returns the zones whose state changed.
+    /// absent has ended. The era of a revision increases when the store is restored from an older
+    /// copy; a listing of a later era may lack requests that the store has lost, so those remain in
+    /// force until [`Evacuations::end_unlisted`] ends them. Returns the zones whose state changed.
     pub fn replace(
         &mut self,
         listed: &[(ZoneName, StoreRevision)],
@@ -107,8 +112,8 @@
         }
     }
 
-    /// Ends, as of `revision`, the requests that were not rewritten after the store was restored
-    /// without them. Returns their zones.
+    /// Ends, as of `revision`, the requests that were not written again within [`REWRITE_TIME`]
+    /// after this node found them missing in a restored store. Returns their zones.
     pub fn end_unlisted(&mut self, revision: StoreRevision, now: Timestamp) -> Vec<ZoneName> {
         let is_over = |evacuation: &Evacuation| {
             let since = evacuation.unlisted_since;
@@ -126,20 +131,21 @@
         over
     }
 
-    /// Returns whether no evacuation, current or ended, is known.
+    /// Returns whether no evacuation request, in force or ended, is recorded.
     pub fn is_empty(&self) -> bool {
         self.zones.is_empty()
     }
 
-    /// Returns every known zone, whether its request is in force, and the revision of the request
-    /// or its end.
+    /// Returns every zone with a recorded request, whether the request is in force, and the revision
+    /// of the request or, if it has ended, of its end.
     pub fn known(&self) -> impl Iterator<Item = (&ZoneName, bool, StoreRevision)> {
         self.zones
             .iter()
             .map(|(zone, evacuation)| (zone, evacuation.requested, evacuation.revision))
     }
 
-    /// Returns for how long the request for a zone has been known, if it is in force.
+    /// Returns how long ago this node observed the request for `zone`; `None` if no request is in
+    /// force.
     pub fn age(&self, zone: &ZoneName, now: Timestamp) -> Option<Duration> {
         let evacuation = self.zones.get(zone)?;
         evacuation.requested.then(|| now.since(evacuation.since))
@@ -153,9 +159,9 @@
             .map(|(zone, evacuation)| (zone, evacuation.revision))
     }
 
-    /// Returns what the databases of a zone may be used for. They receive nothing once the request
-    /// has been known for `limit`; after its end they are used only as a last resort for
-    /// `return_time`.
+    /// Returns what the databases of `zone` may be used for. They receive no requests once `limit`
+    /// has passed since this node observed the evacuation request; for `return_time` after the
+    /// request has ended, they are used only if no other database can serve a request.
     pub fn availability(
         &self,
         zone: &ZoneName,
--- a/crates/serving/src/statement/transaction_mode.rs
+++ b/crates/serving/src/statement/transaction_mode.rs
@@ -14,12 +14,12 @@
 /// The transaction that has to be open on the connection before the statement.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum TransactionMode {
-    /// No transaction: the statement runs in autocommit mode, on a database that holds the position
-    /// if one is given.
+    /// No transaction: the statement runs in autocommit mode, on a database that has reached the
+    /// position if one is given.
     Autocommit(Option<Position>),
     /// A plain transaction, opened for the statement. Only a primary accepts it.
     LeaderTransaction,
-    /// A read-only transaction on a database that holds the position.
+    /// A read-only transaction on a database that has reached the position.
     ReadTransaction(Position),
 }
 
@@ -70,6 +70,9 @@
         self.check_last_answer(lease, mode, asked_at, &answers)
     }
 
+    /// Checks the answers to the commands that reset the connection and set the session's values.
+    /// Records that the connection has these values, or marks the connection as broken if a command
+    /// failed. The last of `answers` is left to [`Request::check_last_answer`].
     pub(super) fn record_session_values(
         &self,
         lease: &mut Lease,
@@ -89,6 +92,9 @@
         Ok(())
     }
 
+    /// Checks the answer to the last command, which begins the transaction unless `mode` is
+    /// [`TransactionMode::Autocommit`]. Returns an empty list of commands, or why the
+    /// attempt failed.
     pub(super) fn check_last_answer(
         &self,
         lease: &mut Lease,
--- a/crates/state/src/bundle/mod.rs
+++ b/crates/state/src/bundle/mod.rs
@@ -57,7 +57,7 @@
     /// weight 1 and no limit.
     #[serde(default)]
     pub tenants: BTreeMap<TenantName, TenantLimits>,
-    /// Databases that get no new work.
+    /// Databases that are being drained: they receive no new requests.
     #[serde(default)]
     pub drain: BTreeSet<DatabaseName>,
 }
@@ -103,7 +103,8 @@
     pub zone: ZoneName,
     /// Address as `ip:port`.
     pub address: String,
-    /// Maximum number of connections from the whole fleet.
+    /// Maximum number of connections that the nodes of the fleet together open to this
+    /// database.
     pub slots: u32,
 }
 
@@ -113,9 +114,11 @@
 pub struct Limits {
     /// Maximum wait for a connection or a primary, in milliseconds.
     pub wait_ms: u64,
-    /// Maximum wait for evidence that a majority has flushed a commit, in milliseconds.
+    /// Maximum wait until a majority of the group is known to have flushed a commit, in
+    /// milliseconds.
     pub acknowledge_ms: u64,
-    /// Maximum length of the queue for one database on its home node, in requests.
+    /// Maximum number of requests that wait for a connection to one database on its home
+    /// node, which is the node that holds the fleet's connections to the database.
     pub queue_per_database: u32,
     /// Maximum number of sessions per node.
     pub sessions_per_node: u32,
@@ -124,7 +127,7 @@
     /// Maximum time for which a transaction may be idle while it holds a connection, in
     /// milliseconds.
     pub idle_transaction_ms: u64,
-    /// Retries of a tenant, as a percentage of its requests.
+    /// Retries that a tenant earns with its requests, as a percentage of their number.
     pub retry_percent: u32,
 }
 
--- a/crates/transport/src/backend/message.rs
+++ b/crates/transport/src/backend/message.rs
@@ -55,17 +55,18 @@
 #[rtype(result = "()")]
 pub(super) struct Configure(pub PoolConfiguration);
 
-/// Sets whether this node is the database's home.
+/// Sets whether this node is the database's home: the node that holds the fleet's connections
+/// to the database.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(super) struct SetHome(pub bool);
 
-/// Makes waiting requests look for another database.
+/// Refuses the waiting requests, so that their sessions choose a database again.
 #[derive(Message)]
 #[rtype(result = "()")]
 pub(super) struct Reroute {
-    /// Whether the database has lost the primary role. Sessions that wait for its answer
-    /// then wait only a little longer.
+    /// Whether the database has lost the primary role. Every connection then receives
+    /// [`Order::AbortIfSilent`], which bounds how long sessions wait for answers from it.
     pub former_primary: bool,
 }
 
@@ -88,7 +89,7 @@
     Opened,
     /// The connection could not be opened.
     Failed(OpenFailure),
-    /// The lease has ended.
+    /// The lease has ended; the connection may serve another session if it is `reusable`.
     Returned { reusable: bool },
     /// The pool closed the connection.
     Closed,
@@ -98,7 +99,7 @@
     GrantFailed(Box<Grant>),
 }
 
-/// A granted request on its way to the connection.
+/// A granted lease request that the pool passes to the connection.
 pub(super) struct Grant {
     pub request: WaitingRequest,
     pub reply: LeaseReply,
@@ -110,7 +111,8 @@
     Serve(Box<Grant>),
     /// Close the connection.
     Close,
-    /// Break the lease unless the database sends a message soon.
+    /// If the database is executing a request on the connection, close the connection and end
+    /// its lease, unless the database sends a message within `MAXIMUM_SILENCE` (500 ms).
     AbortIfSilent,
 }
 
--- a/crates/transport/src/observe/prober.rs
+++ b/crates/transport/src/observe/prober.rs
@@ -1,4 +1,5 @@
-//! Probes the databases that this node is the home of.
+//! Probes the databases that this node is the home of, which means that it holds the fleet's
+//! connections to them. Other databases are probed through their home nodes.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,9 +19,9 @@
 /// Longest duration of a probe. The query itself times out earlier, unless it had to wait
 /// for one already running.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval at which the databases that this node is the home of are read again.
+/// Interval at which the list of databases to observe is rebuilt.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
-/// Capacity of the channel of finished probes.
+/// Capacity of the channel on which finished probes are reported.
 const RESULT_BUFFER: usize = 64;
 
 /// Starts the observer of `pools` on `arbiter`; databases of other homes are queried
@@ -113,6 +114,8 @@
         })
     }
 
+    /// Passes `event` to the probe schedule and starts the probes that are due. Returns when
+    /// the schedule next needs [`ObserverEvent::Timer`]; `None` if it needs none.
     fn handle(&mut self, event: ObserverEvent) -> Option<Timestamp> {
         let mut actions = Vec::new();
         let shared = &self.shared;
@@ -143,7 +146,7 @@
     }
 }
 
-/// Sleeps until `due`; never resolves without one.
+/// Sleeps until `due`; never completes if `due` is `None`.
 async fn wait_until(shared: &Shared, due: Option<Timestamp>) {
     match due {
         Some(due) => tokio::time::sleep(due.since(shared.now())).await,
@@ -177,8 +180,8 @@
     }
 }
 
-/// A missing answer proves nothing about the database: the path to its home may be
-/// interrupted.
+/// Queries the status of a database through its home node. A failure does not mark the database
+/// unreachable, because the path to its home may be interrupted instead.
 async fn probe_through_fleet(
     shared: Arc<Shared>,
     fleet: Arc<dyn StatusSource>,
--- a/crates/transport/src/peer/handle.rs
+++ b/crates/transport/src/peer/handle.rs
@@ -49,9 +49,12 @@
     arbiter: Arc<ArbiterGuard>,
 }
 
+/// Owns the arbiter (thread) that runs the fleet actor; shared by all clones of a
+/// [`FleetHandle`].
 struct ArbiterGuard(Arbiter);
 
 impl Drop for ArbiterGuard {
+    /// Stops the arbiter when the last clone of the [`FleetHandle`] is dropped.
     fn drop(&mut self) {
         self.0.stop();
     }
@@ -254,9 +257,9 @@
         }
     }
 
-    /// Stops accepting home duties and announces to the other nodes that this node
-    /// leaves. Returns after the announcement has had time to propagate; forwarded leases
-    /// continue in both directions.
+    /// Refuses further leases that other nodes request from this node as the home of a
+    /// database, and announces to the other nodes that this node leaves. Returns after the
+    /// announcement has had time to propagate; forwarded leases continue in both directions.
     pub async fn leave(&self) {
         self.core.set_stopping();
         self.core.handle_event(NodeEvent::StopRequested);
--- a/crates/transport/src/peer/serve.rs
+++ b/crates/transport/src/peer/serve.rs
@@ -1,4 +1,6 @@
-//! The home's side of a forwarded lease.
+//! Serves leases that other nodes request from this node as the home of a database, which is
+//! the node that holds the fleet's connections to the database. Each lease uses one stream of
+//! the link to the peer: commands arrive on it, and replies are sent back.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -15,27 +17,28 @@
 use super::status::count;
 use crate::lease::{AcquireRequest, BackendLease};
 
-/// Longest wait that a peer may request.
+/// Maximum time for which a peer's request may wait for a connection.
 const LONGEST_WAIT: Duration = Duration::from_secs(600);
-/// How long a connection may refuse a command before the lease is dropped.
+/// How long the command channel of a connection may stay full before the lease is dropped.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Commands that arrived before the lease was granted. Their number is bounded by the
-/// credit, which is not returned before the lease is granted.
+/// Command fragments that the peer sent before the lease was granted. Their size is bounded by
+/// the stream's flow-control credit, which the peer gets back only after the lease is granted.
 #[derive(Default)]
 struct EarlyCommands {
     fragments: VecDeque<(bool, Bytes)>,
 }
 
 impl EarlyCommands {
-    /// Collects commands until the stream ends.
+    /// Buffers command fragments until the stream ends.
     async fn collect(&mut self, receiver: &mut StreamReceiver) {
         while let Some(StreamEvent::Data { last, bytes }) = receiver.next_unacknowledged().await {
             self.fragments.push_back((last, bytes));
         }
     }
 
-    /// Returns the next fragment, early ones first.
+    /// Returns the next fragment: first the buffered ones, then those that arrive on the
+    /// stream. `None` when the stream has ended.
     async fn next(&mut self, receiver: &mut StreamReceiver) -> Option<(bool, Bytes)> {
         if let Some((last, bytes)) = self.fragments.pop_front() {
             receiver.acknowledge(&bytes).await;
@@ -80,11 +83,13 @@
         return;
     }
     let acquiring = core.local.acquire(acquire_request(request));
-    let mut early = EarlyCommands::default();
+    let mut early_commands = EarlyCommands::default();
     let acquired = tokio::select! {
         acquired = acquiring => acquired,
-        // The peer has closed the stream, is lost, or has violated the protocol.
-        () = early.collect(&mut receiver) => return,
+        // Buffers the commands that arrive before the lease is granted. This future completes
+        // only when the stream ends: the peer has closed it or violated the protocol, or the
+        // link to the peer is lost.
+        () = early_commands.collect(&mut receiver) => return,
     };
     let lease = match acquired {
         Ok(lease) => lease,
@@ -94,13 +99,13 @@
         }
     };
     count(&core.counters.leases_served, 1);
-    relay(sender, receiver, early, lease).await;
+    relay(sender, receiver, early_commands, lease).await;
 }
 
 async fn relay(
     sender: StreamSender,
     receiver: StreamReceiver,
-    early: EarlyCommands,
+    early_commands: EarlyCommands,
     lease: BackendLease,
 ) {
     let BackendLease {
@@ -111,7 +116,7 @@
     let granted = sender.grant().await.is_ok();
     let used = if granted {
         tokio::select! {
-            used = relay_commands(receiver, early, &commands) => used,
+            used = relay_commands(receiver, early_commands, &commands) => used,
             () = relay_replies(&mut replies, sender) => true,
         }
     } else {
@@ -127,15 +132,16 @@
     }
 }
 
-/// Relays commands until the stream ends. Returns whether there were any.
+/// Relays the peer's commands to the connection until the stream ends, a command cannot be
+/// decoded or the connection accepts no command. Returns whether the peer sent any.
 async fn relay_commands(
     mut receiver: StreamReceiver,
-    mut early: EarlyCommands,
+    mut early_commands: EarlyCommands,
     commands: &mpsc::Sender<BackendCommand>,
 ) -> bool {
     let mut assembler = Assembler::default();
     let mut used = false;
-    while let Some((last, bytes)) = early.next(&mut receiver).await {
+    while let Some((last, bytes)) = early_commands.next(&mut receiver).await {
         used = true;
         let command = match assembler.push::<BackendCommand>(last, &bytes) {
             Ok(Some(command)) => command,
@@ -153,7 +159,7 @@
     used
 }
 
-/// Relays replies until the connection ends.
+/// Relays replies to the peer until the lease or the stream ends.
 async fn relay_replies(
     replies: &mut mpsc::Receiver<hookpoint_protocol::backend_command::BackendReply>,
     sender: StreamSender,
--- a/hookpoint/src/operator/error.rs
+++ b/hookpoint/src/operator/error.rs
@@ -31,7 +31,7 @@
     cause.unwrap_or_else(|| "the time is over".to_owned())
 }
 
-/// Error of an operator's command.
+/// Why an operator's command failed, and whether it changed anything.
 #[derive(Debug, Error)]
 pub enum OperatorError {
     /// Another roll was applied first. Nothing was changed.
@@ -89,7 +89,10 @@
 }
 
 impl OperatorError {
-    /// Returns the exit code of the command.
+    /// Returns the exit code of the command: 2 if the bundle breaks a rule; 3 if another roll
+    /// was applied first or the version is not newer than the one in force; 4 if the outcome is
+    /// unknown; 5 if the platform did not accept the request; 1 if the version is not prepared or
+    /// not approved, or a record is damaged.
     pub fn exit_code(&self) -> u8 {
         match self {
             Self::BadBundle(_) => 2,
--- a/hookpoint/src/settings/mod.rs
+++ b/hookpoint/src/settings/mod.rs
@@ -44,7 +44,7 @@
     /// Access to the platform's key-value service.
     #[serde(default)]
     pub platform: PlatformSection,
-    /// Acceptance of bundles.
+    /// Conditions for accepting a bundle, the signed configuration of the fleet.
     #[serde(default)]
     pub bundles: BundleSection,
     /// Format and level of logs.
@@ -220,7 +220,7 @@
     }
 }
 
-/// Acceptance of bundles.
+/// Conditions for accepting a bundle, the signed configuration of the fleet.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct BundleSection {
@@ -232,13 +232,13 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LogSection {
-    /// Format of a line.
+    /// Whether log lines are plain text or JSON objects.
     pub format: LogFormat,
-    /// Minimum level that is logged.
+    /// Least severe level that is logged.
     pub level: LogLevel,
 }
 
-/// Format of a log line.
+/// Whether a log line is plain text or a JSON object.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogFormat {
@@ -249,7 +249,7 @@
     Json,
 }
 
-/// Minimum level of the log lines that are written.
+/// Least severe level that is logged; each level includes the ones listed before it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
--- a/lab/measure/src/idle.rs
+++ b/lab/measure/src/idle.rs
@@ -26,7 +26,7 @@
 /// Maximum body length of a message during startup, in bytes.
 const MAXIMUM_MESSAGE_BYTES: usize = 64 * 1_024;
 
-/// Settings of the measurement.
+/// Server to measure, how to connect to it, and the numbers of connections.
 #[derive(Clone, Debug)]
 pub struct IdleSettings {
     /// Address of the server.
@@ -41,7 +41,7 @@
     pub sizes: Vec<usize>,
 }
 
-/// Why the measurement failed.
+/// Error of [`run`]. The first error ends the measurement, and no report is returned.
 #[derive(Debug, Error)]
 pub enum IdleError {
     /// A connection failed.
@@ -82,7 +82,7 @@
     pub load_average: f64,
 }
 
-/// Results of the measurement.
+/// Memory of the serving process at all measured numbers of connections.
 #[derive(Clone, Debug, Serialize)]
 pub struct IdleReport {
     /// Memory at each number of connections, starting with zero.
--- a/lab/measure/src/scale/node.rs
+++ b/lab/measure/src/scale/node.rs
@@ -93,8 +93,8 @@
         self.platform_thread.stop();
     }
 
-    /// Requests a connection like a session does, which makes the node a user of the group.
-    /// The request is refused because there are no connections.
+    /// Requests a connection to `database` as a session does, which registers this node as a
+    /// user of `group`.
     pub async fn use_group(&self, group: &GroupName, database: &DatabaseName) {
         let request = AcquireRequest {
             group: group.clone(),
@@ -104,7 +104,9 @@
             zone: self.zone.clone(),
             wait: Duration::from_secs(5),
         };
-        // Always refused; only the side effects of the request matter.
+        // Only the side effects matter: routing the request records that this node uses the
+        // group, so that the group's home nodes send it new terms. The request itself is always
+        // refused, because neither this node nor any other has database connections.
         let _refusal = self.fleet.lease_source().acquire(request).await;
     }
 }
--- a/lab/measure/src/scale/report.rs
+++ b/lab/measure/src/scale/report.rs
@@ -34,7 +34,7 @@
     pub groups_per_node: usize,
     /// Load average of the machine at the end of the run.
     pub load_average: f64,
-    /// Seconds until every node had discovered all other nodes.
+    /// Seconds from the start of the fleet until every node had discovered all other nodes.
     pub joined_s: f64,
     /// Processor time in the quiet period, in percent of one core.
     pub processor_percent: f64,
@@ -61,15 +61,19 @@
     pub false_deaths: usize,
     /// Open links.
     pub links: f64,
-    /// Milliseconds until the other nodes considered a killed node suspect or dead.
+    /// Milliseconds from the kill of a node until each other node considered it suspect or dead.
     pub death_seen_ms: Option<Spread>,
-    /// Milliseconds until the nodes using a group had its new term.
+    /// Milliseconds from the moment at which a database's home node received a status with a new
+    /// term until each node using the group had the term.
     pub term_seen_ms: Option<Spread>,
-    /// The same times, one for each node that had the term before the timeout.
+    /// The times summarized in `term_seen_ms`, one for each node that had the term before the
+    /// timeout.
     pub term_times_ms: Vec<f64>,
-    /// Milliseconds until a new bundle version was in force on the nodes.
+    /// Milliseconds from the operator's rollout command until a new bundle version was in force on
+    /// each node.
     pub bundle_seen_ms: Option<Spread>,
-    /// The same times, one for each node that had the bundle before the timeout.
+    /// The times summarized in `bundle_seen_ms`, one for each node that had the bundle before the
+    /// timeout.
     pub bundle_times_ms: Vec<f64>,
     /// Number of databases that a node is the home of, summarized over all nodes.
     pub homes: Option<Spread>,
--- a/lab/sim/src/world/event.rs
+++ b/lab/sim/src/world/event.rs
@@ -42,7 +42,8 @@
     Granted,
     /// The request for a connection is refused.
     Refused(Refusal),
-    /// The holder accepts no new leases; the session's proxy tries another node.
+    /// The proxy that holds the connection accepts no new leases; the session's proxy tries
+    /// another node.
     Moved,
     /// An answer from the database.
     Answer(BackendAnswer),
@@ -109,13 +110,14 @@
         to: usize,
         message: Replication,
     },
-    /// Reads the commands that have arrived at a connection's database.
+    /// The database of a connection reads the commands that have arrived on the connection.
     ConnectionCommands(ConnectionNumber),
-    /// Reads the answers that have arrived at a connection's holder.
+    /// The proxy that holds a connection to a database reads the answers that have arrived on it.
     ConnectionAnswers(ConnectionNumber),
-    /// Reads the commands that have arrived at a lease's holder.
+    /// The proxy from which a lease was requested reads the commands that have arrived from the
+    /// session's proxy.
     LeaseCommands(LeaseNumber),
-    /// Reads the replies that have arrived at the proxy of a lease's session.
+    /// The proxy of the session that requested a lease reads the replies that have arrived.
     LeaseReplies(LeaseNumber),
     /// An event on a proxy.
     Proxy {
@@ -155,7 +157,7 @@
 /// An event on a proxy. A paused proxy handles its events when it resumes.
 #[derive(Clone, Debug)]
 pub(crate) enum ProxyEvent {
-    /// The node machine's timer is due.
+    /// The timer of the proxy's `NodeMachine` is due.
     NodeTimer,
     /// A datagram from another node.
     Datagram(Box<Datagram>),
@@ -171,7 +173,7 @@
     },
     /// A term verification has timed out.
     VerifyTimeout { session: SessionNumber, query: u64 },
-    /// A request machine's timer is due.
+    /// The timer of a session's `RequestMachine` is due.
     RequestTimer {
         session: SessionNumber,
         request: u64,
@@ -213,7 +215,7 @@
         from: NodeId,
         message: RolloutMessage,
     },
-    /// The rollout machine's timer is due.
+    /// The timer of the proxy's `RolloutMachine` is due.
     RolloutTimer,
     /// A proxy that watches the platform polls the platform's pointer to the current bundle.
     PlatformPoll,
--- a/lab/src/demo/timeline.rs
+++ b/lab/src/demo/timeline.rs
@@ -15,7 +15,7 @@
 pub enum Step {
     /// Injects a fault.
     Inject(Fault),
-    /// Rolls a new bundle.
+    /// Rolls out a new bundle (version of the fleet's configuration).
     Roll,
 }
 
@@ -76,6 +76,8 @@
     primary.map_or_else(|| DatabaseName::new(""), |(name, _, _)| name)
 }
 
+/// Returns the first replica of `group` when the timeline is built, before any fault; an empty
+/// name if there is none.
 fn replica_of(stack: &Stack, group: &GroupName) -> DatabaseName {
     let running = stack.databases.group(group);
     let replica = running.and_then(|running| running.replicas().into_iter().next());
--- a/lab/standin/src/database/lexer.rs
+++ b/lab/standin/src/database/lexer.rs
@@ -7,7 +7,7 @@
 pub enum TokenKind {
     /// A keyword or an unquoted identifier.
     Word,
-    /// A double-quoted identifier; the text excludes the quotes.
+    /// A double-quoted identifier; the text is its contents, with doubled quotes reduced to one.
     QuotedName,
     /// A numeric literal.
     Number,
@@ -24,7 +24,8 @@
 pub struct Token {
     /// Kind of the token.
     pub kind: TokenKind,
-    /// Text of the token, see [`TokenKind`].
+    /// Source text of the token; for string literals and quoted identifiers, the decoded contents
+    /// without quotes; for parameters, only the digits.
     pub text: String,
 }
 
--- a/lab/standin/src/platform/faults.rs
+++ b/lab/standin/src/platform/faults.rs
@@ -143,13 +143,13 @@
         self.changed.notify_waiters();
     }
 
-    /// Returns the active outage.
+    /// Returns the active outage; `None` if there is none.
     pub fn outage(&self) -> Option<OutageMode> {
         let outage = self.state.lock().outage;
         outage.and_then(|outage| outage.active_at(Instant::now()))
     }
 
-    /// Returns the active delay of responses.
+    /// Returns the active delay of responses; zero if there is none.
     pub(super) fn delay(&self) -> Duration {
         let delay = self.state.lock().delay;
         let delay = delay.and_then(|delay| delay.active_at(Instant::now()));
@@ -190,11 +190,16 @@
         self.changed.notified().await;
     }
 
+    /// Starts an outage that lasts until `until` (until it is cleared if `None`), or ends it if
+    /// `mode` is `None`. Notifies the waiters of [`PlatformFaults::changed`].
     fn change_outage(&self, mode: Option<OutageMode>, until: Option<Instant>) {
         self.state.lock().outage = mode.map(|value| Timed { value, until });
         self.changed.notify_waiters();
     }
 
+    /// Serves reads and watches from `revision` until `until` (until it is cleared if `None`), or
+    /// from the newest revision again if `revision` is `None`. Notifies the waiters of
+    /// [`PlatformFaults::changed`].
     fn change_old_revision(&self, revision: Option<i64>, until: Option<Instant>) {
         self.state.lock().old_revision = revision.map(|value| Timed { value, until });
         self.changed.notify_waiters();
