--- a/crates/coordination/src/serving/evacuation.rs
+++ b/crates/coordination/src/serving/evacuation.rs
@@ -47,8 +47,8 @@
 
 impl Evacuations {
     /// Records that the evacuation of `zone` is requested as of `revision`, or, if `requested` is
-    /// false, that the request has ended. Has no effect if `revision` is not newer than the recorded
-    /// one. Returns whether a request for the zone came into force or ended.
+    /// false, that the request has ended. Has no effect if `revision` is not newer than the
+    /// recorded one. Returns whether a request for the zone came into force or ended.
     pub fn apply(
         &mut self,
         zone: &ZoneName,
@@ -136,8 +136,8 @@
         self.zones.is_empty()
     }
 
-    /// Returns every zone with a recorded request, whether the request is in force, and the revision
-    /// of the request or, if it has ended, of its end.
+    /// Returns every zone with a recorded request, whether the request is in force, and the
+    /// revision of the request or, if it has ended, of its end.
     pub fn known(&self) -> impl Iterator<Item = (&ZoneName, bool, StoreRevision)> {
         self.zones
             .iter()
