--- a/lab/sim/src/models/acknowledge.rs
+++ b/lab/sim/src/models/acknowledge.rs
@@ -86,9 +86,9 @@
     Flush(usize),
     /// The first primary receives the confirmation of a flush.
     Confirm(usize),
-    /// The first database is elected with the vote of the second.
+    /// The database with the first index is elected with the vote of the one with the second.
     Elect(usize, usize),
-    /// The first database starts to follow the second, a primary.
+    /// The database with the first index starts to follow the primary with the second.
     Follow(usize, usize),
     /// The connection breaks.
     Break,
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Makes a database a replica, as a message of a later term does. If the first database was
+    /// Makes a database a replica, as a message of a later term does. If database 0 was the
     /// primary, it restarts and the connection to it breaks.
     fn step_down(&mut self, index: usize) {
         let was_primary = std::mem::replace(&mut self.replicas[index].is_primary, false);
--- a/lab/sim/src/models/primary_lease.rs
+++ b/lab/sim/src/models/primary_lease.rs
@@ -179,9 +179,9 @@
         let own = &mut state.nodes[node];
         own.informed = true;
         let acknowledges = own.lease.acknowledge(REVISIONS[1], now);
-        let unbound = self.removes(Mutation::AcknowledgeDespiteVotes);
-        let voted = own.lease.voted_for_others(now) && !unbound;
-        if (acknowledges || unbound)
+        let ignores_votes = self.removes(Mutation::AcknowledgeDespiteVotes);
+        let voted = own.lease.voted_for_others(now) && !ignores_votes;
+        if (acknowledges || ignores_votes)
             && let Some(withdrawal) = &mut state.withdrawal
         {
             withdrawal.acknowledge(NAMES[node], voted);
@@ -254,8 +254,8 @@
             steps.push(Step::Tick);
         }
         for (node, own) in state.nodes.iter().enumerate() {
-            let may_ask = node != SECOND && own.lease.clone().request(state.now).is_some();
-            steps.extend(may_ask.then_some(Step::SendRequest(node)));
+            let may_request = node != SECOND && own.lease.clone().request(state.now).is_some();
+            steps.extend(may_request.then_some(Step::SendRequest(node)));
             steps.extend(own.request.is_some().then_some(Step::AnswerRequest(node)));
             steps.extend(own.answer.is_some().then_some(Step::ReceiveAnswer(node)));
         }
--- a/lab/sim/src/report.rs
+++ b/lab/sim/src/report.rs
@@ -109,7 +109,7 @@
 pub struct RangeReport {
     /// Settings of all runs.
     pub settings: SimSettings,
-    /// First seed.
+    /// First seed of the range.
     pub first_seed: u64,
     /// Number of seeds run.
     pub seeds: u64,
--- a/lab/sim/src/world/client.rs
+++ b/lab/sim/src/world/client.rs
@@ -100,8 +100,8 @@
         if stale || self.now() >= self.load_end {
             return;
         }
-        let roams = self.random.random_range(0..20) == 0;
-        if roams && self.clients[client].session.is_some() {
+        let reconnects = self.random.random_range(0..20) == 0;
+        if reconnects && self.clients[client].session.is_some() {
             self.leave_session(client);
         }
         if self.clients[client].session.is_none() {
@@ -112,8 +112,8 @@
     }
 
     fn open_session(&mut self, client: usize) {
-        let roams = self.random.random_range(0..4) == 0;
-        let place = if roams {
+        let moves = self.random.random_range(0..4) == 0;
+        let place = if moves {
             self.random.random_range(0..self.places.len())
         } else {
             self.clients[client].place
--- a/lab/sim/src/world/connection.rs
+++ b/lab/sim/src/world/connection.rs
@@ -17,7 +17,7 @@
     Idle,
     Leased(LeaseNumber),
     /// Released by the session, with answers still outstanding.
-    Draining,
+    AwaitingAnswers,
     Closed,
 }
 
--- a/lab/sim/src/world/databases.rs
+++ b/lab/sim/src/world/databases.rs
@@ -269,8 +269,8 @@
             return;
         };
         let late = now.since(since) > DRAIN_ALLOWANCE;
-        let disturbed = self.disturbed_until + DRAIN_ALLOWANCE > since;
-        if call.index == 0 && late && !disturbed {
+        let drain_delayed = self.bundles_delayed_until + DRAIN_ALLOWANCE > since;
+        if call.index == 0 && late && !drain_delayed {
             let detail = format!("database {id} got {call:?} while draining since {since:?}");
             self.checker
                 .add_violation(now, Invariant::DrainHonoured, detail);
--- a/lab/sim/src/world/fault_injection.rs
+++ b/lab/sim/src/world/fault_injection.rs
@@ -22,7 +22,7 @@
         let fault = self.faults[index];
         let lasts = Duration::from_millis(fault.lasts_ms);
         if fault.kind.may_delay_bundles() {
-            self.disturbed_until = self.disturbed_until.max(now + lasts);
+            self.bundles_delayed_until = self.bundles_delayed_until.max(now + lasts);
         }
         let target = self.inject_fault(fault, now + lasts);
         self.fault_targets[index] = target;
--- a/lab/sim/src/world/mod.rs
+++ b/lab/sim/src/world/mod.rs
@@ -91,7 +91,8 @@
     draining: BTreeSet<usize>,
     faults: Vec<Fault>,
     fault_targets: Vec<Option<usize>>,
-    disturbed_until: Timestamp,
+    /// Time until which a fault may delay the delivery of bundles.
+    bundles_delayed_until: Timestamp,
     load_end: Timestamp,
     checker: Checker,
     counts: Counts,
@@ -137,7 +138,7 @@
             draining: BTreeSet::new(),
             fault_targets: vec![None; faults.len()],
             faults,
-            disturbed_until: Timestamp::default(),
+            bundles_delayed_until: Timestamp::default(),
             load_end: Timestamp::from_millis(LOAD_START_MS + settings.load_ms),
             checker: Checker::default(),
             counts: Counts::default(),
--- a/lab/sim/src/world/nodes.rs
+++ b/lab/sim/src/world/nodes.rs
@@ -375,7 +375,7 @@
         version: BundleVersion,
         rolled_out_at: hookpoint_state::Timestamp,
     ) {
-        if self.disturbed_until + MAX_BUNDLE_DELAY / 4 < rolled_out_at {
+        if self.bundles_delayed_until + MAX_BUNDLE_DELAY / 4 < rolled_out_at {
             self.check_bundle(version);
         }
     }
--- a/lab/sim/src/world/pool.rs
+++ b/lab/sim/src/world/pool.rs
@@ -171,17 +171,17 @@
             return self.slot_event(holder, database, event);
         };
         let keep = reusable || self.settings.mutated(Mutation::ReuseOpenTransaction);
-        let undrained = self.settings.mutated(Mutation::ReuseUndrained);
+        let reuse_early = self.settings.mutated(Mutation::ReuseUndrained);
         let Some(state) = self.connections.get_mut(&connection) else {
             return;
         };
         if state.state == ConnectionState::Closed {
             return;
         }
-        if !keep || state.outstanding == 0 || undrained {
+        if !keep || state.outstanding == 0 || reuse_early {
             self.return_connection(connection, keep);
         } else {
-            state.state = ConnectionState::Draining;
+            state.state = ConnectionState::AwaitingAnswers;
         }
     }
 
@@ -543,12 +543,14 @@
             }
             BackendAnswer::Status(_) | BackendAnswer::Unit(_) => {
                 connection.outstanding = connection.outstanding.saturating_sub(1);
-                let drained = connection.outstanding == 0;
+                let all_answered = connection.outstanding == 0;
                 match connection.state {
                     ConnectionState::Leased(lease) => {
                         self.send_reply(lease, LeaseReply::Answer(answer))
                     }
-                    ConnectionState::Draining if drained => self.return_connection(number, true),
+                    ConnectionState::AwaitingAnswers if all_answered => {
+                        self.return_connection(number, true)
+                    }
                     _ => {}
                 }
             }
