--- a/lab/standin/src/database/consensus/tests.rs
+++ b/lab/standin/src/database/consensus/tests.rs
@@ -177,7 +177,8 @@
         self.cut_links.clear();
     }
 
-    /// Checks that all members end with the same log once all links are healed.
+    /// Heals all links and checks that all members then end with the same log and
+    /// that exactly one of them is primary.
     fn heal_and_check_convergence(&mut self) {
         self.heal();
         for _ in 0..3000 {
@@ -201,6 +202,9 @@
     }
 }
 
+/// Guards against the loss of an entry that a majority has flushed and against two
+/// primaries in one term. Groups of three and five members run under random message
+/// loss, cut links, isolation and restarts.
 #[test]
 fn safe_entries_are_never_lost_and_each_term_has_one_primary() {
     let mut terms = 0;
@@ -235,6 +239,9 @@
     assert_eq!(consensus.role(), Role::Primary);
 }
 
+/// Guards against reporting an entry of an older term as safe as soon as a majority has
+/// flushed it. Member 0 writes in term 1 and is elected again in term 2, where its first
+/// entry must be flushed by member 1 before the older one counts.
 #[test]
 fn entry_of_an_older_term_is_safe_only_after_an_entry_of_the_current_term() {
     let mut run = Run::new(3, 1);
--- a/lab/standin/src/database/node.rs
+++ b/lab/standin/src/database/node.rs
@@ -75,6 +75,8 @@
     links: OnceLock<Links>,
     epoch: watch::Sender<Epoch>,
     majority_flushed: watch::Sender<usize>,
+    /// Whether clients are served: false while the database is paused or isolated from
+    /// its clients.
     gate: watch::Sender<bool>,
     replay_lag: Mutex<Duration>,
     replay_wake: Notify,
--- a/lab/standin/src/database/session.rs
+++ b/lab/standin/src/database/session.rs
@@ -21,7 +21,7 @@
 use super::wire::{Wire, WireError};
 use super::working_rows::WriteTransaction;
 
-/// Identity and initial settings of a session.
+/// User, database and connection slot of a session, with its settings.
 pub struct Identity {
     /// Connection slot of the session.
     pub slot: Slot,
--- a/lab/standin/src/database/utility.rs
+++ b/lab/standin/src/database/utility.rs
@@ -226,12 +226,12 @@
     }
 
     async fn wait_for_majority(&self, length: usize) -> Result<(), SqlError> {
-        let mut subscribe_majority_flushed = self.node.subscribe_majority_flushed();
-        let reached = subscribe_majority_flushed.wait_for(|majority| *majority >= length);
+        let mut majority_flushed = self.node.subscribe_majority_flushed();
+        let reached = majority_flushed.wait_for(|flushed| *flushed >= length);
         let waited = tokio::time::timeout(self.node.group.commit_wait, reached).await;
         // The result of the wait holds a read lock on the channel, which must be
         // released before continuing.
-        let reached = waited.is_ok_and(|majority| majority.is_ok());
+        let reached = waited.is_ok_and(|changed| changed.is_ok());
         if !reached {
             return Err(SqlError::fatal(
                 SqlState::AdminShutdown,
--- a/lab/standin/src/links/zones.rs
+++ b/lab/standin/src/links/zones.rs
@@ -29,8 +29,8 @@
 /// latency between zones would never be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RegionSpacing {
-    /// The latency between zones applies to all zones of a deployment; region names are
-    /// only labels.
+    /// The zones of a deployment are near each other, so the latency between zones
+    /// applies to all of them; region names only group them.
     UseZoneLatency,
     /// The latency between regions applies whenever the region names differ.
     UseRegionLatency,
