--- a/lab/workload/src/connection.rs
+++ b/lab/workload/src/connection.rs
@@ -60,7 +60,7 @@
     /// The error reported that the request did not run.
     #[error("not run ({sqlstate})")]
     NotRun {
-        /// SQLSTATE.
+        /// SQLSTATE of the error.
         sqlstate: String,
         /// How long to wait before a retry.
         retry_after: Duration,
@@ -71,7 +71,7 @@
     /// Rejected with an ordinary error.
     #[error("rejected ({sqlstate}): {message}")]
     Rejected {
-        /// SQLSTATE.
+        /// SQLSTATE of the error.
         sqlstate: String,
         /// Error message.
         message: String,
@@ -79,7 +79,7 @@
     /// The error reported that the outcome is unknown.
     #[error("unknown outcome ({sqlstate})")]
     Unknown {
-        /// SQLSTATE.
+        /// SQLSTATE of the error.
         sqlstate: String,
     },
     /// The connection was lost.
--- a/lab/workload/src/history.rs
+++ b/lab/workload/src/history.rs
@@ -136,21 +136,21 @@
     },
     /// The error reported that the request did not run.
     NotRun {
-        /// SQLSTATE.
+        /// SQLSTATE of the error.
         sqlstate: String,
     },
     /// The error reported that a request with this identifier had already run.
     AlreadyRan,
     /// The database rejected the statement with an ordinary error, which rolls it back.
     Rejected {
-        /// SQLSTATE.
+        /// SQLSTATE of the error.
         sqlstate: String,
         /// Error message, for the report.
         message: String,
     },
     /// The error reported that the outcome is unknown.
     Unknown {
-        /// SQLSTATE.
+        /// SQLSTATE of the error.
         sqlstate: String,
     },
     /// The connection was lost before an answer arrived.
--- a/lab/workload/src/session.rs
+++ b/lab/workload/src/session.rs
@@ -180,7 +180,7 @@
             };
             let (result, failure) = match outcome {
                 Ok(result) => (result, None),
-                Err(broken) => (broken.result(), Some(broken.failure)),
+                Err(failed_run) => (failed_run.result(), Some(failed_run.failure)),
             };
             let commit_unknown = outcome_unknown(&result);
             self.record(started, operation, result);
@@ -494,7 +494,8 @@
         if self.commit_sent {
             return result;
         }
-        // Without a SQLSTATE, so that the checker can find requests interrupted by a planned stop.
+        // The checker recognizes a transaction interrupted by a planned stop by the missing
+        // SQLSTATE.
         if matches!(result, OperationResult::ConnectionLost) {
             return OperationResult::NotCommitted { sqlstate: None };
         }
