--- a/lab/measure/src/experiment/report.rs
+++ b/lab/measure/src/experiment/report.rs
@@ -214,8 +214,8 @@
     series.filter(|entry| !entry.points.is_empty()).collect()
 }
 
-/// Plots, for the last run of each variant, the latency distribution and the propagation of
-/// a term and of a bundle over the nodes.
+/// Plots, for the last run of each variant, which is its last round at the largest size, the
+/// latency distribution and the propagation of a term and of a bundle over the nodes.
 fn write_curves(directory: &Path, results: &Results, text: &mut String) -> Result<(), ReportError> {
     type Curve = fn(&Outcome) -> Vec<(f64, f64)>;
     let curves: [(&str, &str, &str, &str, Curve); 3] = [
@@ -277,7 +277,8 @@
     runs.rfind(|run| run.variant == variant)
 }
 
-/// Returns, for each time, the percentage of the nodes that were reached by then.
+/// Returns, for each time, the percentage of `times_ms` that are not later. Nodes that were not
+/// reached before the timeout have no time and are not counted.
 fn cumulative_shares(times_ms: &[f64]) -> Vec<(f64, f64)> {
     let mut times = times_ms.to_vec();
     times.sort_by(f64::total_cmp);
--- a/lab/measure/src/scale/node.rs
+++ b/lab/measure/src/scale/node.rs
@@ -74,7 +74,7 @@
             fleet_handle.set_rollout(rollout);
             let registration = register(registration_client.client(), machine);
             actix_rt::spawn(async move {
-                // Keeps the registration, and with it the entry, for the lifetime of the thread.
+                // Keeps the node registered in the machine list for the lifetime of the thread.
                 let _registration = registration;
                 std::future::pending::<()>().await;
             });
